--- a/rampfront/edge/admin.py
+++ b/rampfront/edge/admin.py
@@ -18,15 +18,15 @@
     def __init__(self, loop, desk, front, bounds, names, log):
         self.desk, self.front, self.log = desk, front, log
         self.classes = sorted(names.products, key=names.products.get)  # names by index
-        wait = bounds.admin_wait
+        wait = bounds.admin_timeout_ns
         self.calls = Calls(
             loop,
             desk.clock,
             [self],
             CallBounds(
-                head=bounds.head,
-                body=bounds.body,
-                callers=bounds.admin_callers,
+                head=bounds.max_head_bytes,
+                body=bounds.max_body_bytes,
+                callers=bounds.max_admin_connections,
                 head_wait=wait,
                 body_wait=wait,
                 idle=wait,
@@ -42,7 +42,7 @@
 
     def fault(self, asked, trouble):
         self.log.counts["faults"] += 1
-        self.log.note("fault", asked.path, trouble=repr(trouble))
+        self.log.record_limited("fault", asked.path, trouble=repr(trouble))
 
     async def listen(self, host, port):
         await self.calls.listen(host, port)
@@ -76,12 +76,12 @@
 
     @call("POST", "/v1/edge-node/drain")
     def drain(self, asked):
-        self.log.say("drain")
+        self.log.record("drain")
         self.desk.core.drain()
         return text(200, b"draining")
 
     @call("POST", "/v1/edge-node/activate")
     def activate(self, asked):
-        self.log.say("activate")
+        self.log.record("activate")
         self.desk.core.activate()
         return text(200, b"taking clients")
--- a/rampfront/edge/counter.py
+++ b/rampfront/edge/counter.py
@@ -136,7 +136,7 @@
         for old in self.leaving:  # answers for a name come in the order of calls
             if any(call[0] == name for call in old.calls):
                 wire = old
-        if len(wire.calls) >= self.bounds.counter_calls:
+        if len(wire.calls) >= self.bounds.max_pending_counter_calls:
             return self.tell(name, t.UNSEEN, 0)
         text = words(b"ADDGET", b"%d" % name, repr(amount).encode(), b"%d" % max(1, life // 10**6))
         up = wire.transport is not None
@@ -163,7 +163,7 @@
                 return False
         elif not text.startswith(b"BUSY"):
             # Guards against calls that are never understood and look, from afar, like a busy counter.
-            self.log.note("counter refuses", text[:80].decode("latin-1"))
+            self.log.record_limited("counter refuses", text[:80].decode("latin-1"))
         wire.calls.popleft()
         if wire.timer and not wire.calls:  # a wake for nothing is dear
             self.timers.call_off(wire.timer)
@@ -193,7 +193,7 @@
     def check(self, wire, now):
         """Guards against a connection that is open and quiet because its far end is gone, or because what it
         began to say was no answer: the calls behind it would all time out."""
-        wait = self.bounds.counter_begun if wire.rest else self.bounds.counter_silent
+        wait = self.bounds.counter_partial_timeout_ns if wire.rest else self.bounds.counter_response_timeout_ns
         if wire.calls and now - max(wire.heard, wire.calls[0][1]) > wait:
             self.lost(wire, "never came up" if wire.transport is None else "silent")
 
@@ -214,16 +214,16 @@
             self.leaving.remove(wire)
         calls, wire.calls, now = wire.calls, deque(), self.clock()
         if calls or why not in ("connection ended", "left"):
-            self.log.note("counter lost", why)
+            self.log.record_limited("counter lost", why)
         for name, when, written, told, _ in calls:
             if name is not PING and not told:
                 self.tell(name, t.TIMED_OUT if written else t.UNSEEN, now - when)
 
     def sweep(self):
         now, wire = self.clock(), self.wire
-        if wire and wire.transport is None and now - wire.heard > self.bounds.counter_silent:
+        if wire and wire.transport is None and now - wire.heard > self.bounds.counter_response_timeout_ns:
             self.lost(wire, "never came up")
-        elif wire and wire.transport and not wire.calls and now - wire.heard > self.bounds.counter_ping:
+        elif wire and wire.transport and not wire.calls and now - wire.heard > self.bounds.counter_ping_interval_ns:
             wire.calls.append([PING, now, True, False, None])
             wire.transport.write(PING_TEXT)
         for each in (wire, *self.leaving):
--- a/rampfront/edge/discovery.py
+++ b/rampfront/edge/discovery.py
@@ -91,7 +91,7 @@
     def on_body(self, part):
         *lines, self.rest = (self.rest + part).split(b"\n")
         self.lines += [line for line in lines if line.strip()]
-        if len(self.rest) > self.discovery.bounds.line:
+        if len(self.rest) > self.discovery.bounds.max_list_line_bytes:
             raise ValueError("a line too long")
 
     def on_message_complete(self):
@@ -137,11 +137,12 @@
     def lost(self, watch, why):
         """Joins again after a drawn time, so that nodes cut off together do not come back together."""
         if self.end(watch):
-            self.log.note("watch lost", why)
-            most = min(self.bounds.retry_longest, self.bounds.retry_most << min(self.failed, 8))
+            self.log.record_limited("watch lost", why)
+            most = min(self.bounds.reconnect_delay_cap_ns, self.bounds.max_reconnect_delay_ns << min(self.failed, 8))
             self.failed += 1
             self.timers.after(
-                int(self.draw(most * self.bounds.retry_least // self.bounds.retry_most, most)), self.start
+                int(self.draw(most * self.bounds.min_reconnect_delay_ns // self.bounds.max_reconnect_delay_ns, most)),
+                self.start,
             )
 
     def end(self, watch):
@@ -154,5 +155,5 @@
         return was
 
     def sweep(self):
-        if self.watch and self.clock() - self.heard > self.bounds.watch_silent:
+        if self.watch and self.clock() - self.heard > self.bounds.discovery_silence_timeout_ns:
             self.lost(self.watch, "silent")
--- a/rampfront/edge/launch.py
+++ b/rampfront/edge/launch.py
@@ -11,7 +11,7 @@
 import orjson
 
 from ..announced import Names, Odd, ns, read_terms
-from ..net import bounds
+from ..net.limits import compute_limits
 from ..terms import slotted
 from .discovery import address, read_list
 from .log import LEVELS
@@ -290,7 +290,7 @@
         known=known,
         terms=terms,
         names=names,
-        bounds=bounds.fill(
+        bounds=compute_limits(
             sockets - (heard["connections"] if heard else 0), ns(more["ConnectTimeout"]), ns(more["Keepalive"])
         ),
         reports=settings.get("Reporting", {}).get("How", "none") != "none",
--- a/rampfront/edge/log.py
+++ b/rampfront/edge/log.py
@@ -12,11 +12,10 @@
 import orjson
 import structlog
 
-from ..net.notes import COUNTED as SHARED_COUNTED
-from ..net.notes import Notes
+from ..net.event_log import SHARED_COUNTERS, EventLog
 
 COUNTED = (
-    *SHARED_COUNTED,
+    *SHARED_COUNTERS,
     "adds",
     "adds_refused",
     "adds_timed_out",
@@ -72,7 +71,7 @@
 }
 
 
-class Log(Notes):
+class Log(EventLog):
     """Lines of JSON, filtered by module and level."""
 
     def __init__(
@@ -95,7 +94,7 @@
             raise structlog.DropEvent
         return {"at": round(time.time(), 3), "node": self.name, "level": level, "event": event, **row}
 
-    def say(self, event: str, **more: object) -> None:
+    def record(self, event: str, **more: object) -> None:
         """Writes a line. Where nobody reads the log, txns go on."""
         with suppress(OSError):
             self.logger.msg(event, **more)
--- a/rampfront/edge/node.py
+++ b/rampfront/edge/node.py
@@ -26,7 +26,7 @@
 def start(loop, clock, launch, log, again=load):
     """Makes the parts, joins them and listens; returns the desk. `again` reads the configuration anew."""
     bounds, terms = launch.bounds, launch.terms
-    desk = Desk(loop, clock, terms, launch.seed, (bounds.ride, bounds.ride_part), log)
+    desk = Desk(loop, clock, terms, launch.seed, (bounds.reminder_slack_ns, bounds.reminder_slack_divisor), log)
     rev, _, rows = launch.known
     upstream = desk.upstream = Upstream(loop, desk, bounds, launch.reports, log)
     core = desk.core = Core(desk, bounds, launch.names, terms, log)
@@ -81,22 +81,22 @@
         parts.append(admin)
 
     def sweep():
-        desk.timers.after(bounds.sweep, sweep)  # first, so that a defect below does not end it
+        desk.timers.after(bounds.sweep_interval_ns, sweep)  # first, so that a defect below does not end it
         for part in parts:
             part.sweep()
 
     def ending():
-        log.say("ending")
-        desk.timers.after(bounds.serve_on, core.retire, loop.stop)
-        desk.timers.after(bounds.drain_most, loop.stop)
+        log.record("ending")
+        desk.timers.after(bounds.shutdown_delay_ns, core.retire, loop.stop)
+        desk.timers.after(bounds.shutdown_timeout_ns, loop.stop)
 
     def reread():
         """Guards the txns under way against a faulty file: it is named, and what stands goes on."""
         try:
             new = again()
         except Faulty as trouble:
-            return log.say("configuration kept", why=str(trouble))
-        log.say("configuration read", discovery=new.discovery, counter=new.counter)
+            return log.record("configuration kept", why=str(trouble))
+        log.record("configuration read", discovery=new.discovery, counter=new.counter)
         watch.move(new.discovery)
         if desk.counter and new.counter:
             desk.counter.move(new.counter)
@@ -105,7 +105,7 @@
     loop.add_signal_handler(signal.SIGHUP, reread)
     loop.add_signal_handler(signal.SIGTERM, ending)
     loop.add_signal_handler(signal.SIGINT, ending)
-    loop.add_signal_handler(signal.SIGUSR1, log.totals, "asked")
+    loop.add_signal_handler(signal.SIGUSR1, log.record_counters, "asked")
     return desk
 
 
@@ -116,12 +116,12 @@
     except Faulty as trouble:
         print(f"rampfront: {trouble}", file=sys.stderr)
         return 2
-    log = Log(launch.name, launch.bounds.quiet, levels=launch.levels)
+    log = Log(launch.name, launch.bounds.log_quiet_ns, levels=launch.levels)
     loop = uvloop.new_event_loop()
 
     def fault(loop, about):
         log.counts["faults"] += 1
-        log.note("fault", about.get("message", ""), trouble=repr(about.get("exception")))
+        log.record_limited("fault", about.get("message", ""), trouble=repr(about.get("exception")))
 
     loop.set_exception_handler(fault)
     try:
@@ -132,7 +132,7 @@
     except OSError as trouble:
         print("rampfront: cannot listen:", trouble, file=sys.stderr)
         return 1
-    log.say("serving", listen=launch.listen, app_servers=len(launch.known[2]))
+    log.record("serving", listen=launch.listen, app_servers=len(launch.known[2]))
     gc.freeze()  # what stands now stays; nothing that is made for a txn holds itself in a ring
     gc.set_threshold(20000, 20, 100)
     loop.run_forever()
@@ -140,5 +140,5 @@
         desk.record.sink.close()
     if desk.journal:
         desk.journal.close()
-    log.totals("exit")
+    log.record_counters("exit")
     return 0
--- a/rampfront/journal/keeper.py
+++ b/rampfront/journal/keeper.py
@@ -34,8 +34,8 @@
         # Once-only txns that may have run before this start, by id: these are not taken again.
         self.doubted = {record[3].encode("latin-1") for record in store.index.doubts.values()}
         for name, at, size, why in store.damage[:20]:
-            log.say("journal damaged", segment=name, offset=at, bytes=size, why=why)
-        log.say(
+            log.record("journal damaged", segment=name, offset=at, bytes=size, why=why)
+        log.record(
             "journal read",
             last=self.number,
             doubts=len(self.doubted),
@@ -101,10 +101,10 @@
             for _, record in batch:  # not sooner: compaction goes by what stands on the disk
                 self.store.index.add(record)
         elif not isinstance(trouble, OSError):
-            self.log.note("fault", "journal", trouble=repr(trouble))
+            self.log.record_limited("fault", "journal", trouble=repr(trouble))
         effects, news = self.rules.ended(FAILED if trouble else WROTE, numbers)
         if news:
-            self.log.say("journal", state=self.rules.state, why=str(trouble or ""))
+            self.log.record("journal", state=self.rules.state, why=str(trouble or ""))
         if trouble:
             # The intents of it are nowhere, and none has left; outcomes are tried again.
             self.records = [row for row in batch if row[0] is None][: self.most] + self.records
@@ -131,5 +131,5 @@
             if left := [r.pack(record) for number, record in self.records if number is None]:
                 self.store.append(left)
         except OSError as trouble:
-            self.log.say("journal", state=FULL, why=str(trouble))
+            self.log.record("journal", state=FULL, why=str(trouble))
         self.store.close()
--- a/rampfront/lab/system/fleet_cost.py
+++ b/rampfront/lab/system/fleet_cost.py
@@ -16,7 +16,7 @@
 
 from ...membership import server_list as platform
 from ...membership.deltas import DeltaHistory
-from ...net.notes import Notes
+from ...net.event_log import EventLog
 from ...node import bounds as limits
 from ...node.endpoints import Directory
 from ...node.log import COUNTED
@@ -35,17 +35,17 @@
 MICRO = 1e-3  # of a us in ms
 
 
-class Silent(Notes):
+class Silent(EventLog):
     """Counters alone."""
 
     def __init__(self) -> None:
         """With the system's names."""
         super().__init__("n", SEC, COUNTED)
 
-    def say(self, event: str, **more: object) -> None:
+    def record(self, event: str, **more: object) -> None:
         """Nothing."""
 
-    def note(self, event: str, party: str, **more: object) -> None:
+    def record_limited(self, event: str, party: str, **more: object) -> None:
         """Nothing."""
 
 
--- a/rampfront/mqtt/front.py
+++ b/rampfront/mqtt/front.py
@@ -75,7 +75,7 @@
     def __init__(self, front):
         self.front, self.session, self.version, self.packets = front, None, None, []
         self.over = self.stuck = self.damped = self.held = False
-        self.alive, self.largest = front.bounds.silent_wait, 1 << 28
+        self.alive, self.largest = front.bounds.first_request_timeout_ns, 1 << 28
         self.decoder = c.Decoder(front.most)
 
     def connection_made(self, transport):
@@ -155,13 +155,13 @@
         self.connections, self.sessions_most, self.inflight = told["connections"], told["sessions"], told["inflight"]
         self.expiry, self.session_most, self.plan = told["expiry"], told["session_expiry"], told["plan"].encode()
         self.answers = told["answers"]
-        self.most = bounds.body + bounds.head
+        self.most = bounds.max_body_bytes + bounds.max_head_bytes
         self.server, self.closing, self.draining, self.done, self.number = None, False, False, None, 0
         self.links = {}  # connections; emptied as they end
         self.sessions = {}  # (plan, account, client id) to Session; emptied by clean ends, age, and past their most
 
     async def listen(self, host, port):
-        self.server = await self.loop.create_server(lambda: Link(self), host, port, backlog=self.bounds.backlog)
+        self.server = await self.loop.create_server(lambda: Link(self), host, port, backlog=self.bounds.listen_backlog)
 
     # ---- connections
 
@@ -170,7 +170,7 @@
         self.links[link] = None
         if self.core.storm and not self.core.storm.connected(self.clock()):
             link.damped = True
-        if len(self.links) > self.connections + self.bounds.spare_clients:
+        if len(self.links) > self.connections + self.bounds.overflow_clients:
             link.over = True
             link.transport.abort()
 
@@ -200,7 +200,7 @@
         for link in list(self.links):
             silent = now - link.heard
             if link.over or link.stuck:
-                if silent > self.bounds.write_wait:
+                if silent > self.bounds.write_timeout_ns:
                     self.counts["slow"] += 1
                     link.transport.abort()
             elif link.alive and silent > link.alive and not link.held:
@@ -387,7 +387,7 @@
                 plan,
                 key and key.encode(),
                 account.encode(),
-                min(expires_in, self.bounds.expiry_most),
+                min(expires_in, self.bounds.max_expiry_ns),
                 route.said,
                 route.method,
                 url,
--- a/rampfront/net/core.py
+++ b/rampfront/net/core.py
@@ -70,7 +70,7 @@
         self.ceilings = [plan.ceiling_rate > 0 for plan in terms.plans]
         self.largest, self.nodes = terms.largest, terms.nodes
         # An expiry that a call to the counter could outlast is guarded by a timer.
-        self.short = terms.counter_wait + 2 * terms.tick + 2 * bounds.margin
+        self.short = terms.counter_wait + 2 * terms.tick + 2 * bounds.answer_margin_ns
 
     def drain(self):
         for front in self.fronts:
@@ -109,7 +109,7 @@
         if product.kind == t.REFERENCED and not key:
             raise Unfit(400, "Idempotency-Key is missing")
         account = self.account(account)
-        if not 0 < expires_in <= self.bounds.expiry_most:
+        if not 0 < expires_in <= self.bounds.max_expiry_ns:
             raise Unfit(400, "X-Deadline-Ms is no time ahead")
         units, spread = self.said.get(said) or self.call_terms(said)
         head = b"%s %s HTTP/1.1\r\nHost: app.svc\r\nX-Request-Id: %s\r\n" % (method, url, txn_id)
@@ -137,7 +137,7 @@
             if units is None:
                 return
         asker.taken(exchange)
-        expires_in -= self.bounds.margin
+        expires_in -= self.bounds.answer_margin_ns
         self.desk.arrived(exchange, index, plan, account, units, max(MS, expires_in), spread)
         if exchange.client is asker and expires_in < self.short:
             self.desk.timers.after(max(0, expires_in), self.too_late, exchange)
@@ -184,7 +184,7 @@
             and int(first) < self.nodes
         ):
             raise Unfit(400, "odd X-Call-Terms")
-        if len(self.said) >= self.bounds.said:
+        if len(self.said) >= self.bounds.max_cached_call_terms:
             self.said.clear()
         self.said[text] = said = int(units) if units.is_integer() else units, int(spread)
         return said
--- a/rampfront/net/desk.py
+++ b/rampfront/net/desk.py
@@ -182,7 +182,7 @@
         where = trouble.__traceback__
         while where.tb_next:
             where = where.tb_next
-        self.log.note(
+        self.log.record_limited(
             "fault",
             type(told).__name__,
             trouble=repr(trouble),
@@ -315,7 +315,7 @@
 
     def notice(self, e):
         self.counts[f"counter_{e.what}"] += 1
-        self.log.say("counter", news=e.what, heard=e.heard)
+        self.log.record("counter", news=e.what, heard=e.heard)
         if self.record:
             self.record("counter", None, news=e.what, heard=e.heard)
 
--- a/rampfront/net/front.py
+++ b/rampfront/net/front.py
@@ -17,9 +17,9 @@
 from .core import Unfit
 
 if TYPE_CHECKING:
-    from .bounds import Bounds
     from .core import Core, Exchange
-    from .notes import Notes
+    from .event_log import EventLog
+    from .limits import NetworkLimits
     from .upstream import Link
 
 MS, SEC = 10**6, 10**9  # ns
@@ -190,7 +190,7 @@
                 raise Unfit(400, f"{name.decode()} twice")
             self.fields[name] = value
         self.size += len(name) + len(value) + 4
-        if self.size > self.front.bounds.head:
+        if self.size > self.front.bounds.max_head_bytes:
             raise Unfit(431, "the head is too large")
 
     def on_headers_complete(self) -> None:
@@ -198,7 +198,7 @@
         self.size = 0
         length = self.fields.get(b"content-length", b"0")
         if (
-            len(length) > MOST_LENGTH_DIGITS or int(length) > self.front.bounds.body
+            len(length) > MOST_LENGTH_DIGITS or int(length) > self.front.bounds.max_body_bytes
         ):  # the parser leaves nothing but digits
             raise Unfit(413, "the body is too large")
         if b"expect" in self.fields:
@@ -207,7 +207,7 @@
     def on_body(self, part: bytes) -> None:
         """Of the parser: a part of the body."""
         self.size += len(part)
-        if self.size > self.front.bounds.body:
+        if self.size > self.front.bounds.max_body_bytes:
             raise Unfit(413, "the body is too large")
         self.body.append(part)
 
@@ -288,15 +288,15 @@
 
     kind = Client  # of the connections
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, core: Core, bounds: Bounds, log: Notes) -> None:
+    def __init__(self, loop: asyncio.AbstractEventLoop, core: Core, bounds: NetworkLimits, log: EventLog) -> None:
         """`core` takes the txns; `log` has the counters."""
         self.loop, self.core, self.desk, self.bounds, self.log = loop, core, core.desk, bounds, log
         self.counts, self.clock = log.counts, core.clock
         self.closing, self.server, self.done = False, None, None
         self.draining = False  # told by the operators: clients are sent elsewhere, the process stays
         self.swept = self.clock()  # when connections were last looked at: near enough for their ages
-        self.buffer = memoryview(bytearray(bounds.chunk))  # shared: each read is used up before the next
-        self.most = bounds.head + bounds.body
+        self.buffer = memoryview(bytearray(bounds.read_buffer_bytes))  # shared: each read is used up before the next
+        self.most = bounds.max_head_bytes + bounds.max_body_bytes
         self.clients: dict[Client, None] = {}  # in the order they came; emptied as connections end
         self.served = 0  # those of them that brought something whole
 
@@ -305,12 +305,14 @@
         then take from one queue, and what waits in it is not lost when the old one closes its copy."""
         if inherited is None:
             self.server = await self.loop.create_server(
-                lambda: self.kind(self), host, port, backlog=self.bounds.backlog
+                lambda: self.kind(self), host, port, backlog=self.bounds.listen_backlog
             )
             return
         sock = socket.socket(fileno=inherited)
         sock.setblocking(False)
-        self.server = await self.loop.create_server(lambda: self.kind(self), sock=sock, backlog=self.bounds.backlog)
+        self.server = await self.loop.create_server(
+            lambda: self.kind(self), sock=sock, backlog=self.bounds.listen_backlog
+        )
 
     # ---- connections
 
@@ -321,10 +323,10 @@
         if self.core.storm and not self.core.storm.connected(self.clock()):
             # Guards against a reconnect wave: its txns are told at once to come back, spread over time.
             client.crowded = client.damped = True
-        if len(self.clients) > self.bounds.clients and not self.shed():
+        if len(self.clients) > self.bounds.max_clients and not self.shed():
             # Guards against more clients than descriptors: with none idle the newest is told to come back.
             client.crowded = True
-            if len(self.clients) > self.bounds.clients + self.bounds.spare_clients:
+            if len(self.clients) > self.bounds.max_clients + self.bounds.overflow_clients:
                 client.deaf = client.over = True
                 client.transport.abort()
 
@@ -336,7 +338,12 @@
             client
             for client in self.clients
             if not (client.busy or client.over or client.stuck)
-            and (client.fresh and now - client.since > bounds.silent_least or not client.fresh and not client.begun)
+            and (
+                client.fresh
+                and now - client.since > bounds.new_client_grace_ns
+                or not client.fresh
+                and not client.begun
+            )
         ]
         if not free:
             return False
@@ -368,17 +375,20 @@
         """Ends connections that are stuck, too slow, or idle for too long."""
         now, bounds = self.clock(), self.bounds
         self.swept = now
-        longest_silent, longest_idle = bounds.silent_wait, bounds.client_idle
+        longest_silent, longest_idle = bounds.first_request_timeout_ns, bounds.client_idle_timeout_ns
         if self.draining:  # none is held idle, and one that brings nothing goes soon
-            longest_silent, longest_idle = min(bounds.silent_wait, bounds.drain_silent), -1
+            longest_silent, longest_idle = (
+                min(bounds.first_request_timeout_ns, bounds.draining_first_request_timeout_ns),
+                -1,
+            )
         for client in list(self.clients):
             age = now - client.since
             if client.over or client.stuck:
-                if age > bounds.write_wait:
+                if age > bounds.write_timeout_ns:
                     self.counts["slow"] += 1
                     client.transport.abort()
             elif client.begun:
-                if age > bounds.read_wait:
+                if age > bounds.request_read_timeout_ns:
                     self.counts["slow"] += 1
                     client.refuse(Unfit(TIMED_OUT, "the txn never became whole"))
             elif not client.busy and age > (longest_silent if client.fresh else longest_idle):
@@ -415,7 +425,7 @@
     def read(self, client: Client) -> None:
         """A txn is whole: it is taken, or answered here."""
         url = client.url
-        if self.served > self.bounds.served:
+        if self.served > self.bounds.max_active_clients:
             self.spread(client)
         if url.startswith(b"/-/"):
             self.own_page(client, url)
--- a/rampfront/net/upstream.py
+++ b/rampfront/net/upstream.py
@@ -122,7 +122,7 @@
         self.moved = self.pool.clock()
         try:
             self.parser.feed_data(self.pool.buffer[:size])
-            if self.fed > (bounds.wire if self.headed else bounds.head) and not self.large:
+            if self.fed > (bounds.max_response_bytes if self.headed else bounds.max_head_bytes) and not self.large:
                 # Guards against heads that never end, which the parser gathers until a field of them is whole.
                 trouble = "the answer never ends"
         except httptools.HttpParserUpgrade:
@@ -141,7 +141,7 @@
             self.conclude(trouble is None)
         elif first and not trouble:
             # Guards against lengths that do not fit: an answer that has begun does not wait for its txn's time.
-            self.wait(min(self.due, self.pool.clock() + bounds.answer_wait))
+            self.wait(min(self.due, self.pool.clock() + bounds.response_read_timeout_ns))
         if trouble:
             self.odd(trouble)
 
@@ -149,7 +149,7 @@
         """What breaks the protocol is one failed exchange; it may have run."""
         if self.state != DEAD:
             self.pool.counts["odd_answers"] += 1
-            self.pool.log.note("odd answer", self.target.uid, why=why)
+            self.pool.log.record_limited("odd answer", self.target.uid, why=why)
             if self.state == IDLE:
                 self.close()
             else:
@@ -172,7 +172,10 @@
             status == 200
             and asker is not None
             and asker.relays
-            and (self.length is None or self.pool.bounds.body < self.length <= self.pool.bounds.relayed)
+            and (
+                self.length is None
+                or self.pool.bounds.max_body_bytes < self.length <= self.pool.bounds.max_streamed_bytes
+            )
         )
 
     def on_header(self, name, value):
@@ -218,11 +221,11 @@
             return self.close()
         for part in body:
             self.pass_on(part)
-        self.timer = pool.timers.after(pool.bounds.relay_stall, self.stalled)
+        self.timer = pool.timers.after(pool.bounds.stream_stall_timeout_ns, self.stalled)
 
     def pass_on(self, part):
         self.size += len(part)
-        if self.size > self.pool.bounds.relayed:
+        if self.size > self.pool.bounds.max_streamed_bytes:
             raise ValueError("the answer is too large")  # the parser's error: the relay is cut
         if self.length is None:  # chunks, or an answer that ends with its connection: in chunks to the client
             self.relay.transport.write(b"%x\r\n%s\r\n" % (len(part), part))
@@ -234,11 +237,11 @@
         self.timer = None
         if self.state != RELAYING:
             return
-        left = self.moved + self.pool.bounds.relay_stall - self.pool.clock()
+        left = self.moved + self.pool.bounds.stream_stall_timeout_ns - self.pool.clock()
         if left > 0 or self.relay and self.relay.stuck:  # it moves, or waits for its client
-            self.timer = self.pool.timers.after(max(left, self.pool.bounds.relay_stall // 4), self.stalled)
+            self.timer = self.pool.timers.after(max(left, self.pool.bounds.stream_stall_timeout_ns // 4), self.stalled)
             return
-        self.pool.log.note("odd answer", self.target.uid, why="stops mid-answer")
+        self.pool.log.record_limited("odd answer", self.target.uid, why="stops mid-answer")
         self.close()
 
     def end_relay(self):
@@ -263,7 +266,7 @@
                 self.body.append(bytes(part))  # what came with the head, until the relay begins
             return
         self.size += len(part)
-        if self.size > self.pool.bounds.body:
+        if self.size > self.pool.bounds.max_body_bytes:
             raise ValueError("the answer is too large")
         self.body.append(part)
 
@@ -278,7 +281,7 @@
         if how is None:
             how = t.UNSEEN if self.not_run and status in (503, 504) else t.ERROR
             if status not in (503, 504):
-                self.pool.log.note("odd status", self.target.uid, status=status)
+                self.pool.log.record_limited("odd status", self.target.uid, status=status)
         self.finish(how, sound and self.keep)
 
     # ---- one submission or probe
@@ -292,7 +295,7 @@
         if self.state == IDLE:
             self.write()
         else:
-            self.timer = pool.timers.at(self.sent_at + min(allow, pool.bounds.connect_wait), self.time_out)
+            self.timer = pool.timers.at(self.sent_at + min(allow, pool.bounds.connect_timeout_ns), self.time_out)
 
     def write(self):
         pool, exchange, new = self.pool, self.exchange, self.state == OPENING
@@ -418,7 +421,7 @@
     def __init__(self, loop, desk, bounds, reports, log):
         self.loop, self.desk, self.bounds, self.log, self.counts = loop, desk, bounds, log, log.counts
         self.clock, self.timers = desk.clock, desk.timers
-        self.buffer = memoryview(bytearray(bounds.chunk))  # shared: each read is used up before the next
+        self.buffer = memoryview(bytearray(bounds.read_buffer_bytes))  # shared: each read is used up before the next
         self.targets = {}  # by index; emptied by `removed`
         self.links = 0
         self.reports = reports
@@ -465,7 +468,7 @@
                 return link
             target.idle.append(link)
             link.close()
-        if self.links >= self.bounds.links and not self.shed():
+        if self.links >= self.bounds.max_server_connections and not self.shed():
             self.counts["links_short"] += 1
             return None
         link = self.kind(self, target)
@@ -502,7 +505,7 @@
         if link is None:
             self.counts["probes_failed"] += 1
             return self.desk.probed(index, t.UNSEEN, 0, {})
-        link.begin(None, 0, self.bounds.probe_wait)
+        link.begin(None, 0, self.bounds.health_check_timeout_ns)
 
     def probe_over(self, link, how, took, body):
         report = {}
@@ -514,13 +517,13 @@
                 report = {k: v for k, v in said.items() if type(v) in (int, float) and 0 <= v < 1e9}
             except (ValueError, AttributeError):
                 if self.reports:
-                    self.log.note("odd report", link.target.uid)
+                    self.log.record_limited("odd report", link.target.uid)
         if how != t.DONE:
             self.counts["probes_failed"] += 1
         self.desk.probed(link.target.index, how, took, report)
 
     def sweep(self):
-        oldest = self.clock() - self.bounds.link_idle
+        oldest = self.clock() - self.bounds.server_idle_timeout_ns
         for target in self.targets.values():
             while target.idle and target.idle[0].since < oldest:
                 target.idle[0].close()
--- a/rampfront/node/__main__.py
+++ b/rampfront/node/__main__.py
@@ -33,9 +33,9 @@
     loop.add_signal_handler(signal.SIGTERM, node_process.end)
     loop.add_signal_handler(signal.SIGINT, node_process.end)
     loop.add_signal_handler(signal.SIGHUP, lambda: node_process.reread(path))
-    loop.add_signal_handler(signal.SIGUSR1, log.totals, "asked")
+    loop.add_signal_handler(signal.SIGUSR1, log.record_counters, "asked")
     loop.run_forever()
-    log.totals("end")
+    log.record_counters("end")
     return 0
 
 
--- a/rampfront/node/log.py
+++ b/rampfront/node/log.py
@@ -5,11 +5,10 @@
 
 import picologging
 
-from ..net.notes import COUNTED as SHARED_COUNTED
-from ..net.notes import Notes
+from ..net.event_log import SHARED_COUNTERS, EventLog
 
 COUNTED = (
-    *SHARED_COUNTED,
+    *SHARED_COUNTERS,
     "odd_answers",
     "faults",
     "frames_sent",
@@ -38,7 +37,7 @@
 QUIET = 10 * 10**9  # ns: one line an event and party
 
 
-class Log(Notes):
+class Log(EventLog):
     """Lines on standard error, `name event key=value ...`."""
 
     def __init__(self, name: str, out: TextIO | None = None) -> None:
@@ -49,6 +48,6 @@
         handler.setFormatter(picologging.Formatter("%(name)s %(message)s"))
         self.logger.addHandler(handler)
 
-    def say(self, event: str, **more: object) -> None:
+    def record(self, event: str, **more: object) -> None:
         """Writes a line."""
         self.logger.info(event + "".join([f" {key}={value}" for key, value in more.items()]))
--- a/rampfront/node/metrics.py
+++ b/rampfront/node/metrics.py
@@ -9,11 +9,11 @@
 
 from ..consensus.membership_change import LEARNER, LEAVING, REPLACED, SILENT, CoreStrength
 from ..net.calls import Answer, call
-from ..net.spans import EDGES
+from ..net.latency_histogram import BUCKET_BOUNDS_NS
 
 SEC = 10**9
 KIND = b"text/plain; version=0.0.4; charset=utf-8"
-LABELS = (*(f"{edge / SEC:g}" for edge in EDGES), "+Inf")
+LABELS = (*(f"{edge / SEC:g}" for edge in BUCKET_BOUNDS_NS), "+Inf")
 SPANS = (
     ("request", "From a whole request to its answer, at this pilot; what no server was asked for is left out."),
     ("server_answer", "From a request handed to a server to its whole answer, good or bad."),
@@ -72,7 +72,7 @@
 
 
 def text(counts, held, spans):
-    """The page. `counts`: name to count; `held`: (name, value); `spans`: one `Spans` for each of SPANS."""
+    """The page. `counts`: name to count; `held`: (name, value); `spans`: one `LatencyHistogram` for each of SPANS."""
     lines = []
     for name, count in counts.items():
         lines += (f"# TYPE rampfront_{name}_total counter", f"rampfront_{name}_total {count}")
@@ -87,7 +87,7 @@
         for label, count in zip(LABELS, span.counts):
             up += count
             lines.append(f'{name}_bucket{{le="{label}"}} {up}')
-        lines += (f"{name}_sum {span.total / SEC:.9f}", f"{name}_count {up}")
+        lines += (f"{name}_sum {span.total_ns / SEC:.9f}", f"{name}_count {up}")
     return "\n".join(lines) + "\n"
 
 
--- a/rampfront/node/node.py
+++ b/rampfront/node/node.py
@@ -17,7 +17,7 @@
 from ..membership.dissemination import TERM, Disseminator
 from ..membership.server_health import ROWS, Register
 from ..net.desk import Timers
-from ..net.spans import Spans
+from ..net.latency_histogram import LatencyHistogram
 from ..proxy.core import RequestProxy
 from ..proxy.front import ClientFront
 from ..quota import messages as words
@@ -87,7 +87,10 @@
         )  # the last two: what differences rest on
         self.core_member, self.disk, self.record_store = None, None, None
         self.orders = Orders(self)
-        self.add_trips, self.word_ages = Spans(), Spans()  # round trips of counts, ages of the word
+        self.add_trips, self.word_ages = (
+            LatencyHistogram(),
+            LatencyHistogram(),
+        )  # round trips of counts, ages of the word
         if process_settings.folder:
             self.disk = ports.crew(1)
             self.record_store = ports.record_store(process_settings.folder)
@@ -107,7 +110,7 @@
             except (OSError, ValueError) as trouble:
                 # Guards the core against a member that cannot read what it promised, or reads what another machine did:
                 # this life it serves clients alone. The record stays as it is.
-                log.say("disk unread", why=repr(trouble))
+                log.record("disk unread", why=repr(trouble))
         self.poller = None
         if process_settings.platform:
             self.poller = ports.poller(
@@ -144,7 +147,7 @@
             out = self.limiter.out
             self.say(self.counter_placement.receive(now, ip, message["m"]))
             if out and self.limiter.out is not out:
-                self.add_trips.note(now - out.first_at)
+                self.add_trips.record(now - out.first_at)
             self.arm_tide()  # what came due meanwhile need not wait for the timer that sends again
         elif kind == "sight":
             self.sighted(ip, message["r"], now)
@@ -159,7 +162,7 @@
                 self.tell(lt.Heard(ip, message))
             except lt.Odd as odd:
                 self.counts["frames_odd"] += 1
-                self.log.note("odd frame", ip, why=str(odd))
+                self.log.record_limited("odd frame", ip, why=str(odd))
 
     # ---- what servers look like to the fleet
 
@@ -199,7 +202,7 @@
         trouble = future.exception()
         if trouble is not None:
             self.counts["stores_failed"] += 1
-            self.log.note("disk", "refuses", why=repr(trouble))
+            self.log.record_limited("disk", "refuses", why=repr(trouble))
         self.tell(lt.Stored(number, trouble is None))
 
     def rule(self, now):
@@ -208,7 +211,7 @@
         leads = core_member.leads and core_member.backed_at is not None
         disseminator.rule(leads, core_member.leader, self.state.term if self.state else 0, core_member.backed_at, now)
         if leads != led:
-            self.log.say("leads" if leads else "follows", term=disseminator.term)
+            self.log.record("leads" if leads else "follows", term=disseminator.term)
         if self.poller and leads != self.polling:
             self.polling = leads
             self.poller.start() if leads else self.poller.stop()
@@ -225,19 +228,19 @@
         if state.rev and (old is None or state.rev != old.rev):
             found = configurations.read(zlib.decompress(state.body))
             if found.is_ok():
-                self.log.say("configuration", revision=state.rev)
+                self.log.record("configuration", revision=state.rev)
                 configuration = found.ok_value
                 self.client_front.capped(configuration.caps)
                 self.request_proxy.charted(configuration)
                 self.quota_counter.limits(configuration.named, self.clock())
                 self.arm_tide()
             else:
-                self.log.say("configuration unread", revision=state.rev, why=found.err_value)
+                self.log.record("configuration unread", revision=state.rev, why=found.err_value)
         if old is None or old.members != state.members:
-            self.log.say("members", names=sorted(state.members))
+            self.log.record("members", names=sorted(state.members))
             self.moor()
         if old is None or old.zones != state.zones:
-            self.log.say("zones emptied", zones=sorted(state.zones))
+            self.log.record("zones emptied", zones=sorted(state.zones))
             self.request_proxy.zoned(state.zones)
         if self.disseminator.leads:
             self.disseminator.spread(self.clock())
@@ -268,7 +271,7 @@
 
     def unpolled(self, why):
         self.counts["lists_failed"] += 1
-        self.log.note("platform", "list", why=why)
+        self.log.record_limited("platform", "list", why=why)
 
     def serve(self, servers):
         self.disseminator.servers = servers.number
@@ -305,7 +308,7 @@
         if ready != self.disseminator.ready:
             self.disseminator.ready = ready
             self.disseminator.next_at = 0
-            self.log.say("ready" if ready else "not ready")
+            self.log.record("ready" if ready else "not ready")
 
     # ---- the tide
 
@@ -359,7 +362,7 @@
             self.send(self.disseminator.leader, {"k": "sight", "r": rows})
         self.look(now)
         if self.disseminator.word_at is not None:
-            self.word_ages.note(max(0, now - self.disseminator.word_at))
+            self.word_ages.record(max(0, now - self.disseminator.word_at))
         self.say(self.counter_placement.beat(now))
         self.arm_tide()
 
@@ -388,7 +391,7 @@
         gc.freeze()  # what stands from the start on is not looked through again
 
     def begin(self):
-        self.log.say(
+        self.log.record(
             "starts", zone=self.process_settings.zone, disk=bool(self.core_member), first=self.process_settings.first
         )
         self.tell(None)
@@ -410,7 +413,7 @@
         """SIGHUP, or the file has changed. A faulty file is named and changes nothing."""
         found = process_settings_of.load(path)
         if found.is_err():
-            return self.log.say("settings kept", why=found.err_value)
+            return self.log.record("settings kept", why=found.err_value)
         new = found.ok_value
         self.disseminator.seeds = [host for host, _ in new.seeds]
         if self.core_member:
@@ -419,13 +422,13 @@
             self.poller.move(new.platform)
         # Guards against a 400 for a zone that the other nodes know by now; those that are gone may yet be taken back.
         self.process_settings.zones.update(new.zones)
-        self.log.say("settings read")
+        self.log.record("settings read")
 
     # ---- ends
 
     def fault(self, asked, fault):
         self.counts["faults"] += 1
-        self.log.note("fault", asked.path, why=repr(fault))
+        self.log.record_limited("fault", asked.path, why=repr(fault))
 
     def end(self):
         """SIGTERM: out of the directory at once, served on for as long as clients still come, then what was taken is ended."""
@@ -433,7 +436,7 @@
             return
         self.ending = True
         self.tell(lt.Leave())
-        self.log.say("ending")
+        self.log.record("ending")
         self.client_front.drain()
         self.look(self.clock())
         self.disseminator.tick(self.clock())
--- a/rampfront/node/orders.py
+++ b/rampfront/node/orders.py
@@ -142,7 +142,7 @@
     def drop(self, ip: str, why: str) -> None:
         """Counts a reply that is not heeded."""
         self.node_process.counts["replies_unasked"] += 1
-        self.node_process.log.note("reply dropped", ip, why=why)
+        self.node_process.log.record_limited("reply dropped", ip, why=why)
 
     # ---- orders at the leader
 
--- a/rampfront/proxy/core.py
+++ b/rampfront/proxy/core.py
@@ -13,7 +13,7 @@
 from ..membership.server_health import WELL, HealthReporter
 from ..net.core import Exchange, Unfit
 from ..net.desk import Desk
-from ..net.spans import Spans
+from ..net.latency_histogram import LatencyHistogram
 from . import routing
 from .forwarding import HOP, ConnectionPool
 
@@ -49,7 +49,7 @@
             request_proxy.clock,
             terms,
             request_proxy.draw.getrandbits(63),
-            (request_proxy.bounds.ride, request_proxy.bounds.ride_part),
+            (request_proxy.bounds.reminder_slack_ns, request_proxy.bounds.reminder_slack_divisor),
             request_proxy.log,
         )
         self.desk.core = request_proxy
@@ -117,7 +117,7 @@
         self.configuration, self.servers, self.emptied = None, None, frozenset()
         self.cold_zones = {}  # zones taken back lately: until when their servers are held to be cold
         self.health_reporter = HealthReporter()
-        self.requests, self.answers = Spans(), Spans()  # requests here, and servers' answers
+        self.requests, self.answers = LatencyHistogram(), LatencyHistogram()  # requests here, and servers' answers
         self.service_pools = {}  # by service, of all charts so far: a service that comes back finds its own
         self.nodes = 1
         self.took = lambda: None  # behind each request that the tide was asked of: it may have something to tell
@@ -222,7 +222,7 @@
         left = said.get(b"time-left-ms", b"")
         left = int(left) * MS if left.isdigit() and len(left) < 10 else NO_TIME
         left = min(left, route.give_up) if route.give_up else left
-        left -= self.bounds.margin
+        left -= self.bounds.answer_margin_ns
         service_pool = self.service_pools.get(routing.service(route.shares, self.draw))
         if left <= 0 or service_pool is None or not service_pool.connection_pool.any_up():
             self.counts["no_server"] += 1
@@ -319,5 +319,5 @@
     def over(self, passage):
         client, passage.client = passage.client, None
         if client:
-            self.requests.note(self.clock() - passage.came)
+            self.requests.record(self.clock() - passage.came)
         return client
--- a/rampfront/proxy/forwarding.py
+++ b/rampfront/proxy/forwarding.py
@@ -142,7 +142,7 @@
             self.exchange.risky = True
         if how not in (t.DONE, t.ERROR) or self.exchange is None:
             return None, 0, None
-        self.pool.answers.note(took)
+        self.pool.answers.record(took)
         answer = Answer(self.parser.get_status_code(), self.fields, b"".join(self.body))
         self.fields = None
         if how == t.ERROR and answer.status not in PROMISES:
@@ -152,14 +152,16 @@
 
 class ConnectionPool(Upstream):
     """The pool of one service. `loads(index, running, waiting, slots)` is told what answers say of their server,
-    `gone(uid)` that another has its address, `health_reporter` how each request ends, `answers` (`Spans`) how long each took."""
+    `gone(uid)` that another has its address, `health_reporter` how each request ends, `answers` (`LatencyHistogram`) how long each took."""
 
     kind = ForwardingLink
 
     def __init__(self, loop, desk, bounds, health, log, loads, gone, health_reporter, answers):
         super().__init__(loop, desk, bounds, False, log)
         self.loads, self.gone, self.health_reporter, self.answers = loads, gone, health_reporter, answers
-        self.rest_most = bounds.link_idle  # how long a connection may have rested to carry what may run only once
+        self.rest_most = (
+            bounds.server_idle_timeout_ns
+        )  # how long a connection may have rested to carry what may run only once
         self.doubted_at = 0  # when a connection was last found forgotten
         self.probe_text = b"GET %s HTTP/1.1\r\nHost: health\r\n\r\n" % health
 
@@ -168,7 +170,7 @@
             # Guards what may run once only against a connection that its server has forgotten: it could not be sent again.
             now = self.clock()
             if now - self.doubted_at > SPELL:
-                self.rest_most = self.bounds.link_idle
+                self.rest_most = self.bounds.server_idle_timeout_ns
             while target.idle and now - target.idle[-1].since > self.rest_most:
                 target.idle[-1].close()
         super().submit(exchange, attempt, index, allow)
--- a/rampfront/proxy/front.py
+++ b/rampfront/proxy/front.py
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from asyncio import AbstractEventLoop
 
-    from ..net.bounds import Bounds
+    from ..net.limits import NetworkLimits
     from ..node.log import Log
     from ..settings.configuration import Caps
     from .core import ProxiedRequest, RequestProxy
@@ -56,7 +56,7 @@
             self.fields[lowered] = value
         self.rows.append((name, value))
         self.size += len(name) + len(value) + 4
-        if self.size > self.front.bounds.head or len(self.rows) > MOST_FIELDS:
+        if self.size > self.front.bounds.max_head_bytes or len(self.rows) > MOST_FIELDS:
             raise Unfit(431, "the head is too large")
 
     def on_headers_complete(self) -> None:
@@ -112,7 +112,7 @@
 
     kind = ClientConnection
 
-    def __init__(self, loop: AbstractEventLoop, request_proxy: RequestProxy, bounds: Bounds, log: Log) -> None:
+    def __init__(self, loop: AbstractEventLoop, request_proxy: RequestProxy, bounds: NetworkLimits, log: Log) -> None:
         """`request_proxy` takes the requests; `bounds` hold until the configuration's are known (`capped`)."""
         super().__init__(loop, request_proxy, bounds, log)
         self.held = 0  # bytes of bodies that came in and are still needed
@@ -121,12 +121,12 @@
         """Bounds as the configuration has them, from now on."""
         self.bounds = replace(
             self.bounds,
-            head=caps.header_bytes,
-            body=caps.body_bytes,
-            client_idle=caps.idle,
-            read_wait=max(caps.header_wait, self.bounds.read_wait),
+            max_head_bytes=caps.header_bytes,
+            max_body_bytes=caps.body_bytes,
+            client_idle_timeout_ns=caps.idle,
+            request_read_timeout_ns=max(caps.header_wait, self.bounds.request_read_timeout_ns),
         )
-        self.most = self.bounds.head + self.bounds.body
+        self.most = self.bounds.max_head_bytes + self.bounds.max_body_bytes
 
     def ready(self) -> bool:
         """Whether new clients are welcome."""
@@ -134,7 +134,7 @@
 
     def read(self, client: ClientConnection) -> None:
         """A request is whole: it is taken or refused."""
-        if self.served > self.bounds.served:
+        if self.served > self.bounds.max_active_clients:
             self.spread(client)
         self.counts["taken"] += 1
         method = client.parser.get_method()
--- a/rampfront/simulation/fleet.py
+++ b/rampfront/simulation/fleet.py
@@ -7,7 +7,7 @@
 
 import cbor2
 
-from ..net.notes import Notes
+from ..net.event_log import EventLog
 from ..node.endpoints import Control, Directory
 from ..node.log import COUNTED
 from ..node.node import NodeProcess
@@ -25,14 +25,14 @@
 ZONES = {"a1": "a", "a2": "a", "b1": "b", "b2": "b"}
 
 
-class Quiet(Notes):
+class Quiet(EventLog):
     def __init__(self, name):
         super().__init__(name, SEC, COUNTED)
 
-    def say(self, event, **more):
+    def record(self, event, **more):
         pass
 
-    def note(self, event, party, **more):
+    def record_limited(self, event, party, **more):
         pass
 
     def sweep(self):
--- a/rampfront/syslog/sink.py
+++ b/rampfront/syslog/sink.py
@@ -107,14 +107,14 @@
             self.later(str(task.exception()))
 
     def later(self, why):
-        self.log.note("syslog collector away", why)
+        self.log.record_limited("syslog collector away", why)
         wait, self.retry = self.draw(self.retry / 2, self.retry), min(RETRY_MOST, 2 * self.retry)
         self.timers.after(int(wait), self.connect)
 
     def up(self, wire):
         self.wire, self.retry = wire, RETRY_LEAST
         self.outbox.connected()
-        self.log.say("syslog collector there", address="%s:%d" % self.address)
+        self.log.record("syslog collector there", address="%s:%d" % self.address)
 
     def lost(self, wire, taken):
         if self.wire is wire:
@@ -133,7 +133,7 @@
     def flush(self):
         self.timers.after(FLUSH if self.outbox.queue or self.again else IDLE, self.flush)
         if count := self.outbox.news():
-            self.log.say("syslog messages dropped", count=count)
+            self.log.record("syslog messages dropped", count=count)
         if self.wire and self.wire.transport is not None and not self.wire.transport.is_closing():
             self.push()
         elif self.spill is not None and self.disk is None and len(self.outbox.queue) > self.outbox.most // 4:
@@ -202,14 +202,14 @@
     def replayed(self, task):
         self.disk = None
         if task.cancelled() or task.exception():
-            self.log.note("syslog spill", "cannot be read", trouble=repr(task.exception()))
+            self.log.record_limited("syslog spill", "cannot be read", trouble=repr(task.exception()))
             return
         frames = [codec.frame(said) for said in task.result()]
         self.again += frames
         self.outbox.counts["replayed"] += len(frames)
         self.segment = True
         if self.spill.bad:
-            self.log.say("syslog spill damaged", records=self.spill.bad)
+            self.log.record("syslog spill damaged", records=self.spill.bad)
             self.spill.bad = 0
 
     def state(self):
@@ -241,4 +241,4 @@
             self.outbox.drop(len(waiting))
         if self.wire and self.wire.transport and self.spill is not None:
             self.wire.transport.close()
-        self.log.say("syslog", **self.state())
+        self.log.record("syslog", **self.state())
--- a/rampfront/transport/wire.py
+++ b/rampfront/transport/wire.py
@@ -183,7 +183,7 @@
         except (ValueError, LookupError, TypeError, AttributeError, ArithmeticError, zlib.error) as odd:
             # Guards against a peer whose fields are not what they should be: the frame is dropped, and counted.
             self.counts["frames_odd"] += 1
-            self.log.note("odd frame", ip, why=repr(odd), kind=str(message["k"])[:20])
+            self.log.record_limited("odd frame", ip, why=repr(odd), kind=str(message["k"])[:20])
 
     def sweep(self):
         now = self.clock()
--- a/tests/proxy_fixtures.py
+++ b/tests/proxy_fixtures.py
@@ -10,7 +10,7 @@
 
 from rampfront.membership.dissemination import Disseminator
 from rampfront.membership.server_list import Row, Servers
-from rampfront.net.notes import Notes
+from rampfront.net.event_log import EventLog
 from rampfront.node import bounds
 from rampfront.node.log import COUNTED
 from rampfront.proxy.core import RequestProxy
@@ -98,11 +98,11 @@
         self.named = named
 
 
-class Silent(Notes):
+class Silent(EventLog):
     def __init__(self):
         super().__init__("n1", 10**10, COUNTED)
 
-    def say(self, event, **more):
+    def record(self, event, **more):
         pass
 
 
--- a/tests/test_net_clients.py
+++ b/tests/test_net_clients.py
@@ -108,7 +108,7 @@
 def test_crowd():
     """At the descriptors' limit idle ones go first; with none idle the newest are turned away."""
     s = Stage(servers=22, limits={"sockets": 128})
-    s.desk.upstream.bounds = replace(s.desk.upstream.bounds, links=22)
+    s.desk.upstream.bounds = replace(s.desk.upstream.bounds, max_server_connections=22)
     for k in range(22):
         s.ask(k, client=f"c{k}")
     s.lines.clear()
--- a/tests/test_operator_cli.py
+++ b/tests/test_operator_cli.py
@@ -24,7 +24,7 @@
 from rampfront.membership.server_list import Row, Servers
 from rampfront.net.ask import Reply, Trouble
 from rampfront.net.calls import collect
-from rampfront.net.spans import Spans
+from rampfront.net.latency_histogram import LatencyHistogram
 from rampfront.node import metrics
 from rampfront.node.status_views import COUNTS, PAGE, Views
 from rampfront.operator_cli import commands, difference, explain, local_system, snapshot, survey
@@ -761,9 +761,9 @@
 
 
 def test_a_scraper_gets_counters_and_whole_histograms_of_a_fixed_number_of_lines():
-    spans = [Spans() for _ in metrics.SPANS]
+    spans = [LatencyHistogram() for _ in metrics.SPANS]
     for ns in (0, MS, MS + 1, 60 * SEC):
-        spans[0].note(ns)
+        spans[0].record(ns)
     page = metrics.text({"taken": 4}, [("ready", True), ("lease_seconds", 4.4)], spans)
     told = scraped(page)
     assert (told["rampfront_taken_total"], told["rampfront_ready"], told["rampfront_lease_seconds"]) == (4, 1, 4.4)
@@ -771,7 +771,7 @@
     assert [told[name + "_bucket", edge] for edge in ("0.001", "0.0025", "10", "+Inf")] == [2, 3, 3, 4]
     assert told[name + "_count"] == 4 and told[name + "_sum"] == 60.002000001
     for _ in range(1000):
-        spans[1].note(7 * MS)
+        spans[1].record(7 * MS)
     assert len(metrics.text({"taken": 10**9}, [("ready", True), ("lease_seconds", 4.4)], spans).splitlines()) == len(
         page.splitlines()
     )
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -91,10 +91,10 @@
 def test_the_log_keeps_its_fields_and_leaves_out_what_is_below_its_level():
     out = Lines()
     log = Log("n0", 10**10, out, {"": "info", "upstream": "error"})
-    log.say("serving", listen=("h", 1))
-    log.note("odd answer", "s1", why="x")
-    log.note("counter lost", "silent")
-    log.note("counter lost", "silent")
+    log.record("serving", listen=("h", 1))
+    log.record_limited("odd answer", "s1", why="x")
+    log.record_limited("counter lost", "silent")
+    log.record_limited("counter lost", "silent")
     assert [(row["event"], row["level"], row["node"]) for row in out.rows] == [
         ("serving", "info", "n0"),
         ("counter lost", "warning", "n0"),
