--- a/tests/pins/adapter.py
+++ b/tests/pins/adapter.py
@@ -7,7 +7,7 @@
 """
 
 import zlib
-from collections.abc import Callable, Mapping
+from collections.abc import Callable, Sequence
 from random import Random
 from typing import Any, TypeAlias
 
@@ -98,9 +98,9 @@
 # Frames, through the checks and codecs of the packages that they belong to.
 
 
-def again(data: bytes, bodies: Mapping[bytes, bytes]) -> bytes:
-    """Decodes a frame (CBOR), checks it, encodes it again. `bodies`: configurations by the mark that stands for them in
-    a reply to the one who sent them."""
+def again(data: bytes, bodies: Sequence[bytes]) -> bytes:
+    """Decodes a frame (CBOR), checks it and encodes it again. `bodies`: configurations that the receiver of a reply
+    holds. Raises ValueError for a frame that is not valid."""
     plain = cbor2.loads(data)
     kind = plain["k"]
     if kind in CORE_KINDS:
@@ -109,9 +109,8 @@
     if kind == "order":
         return cbor2.dumps(OrderRequest.decode(plain).encode())
     if kind == "said":
-        reply = OrderReply.decode(plain, list(bodies.values()))
         whole = "S" not in plain or plain["S"][3] is not None
-        return cbor2.dumps(reply._replace(whole=whole).encode())
+        return cbor2.dumps(OrderReply.decode(plain, bodies)._replace(whole=whole).encode())
     return cbor2.dumps(plain)
 
 
