--- a/tests/pins/record_frames.py
+++ b/tests/pins/record_frames.py
@@ -1,7 +1,7 @@
 """Writes the fixture of frames: by hand, only from a text that is known to be right.
 
-`python tests/pins/record_frames.py --root FOLDER` harvests frames of every kind and form from runs of the text that stands
-in FOLDER."""
+`python tests/pins/record_frames.py --root FOLDER` harvests frames of every kind and form from runs of the text that
+stands in FOLDER."""
 
 import argparse
 import json
