--- a/rampfront/lab/system/clients.py
+++ b/rampfront/lab/system/clients.py
@@ -14,7 +14,7 @@
 
 import numpy as np
 
-from ...net.ask import Line, ask
+from ...net.http_client import HttpClientConnection, HttpRequest, send_request
 from ...operator_cli.control_client import Channel, Refusal
 from ...operator_cli.local_system import ip_port
 from ..client import BROKEN, DECLINED, LOST, ROW, SETTLED, VOIDED, Pacer
@@ -66,12 +66,8 @@
             key=lambda node: (node.zone != zone, self.world.plan.zones[node.zone] != region, self.draw.random()),
         )
         for node in near[:ASKED]:
-            found = await ask(
-                self.world.loop,
-                ip_port(node.directory),
-                "GET",
-                f"/api/lookup?Name={plans.HOST}&Region={region}&Zone={zone}",
-            )
+            lookup = HttpRequest("GET", f"/api/lookup?Name={plans.HOST}&Region={region}&Zone={zone}")
+            found = await send_request(self.world.loop, ip_port(node.directory), lookup)
             try:
                 said = json.loads(found.unwrap().body) if found.is_ok() and found.ok_value.status == 200 else {}
                 ttl = min(seconds(said.get("Ttl")) or 0, self.world.terms.ttl_max / SEC)
@@ -81,7 +77,7 @@
             if fronts and ttl:
                 for gone in set(self.kept) - set(fronts):
                     for line, _ in self.kept.pop(gone):
-                        line.end("closed")
+                        line.close("closed")
                 self.fronts, self.until = fronts, time.monotonic_ns() + int(ttl * SEC) * self.holds
                 self.failed.clear()
                 return
@@ -93,10 +89,10 @@
         lines = self.kept.get(front, [])
         while lines:
             line, until = lines.pop()
-            if not line.over and time.monotonic_ns() < until:
+            if not line.closed and time.monotonic_ns() < until:
                 return line
-            if not line.over:
-                line.end("closed")
+            if not line.closed:
+                line.close("closed")
         return None
 
     def keep(self, front, line, reply):
@@ -230,18 +226,15 @@
                 if line is None:
                     self.world.counts["connects"] += 1
                     async with asyncio.timeout(CONNECT_S):
-                        _, line = await self.loop.create_connection(Line, *front)
-                waits = self.loop.create_future()
+                        _, line = await self.loop.create_connection(HttpClientConnection, *front)
                 left = max(1, (deadline - self.clock()) // MS)
                 sent = True
-                line.send(self.text(one, left, stream), MOST, waits)
-                result = await waits
+                result = await line.send(self.text(one, left, stream), MOST)
         except TimeoutError:
             one.why = "no answer in time" if sent else "no connection in time"
             client.failed.add(front)
             if line is not None:
-                line.waits = None
-                line.end("given up")
+                line.abandon()
             return None, not sent
         except OSError as trouble:
             one.why = f"no connection: {trouble.strerror or trouble}"
@@ -256,7 +249,7 @@
         one.tag, one.seal = reply.headers.get(b"try-id", b""), reply.headers.get(b"server-seal", b"")
         if b"content-encoding" in reply.headers:
             one.why = "an encoded body"
-        if not line.over:
+        if not line.closed:
             client.keep(front, line, reply)
         try:
             return float(reply.headers[b"retry-after"]), False
--- a/rampfront/membership/server_list_poller.py
+++ b/rampfront/membership/server_list_poller.py
@@ -10,7 +10,7 @@
 
 from result import Ok
 
-from ..net.ask import Asker
+from ..net.http_client import HttpClient, HttpRequest
 from ..settings.scalars import SEC
 from .server_list import Servers
 from .server_list_pager import Dropped, Due, Effect, Event, Fetch, Listed, Lost, Page, Pager, Wait
@@ -42,7 +42,7 @@
         self.on_list = on_list
         self.on_drop = on_drop
         self.pager = Pager(gap_ns, per_s, rng.random if rng else None)
-        self.asker: Asker | None = None
+        self.client: HttpClient | None = None
         self.handle: TimerHandle | None = None
         self.task: Task[None] | None = None
         self.running = False
@@ -67,9 +67,9 @@
             self.handle.cancel()
         if self.task:
             self.task.cancel()
-        if self.asker:
-            self.asker.close()
-        self.asker = self.handle = self.task = None
+        if self.client:
+            self.client.close()
+        self.client = self.handle = self.task = None
 
     def move(self, address: tuple[str, int]) -> None:
         """The platform is elsewhere from now on: what the old address still says would be old news."""
@@ -114,12 +114,12 @@
 
     async def fetch(self, effect: Fetch) -> None:
         """Asks for a page, and gives the pager what came of it."""
-        if self.asker is None:
-            self.asker = Asker(self.loop, self.address, PAGE_MOST)
+        if self.client is None:
+            self.client = HttpClient(self.loop, self.address, PAGE_MOST)
         wait = PAGE_LONGEST if self.pager.failed else PAGE_WAIT
-        result = await self.asker.ask("GET", effect.target, timeout_s=wait)
+        result = await self.client.request(HttpRequest("GET", effect.target), timeout_s=wait)
         if isinstance(result, Ok):
             reply = result.ok_value
             self.take(Page(effect.round, reply.status, reply.body))
         else:
-            self.take(Lost(effect.round, result.err_value))
+            self.take(Lost(effect.round, result.err_value.reason))
--- a/rampfront/operator_cli/control_client.py
+++ b/rampfront/operator_cli/control_client.py
@@ -13,7 +13,7 @@
 
 from result import Err, Ok
 
-from ..net.ask import ask as ask_one
+from ..net.http_client import HttpRequest, send_request
 
 SILENT_S, PER_MB_S = 1.2, 1.0  # a node that says nothing for so long, and longer for large bodies, is passed over
 PAUSE_S, GROWS, LONGEST_S = 0.05, 1.6, 1.0
@@ -144,7 +144,7 @@
 class Channel:
     """`ask`, `clock` (s) and `sleep` are handed in by tests."""
 
-    def __init__(self, addresses, within_s=6.0, ask=ask_one, clock=time.monotonic, sleep=asyncio.sleep):
+    def __init__(self, addresses, within_s=6.0, ask=send_request, clock=time.monotonic, sleep=asyncio.sleep):
         self.addresses, self.within_s, self.ask, self.clock, self.sleep = list(addresses), within_s, ask, clock, sleep
 
     async def call(self, name, body=b"", **query):
@@ -173,7 +173,7 @@
         wait = max(0.1, min(SILENT_S + PER_MB_S * len(body) / 1e6, left_s))
         loop, headers = asyncio.get_running_loop(), ((b"Content-Type", b"application/json"),) if body else ()
         for _ in range(MOVES + 1):
-            found = await self.ask(loop, address, "POST", target, body, headers, wait, MOST)
+            found = await self.ask(loop, address, HttpRequest("POST", target, body, headers), wait, MOST)
             if found.is_err():
                 return Err((str(found.err_value), found.err_value.may_have_run))
             reply = found.ok_value
--- a/rampfront/operator_cli/local_system.py
+++ b/rampfront/operator_cli/local_system.py
@@ -21,7 +21,7 @@
 
 from ..lab.boxes import Fleet, Make, Work
 from ..lab.platform import Platform, open_platform
-from ..net.ask import ask
+from ..net.http_client import HttpRequest, send_request
 from ..settings import configuration as configurations
 from .control_client import Channel, place
 from .spelling import table
@@ -263,7 +263,7 @@
             )
 
     async def is_ready(self, node):
-        found = await ask(self.loop, ip_port(node.ready), "GET", "/api/ready")
+        found = await send_request(self.loop, ip_port(node.ready), HttpRequest("GET", "/api/ready"))
         return found.is_ok() and found.ok_value.status == 200
 
     async def wait(self, until, why):
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -3,13 +3,10 @@
 
 import asyncio
 import json
-import socket
 
 import pytest
 import uvloop
 
-from rampfront.net import ask as asking
-from rampfront.net.ask import Asker, ask
 from rampfront.net.calls import SEC, Answer, CallBounds, Calls, call, said
 
 BOUNDS = CallBounds(head=2000, body=2500, callers=4, sweep=0, held=6000)
@@ -268,105 +265,3 @@
 
     with pytest.raises(ValueError, match="GET /api/lookup  is declared twice"):
         Calls(None, None, [Twice()])
-
-
-# ---- calls of ours
-
-
-class Far(asyncio.Protocol):
-    """A server that says what it is told to: `script` holds bytes for each call, None for silence, `close` to end."""
-
-    def __init__(self, far):
-        self.far = far
-
-    def connection_made(self, transport):
-        self.transport = transport
-        self.far.sides.append(transport)
-
-    def data_received(self, data):
-        self.far.heard.append(data)
-        for part in self.far.script.pop(0):
-            self.transport.close() if part == "close" else self.transport.write(part)
-
-
-class Peer:
-    def __init__(self, loop):
-        self.script, self.heard, self.sides = [], [], []
-        self.server = loop.run_until_complete(loop.create_server(lambda: Far(self), "127.0.0.1", 0))
-        self.address = self.server.sockets[0].getsockname()
-
-
-@pytest.fixture
-def peer(loop):
-    peer = Peer(loop)
-    yield peer
-    peer.server.close()
-    for side in peer.sides:
-        side.abort()
-
-
-OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nOne: 1\r\n\r\nok"
-
-
-def test_ask_on_a_kept_connection(loop, peer):
-    run = loop.run_until_complete
-    asker = Asker(loop, peer.address)
-    peer.script = [
-        [OK],
-        [
-            b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 429 Too Many Requests\r\nTransfer-Encoding: chunked"
-            b"\r\n\r\n2\r\nno\r\n0\r\n\r\n"
-        ],
-        [OK + b"HTTP/1.1 200 OK\r\n"],
-        [OK],
-        ["close"],
-        [OK],
-        [OK],
-    ]
-    reply = run(asker.ask("GET", "/a?b=1")).ok_value
-    assert (reply.status, reply.body, reply.headers[b"one"]) == (200, b"ok", b"1")
-    reply = run(asker.ask("POST", "/b", b"{}", ((b"X", b"y"),))).ok_value
-    assert (reply.status, reply.body, asker.connects) == (429, b"no", 1)
-    assert peer.heard[1] == (
-        b"POST /b HTTP/1.1\r\nHost: 127.0.0.1:%d\r\nX: y\r\nContent-Length: 2\r\n\r\n{}" % peer.address[1]
-    )
-    odd = run(asker.ask("GET", "/c")).err_value
-    assert odd == "bytes behind the answer" and odd.may_have_run
-    assert run(asker.ask("GET", "/d")).is_ok() and asker.connects == 2
-    # A kept connection that its far end closed as we wrote: a GET goes once more, on a new one.
-    assert run(asker.ask("GET", "/e")).is_ok() and asker.connects == 3
-    assert run(asker.ask("GET", "/f", last=True)).is_ok() and b"Connection: close" in peer.heard[-1]
-    peer.script = [[OK], ["close"]]
-    assert run(asker.ask("POST", "/g")).is_ok()
-    odd = run(asker.ask("POST", "/h")).err_value  # anything else may have run, and does not
-    assert odd == "the connection ended" and odd.may_have_run
-    assert not peer.script and sum(b"/h" in text for text in peer.heard) == 1
-    asker.close()
-    assert run(asker.ask("GET", "/i")).err_value == "closed"
-
-
-@pytest.mark.parametrize(
-    "answer, why",
-    [
-        ([b"HTTP/1.1 200 OK\r\n\r\nsome", "close"], "an answer without a length"),
-        ([b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", "close"], "the connection ended"),
-        ([b"garbage\r\n\r\n"], "no HTTP/1.1"),
-        ([b"HTTP/1.1 200 OK\r\nContent-Length: 5000\r\n\r\n" + b"x" * 5000], "an answer too large"),
-        ([b"HTTP/1.1 200 OK\r\nA: " + b"x" * 90000], "an answer too large"),
-        ([], "no answer in time"),
-    ],
-)
-def test_ask_trusts_no_answer(loop, peer, answer, why):
-    peer.script = [answer]
-    odd = loop.run_until_complete(ask(loop, peer.address, "GET", "/", timeout_s=0.05 if not answer else 2, most=4000))
-    assert odd.err_value == why and odd.err_value.may_have_run
-
-
-def test_ask_nobody(loop):
-    with socket.create_server(("127.0.0.1", 0)) as free:
-        address = free.getsockname()
-    odd = loop.run_until_complete(ask(loop, address, "GET", "/")).err_value
-    assert odd.startswith("no connection: ") and not odd.may_have_run
-    for target, headers in (("/a b", ()), ("/a\r\nB: c", ()), ("a", ()), ("/", ((b"A", b"b\r\nC: d"),))):
-        with pytest.raises(ValueError):
-            asking.encode_call(address, "GET", target, b"", headers, True)
--- a/tests/test_operator_cli.py
+++ b/tests/test_operator_cli.py
@@ -22,8 +22,8 @@
 
 from rampfront.consensus.state import State
 from rampfront.membership.server_list import Row, Servers
-from rampfront.net.ask import Reply, Trouble
 from rampfront.net.calls import collect
+from rampfront.net.http_client import HttpRequest, HttpResponse, RequestError
 from rampfront.net.latency_histogram import LatencyHistogram
 from rampfront.node import metrics
 from rampfront.node.status_views import COUNTS, PAGE, Views
@@ -109,18 +109,18 @@
     async def sleep(self, seconds):
         self.now += seconds
 
-    async def ask(self, loop, address, method, target, body, headers, wait, most):
-        query = dict(parse_qsl(urlsplit(target).query))
+    async def ask(self, loop, address, request, wait, most):
+        query = dict(parse_qsl(urlsplit(request.target).query))
         at, name = "%s:%d" % address, query.pop("call")
-        self.asked.append((at, name, query, body))
+        self.asked.append((at, name, query, request.body))
         script = self.nodes.get(at, {}).get(name, [DEAD])
         said = script.popleft() if len(script) > 1 else script[0]
         if said in (DEAD, MUTE):
             self.now += wait if said == MUTE else 0
-            return Err(Trouble(said, said == MUTE))
+            return Err(RequestError(said, said == MUTE))
         status, told, *headers = said
         told = told if isinstance(told, bytes) else json.dumps(told).encode()
-        return Ok(Reply(status, headers[0] if headers else {}, told))
+        return Ok(HttpResponse(status, headers[0] if headers else {}, told))
 
     def run(self, *words, at=(A,), code=0, typed=None):
         """What a command says: standard output if it ends with 0, else its errors."""
@@ -698,7 +698,7 @@
     def ask(name, **query):
         answer = calls[name]["POST"][0](SimpleNamespace(query=query))
         return asyncio.run(
-            Quay().put(A, x=(answer.status, answer.body)).ask(None, ("127.0.0.1", 1), "", "?call=x", b"", (), 1, 1)
+            Quay().put(A, x=(answer.status, answer.body)).ask(None, ("127.0.0.1", 1), HttpRequest("", "?call=x"), 1, 1)
         ).unwrap()
 
     first = json.loads(ask("servers.read").body)
--- a/tests/test_server_list.py
+++ b/tests/test_server_list.py
@@ -23,7 +23,7 @@
 )
 from rampfront.membership.server_list_pager import Due, Fetch, Listed, Lost, Page, Pager, Wait
 from rampfront.membership.server_list_poller import Poller
-from rampfront.net.ask import Asker, ask
+from rampfront.net.http_client import HttpClient, HttpRequest, send_request
 from rampfront.settings.errors import FieldError
 from rampfront.settings.scalars import parse_address
 
@@ -326,11 +326,11 @@
     fleet = Fleet(loop, clock, Platform(clock), seed=1)
     spoils = deque([None, "cut", "garbled", "reset", "late", None, "chunked", "extra", "close", "error"])
     box = run(fleet.start(Make("s", latency=Work(1.0), queue=1), "z", spoil=spoils))
-    asker = Asker(loop, parse_address(box.address))
+    client = HttpClient(loop, parse_address(box.address))
 
-    def tell(method="GET", target="/x?a=b", asker=asker, **fields):
+    def tell(method="GET", target="/x?a=b", client=client, **fields):
         rows = tuple((name.replace("_", "-").encode(), value.encode()) for name, value in fields.items())
-        return asker.ask(method, target, b"", rows, 5)
+        return client.request(HttpRequest(method, target, b"", rows), 5)
 
     said = [run(tell(Try_Id=f"{k:016x}")) for k in range(10)]
     assert [str(r.err_value) if r.is_err() else r.ok_value.status for r in said] == [
@@ -358,7 +358,9 @@
     box.station.draw = lambda: 100 * SEC
 
     async def crowd(count, turned):
-        calls = [tell("POST", asker=Asker(loop, parse_address(box.address)), Try_Id=f"c{k}") for k in range(count)]
+        calls = [
+            tell("POST", client=HttpClient(loop, parse_address(box.address)), Try_Id=f"c{k}") for k in range(count)
+        ]
         calls = asyncio.gather(*calls)
         await asyncio.wait_for(poll(lambda: box.counts["turned_away"] == turned or not box.well), 5)
         return calls
@@ -366,12 +368,15 @@
     calls = run(crowd(6, 3))  # two slots, one waits, the rest has not run
     assert len(box.runs) == 12
     fleet.empty(box.uid)
-    assert run(tell(target="/health")).ok_value.status == 503 and asker.line is None
+    assert run(tell(target="/health")).ok_value.status == 503 and not client.connected
     box.chill(5 * SEC)
     more = run(crowd(20, -1))
     assert box.most_cold == 12 and not box.well  # far above its rate it falls over
     said = [r.ok_value.status if r.is_ok() else 0 for r in run(calls) + run(more)]
     assert sorted(set(said)) == [0, 503] and said[:6].count(503) == 3 and not fleet.twice()
     fleet.end(box.uid)
-    assert run(ask(loop, parse_address(box.address), "GET", "/x")).is_err() and not fleet.platform.versions[-1][1]
-    asker.close()
+    assert (
+        run(send_request(loop, parse_address(box.address), HttpRequest("GET", "/x"))).is_err()
+        and not fleet.platform.versions[-1][1]
+    )
+    client.close()
