--- a/tests/pins/adapter.py
+++ b/tests/pins/adapter.py
@@ -8,14 +8,22 @@
 
 import zlib
 from collections.abc import Callable, Sequence
+from contextlib import suppress
+from pathlib import Path
 from random import Random
-from typing import Any, TypeAlias
+from typing import Any, NamedTuple, TypeAlias
 
 import cbor2
 
 from rampfront.consensus import validation
 from rampfront.consensus.member import Member
+from rampfront.consensus.storage import RecordStore
+from rampfront.net.calls import collect
+from rampfront.node.endpoints import Control, Directory, Ready
 from rampfront.node.order_messages import OrderReply, OrderRequest
+from rampfront.node.status_views import Views
+from rampfront.operator_cli import explain, snapshot, survey
+from rampfront.settings import configuration as configurations
 from rampfront.simulation.schedule import Run
 from rampfront.simulation.system_run import SystemRun
 
@@ -117,6 +125,98 @@
 # Stored data.
 
 
-def record_again(record: bytes, name: str, ip: str) -> bytes:
+def record_again(record: bytes, name: str) -> bytes:
     """Reads a member's record as its process does at a start, and writes the record of what was read."""
-    return Member(name, ip, [ip], True, False, record, Random(1), 1, 0).record()
+    return Member(name, "10.0.0.1", ["10.0.0.1"], True, False, record, Random(1), 1, 0).record()
+
+
+def load_folder(folder: Path) -> bytes | None:
+    """The record in a data folder."""
+    return RecordStore(str(folder)).load()
+
+
+def save_into_folder(folder: Path, record: bytes) -> None:
+    """Saves a record into a data folder as a process does, which loads first."""
+    store = RecordStore(str(folder))
+    store.load()
+    store.save(record)
+
+
+def snapshot_of(body: bytes, head: dict[str, Any]) -> bytes:
+    """The file of a snapshot."""
+    return snapshot.pack(body, head)
+
+
+# Answers to operators' calls.
+
+
+class _OverError(Exception):
+    """All that is to be asked has been asked."""
+
+
+class Ask(NamedTuple):
+    """A call to a node. `at`: ms of the run; `node`: number of the machine, from 1."""
+
+    at: int
+    node: int
+    method: str
+    path: str
+    call: str | None = None
+    query: dict[str, str] = {}
+    body: str = ""
+
+
+Answered: TypeAlias = Callable[[Ask, int, bytes, tuple[tuple[bytes, bytes], ...]], None]
+
+
+class _Call:
+    """What a handler is given: the call, and where its answer goes."""
+
+    def __init__(self, ask: Ask, answered: Answered) -> None:
+        self.ask, self.answered = ask, answered
+        self.query, self.body, self.path = dict(ask.query), ask.body.encode(), ask.path
+
+    def answer(self, status: int, body: bytes = b"", headers: tuple = (), *_: object) -> bool:
+        """The answer."""
+        self.answered(self.ask, status, body, headers)
+        return True
+
+
+def ask_nodes(seed: int, plan: list[tuple], asks: Sequence[Ask], answered: Answered) -> None:
+    """Plays a run of whole nodes, and calls them by the handlers that their listeners call."""
+    run = SystemRun(seed, plan=plan, length=max(ask.at for ask in asks) + 2000)
+    fleet = run.fleet
+    run.probe = fleet.nothing  # those clients know the revisions of the run's own operators alone
+
+    def hand(ask: Ask) -> None:
+        process = fleet.machines[ask.node - 1].node_process
+        handlers = collect([Ready(process), Directory(process), Control(process), Views(process)])
+        handler, _ = handlers[ask.path][ask.call][ask.method]
+        at_once = handler(_Call(ask, answered))
+        if at_once is not None:
+            answered(ask, at_once.status, at_once.body, at_once.headers)
+
+    def end() -> None:
+        raise _OverError
+
+    for ask in asks:
+        fleet.at(ask.at * 10**6, hand, ask)
+    fleet.at((max(ask.at for ask in asks) + 1000) * 10**6, end)
+    with suppress(_OverError):
+        run.play()
+
+
+# What the operators' program makes of them.
+
+
+def status_of(states: list[dict[str, Any]]) -> dict[str, Any]:
+    """`rampfront status --json`, of the answers to state.read of all nodes."""
+    rows = [{**state, "Control": f"{state['Ip']}:82", "Answers": True} for state in states]
+    return survey.judge(rows, states[0])
+
+
+def explain_of(configuration: bytes, told: dict[str, Any], url: str, key: str) -> dict[str, Any]:
+    """`rampfront explain URL --key KEY --json`. `told`: what a node said, by call."""
+    held = configurations.read(configuration).ok_value
+    rows, quotas = told["servers.read"]["Servers"], told["quotas.read"]["Quotas"]
+    return explain.explain(held, told["state.read"], rows, quotas, url, key)
