--- a/rampfront/lab/system/fleet_cost.py
+++ b/rampfront/lab/system/fleet_cost.py
@@ -14,7 +14,7 @@
 import click
 import uvloop
 
-from ...membership import server_list as platform
+from ...membership import endpoint_list as platform
 from ...membership.deltas import DeltaHistory
 from ...net.event_log import EventLog
 from ...node import bounds as limits
@@ -94,33 +94,33 @@
     """The list as the leader reads it and as a node lays it out."""
     scale = Scale(30, servers=count, services=min(SERVICES, count), tenants=8)
     bodies, now = list(pages(scale)), 1000 * SEC
-    rows = tuple(sorted(row for body in bodies for row in platform.read_page(body, now)[0]))
+    rows = tuple(sorted(row for body in bodies for row in platform.parse_page(body, now)[0]))
     emptying = (rows[0]._replace(state="emptying"), *rows[1:])
     lists = DeltaHistory(0, 7)
-    lists.put(1, rows)
-    lists.put(2, emptying)
-    one, two = platform.Servers(1, rows, now), platform.Servers(2, emptying, now)
+    lists.add(1, rows)
+    lists.add(2, emptying)
+    one, two = platform.EndpointList(1, rows, now), platform.EndpointList(2, emptying, now)
     loop, mine = uvloop.new_event_loop(), settings()
     proxy = RequestProxy(
         loop, lambda: now, mine, limits.fill(mine), Random(1), Limiter("n", Random(1)), lambda at: True, Silent()
     )
     proxy.configuration = configurations.read(configuration(scale)).unwrap()
     turn = iter(range(1 << 30))
-    told = platform.pack_since(two, now, lists, 1)
+    told = platform.encode_since(two, now, lists, 1)
     held = DeltaHistory(0, 7)
-    held.put(1, rows)
+    held.add(1, rows)
 
     def difference() -> None:
         lists.made.clear()
-        platform.pack_since(two, now, lists, 1)
+        platform.encode_since(two, now, lists, 1)
 
     found = {
         "list: calls of the platform a round": len(bodies),
-        "list: its pages read, ms": cost(lambda: [platform.read_page(body, now) for body in bodies], FEW) * MICRO,
+        "list: its pages read, ms": cost(lambda: [platform.parse_page(body, now) for body in bodies], FEW) * MICRO,
         "leader: difference of one server, ms": cost(difference, FEW) * MICRO,
-        "node: difference taken, ms": cost(lambda: platform.unpack_since(told, now, held, 1), FEW) * MICRO,
+        "node: difference taken, ms": cost(lambda: platform.decode_since(told, now, held, 1), FEW) * MICRO,
         "node: laid out anew, ms": cost(lambda: proxy.listed(two if next(turn) % 2 else one), FEW) * MICRO,
-        "list, whole: bytes of its frame": frame({"k": "word", "L": platform.pack(one, now)}),
+        "list, whole: bytes of its frame": frame({"k": "word", "L": platform.encode(one, now)}),
         "list, one server: bytes of its frame": frame({"k": "word", "L": told}),
     }
     loop.close()
--- a/rampfront/lab/system/hollow.py
+++ b/rampfront/lab/system/hollow.py
@@ -138,7 +138,7 @@
     def serve(self, servers: object) -> None:
         """Takes a list of servers, and reports its number."""
         super().serve(servers)
-        self.tell_event("servers", servers.number)
+        self.tell_event("servers", servers.version)
 
     def look(self, now: int) -> None:
         """Reports when the node becomes ready, or no longer is."""
@@ -175,7 +175,7 @@
             self.configuration is not None
             and self.fresh(self.clock())
             and self.servers is not None
-            and any(row.state == "ready" for row in self.servers.rows)
+            and any(row.state == "ready" for row in self.servers.endpoints)
         )
 
 
--- a/rampfront/lab/system/scale_host.py
+++ b/rampfront/lab/system/scale_host.py
@@ -137,7 +137,7 @@
             **counts.totals(),
             "sent": counts.sent,
             "received": counts.received,
-            "leads": look.leads,
+            "leads": look.is_leader,
             "ready": look.ready,
             "known": sum(row[4] for row in look.roster),
             "counts_holder": node.counter_placement.at,
--- a/rampfront/membership/deltas.py
+++ b/rampfront/membership/deltas.py
@@ -17,12 +17,12 @@
 )  # states, and bytes of their bodies; a storm makes ten a second, and a slow link lags by some
 
 
-class Gap(Exception):
+class DeltaMismatchError(Exception):
     """A difference that rests on what is not held; `astray`: it came out wrong, and only the whole helps."""
 
-    def __init__(self, astray=False):
-        super().__init__(astray)
-        self.astray = astray
+    def __init__(self, corrupt=False):
+        super().__init__(corrupt)
+        self.corrupt = corrupt
 
 
 def mark(rows, width):
@@ -37,13 +37,17 @@
         self.key, self.width = key, width
         self.kept, self.made = {}, {}  # by number, newest last; differences of the newest by what they rest on
 
-    def put(self, number, rows):
+    def add(self, number, rows):
         self.kept[number] = rows
         self.made.clear()
         while len(self.kept) > DEPTH:
             del self.kept[next(iter(self.kept))]
 
-    def since(self, base):
+    def can_diff_from(self, number):
+        """Whether less than the whole goes to who holds the rows of that number."""
+        return number in self.kept
+
+    def difference_from(self, base):
         """(mark, names of rows gone, rows added or changed) or None, where the whole is shorter or nothing is known."""
         if base not in self.kept:
             return None
@@ -55,21 +59,21 @@
             self.made[base] = (mark(new, self.width), gone, rows) if len(rows) + len(gone) // 2 < len(new) else None
         return self.made[base]
 
-    def joined(self, number, base, told, gone, rows):
-        """The whole that a difference makes of what is held under `number`. Raises Gap."""
+    def apply(self, number, base, told, gone, rows):
+        """The whole that a difference makes of what is held under `number`. Raises DeltaMismatchError."""
         if base != number or number not in self.kept:
-            raise Gap
+            raise DeltaMismatchError
         held = {row[self.key]: row for row in self.kept[number]}
         for name in gone:
             held.pop(name, None)
         held.update((row[self.key], row) for row in rows)
         whole = tuple(sorted(held.values()))
         if mark(whole, self.width) != told:
-            raise Gap(astray=True)
+            raise DeltaMismatchError(corrupt=True)
         return whole
 
 
-class States:
+class StateHistory:
     """The core's last states: of one whose body differs, the pieces that are new; of one with the same body, none."""
 
     def __init__(self):
@@ -79,7 +83,7 @@
     def newest(self):
         return next(reversed(self.kept.values()), None)
 
-    def put(self, state):
+    def add(self, state):
         self.kept[state.index] = state
         self.made.clear()
         while len(self.kept) > STATES or len(self.kept) > 1 and self.size() > BYTES:
@@ -89,12 +93,12 @@
         """Bytes of the bodies; those alike are one."""
         return sum({state.body_digest: len(state.body) for state in self.kept.values()}.values())
 
-    def knows(self, index):
+    def can_diff_from(self, index):
         """Whether less than the whole goes to who holds the state of that index."""
         old = self.kept.get(index)
         return old is not None and bool(old.body)
 
-    def pack(self, since):
+    def encode(self, since):
         """Plain values for who holds the state of index `since`."""
         new, old = self.newest, self.kept.get(since)
         if old is None or not old.body or not new.body:
@@ -109,18 +113,18 @@
             plain[3] = self.made[old.body_digest]
         return plain
 
-    def read(self, plain):
-        """The checked State. Raises Gap, and Odd for what is none."""
+    def decode(self, plain):
+        """The checked State. Raises DeltaMismatchError, and Odd for what is none."""
         held, body = self.newest, plain[3]
         if type(body) is list:
             base, told = body
             if held is None or held.body_digest != base:
-                raise Gap
+                raise DeltaMismatchError
             body = zlib.compress(patched(zlib.decompress(held.body), told))
             if digest(body) != plain[4]:
-                raise Gap(astray=True)  # also where another compressor made the operator's body smaller
+                raise DeltaMismatchError(corrupt=True)  # also where another compressor made the operator's body smaller
             plain = [*plain[:3], body, *plain[4:]]
         state = decode_state(plain, (held.body,) if held else ())
         if state is None:
-            raise Gap
+            raise DeltaMismatchError
         return state
--- a/rampfront/membership/server_list.py
+++ b/rampfront/membership/endpoint_list.py
@@ -13,8 +13,8 @@
 from ..settings.scalars import MS, PORTS, SEC, Json, parse_address, parse_duration
 from .deltas import DeltaHistory
 
-READY, EMPTYING = "ready", "emptying"
-STATES = {READY: READY, EMPTYING: EMPTYING}
+READY, DRAINING = "ready", "emptying"
+STATES = {READY: READY, DRAINING: DRAINING}
 LONGEST_NAME = 200  # characters of an id, a service, a zone
 LONGEST_TOKEN = 512  # and of a page's token
 LONGEST_SHOWN_ID = 40  # characters of an id that a reason quotes
@@ -27,7 +27,7 @@
 Packed = Any  # a value as cbor2 gives it, of any type
 
 
-class Row(NamedTuple):
+class Endpoint(NamedTuple):
     """One server."""
 
     id: str
@@ -36,32 +36,32 @@
     port: int
     zone: str
     capacity: int
-    state: str  # READY or EMPTYING
-    cold_until: int  # ns of the own clock, 0: not cold
+    state: str  # READY or DRAINING
+    warming_until_ns: int  # ns of the own clock, 0: not cold
 
 
 @dataclass(frozen=True, slots=True)
-class Servers:
+class EndpointList:
     """One whole list. `number` rises when a row differs from the list before; `read_at`: ns of the own clock, when its
     first page was asked for."""
 
-    number: int
-    rows: tuple[Row, ...]  # by id
-    read_at: int = 0
+    version: int
+    endpoints: tuple[Endpoint, ...]  # by id
+    read_at_ns: int = 0
 
 
 class Changes(NamedTuple):
     """What differs between two lists."""
 
-    added: tuple[Row, ...]
-    changed: tuple[Row, ...]  # as they are now
-    gone: tuple[Row, ...]  # as they were
+    added: tuple[Endpoint, ...]
+    changed: tuple[Endpoint, ...]  # as they are now
+    gone: tuple[Endpoint, ...]  # as they were
 
 
 class ListPage(NamedTuple):
     """What a page of the platform's list says."""
 
-    rows: list[Row]
+    rows: list[Endpoint]
     token: str | None  # of the next page; None: this is the last one
     faults: list[str]  # why a row was dropped
 
@@ -89,7 +89,7 @@
     return host
 
 
-def read_row(uid: object, entry: Json, now: int) -> Row:
+def parse_endpoint(uid: object, entry: Json, now: int) -> Endpoint:
     """A server of a page. Fields that are not known are left alone."""
     if type(entry) is not dict:
         raise FieldError(f"not a table: {quoted(entry)}")
@@ -99,7 +99,7 @@
         raise FieldError(f"State: {quoted(state)}")
     cold_left = entry.get("ColdLeft")
     cold = 0 if cold_left is None else min(parse_duration(cold_left), MOST_COLD)
-    return Row(
+    return Endpoint(
         check_name(uid, "Id"),
         check_name(entry.get("Service"), "Service"),
         check_ip(host),
@@ -111,7 +111,7 @@
     )
 
 
-def read_page(body: bytes, now: int) -> ListPage:
+def parse_page(body: bytes, now: int) -> ListPage:
     """A page of the platform's list. A row that is not valid is dropped, a page that cannot be read refused."""
     try:
         page = json.loads(body)
@@ -127,13 +127,13 @@
     rows, faults = [], []
     for uid, entry in page["Servers"].items():
         try:
-            rows.append(read_row(uid, entry, now))
+            rows.append(parse_endpoint(uid, entry, now))
         except FieldError as error:
             faults.append(f"{uid[:LONGEST_SHOWN_ID]!r}: {error}")
     return ListPage(rows, token, faults)
 
 
-def believed(old: Row, row: Row, now: int, again: bool) -> tuple[Row, bool]:
+def believed(old: Endpoint, row: Endpoint, now: int, again: bool) -> tuple[Endpoint, bool]:
     """What is believed of a server that was `old` and reads `row`, and whether that waits for the next round.
 
     Bad news holds at once. Guards against a list that lags unevenly, or moved under its pages: that a server is no
@@ -141,24 +141,24 @@
     too). Likewise one that is gone without having been emptying."""
     if (old.service, old.host, old.port) != (row.service, row.host, row.port):
         return row, False  # nothing of the old one can be relied on
-    state, cold, hold = row.state, row.cold_until, False
-    if old.state == EMPTYING and state == READY and not again:
-        state, hold = EMPTYING, True
-    if cold < old.cold_until and now < old.cold_until:
-        if cold and old.cold_until - cold <= STEADY:
-            cold = old.cold_until  # the same spell, read a little earlier
+    state, cold, hold = row.state, row.warming_until_ns, False
+    if old.state == DRAINING and state == READY and not again:
+        state, hold = DRAINING, True
+    if cold < old.warming_until_ns and now < old.warming_until_ns:
+        if cold and old.warming_until_ns - cold <= STEADY:
+            cold = old.warming_until_ns  # the same spell, read a little earlier
         elif not again:
-            cold, hold = old.cold_until, True
-    if (state, cold) == (row.state, row.cold_until):
+            cold, hold = old.warming_until_ns, True
+    if (state, cold) == (row.state, row.warming_until_ns):
         return row, hold
-    return Row(row.id, row.service, row.host, row.port, row.zone, row.capacity, state, cold), hold
+    return Endpoint(row.id, row.service, row.host, row.port, row.zone, row.capacity, state, cold), hold
 
 
-def changes(old: Servers | None, new: Servers) -> Changes:
+def changes(old: EndpointList | None, new: EndpointList) -> Changes:
     """What `new` says that `old` did not; `old` may be None."""
-    was = {row.id: row for row in old.rows} if old else {}
+    was = {row.id: row for row in old.endpoints} if old else {}
     added, changed = [], []
-    for row in new.rows:
+    for row in new.endpoints:
         before = was.pop(row.id, None)
         if before is None:
             added.append(row)
@@ -167,7 +167,7 @@
     return Changes(tuple(added), tuple(changed), tuple(was.values()))
 
 
-def pack(servers: Servers, now: int) -> list[Packed]:
+def encode(servers: EndpointList, now: int) -> list[Packed]:
     """Plain values for cbor2. Times go as ns that are left or past: clocks of two nodes differ."""
     names: dict[str, int] = {}
     rows = [
@@ -178,16 +178,16 @@
             row.port,
             names.setdefault(row.zone, len(names)),
             row.capacity,
-            row.state == EMPTYING,
-            max(0, row.cold_until - now) if row.cold_until else 0,
+            row.state == DRAINING,
+            max(0, row.warming_until_ns - now) if row.warming_until_ns else 0,
         ]
-        for row in servers.rows
+        for row in servers.endpoints
     ]
-    return [servers.number, max(0, now - servers.read_at), list(names), rows]
+    return [servers.version, max(0, now - servers.read_at_ns), list(names), rows]
 
 
-def unpack(plain: Packed, now: int) -> Servers:
-    """`Servers` of what `pack` made, in the own clock."""
+def decode(plain: Packed, now: int) -> EndpointList:
+    """`EndpointList` of what `encode` made, in the own clock."""
     try:
         number, age, names, listed = plain
         if type(number) is not int or type(age) is not int or number < 0 or age < 0 or len(listed) > MOST_ROWS:
@@ -201,41 +201,42 @@
         raise
     except (TypeError, ValueError, IndexError) as error:
         raise FieldError(f"no list of servers: {error}") from None
-    return Servers(number, tuple(rows.values()), now - age)
+    return EndpointList(number, tuple(rows.values()), now - age)
 
 
-def _unpack_row(packed: Packed, names: list[str], now: int) -> Row:
+def _unpack_row(packed: Packed, names: list[str], now: int) -> Endpoint:
     uid, service, host, port, zone, capacity, emptying, cold = packed
     if type(cold) is not int or not 0 <= cold <= MOST_COLD or type(emptying) is not bool or service < 0 or zone < 0:
         raise FieldError(f"a row: {quoted(uid)}")
-    return Row(
+    return Endpoint(
         check_name(uid, "Id"),
         names[service],
         check_ip(host),
         check_whole(port, PORTS.stop - 1, "port"),
         names[zone],
         check_whole(capacity, MOST_CAPACITY, "Capacity"),
-        EMPTYING if emptying else READY,
+        DRAINING if emptying else READY,
         now + cold if cold else 0,
     )
 
 
-def pack_since(servers: Servers, now: int, history: DeltaHistory, since: int) -> list[Packed]:
-    """`pack`, or where `history` knows the list of number `since`: what changed, what that rests on, the mark, ids
+def encode_since(servers: EndpointList, now: int, history: DeltaHistory, since: int) -> list[Packed]:
+    """`encode`, or where `history` knows the list of number `since`: what changed, what that rests on, the mark, ids
     gone."""
-    delta = history.since(since)
+    delta = history.difference_from(since)
     if delta is None:
-        return pack(servers, now)
+        return encode(servers, now)
     mark, gone, rows = delta
-    return [*pack(Servers(servers.number, tuple(rows), servers.read_at), now), since, mark, gone]
+    return [*encode(EndpointList(servers.version, tuple(rows), servers.read_at_ns), now), since, mark, gone]
 
 
-def unpack_since(plain: list[Packed], now: int, history: DeltaHistory, number: int) -> Servers | None:
-    """The `Servers` that `pack_since` packed; None: not newer than `number`, which is held. Raises Gap too."""
-    servers = unpack(plain[:WHOLE_PARTS], now)
-    if servers.number <= number:
+def decode_since(plain: list[Packed], now: int, history: DeltaHistory, number: int) -> EndpointList | None:
+    """The `EndpointList` that `encode_since` packed; None: not newer than `number`, which is held. Raises
+    DeltaMismatchError too."""
+    servers = decode(plain[:WHOLE_PARTS], now)
+    if servers.version <= number:
         return None
     if len(plain) == WHOLE_PARTS:
         return servers
     base, mark, gone = plain[WHOLE_PARTS:]
-    return Servers(servers.number, history.joined(number, base, mark, gone, servers.rows), servers.read_at)
+    return EndpointList(servers.version, history.apply(number, base, mark, gone, servers.endpoints), servers.read_at_ns)
--- a/rampfront/membership/server_list_pager.py
+++ b/rampfront/membership/endpoint_list_pager.py
@@ -11,7 +11,7 @@
 
 from ..settings.errors import FieldError, quoted
 from ..settings.scalars import SEC
-from .server_list import MOST_ROWS, READY, Row, Servers, believed, read_page
+from .endpoint_list import MOST_ROWS, READY, Endpoint, EndpointList, believed, parse_page
 
 OK, TOO_MANY_CALLS = 200, 429
 MOST_PAGES = 512  # of a round
@@ -26,62 +26,62 @@
 # ---- what a pager takes
 
 
-class Page(NamedTuple):
-    """The answer to a `Fetch`: its round, and the status and body."""
+class PageReceived(NamedTuple):
+    """The answer to a `FetchPage`: its round, and the status and body."""
 
     round: int
     status: int
     body: bytes
 
 
-class Lost(NamedTuple):
-    """No answer to a `Fetch`, and why."""
+class PageFailed(NamedTuple):
+    """No answer to a `FetchPage`, and why."""
 
     round: int
     why: str
 
 
-class Due:
-    """The time asked for by `Wait` has come."""
+class TimerFired:
+    """The time asked for by `SetTimer` has come."""
 
 
 # ---- what it wants done
 
 
-class Fetch(NamedTuple):
+class FetchPage(NamedTuple):
     """Ask the platform for a page."""
 
     round: int
     target: str
 
 
-class Wait(NamedTuple):
-    """Give it `Due` at this time (ns); a later `Wait` replaces it."""
+class SetTimer(NamedTuple):
+    """Give it `TimerFired` at this time (ns); a later `SetTimer` replaces it."""
 
     until: int
 
 
-class Listed(NamedTuple):
+class ListCompleted(NamedTuple):
     """The round is whole: this is the list."""
 
-    servers: Servers
+    servers: EndpointList
 
 
-class Dropped(NamedTuple):
+class RoundFailed(NamedTuple):
     """The round brought no list."""
 
     why: str
 
 
-Event = Page | Lost | type[Due]
-Effect = Fetch | Wait | Listed | Dropped
+Event = PageReceived | PageFailed | type[TimerFired]
+Effect = FetchPage | SetTimer | ListCompleted | RoundFailed
 
 
 class _KnownPage(NamedTuple):
     """A page as it last was, and what it says."""
 
     body: bytes
-    rows: list[Row]
+    rows: list[Endpoint]
     token: str | None
     faults: int
 
@@ -101,11 +101,11 @@
         self.began, self.asking = 0, False  # of the round that runs; False: none does
         self.token: str | None = None  # of the page asked for; None: of the first one
         self.seen: set[str] = set()  # tokens of this round
-        self.rows: dict[str, Row] = {}  # of this round, by id
+        self.rows: dict[str, Endpoint] = {}  # of this round, by id
         self.pages = 0
         self.known: dict[str | None, _KnownPage] = {}  # by token; those of the newest round
         self.waits: int | None = None  # a page that is to be fetched once the bucket allows it
-        self.last: Servers | None = None  # the newest list
+        self.last: EndpointList | None = None  # the newest list
         self.held: frozenset[str] = frozenset()  # ids with good news, or none, in the newest round for the first time
         self.counts: Counter[str] = Counter()
 
@@ -114,13 +114,13 @@
         self.number = max(self.number, number)
 
     def take(self, now: int, event: Event) -> list[Effect]:
-        """Takes in an answer, the lack of one, or `Due`; returns what is to be done, in order."""
-        if isinstance(event, type):  # `Due`
+        """Takes in an answer, the lack of one, or `TimerFired`; returns what is to be done, in order."""
+        if isinstance(event, type):  # `TimerFired`
             return self.go_on(now)
         if not self.asking or event.round != self.round:
             self.counts["late"] += 1  # of a round that was given up
             return []
-        if isinstance(event, Lost):
+        if isinstance(event, PageFailed):
             return self.drop(now, event.why, 1)
         if event.status != OK:
             return self.drop(now, f"status {event.status}", REFUSED if event.status == TOO_MANY_CALLS else 1)
@@ -152,9 +152,9 @@
         it is cold, whose time left is counted from now. Raises FieldError for one that cannot be the next page."""
         known = self.known.get(self.token)
         if known is None or known.body != body:
-            page = read_page(body, now)
+            page = parse_page(body, now)
             known = _KnownPage(body, page.rows, page.token, len(page.faults))
-            if any(row.cold_until for row in page.rows):
+            if any(row.warming_until_ns for row in page.rows):
                 self.known.pop(self.token, None)
             else:
                 self.known[self.token] = known
@@ -181,12 +181,12 @@
         start = max(self.full_at, now)
         if start + self.cost - now > self.room:
             self.waits = start + self.cost - self.room
-            return [Wait(self.waits)]
+            return [SetTimer(self.waits)]
         self.full_at, self.waits = start + self.cost, None
         self.pages += 1
         self.counts["calls"] += 1
         target = "/servers" if self.token is None else f"/servers?PageToken={quote(self.token, safe='')}"
-        return [Fetch(self.round, target)]
+        return [FetchPage(self.round, target)]
 
     def drop(self, now: int, why: str, weight: int) -> list[Effect]:
         """The round brought no list: the next one begins after a pause, which grows with the failures in a row."""
@@ -197,7 +197,7 @@
         pause = min(max(LONGEST_PAUSE, self.gap), doubled)
         if self.draw:
             pause = round(pause * (0.75 + self.draw() / 2))
-        return [Wait(now + pause), Dropped(why)]
+        return [SetTimer(now + pause), RoundFailed(why)]
 
     def close(self, now: int) -> list[Effect]:
         """The round is whole."""
@@ -205,19 +205,19 @@
         self.counts["held"] += len(self.held)
         self.counts["rounds"] += 1
         self.failed = 0
-        if self.last is None or self.last.number != self.number or self.last.rows != rows:
+        if self.last is None or self.last.version != self.number or self.last.endpoints != rows:
             self.number += 1
-        self.last = Servers(self.number, rows, self.began)
+        self.last = EndpointList(self.number, rows, self.began)
         self.known = {token: page for token, page in self.known.items() if token is None or token in self.seen}
         self.stop()
         # The wait goes first, so that a fault of whoever takes the list does not end the rounds.
-        return [Wait(max(now, self.began + self.gap)), Listed(self.last)]
+        return [SetTimer(max(now, self.began + self.gap)), ListCompleted(self.last)]
 
-    def settle(self, now: int) -> tuple[tuple[Row, ...], frozenset[str]]:
+    def settle(self, now: int) -> tuple[tuple[Endpoint, ...], frozenset[str]]:
         """What is believed of the round's rows, by id, and of which ids the news waits for the next round."""
         fresh, held = self.rows, set()
-        rows: list[Row] = []
-        for old in self.last.rows if self.last else ():
+        rows: list[Endpoint] = []
+        for old in self.last.endpoints if self.last else ():
             row = fresh.pop(old.id, None)
             if row is None:
                 if old.state == READY and old.id not in self.held:
--- a/rampfront/membership/server_list_poller.py
+++ b/rampfront/membership/endpoint_list_poller.py
@@ -12,8 +12,19 @@
 
 from ..net.http_client import HttpClient, HttpRequest
 from ..settings.scalars import SEC
-from .server_list import Servers
-from .server_list_pager import Dropped, Due, Effect, Event, Fetch, Listed, Lost, Page, Pager, Wait
+from .endpoint_list import EndpointList
+from .endpoint_list_pager import (
+    Effect,
+    Event,
+    FetchPage,
+    ListCompleted,
+    PageFailed,
+    Pager,
+    PageReceived,
+    RoundFailed,
+    SetTimer,
+    TimerFired,
+)
 
 PAGE_WAIT, PAGE_LONGEST = 1.0, 2.0  # s, for one page, the connect included; the longer one behind a failure, for a
 # platform that is slow would never be heard. No longer: what hangs since a cut is found out only then
@@ -29,7 +40,7 @@
         clock: Callable[[], int],
         address: tuple[str, int],
         per_s: float,
-        on_list: Callable[[Servers], None],
+        on_list: Callable[[EndpointList], None],
         gap_ns: int,
         rng: Random | None = None,
         on_drop: Callable[[str], None] | None = None,
@@ -57,7 +68,7 @@
         """At once, whatever pause was under way before."""
         if not self.running:
             self.running, self.since = True, self.clock()
-            self.take(Due)
+            self.take(TimerFired)
 
     def stop(self) -> None:
         """Ends the round that runs, and the connection."""
@@ -79,7 +90,7 @@
             self.stop()
             if was_running:
                 self.running = True
-                self.take(Due)
+                self.take(TimerFired)
 
     def failed_for(self, now: int) -> int:
         """ns since the last whole list, or since the start when there was none."""
@@ -95,24 +106,24 @@
 
     def carry_out(self, effect: Effect, now: int) -> None:
         """One thing that the pager wants done."""
-        if isinstance(effect, Fetch):
+        if isinstance(effect, FetchPage):
             self.task = self.loop.create_task(self.fetch(effect))
-        elif isinstance(effect, Wait):
+        elif isinstance(effect, SetTimer):
             if self.handle:
                 self.handle.cancel()
             self.handle = self.loop.call_later(max(0, effect.until - now) / SEC, self.due)
-        elif isinstance(effect, Listed):
+        elif isinstance(effect, ListCompleted):
             self.since = now
             self.on_list(effect.servers)
-        elif isinstance(effect, Dropped) and self.on_drop:
+        elif isinstance(effect, RoundFailed) and self.on_drop:
             self.on_drop(effect.why)
 
     def due(self) -> None:
         """The time that the pager waited for has come."""
         self.handle = None
-        self.take(Due)
+        self.take(TimerFired)
 
-    async def fetch(self, effect: Fetch) -> None:
+    async def fetch(self, effect: FetchPage) -> None:
         """Asks for a page, and gives the pager what came of it."""
         if self.client is None:
             self.client = HttpClient(self.loop, self.address, PAGE_MOST)
@@ -120,6 +131,6 @@
         result = await self.client.request(HttpRequest("GET", effect.target), timeout_s=wait)
         if isinstance(result, Ok):
             reply = result.ok_value
-            self.take(Page(effect.round, reply.status, reply.body))
+            self.take(PageReceived(effect.round, reply.status, reply.body))
         else:
-            self.take(Lost(effect.round, result.err_value.reason))
+            self.take(PageFailed(effect.round, result.err_value.reason))
--- a/rampfront/node/metrics.py
+++ b/rampfront/node/metrics.py
@@ -36,11 +36,11 @@
     yield "in_touch", node_process.fresh(now)
     yield "out_of_touch", silent is not None
     yield "out_of_touch_seconds", (silent or 0) / SEC
-    yield "leads", look.leads
+    yield "leads", look.is_leader
     yield "ending", node_process.ending
     yield "lease_seconds", node_process.lease / SEC
-    if look.word_at is not None:
-        yield "word_age_now_seconds", max(0, now - look.word_at) / SEC
+    if look.confirmed_at_ns is not None:
+        yield "word_age_now_seconds", max(0, now - look.confirmed_at_ns) / SEC
     if state is not None:
         yield "configuration_revision", state.revision
         yield "core_step", state.index
@@ -53,9 +53,9 @@
     yield "nodes_known", len(look.roster)
     yield "nodes_ready", sum(row[4] for row in look.roster)
     if request_proxy.servers is not None:
-        yield "servers_listed", len(request_proxy.servers.rows)
-        yield "servers_ready", sum(row.state == "ready" for row in request_proxy.servers.rows)
-        yield "servers_list_age_seconds", max(0, now - request_proxy.servers.read_at) / SEC
+        yield "servers_listed", len(request_proxy.servers.endpoints)
+        yield "servers_ready", sum(row.state == "ready" for row in request_proxy.servers.endpoints)
+        yield "servers_list_age_seconds", max(0, now - request_proxy.servers.read_at_ns) / SEC
     yield "client_connections", len(node_process.client_front.clients)
     yield "quotas_alone", node_process.limiter.alone(now)
 
--- a/rampfront/node/node.py
+++ b/rampfront/node/node.py
@@ -13,10 +13,10 @@
 from ..consensus import events
 from ..consensus.errors import RemoteProtocolError
 from ..consensus.member import Member
-from ..membership import server_list as platform
-from ..membership.deltas import DeltaHistory, States
-from ..membership.dissemination import TERM, Disseminator
-from ..membership.server_health import ROWS, Register
+from ..membership import endpoint_list as platform
+from ..membership.deltas import DeltaHistory, StateHistory
+from ..membership.dissemination import VERSIONS_PER_TERM, Disseminator
+from ..membership.server_health import MAX_REPORTS, HealthRegistry
 from ..net.desk import Timers
 from ..net.latency_histogram import LatencyHistogram
 from ..proxy.core import RequestProxy
@@ -79,11 +79,11 @@
             loop, self.clock, process_settings, bounds, self.draw, self.limiter, self.fresh, log
         )
         self.request_proxy.took = self.arm_tide
-        self.register = Register()
+        self.health_registry = HealthRegistry()
         self.client_front = ClientFront(loop, self.request_proxy, bounds, log)
         self.state, self.states, self.lists = (
             None,
-            States(),
+            StateHistory(),
             DeltaHistory(0, 7),
         )  # the last two: what differences rest on
         self.core_member, self.disk, self.record_store = None, None, None
@@ -134,12 +134,12 @@
         now, kind = self.clock(), message["k"]
         self.check_leadership(now)
         if kind == "hail":
-            self.disseminator.on_hail(ip, message, now)
+            self.disseminator.on_heartbeat(ip, message, now)
         elif kind == "word":
-            self.disseminator.on_word(ip, message, now)
+            self.disseminator.on_state_response(ip, message, now)
             self.look(now)
         elif kind == "add":
-            if self.request_proxy.configuration is None or self.disseminator.word_at is None:
+            if self.request_proxy.configuration is None or self.disseminator.confirmed_at_ns is None:
                 return  # Guards quotas: one that starts knows no tenants, or those of a record of long ago
             if (answer := self.quota_counter.add(now, ip, message["m"])) is not None:
                 self.send(ip, {"k": "sum", "m": answer})
@@ -169,10 +169,14 @@
 
     def sighted(self, ip, rows, now):
         """Reports come to the leader alone; what they bear out goes to all, itself too."""
-        if self.disseminator.leads and (news := self.register.take(ip, rows, self.request_proxy.nodes, now)):
+        if self.disseminator.is_leader and (
+            news := self.health_registry.add_reports(ip, rows, self.request_proxy.nodes, now)
+        ):
             all_ips = list(dict.fromkeys((self.process_settings.ip, *self.disseminator.peers)))
-            for start in range(0, len(news), ROWS):
-                self.send_all(all_ips, {"k": "dim", "e": self.disseminator.term, "r": news[start : start + ROWS]})
+            for start in range(0, len(news), MAX_REPORTS):
+                self.send_all(
+                    all_ips, {"k": "dim", "e": self.disseminator.term, "r": news[start : start + MAX_REPORTS]}
+                )
 
     # ---- the keeper
 
@@ -208,9 +212,9 @@
 
     def rule(self, now):
         core_member, disseminator = self.core_member, self.disseminator
-        led = disseminator.leads
+        led = disseminator.is_leader
         leads = core_member.is_leader and core_member.quorum_confirmed_at is not None
-        disseminator.rule(
+        disseminator.set_leadership(
             leads, core_member.leader_ip, self.state.term if self.state else 0, core_member.quorum_confirmed_at, now
         )
         if leads != led:
@@ -226,8 +230,8 @@
         if self.state is not None and state.index <= self.state.index:
             return  # Guards against going back: a late or repeated word changes nothing
         old, self.state = self.state, state
-        self.states.put(state)
-        self.disseminator.index = state.index
+        self.states.add(state)
+        self.disseminator.state_index = state.index
         if state.revision and (old is None or state.revision != old.revision):
             found = configurations.read(zlib.decompress(state.body))
             if found.is_ok():
@@ -245,52 +249,57 @@
         if old is None or old.evacuated_zones != state.evacuated_zones:
             self.log.record("zones emptied", zones=sorted(state.evacuated_zones))
             self.request_proxy.zoned(state.evacuated_zones)
-        if self.disseminator.leads:
-            self.disseminator.spread(self.clock())
+        if self.disseminator.is_leader:
+            self.disseminator.push_updates(self.clock())
 
-    def pack_state(self, since):
-        return self.states.pack(since)
+    def encode_state(self, since):
+        return self.states.encode(since)
 
     def differences(self, index, servers):
-        return self.states.knows(index), servers in self.lists.kept
+        return self.states.can_diff_from(index), self.lists.can_diff_from(servers)
 
-    def state_bytes(self):
+    def state_size_bytes(self):
         return len(self.state.body) if self.state is not None else 0
 
-    def got_state(self, plain, now):
-        if plain[0] > self.disseminator.index:
-            self.apply(self.states.read(plain))
+    def on_state(self, plain, now):
+        if plain[0] > self.disseminator.state_index:
+            self.apply(self.states.decode(plain))
 
     def polled(self, servers):
         now, old = self.clock(), self.request_proxy.servers
         self.counts["lists"] += 1
         self.check_leadership(now)
-        if not self.disseminator.leads or old is not None and old.rows == servers.rows and not self.disseminator.outrun:
+        if (
+            not self.disseminator.is_leader
+            or old is not None
+            and old.endpoints == servers.endpoints
+            and not self.disseminator.must_renumber_endpoints
+        ):
             return
-        self.disseminator.outrun = False
-        number = max(self.disseminator.servers + 1, self.disseminator.term * TERM + 1)
-        self.serve(replace(servers, number=number))
-        self.disseminator.spread(now)
+        self.disseminator.must_renumber_endpoints = False
+        number = max(self.disseminator.endpoints_version + 1, self.disseminator.term * VERSIONS_PER_TERM + 1)
+        self.serve(replace(servers, version=number))
+        self.disseminator.push_updates(now)
 
     def unpolled(self, why):
         self.counts["lists_failed"] += 1
         self.log.record_limited("platform", "list", why=why)
 
     def serve(self, servers):
-        self.disseminator.servers = servers.number
-        self.lists.put(servers.number, servers.rows)
+        self.disseminator.endpoints_version = servers.version
+        self.lists.add(servers.version, servers.endpoints)
         self.request_proxy.listed(servers)
-        self.register.listed((row.id, row.zone) for row in servers.rows)
+        self.health_registry.set_servers((row.id, row.zone) for row in servers.endpoints)
 
-    def pack_servers(self, now, since):
-        return platform.pack_since(self.request_proxy.servers, now, self.lists, since)
+    def encode_endpoints(self, now, since):
+        return platform.encode_since(self.request_proxy.servers, now, self.lists, since)
 
-    def got_servers(self, plain, now):
-        servers = platform.unpack_since(plain, now, self.lists, self.disseminator.servers)
-        if not self.disseminator.leads and servers is not None:
+    def on_endpoints(self, plain, now):
+        servers = platform.decode_since(plain, now, self.lists, self.disseminator.endpoints_version)
+        if not self.disseminator.is_leader and servers is not None:
             self.serve(servers)
 
-    def got_roster(self):
+    def on_roster(self):
         count = max(1, sum(row[4] for row in self.disseminator.roster))
         self.request_proxy.counted(count)
         self.quota_counter.proxies(count)
@@ -300,17 +309,17 @@
 
     def out_of_touch(self, now):
         """ns since a majority of the core last stood behind what this node holds; None while that is recent."""
-        return contact.out_of_touch(self.disseminator.word_at, self.started_at, now)
+        return contact.out_of_touch(self.disseminator.confirmed_at_ns, self.started_at, now)
 
     def fresh(self, now):
-        at = self.disseminator.word_at
+        at = self.disseminator.confirmed_at_ns
         return at is not None and now - at < self.lease
 
     def look(self, now):
         ready = self.client_front.ready() and not self.ending
         if ready != self.disseminator.ready:
             self.disseminator.ready = ready
-            self.disseminator.next_at = 0
+            self.disseminator.next_heartbeat_at_ns = 0
             self.log.record("ready" if ready else "not ready")
 
     # ---- the tide
@@ -355,17 +364,17 @@
 
     def tick(self):
         self.timers.after(
-            TICK if self.disseminator.word_at else SOON, self.tick
+            TICK if self.disseminator.confirmed_at_ns else SOON, self.tick
         )  # first, so that a defect below does not end it
         now = self.clock()
         self.tell(events.Tick())
         self.disseminator.tick(now)
         self.orders.tick(now)
-        if (rows := self.request_proxy.health_reporter.due(now)) and self.disseminator.leader:
+        if (rows := self.request_proxy.health_reporter.take_reports(now)) and self.disseminator.leader:
             self.send(self.disseminator.leader, {"k": "sight", "r": rows})
         self.look(now)
-        if self.disseminator.word_at is not None:
-            self.word_ages.record(max(0, now - self.disseminator.word_at))
+        if self.disseminator.confirmed_at_ns is not None:
+            self.word_ages.record(max(0, now - self.disseminator.confirmed_at_ns))
         self.say(self.counter_placement.beat(now))
         self.arm_tide()
 
--- a/rampfront/node/orders.py
+++ b/rampfront/node/orders.py
@@ -89,7 +89,7 @@
             return
         self.number += 1
         request = OrderRequest(self.life, self.number, kind, body)
-        order = self.open[self.number] = OpenOrder(request, now + WAIT, node_process.disseminator.index, done)
+        order = self.open[self.number] = OpenOrder(request, now + WAIT, node_process.disseminator.state_index, done)
         node_process.counts["orders"] += 1
         # Guards against an answer at the next beat of `tick`, when the caller has turned away.
         node_process.timers.at(order.due, self.expire, order)
--- a/rampfront/node/ports.py
+++ b/rampfront/node/ports.py
@@ -6,7 +6,7 @@
 from typing import Any, NamedTuple
 
 from ..consensus.storage import RecordStore
-from ..membership.server_list_poller import Poller
+from ..membership.endpoint_list_poller import Poller
 from ..net.desk import Clock
 from ..transport.wire import Wire
 
--- a/rampfront/node/status_views.py
+++ b/rampfront/node/status_views.py
@@ -46,7 +46,7 @@
     """ns for which this pilot holds the server to be cold yet: as the list tells, or as its zone was lately taken back."""
     service = request_proxy.configuration.services.get(row.service) if request_proxy.configuration else None
     if service is None:
-        return max(0, row.cold_until - now)
+        return max(0, row.warming_until_ns - now)
     born = routing.born(row, service, request_proxy.cold_zones.get(row.zone), now)
     return born + service.warmup - now if born else 0
 
@@ -105,7 +105,7 @@
                 "Ready": look.ready,
                 "Ending": node_process.ending,
                 "Disk": core_member is not None,
-                "Leads": look.leads,
+                "Leads": look.is_leader,
                 "Leader": look.leader,
                 "Term": state.term if state else 0,
                 "Index": state.index if state else 0,
@@ -115,11 +115,11 @@
                 "Emptied": sorted(state.evacuated_zones) if state else [],
                 "Evacuations": [evacuation(zone, state) for zone in sorted(state.evacuated_zones)] if state else [],
                 "Zones": process_settings.zones,
-                "WordAgeMs": None if look.word_at is None else max(0, now - look.word_at) // MS,
+                "WordAgeMs": None if look.confirmed_at_ns is None else max(0, now - look.confirmed_at_ns) // MS,
                 "LeaseMs": node_process.lease // MS,
                 "Fresh": node_process.fresh(now),
-                "Servers": look.servers,
-                "Roster": look.number,
+                "Servers": look.endpoints_version,
+                "Roster": look.roster_version,
                 "Spare": {
                     name: round(service_pool.desk.node.spare, 1)
                     for name, service_pool in node_process.request_proxy.service_pools.items()
@@ -149,7 +149,9 @@
         request_proxy, now, of = self.node_process.request_proxy, self.node_process.clock(), asked.query.get("of")
         if request_proxy.servers is None:
             return trouble(503, "no list of servers has come to this node yet", RETRY_SOON)
-        rows, then = page(asked, [r for r in request_proxy.servers.rows if of in (None, r.service)], lambda row: row.id)
+        rows, then = page(
+            asked, [r for r in request_proxy.servers.endpoints if of in (None, r.service)], lambda row: row.id
+        )
         links = {
             target.uid: target.links
             for service_pool in request_proxy.service_pools.values()
@@ -171,7 +173,7 @@
                     }
                     for r in rows
                 ],
-                "ChangedMs": max(0, now - request_proxy.servers.read_at) // MS,
+                "ChangedMs": max(0, now - request_proxy.servers.read_at_ns) // MS,
                 "Next": then,
             }
         )
--- a/rampfront/proxy/core.py
+++ b/rampfront/proxy/core.py
@@ -10,7 +10,7 @@
 
 from .. import terms as t
 from ..choice import Line
-from ..membership.server_health import WELL, HealthReporter
+from ..membership.server_health import HEALTHY, HealthReporter
 from ..net.core import Exchange, Unfit
 from ..net.desk import Desk
 from ..net.latency_histogram import LatencyHistogram
@@ -157,9 +157,9 @@
 
     def sighted(self, rows):
         """Servers that the fleet found dark, ill, or well again."""
-        for uid, state in self.health_reporter.heard_of(rows, self.clock()):
+        for uid, state in self.health_reporter.accept_verdicts(rows, self.clock()):
             for service_pool in self.service_pools.values():
-                service_pool.seen(uid, state == WELL)
+                service_pool.seen(uid, state == HEALTHY)
 
     def zoned(self, emptied):
         now = self.clock()
@@ -175,7 +175,7 @@
             return
         now = self.clock()
         listed, rows = {name: [] for name in configuration.services}, {}
-        for row in servers.rows:
+        for row in servers.endpoints:
             if row.service in listed and row.zone in self.zones:
                 listed[row.service].append(row)
         for name, some in listed.items():
--- a/rampfront/proxy/forwarding.py
+++ b/rampfront/proxy/forwarding.py
@@ -8,7 +8,7 @@
 import re
 
 from .. import terms as t
-from ..membership import server_health as sightings
+from ..membership import server_health
 from ..net.upstream import IDLE, WAITING, Link, Upstream
 
 MS, SEC = 10**6, 10**9
@@ -34,7 +34,7 @@
 )  # concern one connection alone
 MISDIRECTED = 421
 UNRUN = frozenset((t.UNSEEN, t.UNSENT, t.UNREACHED))  # ends of what no server has run
-SAW = {t.DONE: sightings.WELL, t.ERROR: sightings.FAILED, t.BROKEN: sightings.FAILED}
+SAW = {t.DONE: server_health.HEALTHY, t.ERROR: server_health.REQUEST_FAILED, t.BROKEN: server_health.REQUEST_FAILED}
 PROMISES = frozenset((408, 429, 503))  # a client takes them to say that it has not run; without Not-Run it may have
 
 
@@ -87,7 +87,9 @@
         pool, now = self.pool, self.pool.clock()
         self.rested = now - self.since if self.state == IDLE else None
         if exchange:
-            self.ref = pool.health_reporter.sent(self.target.uid, pool.desk.node.lines[exchange.product].mean, now)
+            self.ref = pool.health_reporter.request_started(
+                self.target.uid, pool.desk.node.lines[exchange.product].mean, now
+            )
         super().begin(exchange, attempt, allow)
 
     def connection_lost(self, trouble):
@@ -133,8 +135,10 @@
             self.until = FAR
         if self.exchange:
             now = self.pool.clock()
-            hung = how == t.UNREACHED and now - self.sent_at >= sightings.HANGS
-            self.pool.health_reporter.over(self.ref, self.target.uid, now, sightings.HUNG if hung else SAW.get(how))
+            hung = how == t.UNREACHED and now - self.sent_at >= server_health.CONNECT_TIMEOUT_NS
+            self.pool.health_reporter.request_ended(
+                self.ref, self.target.uid, now, server_health.CONNECT_TIMED_OUT if hung else SAW.get(how)
+            )
         super().finish(how, keep)
 
     def outcome(self, how, took):
--- a/rampfront/proxy/routing.py
+++ b/rampfront/proxy/routing.py
@@ -15,7 +15,7 @@
 
 if TYPE_CHECKING:
     from ..choice import Node
-    from ..membership.server_list import Row
+    from ..membership.endpoint_list import Endpoint
     from ..settings.configuration import Configuration, Service
     from ..settings.process_settings import Guarantees, ProcessSettings
 
@@ -81,7 +81,7 @@
     return draw.choices([name for name, _ in shares], [weight for _, weight in shares])[0]
 
 
-def nearness(rows: Iterable[Row], process_settings: ProcessSettings) -> dict[str, float]:
+def nearness(rows: Iterable[Endpoint], process_settings: ProcessSettings) -> dict[str, float]:
     """Id to weight of the servers of one service, by the way there. Of many in one place each proxy prefers a few of
     its own, by a digest of both names: so connections are used again, and all proxies together cover all servers
     evenly."""
@@ -103,10 +103,10 @@
     return weights
 
 
-def born(row: Row, service: Service, back_at: int | None, now: int) -> int:
+def born(row: Endpoint, service: Service, back_at: int | None, now: int) -> int:
     """When the server came up as `choice.py` counts it (ns): 0 for long ago, else so that it is cold until its time is
     over. `back_at`: when its zone was taken back."""
-    until = row.cold_until
+    until = row.warming_until_ns
     if back_at is not None and back_at + service.warmup > now:
         # Guards servers of a zone that is taken back: they may have become cold, and the list tells it late.
         until = max(until, back_at + service.warmup)
--- a/rampfront/simulation/fleet_growth.py
+++ b/rampfront/simulation/fleet_growth.py
@@ -18,9 +18,9 @@
 import click
 
 from ..consensus.state import State, digest
-from ..membership import server_list as platform
-from ..membership.deltas import DeltaHistory, States
-from ..membership.dissemination import TERM, Disseminator
+from ..membership import endpoint_list as platform
+from ..membership.deltas import DeltaHistory, StateHistory
+from ..membership.dissemination import VERSIONS_PER_TERM, Disseminator
 from ..transport import wire as flags
 from .link_bytes import link_bytes
 
@@ -94,7 +94,7 @@
         self.sea, self.k, self.ip, self.zone, self.region = sea, k, sea.ip(k), k % sea.zones, k % sea.zones % 2
         self.disk, self.up, self.life = k <= sea.disks, True, life
         self.offset = k * 7_777_777_777
-        self.state, self.servers, self.states, self.lists = None, None, States(), DeltaHistory(0, 7)
+        self.state, self.servers, self.states, self.lists = None, None, StateHistory(), DeltaHistory(0, 7)
         self.look = Disseminator(
             f"front-hall-{self.zone}-{k}",
             self.ip,
@@ -116,40 +116,40 @@
     def send_all(self, ips, message):
         self.sea.spread(self, ips, message)
 
-    def pack_state(self, since):
-        return self.states.pack(since)
+    def encode_state(self, since):
+        return self.states.encode(since)
 
     def differences(self, index, servers):
-        return self.states.knows(index), servers in self.lists.kept
+        return self.states.can_diff_from(index), self.lists.can_diff_from(servers)
 
-    def state_bytes(self):
+    def state_size_bytes(self):
         return len(self.state.body) if self.state is not None else 0
 
-    def got_state(self, plain, now):
-        if plain[0] > self.look.index:
-            self.apply(self.states.read(plain))
+    def on_state(self, plain, now):
+        if plain[0] > self.look.state_index:
+            self.apply(self.states.decode(plain))
 
     def apply(self, state):
-        self.state, self.look.index = state, state.index
-        self.states.put(state)
+        self.state, self.look.state_index = state, state.index
+        self.states.add(state)
         self.look.ready = self.servers is not None
-        if self.look.leads:
-            self.look.spread(self.clock())
+        if self.look.is_leader:
+            self.look.push_updates(self.clock())
 
-    def pack_servers(self, now, since):
-        return platform.pack_since(self.servers, now, self.lists, since)
+    def encode_endpoints(self, now, since):
+        return platform.encode_since(self.servers, now, self.lists, since)
 
-    def got_servers(self, plain, now):
-        servers = platform.unpack_since(plain, now, self.lists, self.look.servers)
-        if not self.look.leads and servers is not None:
+    def on_endpoints(self, plain, now):
+        servers = platform.decode_since(plain, now, self.lists, self.look.endpoints_version)
+        if not self.look.is_leader and servers is not None:
             self.serve(servers)
 
     def serve(self, servers):
-        self.lists.put(servers.number, servers.rows)
-        self.servers, self.look.servers = servers, servers.number
+        self.lists.add(servers.version, servers.endpoints)
+        self.servers, self.look.endpoints_version = servers, servers.version
         self.look.ready = self.state is not None
 
-    def got_roster(self):
+    def on_roster(self):
         pass
 
 
@@ -166,7 +166,7 @@
         self.lead = self.ships[self.ip(1)]
         self.lead.apply(self.entry(State(1, 1, 0, members={"n1": (self.ip(1), 1)})))
         self.rows = [
-            platform.Row(
+            platform.Endpoint(
                 f"i-{self.draw.getrandbits(40):010x}",
                 "huvo11a" if n % 3 else "wuno96b",
                 f"10.{n % self.zones}.{64 + n // 250 % 100}.{n % 250}",
@@ -267,7 +267,7 @@
 
     def read(self, ip, peer, data):
         message = cbor2.loads(flags.unpacked(data) if data[:1] == flags.MARK else data)
-        (peer.look.on_hail if message["k"] == "hail" else peer.look.on_word)(ip, message, peer.clock())
+        (peer.look.on_heartbeat if message["k"] == "hail" else peer.look.on_state_response)(ip, message, peer.clock())
 
     def own(self, ship, act, *args):
         if ship is not self.lead:
@@ -285,11 +285,11 @@
     def tick(self, ship, life):
         if ship.up and ship.life == life:
             self.own(ship, self.beat, ship)
-            self.at(self.now + (TICK if ship.look.word_at else SOON), self.tick, ship, life)
+            self.at(self.now + (TICK if ship.look.confirmed_at_ns else SOON), self.tick, ship, life)
 
     def beat(self, ship):
         if ship is self.lead:
-            ship.look.rule(True, ship.ip, 1, ship.clock(), ship.clock())
+            ship.look.set_leadership(True, ship.ip, 1, ship.clock(), ship.clock())
         ship.look.tick(ship.clock())
 
     def run(self, ms):
@@ -318,7 +318,7 @@
         lead = self.lead
         self.own(lead, lead.apply, self.entry(lead.state))
         index = lead.state.index
-        return lambda ship: ship.look.index >= index
+        return lambda ship: ship.look.state_index >= index
 
     def weight(self):
         self.said["Sockets"][0]["Rulebook"][5]["ThenDo"]["Shares"][0]["Weight"] += 1
@@ -332,15 +332,17 @@
         lead = self.lead
         self.own(lead, lead.apply, lead.state.next_entry(evacuated_zones=frozenset({"north-hall-1"})))
         index = lead.state.index
-        return lambda ship: ship.look.index >= index
+        return lambda ship: ship.look.state_index >= index
 
     def listed(self, rows):
         lead = self.lead
         self.rows = rows
-        made = platform.Servers(max(lead.look.servers + 1, TERM + 1), tuple(sorted(rows)), lead.clock())
+        made = platform.EndpointList(
+            max(lead.look.endpoints_version + 1, VERSIONS_PER_TERM + 1), tuple(sorted(rows)), lead.clock()
+        )
         lead.serve(made)
-        self.own(lead, lead.look.spread, lead.clock())
-        return lambda ship: ship.look.servers >= made.number
+        self.own(lead, lead.look.push_updates, lead.clock())
+        return lambda ship: ship.look.endpoints_version >= made.version
 
     def one_server(self):
         n = self.draw.randrange(len(self.rows))
--- a/rampfront/simulation/isolation.py
+++ b/rampfront/simulation/isolation.py
@@ -195,7 +195,7 @@
 
     def leader(self) -> Machine:
         """The machine that leads, as it sees it."""
-        return next(m for m in self.fleet.core if m.up and not m.frozen and m.node_process.disseminator.leads)
+        return next(m for m in self.fleet.core if m.up and not m.frozen and m.node_process.disseminator.is_leader)
 
     def pick(self, who: str) -> Machine:
         """A machine by its part: `leader`, `follower` or `diskless`."""
--- a/rampfront/simulation/outside.py
+++ b/rampfront/simulation/outside.py
@@ -2,8 +2,8 @@
 
 import json
 
-from ..membership.server_list_pager import Lost, Page
-from ..membership.server_list_poller import Poller
+from ..membership.endpoint_list_pager import PageFailed, PageReceived
+from ..membership.endpoint_list_poller import Poller
 
 MS, SEC = 10**6, 10**9
 STAYS = 3 * SEC  # a crashed server is on the list for so long
@@ -153,10 +153,17 @@
         back = pair[::-1]
         platform = fleet.platform
         if fleet.cut(pair) or fleet.cut(back) or platform.down_until > fleet.now:
-            return fleet.at(fleet.now + SEC, fleet.do, machine, loop.life, self.tell, Lost(effect.round, "silence"))
+            return fleet.at(
+                fleet.now + SEC, fleet.do, machine, loop.life, self.tell, PageFailed(effect.round, "silence")
+            )
         status, body = platform.ask(effect.target)
         fleet.at(
-            fleet.now + 2 * fleet.way(*pair), fleet.do, machine, loop.life, self.tell, Page(effect.round, status, body)
+            fleet.now + 2 * fleet.way(*pair),
+            fleet.do,
+            machine,
+            loop.life,
+            self.tell,
+            PageReceived(effect.round, status, body),
         )
 
     def tell(self, told):
--- a/rampfront/simulation/rules.py
+++ b/rampfront/simulation/rules.py
@@ -113,7 +113,7 @@
     def word(self):
         """The claim on which every lease rests: what was acknowledged before the word's time is held. Looked at often."""
         for machine in self.fleet.machines:
-            if machine.up and (at := machine.node_process.disseminator.word_at) is not None:
+            if machine.up and (at := machine.node_process.disseminator.confirmed_at_ns) is not None:
                 newest, state = self.ledger.newest(at - machine.offset), machine.node_process.state
                 if newest and (state is None or state.index < newest):
                     raise Broken(f"{machine.name} lacks {newest}, and its word is younger than that")
--- a/rampfront/simulation/system_faults.py
+++ b/rampfront/simulation/system_faults.py
@@ -201,7 +201,7 @@
         """Cut off just as what it holds was found to be new, as two versions are sent; then it is asked until its lease
         must be over. What serves a little longer than a lease shows here."""
         machine, now = self.pick(who), self.fleet.now
-        word_at = machine.node_process.disseminator.word_at if machine.up and not machine.frozen else None
+        word_at = machine.node_process.disseminator.confirmed_at_ns if machine.up and not machine.frozen else None
         if word_at is not None and now + machine.offset - word_at < FRESH:
             self.cut_one(who, "both", False, ms)
             self.config(twice=True)
--- a/rampfront/simulation/system_run.py
+++ b/rampfront/simulation/system_run.py
@@ -182,7 +182,7 @@
             listed = [row[0] for row in node_process.disseminator.roster if row[4]]
             if listed != rows:
                 raise Broken(f"{machine.name} lists {listed} as ready")
-        lists = {m.node_process.disseminator.servers for m in up}
+        lists = {m.node_process.disseminator.endpoints_version for m in up}
         if len(lists) > LISTS:
             raise Broken(f"lists of servers differ in the calm: {lists}")
         gone = [machine.name for machine in fleet.removed if machine.name in fleet.ledger.newest_state.members]
--- a/tests/proxy_fixtures.py
+++ b/tests/proxy_fixtures.py
@@ -9,7 +9,7 @@
 from helper import Pipe, Stage
 
 from rampfront.membership.dissemination import Disseminator
-from rampfront.membership.server_list import Row, Servers
+from rampfront.membership.endpoint_list import Endpoint, EndpointList
 from rampfront.net.event_log import EventLog
 from rampfront.node import bounds
 from rampfront.node.log import COUNTED
@@ -191,7 +191,7 @@
             port = (at or {}).get(uid, 9000 + int(uid[1:]))
             self.places[f"10.9.0.{uid[1:]}", port] = uid
             rows.append(
-                Row(
+                Endpoint(
                     uid,
                     service,
                     f"10.9.0.{uid[1:]}",
@@ -203,7 +203,7 @@
                 )
             )
         self.numbers += 1
-        self.request_proxy.listed(Servers(self.numbers, tuple(rows)))
+        self.request_proxy.listed(EndpointList(self.numbers, tuple(rows)))
         self.settle()
 
     # ---- clients
@@ -299,29 +299,29 @@
         for ip in ips:
             self.send(ip, message)
 
-    def pack_state(self, since):
-        return self.disseminator.index
+    def encode_state(self, since):
+        return self.disseminator.state_index
 
-    def pack_servers(self, now, since):
-        return self.disseminator.servers
+    def encode_endpoints(self, now, since):
+        return self.disseminator.endpoints_version
 
     def differences(self, index, servers):
         return index > 0, servers > 0
 
-    def state_bytes(self):
+    def state_size_bytes(self):
         return 0
 
-    def got_state(self, index, now):
-        if index > self.disseminator.index:
-            self.disseminator.index = index
+    def on_state(self, index, now):
+        if index > self.disseminator.state_index:
+            self.disseminator.state_index = index
             self.took.append(("state", index))
 
-    def got_servers(self, number, now):
-        if number > self.disseminator.servers:
-            self.disseminator.servers = number
+    def on_endpoints(self, number, now):
+        if number > self.disseminator.endpoints_version:
+            self.disseminator.endpoints_version = number
             self.took.append(("servers", number))
 
-    def got_roster(self):
+    def on_roster(self):
         self.rosters += 1
 
 
@@ -348,7 +348,7 @@
     def lead(self, k, index=1, term=1):
         """The core's leader stands beside node k, and a majority stands behind it all the time."""
         self.leader, self.term = k, term
-        self[k].index = max(index, self[k].index)
+        self[k].state_index = max(index, self[k].state_index)
 
     def carry(self, sender, to, message):
         if sender in self.silent or to in self.silent or (sender, to) in self.cuts or (to, sender) in self.cuts:
@@ -377,7 +377,7 @@
             for _, _, sender, to, message in due:
                 if to not in self.silent and to in self.mates:
                     disseminator = self.mates[to].disseminator
-                    (disseminator.on_hail if message["k"] == "hail" else disseminator.on_word)(
+                    (disseminator.on_heartbeat if message["k"] == "hail" else disseminator.on_state_response)(
                         sender, message, self.now
                     )
             for k, mate in enumerate(self.mates.values(), 1):
@@ -385,8 +385,8 @@
                     if k == self.leader:
                         if self.backed:
                             self.backed_at = self.now
-                            self.agreed.append((self.now, mate.disseminator.index))
-                        mate.disseminator.rule(True, mate.ip, self.term, self.backed_at, self.now)
+                            self.agreed.append((self.now, mate.disseminator.state_index))
+                        mate.disseminator.set_leadership(True, mate.ip, self.term, self.backed_at, self.now)
                     mate.disseminator.tick(self.now)
             if every:
                 every()
--- a/tests/test_deltas.py
+++ b/tests/test_deltas.py
@@ -12,9 +12,9 @@
 from proxy_fixtures import SEC, Nodes, orders, rule
 
 from rampfront.consensus.state import State, digest
-from rampfront.membership import server_list as platform
-from rampfront.membership.deltas import DeltaHistory, Gap, States, patched, pieces
-from rampfront.membership.dissemination import TERM, WHOLES
+from rampfront.membership import endpoint_list as platform
+from rampfront.membership.deltas import DeltaHistory, DeltaMismatchError, StateHistory, patched, pieces
+from rampfront.membership.dissemination import MAX_FULL_TRANSFERS, VERSIONS_PER_TERM
 from rampfront.simulation.fleet_growth import Sea
 
 
@@ -24,9 +24,9 @@
 
 
 def holds(*states):
-    made = States()
+    made = StateHistory()
     for state in states:
-        made.put(state)
+        made.add(state)
     return made
 
 
@@ -44,28 +44,28 @@
     rules = [rule(f"/{random.Random(k).getrandbits(60)}/") for k in range(100)]
     one = entry(5, orders(5, rules=rules))
     two = entry(6, orders(6, rules=rules[:50] + [rule("/new/")] + rules[51:]))
-    three = replace(two, index=7, zones=frozenset({"a1"}))
-    told = holds(one, two).pack(5)
+    three = replace(two, index=7, evacuated_zones=frozenset({"a1"}))
+    told = holds(one, two).encode(5)
     assert len(str(told[3])) < 600 < len(two.body)
     held = holds(one)
-    held.put(held.read(told))
+    held.add(held.decode(told))
     assert held.newest.body == two.body and held.newest.rev == 6
-    told = holds(one, two, three).pack(6)
-    assert told[3] is None and held.read(told).zones == {"a1"}
-    assert holds(one, two, three).pack(5)[3] and holds(two, three).pack(5)[3] == two.body  # unknown there: whole
+    told = holds(one, two, three).encode(6)
+    assert told[3] is None and held.decode(told).evacuated_zones == {"a1"}
+    assert holds(one, two, three).encode(5)[3] and holds(two, three).encode(5)[3] == two.body  # unknown there: whole
 
 
 def test_a_body_that_does_not_fit():
     one, two, other = entry(5, orders(5)), entry(6, orders(6)), entry(5, b'{"k":"another"}')
-    told = holds(one, two).pack(5)
+    told = holds(one, two).encode(5)
     for held in (holds(), holds(other)):
-        with pytest.raises(Gap) as gap:
-            held.read(told)
-        assert not gap.value.astray
+        with pytest.raises(DeltaMismatchError) as gap:
+            held.decode(told)
+        assert not gap.value.corrupt
     told[4] = digest(b"other")
-    with pytest.raises(Gap) as gap:
-        holds(one).read(told)
-    assert gap.value.astray
+    with pytest.raises(DeltaMismatchError) as gap:
+        holds(one).decode(told)
+    assert gap.value.corrupt
     for odd in ([[0, 99]], [[-1, 1]], [["0", 1]], [[0, 0]], [5], [[True, 1]]):
         with pytest.raises((ValueError, TypeError)):
             patched(b"a{b", odd)
@@ -74,7 +74,7 @@
 
 
 def server(k, port=80, cold=0):
-    return platform.Row(f"i-{k}", "one", "10.0.0.1", port, "a1", 4, "ready", cold)
+    return platform.Endpoint(f"i-{k}", "one", "10.0.0.1", port, "a1", 4, "ready", cold)
 
 
 def test_lists_in_differences():
@@ -83,28 +83,28 @@
     def of(*numbers):
         wake = DeltaHistory(0, 7)
         for number in numbers:
-            wake.put(number, lists[number].rows)
+            wake.add(number, lists[number].endpoints)
         return wake
 
     rows = [server(k) for k in range(10, 30)]
     lists = {
-        1: platform.Servers(1, tuple(rows)),
-        2: platform.Servers(2, tuple(rows[:5] + rows[6:])),
-        3: platform.Servers(3, tuple(rows[:3] + [server(13, 99, 7 * SEC)] + rows[4:5] + rows[6:])),
+        1: platform.EndpointList(1, tuple(rows)),
+        2: platform.EndpointList(2, tuple(rows[:5] + rows[6:])),
+        3: platform.EndpointList(3, tuple(rows[:3] + [server(13, 99, 7 * SEC)] + rows[4:5] + rows[6:])),
     }
-    told = platform.pack_since(lists[3], 2 * SEC, of(1, 2, 3), 1)
+    told = platform.encode_since(lists[3], 2 * SEC, of(1, 2, 3), 1)
     assert len(told[3]) == 1 and told[6] == ["i-15"]
-    got = platform.unpack_since(told, 102 * SEC, of(1), 1)
-    assert [row[:7] for row in got.rows] == [row[:7] for row in lists[3].rows]
-    assert got.rows[3].cold_until == 107 * SEC
-    assert platform.unpack_since(told, 0, of(1, 2, 3), 3) is None
-    with pytest.raises(Gap) as gap:
-        platform.unpack_since(told, 0, of(1, 2), 2)
-    assert not gap.value.astray
-    with pytest.raises(Gap) as gap:
-        platform.unpack_since([*told[:5], b"another", told[6]], 0, of(1), 1)
-    assert gap.value.astray
-    assert len(platform.pack_since(lists[3], 0, of(2, 3), 1)) == 4  # of what is not known any more: whole
+    got = platform.decode_since(told, 102 * SEC, of(1), 1)
+    assert [row[:7] for row in got.endpoints] == [row[:7] for row in lists[3].endpoints]
+    assert got.endpoints[3].warming_until_ns == 107 * SEC
+    assert platform.decode_since(told, 0, of(1, 2, 3), 3) is None
+    with pytest.raises(DeltaMismatchError) as gap:
+        platform.decode_since(told, 0, of(1, 2), 2)
+    assert not gap.value.corrupt
+    with pytest.raises(DeltaMismatchError) as gap:
+        platform.decode_since([*told[:5], b"another", told[6]], 0, of(1), 1)
+    assert gap.value.corrupt
+    assert len(platform.encode_since(lists[3], 0, of(2, 3), 1)) == 4  # of what is not known any more: whole
 
 
 def test_a_state_that_was_not_taken_brings_no_age():
@@ -112,18 +112,18 @@
     n = Nodes(3)
     n.lead(1)
     n.run(3000)
-    look, mate, at = n[3], n.mates["10.0.0.3"], n[3].word_at
+    look, mate, at = n[3], n.mates["10.0.0.3"], n[3].confirmed_at_ns
 
     def astray(plain, now):
-        raise Gap(astray=True)
+        raise DeltaMismatchError(corrupt=True)
 
-    mate.got_state = astray
-    word = n[1].word(n.now, 0, 1 << 40, 1 << 60, n.now)
-    look.on_word("10.0.0.1", word, n.now)
-    assert look.word_at == at and look.next_at == 0 and look.hail(n.now)["i"] == 0
-    del mate.got_state
-    look.on_word("10.0.0.1", word, n.now)
-    assert look.word_at == n.now and look.hail(n.now)["i"] == look.index
+    mate.on_state = astray
+    word = n[1].state_response(n.now, 0, 1 << 40, 1 << 60, n.now)
+    look.on_state_response("10.0.0.1", word, n.now)
+    assert look.confirmed_at_ns == at and look.next_heartbeat_at_ns == 0 and look.heartbeat(n.now)["i"] == 0
+    del mate.on_state
+    look.on_state_response("10.0.0.1", word, n.now)
+    assert look.confirmed_at_ns == n.now and look.heartbeat(n.now)["i"] == look.state_index
 
 
 @pytest.mark.parametrize("seed", range(3))
@@ -135,17 +135,20 @@
     n.run(4000)
     sent = n.keep()
     for step in range(1, 8):
-        n[5].ready, n[5].next_at = bool(step % 2), 0
+        n[5].ready, n[5].next_heartbeat_at_ns = bool(step % 2), 0
         n.silent = {"10.0.0.9"} if step == 3 else set()
         n.run(500)
-    n[1].leads = False
+    n[1].is_leader = False
     n.lead(2, term=2)
-    n[1].rule(False, "10.0.0.2", 2, None, n.now)
+    n[1].set_leadership(False, "10.0.0.2", 2, None, n.now)
     n[7].ready = True
     n.run(4000)
     rosters = [message["O"] for _, _, _, _, message in sent if "O" in message]
     assert sum(len(told) == 5 for told in rosters) > 0.9 * len(rosters) > 30
-    assert all(n[k].roster == n[2].roster and n[k].number == n[2].number > 2 * TERM for k in range(1, 13))
+    assert all(
+        n[k].roster == n[2].roster and n[k].roster_version == n[2].roster_version > 2 * VERSIONS_PER_TERM
+        for k in range(1, 13)
+    )
 
 
 def test_a_fleet_with_loss_ends_alike():
@@ -161,8 +164,8 @@
     lead = sea.lead
     for ship in sea.ships.values():
         assert ship.state.body == lead.state.body and ship.state.evacuated_zones == lead.state.evacuated_zones
-        assert ship.servers.rows == lead.servers.rows and ship.look.roster == lead.look.roster
-        assert ship.clock() - ship.look.word_at < 2 * SEC
+        assert ship.servers.endpoints == lead.servers.endpoints and ship.look.roster == lead.look.roster
+        assert ship.clock() - ship.look.confirmed_at_ns < 2 * SEC
 
 
 def test_a_start_in_step_is_no_herd():
@@ -174,8 +177,10 @@
     for _ in range(40):
         n.run(100)
         given.append(sum("S" in m and sender == "10.0.0.1" for _, _, sender, _, m in sent))
-    assert max(b - a for a, b in zip(given, given[1:])) <= 11 * WHOLES  # ten looks at the time in 100 ms here
-    assert all(n[k].index == 1 for k in range(1, 61)) and given[-1] < 2 * 60
+    assert (
+        max(b - a for a, b in zip(given, given[1:])) <= 11 * MAX_FULL_TRANSFERS
+    )  # ten looks at the time in 100 ms here
+    assert all(n[k].state_index == 1 for k in range(1, 61)) and given[-1] < 2 * 60
     n = Nodes(3)
     n.leader, sent = None, n.keep()
     n.run(10000)
@@ -191,19 +196,19 @@
     """What is under way is not given again, but what came since is; and what was lost, a little later."""
     n = Nodes(3)
     n.lead(1)
-    n[1].rule(True, "10.0.0.1", 1, n.now, n.now)
-    hail, sent = n[2].hail(n.now), n.keep()
-    n[1].on_hail("10.0.0.2", hail, n.now)
-    n[1].on_hail("10.0.0.2", hail, n.now)
+    n[1].set_leadership(True, "10.0.0.1", 1, n.now, n.now)
+    hail, sent = n[2].heartbeat(n.now), n.keep()
+    n[1].on_heartbeat("10.0.0.2", hail, n.now)
+    n[1].on_heartbeat("10.0.0.2", hail, n.now)
     assert [set("SV") & set(message) for *_, message in sent] == [{"S"}]
-    n[1].servers = 7
-    n[1].on_hail("10.0.0.2", hail | {"i": 1}, n.now)
+    n[1].endpoints_version = 7
+    n[1].on_heartbeat("10.0.0.2", hail | {"i": 1}, n.now)
     assert "V" in sent[-1][4] and "S" not in sent[-1][4]
-    n[1].on_hail("10.0.0.2", hail, n.now)
+    n[1].on_heartbeat("10.0.0.2", hail, n.now)
     assert len(sent) == 2
     n.now += SEC
     n[1].tick(n.now)
-    n[1].on_hail("10.0.0.2", hail, n.now)
+    n[1].on_heartbeat("10.0.0.2", hail, n.now)
     assert {"S", "V"} <= set(sent[-1][4])
 
 
@@ -219,7 +224,7 @@
         self.held, self.wake = (0, ()), DeltaHistory(0, 2)
 
     def put(self):
-        self.leader.put(self.number, self.rows)
+        self.leader.add(self.number, self.rows)
         self.made.setdefault(self.number, set()).add(self.rows)
 
     def changes(self, name, value, by):
@@ -243,7 +248,7 @@
     @step(back=st.integers(0, 1), now=st.booleans())
     def tells(self, back, now):
         held = max(0, self.held[0] - back)
-        since = self.leader.since(held)
+        since = self.leader.difference_from(held)
         self.told.append((self.number, held, since) if since else (self.number, None, self.rows))
         self.hear(0) if now else None
 
@@ -256,11 +261,11 @@
         if number <= self.held[0]:
             return
         try:
-            whole = told if base is None else self.wake.joined(self.held[0], base, *told)
-        except Gap:
+            whole = told if base is None else self.wake.apply(self.held[0], base, *told)
+        except DeltaMismatchError:
             return
         self.held = number, whole
-        self.wake.put(number, whole)
+        self.wake.add(number, whole)
 
     @step()
     def starts_again(self):
--- a/tests/test_dissemination.py
+++ b/tests/test_dissemination.py
@@ -8,16 +8,16 @@
 import pytest
 from proxy_fixtures import EPOCH, MS, SEC, Nodes, Quay, Silent
 
-from rampfront.membership.dissemination import BEAT, GONE, TERM
+from rampfront.membership.dissemination import HEARTBEAT_INTERVAL_NS, PEER_TIMEOUT_NS, VERSIONS_PER_TERM
 from rampfront.node.endpoints import Directory
 from rampfront.transport import wire as flags
 
 
 def ages(n, *but):
     return [
-        (n.now - m.disseminator.word_at) / SEC
+        (n.now - m.disseminator.confirmed_at_ns) / SEC
         for k, m in enumerate(n.mates.values(), 1)
-        if k not in but and m.disseminator.word_at is not None
+        if k not in but and m.disseminator.confirmed_at_ns is not None
     ]
 
 
@@ -26,7 +26,7 @@
     n = Nodes(12)
     n.lead(3)
     n.run(1500)
-    assert len(ages(n)) == 12 and all(n[k].index == 1 and n[k].leader == "10.0.0.3" for k in range(1, 13))
+    assert len(ages(n)) == 12 and all(n[k].state_index == 1 and n[k].leader == "10.0.0.3" for k in range(1, 13))
     for _ in range(20):
         n.run(500)
         assert max(ages(n)) < 1.5
@@ -39,15 +39,15 @@
     n.lead(1)
     n.run(5000)
     n.silent.add("10.0.0.8")
-    n[1].index, n[1].servers = 2, 1
-    n[1].spread(n.now)
-    n[1].spread(n.now)
+    n[1].state_index, n[1].endpoints_version = 2, 1
+    n[1].push_updates(n.now)
+    n[1].push_updates(n.now)
     n.run(10)
-    assert all((n[k].index, n[k].servers) == (2, 1) for k in range(1, 8))
+    assert all((n[k].state_index, n[k].endpoints_version) == (2, 1) for k in range(1, 8))
     assert [len(m.took) for m in list(n.mates.values())[1:7]] == [3] * 6  # the first state, then these two
     n.silent.clear()
     n.run(1300)
-    assert (n[8].index, n[8].servers) == (2, 1)
+    assert (n[8].state_index, n[8].endpoints_version) == (2, 1)
 
 
 @pytest.mark.parametrize("seed", range(6))
@@ -62,27 +62,33 @@
     def check():
         for ip, mate in n.mates.items():
             look = mate.disseminator
-            now = look.index, look.servers, look.number
+            now = look.state_index, look.endpoints_version, look.roster_version
             assert all(new >= old for new, old in zip(now, held.get(ip, now)))
-            if look.word_at is not None:
+            if look.confirmed_at_ns is not None:
                 # what was in force when the word was young is held: so nobody uses a key that was taken away before then
-                assert look.word_at <= n.backed_at and look.index >= n.held_at(look.word_at)
+                assert look.confirmed_at_ns <= n.backed_at and look.state_index >= n.held_at(look.confirmed_at_ns)
             held[ip] = now
 
     for step in range(1, 40):
         n.backed = step % 5 > 1
         look = n[n.leader]
-        look.index, look.servers = look.index + 1, max(look.servers + 1, n.term * TERM + 1)
-        look.spread(n.now)
+        look.state_index, look.endpoints_version = (
+            look.state_index + 1,
+            max(look.endpoints_version + 1, n.term * VERSIONS_PER_TERM + 1),
+        )
+        look.push_updates(n.now)
         n.run(1000, check)
         if step == 20:  # another leads, the old one has no majority any more and goes on telling what it knows
-            n.lead(2, index=n[1].index + 1, term=2)
-            n[2].servers = 2 * TERM
+            n.lead(2, index=n[1].state_index + 1, term=2)
+            n[2].endpoints_version = 2 * VERSIONS_PER_TERM
         if step == 30:
-            n[1].rule(False, None, 2, None, n.now)
+            n[1].set_leadership(False, None, 2, None, n.now)
     n.shuffle, n.backed = False, True
     n.run(6000)
-    assert all(n[k].index == n[2].index and n[k].number == n[2].number > 2 * TERM for k in range(1, 7))
+    assert all(
+        n[k].state_index == n[2].state_index and n[k].roster_version == n[2].roster_version > 2 * VERSIONS_PER_TERM
+        for k in range(1, 7)
+    )
 
 
 def test_the_words_age_stops_with_the_majority():
@@ -92,9 +98,9 @@
     n.run(3000)
     n.leader, lost = None, n.now
     for mate in n.mates.values():
-        assert mate.disseminator.word_at <= lost
+        assert mate.disseminator.confirmed_at_ns <= lost
     n.run(8000)
-    assert all(mate.disseminator.word_at <= lost for mate in n.mates.values())
+    assert all(mate.disseminator.confirmed_at_ns <= lost for mate in n.mates.values())
 
 
 def test_relay_through_a_peer():
@@ -105,19 +111,19 @@
     n.cuts.add(("10.0.0.1", "10.0.0.8"))
     ages = []
     for step in range(2, 8):
-        n.run(2500, lambda: ages.append((n.now - n[8].word_at) / SEC))
-        n[1].index = step
-        n[1].spread(n.now)
+        n.run(2500, lambda: ages.append((n.now - n[8].confirmed_at_ns) / SEC))
+        n[1].state_index = step
+        n[1].push_updates(n.now)
     n.run(2500)
-    assert n[8].index == 7 and max(ages) < 2.5
+    assert n[8].state_index == 7 and max(ages) < 2.5
     n.silent.add("10.0.0.8")  # cut off from all: nothing keeps its word young
-    at = n[8].word_at
+    at = n[8].confirmed_at_ns
     n.run(5000)
-    assert n[8].word_at == at
+    assert n[8].confirmed_at_ns == at
     n.silent.clear()
     n.cuts.clear()
     n.run(500)  # back: asks at once, not at the next beat
-    assert n.now - n[8].word_at < SEC
+    assert n.now - n[8].confirmed_at_ns < SEC
 
 
 def test_an_answer_counts_from_the_question():
@@ -125,20 +131,20 @@
     n = Nodes(3)
     look = n[2]
     word = {"k": "word", "l": "10.0.0.1", "e": 1, "t": EPOCH + SEC, "a": 200 * MS}
-    n[1].index, n[1].word_at = 4, EPOCH
+    n[1].state_index, n[1].confirmed_at_ns = 4, EPOCH
     answer = []
     n[1].send = lambda ip, message: answer.append(message)
-    n[1].on_hail("10.0.0.2", look.hail(EPOCH + SEC) | {"b": look.life ^ 1}, EPOCH + SEC)
+    n[1].on_heartbeat("10.0.0.2", look.heartbeat(EPOCH + SEC) | {"b": look.life ^ 1}, EPOCH + SEC)
     answer[0].pop("S")
-    look.on_word("10.0.0.1", answer[0], EPOCH + 9 * SEC)
-    assert answer[0]["a"] == SEC and look.word_at is None  # an answer to the life before, which held more
-    look.on_word("10.0.0.1", word, EPOCH + 9 * SEC)
-    assert look.word_at == EPOCH + 800 * MS
-    look.on_word("10.0.0.1", word | {"t": 0, "a": 0}, EPOCH + 9 * SEC)
-    look.on_word("10.0.0.1", word | {"t": EPOCH + 10 * SEC}, EPOCH + 9 * SEC)
-    look.on_word("10.0.0.1", word | {"a": 900 * MS}, EPOCH + 9 * SEC)
-    assert look.word_at == EPOCH + 800 * MS
-    assert "a" not in look.word(n.now, 0, 0, 0, 0)  # without a state there is nothing that could be young
+    look.on_state_response("10.0.0.1", answer[0], EPOCH + 9 * SEC)
+    assert answer[0]["a"] == SEC and look.confirmed_at_ns is None  # an answer to the life before, which held more
+    look.on_state_response("10.0.0.1", word, EPOCH + 9 * SEC)
+    assert look.confirmed_at_ns == EPOCH + 800 * MS
+    look.on_state_response("10.0.0.1", word | {"t": 0, "a": 0}, EPOCH + 9 * SEC)
+    look.on_state_response("10.0.0.1", word | {"t": EPOCH + 10 * SEC}, EPOCH + 9 * SEC)
+    look.on_state_response("10.0.0.1", word | {"a": 900 * MS}, EPOCH + 9 * SEC)
+    assert look.confirmed_at_ns == EPOCH + 800 * MS
+    assert "a" not in look.state_response(n.now, 0, 0, 0, 0)  # without a state there is nothing that could be young
 
 
 def test_an_old_leader_that_numbers_on():
@@ -148,15 +154,23 @@
     n.lead(1)
     n.run(3000)
     n.lead(2, term=2)
-    n[2].number, n[2].roster, n[2].servers = n[1].number, n[1].roster, TERM + 7
+    n[2].roster_version, n[2].roster, n[2].endpoints_version = n[1].roster_version, n[1].roster, VERSIONS_PER_TERM + 7
     n.run(10)
-    n[1].number, n[1].roster, n[1].servers = n[1].number + 1, n[1].roster[:3], TERM + 8
+    n[1].roster_version, n[1].roster, n[1].endpoints_version = (
+        n[1].roster_version + 1,
+        n[1].roster[:3],
+        VERSIONS_PER_TERM + 8,
+    )
     for k in (1, 5):
-        n[k].number, n[k].roster, n[k].servers = n[1].number, n[1].roster, TERM + 8
-    n[1].rule(False, None, 1, None, n.now)
+        n[k].roster_version, n[k].roster, n[k].endpoints_version = (
+            n[1].roster_version,
+            n[1].roster,
+            VERSIONS_PER_TERM + 8,
+        )
+    n[1].set_leadership(False, None, 1, None, n.now)
     n.run(3000)
     assert all(n[k].roster == n[2].roster and len(n[k].roster) == 6 for k in range(1, 7))
-    assert n[2].outrun  # the station numbers its next list anew
+    assert n[2].must_renumber_endpoints  # the station numbers its next list anew
 
 
 @pytest.mark.parametrize(
@@ -184,20 +198,20 @@
     n.lead(1)
     n.run(2000)
     look = n[2]
-    before = look.index, look.number, look.roster, look.word_at, look.leader
+    before = look.state_index, look.roster_version, look.roster, look.confirmed_at_ns, look.leader
     with pytest.raises((ValueError, TypeError)):
-        look.on_word("10.0.0.9", {"k": "word", "l": "10.0.0.9", "e": 1, "t": n.now, "a": 0} | odd, n.now)
-    assert (look.index, look.number, look.roster, look.leader) == before[:3] + (before[4],)
+        look.on_state_response("10.0.0.9", {"k": "word", "l": "10.0.0.9", "e": 1, "t": n.now, "a": 0} | odd, n.now)
+    assert (look.state_index, look.roster_version, look.roster, look.leader) == before[:3] + (before[4],)
 
 
 def test_odd_hails_are_no_peers():
     n = Nodes(3)
     n.lead(1)
     n.run(2000)
-    hail = n[2].hail(n.now)
+    hail = n[2].heartbeat(n.now)
     for odd in ({"n": 5}, {"z": None}, {"f": "x" * 300}, {"i": "1"}, {"s": -1}, {"o": 1.5}, {"t": "now"}):
         with pytest.raises(ValueError):
-            n[1].on_hail("10.0.0.99", hail | odd, n.now)
+            n[1].on_heartbeat("10.0.0.99", hail | odd, n.now)
     assert "10.0.0.99" not in n[1].peers
 
 
@@ -208,7 +222,7 @@
     n.run(1000)
     n[1].seeds = []
     n.run(1000)
-    assert not n.number and n[1].word_at is None
+    assert not n.number and n[1].confirmed_at_ns is None
 
 
 def names(look, ready=True):
@@ -224,9 +238,9 @@
     n.run(3000)
     assert names(n[4]) == ["n1", "n2", "n3", "n4", "n5", "n6"]
     n.silent.add("10.0.0.5")
-    n.run((GONE - 6 * BEAT // 5) // MS)
+    n.run((PEER_TIMEOUT_NS - 6 * HEARTBEAT_INTERVAL_NS // 5) // MS)
     assert "n5" in names(n[4])
-    n.run(2 * BEAT // MS)
+    n.run(2 * HEARTBEAT_INTERVAL_NS // MS)
     assert "n5" not in names(n[4], ready=False) and len(n[1].peers) <= 6
     n.silent.clear()
     n.run(1500)
@@ -240,12 +254,12 @@
     for k in range(1, 7):
         n[k].ready = True
     n.run(3000)
-    late = n[5].hail(n.now)
+    late = n[5].heartbeat(n.now)
     n.run(10)
-    n[5].ready, n[5].next_at = False, 0  # as the station does
+    n[5].ready, n[5].next_heartbeat_at_ns = False, 0  # as the station does
     n.run(30)
     assert all("n5" not in names(n[k]) for k in (1, 2, 3, 4, 6))
-    n[1].on_hail("10.0.0.5", late, n.now)
+    n[1].on_heartbeat("10.0.0.5", late, n.now)
     n.run(30)
     assert "n5" not in names(n[2])
 
@@ -255,19 +269,21 @@
     n = Nodes(5)
     n.lead(1)
     n.run(3000)
-    look, old = n[3], n[1].word(n.now, 1, 1, 1 << 40, n.now)
+    look, old = n[3], n[1].state_response(n.now, 1, 1, 1 << 40, n.now)
     n.silent.add("10.0.0.1")
     n.lead(2, term=2)
     n.run(50)
-    assert look.leader == "10.0.0.2" and n.now - look.word_at < 100 * MS
-    n[1].rule(
+    assert look.leader == "10.0.0.2" and n.now - look.confirmed_at_ns < 100 * MS
+    n[1].set_leadership(
         False, None, 1, None, n.now
     )  # it learns that it leads no more, not yet who does, and asks nobody who says 'you'
-    n[1].on_word("10.0.0.4", n[4].word(n.now, 1, 1, 1 << 40, n.now) | {"l": "10.0.0.1", "e": 1}, n.now)
+    n[1].on_state_response(
+        "10.0.0.4", n[4].state_response(n.now, 1, 1, 1 << 40, n.now) | {"l": "10.0.0.1", "e": 1}, n.now
+    )
     assert n[1].leader is None
     for later in (0, 2 * SEC):  # the second time it is deaf
-        look.on_word("10.0.0.1", old, n.now + later)
-        look.on_word("10.0.0.4", old, n.now + later)
+        look.on_state_response("10.0.0.1", old, n.now + later)
+        look.on_state_response("10.0.0.4", old, n.now + later)
         assert look.leader == "10.0.0.2"
 
 
@@ -279,16 +295,16 @@
         n[k].ready = True
     n.run(3000)
     n.silent |= {"10.0.0.1", "10.0.0.6"}
-    n[1].leads, sent = False, n.keep()
+    n[1].is_leader, sent = False, n.keep()
     n.lead(2, term=2)
     n.run(100)
     assert set(names(n[2])) == {"n1", "n2", "n3", "n4", "n5", "n6"}
     assert all(n[k].leader == "10.0.0.2" for k in range(2, 6))  # it told them
     assert not any("S" in message or "V" in message for _, _, _, _, message in sent)
     seen = []
-    n.run(GONE // MS, lambda: seen.append(set(names(n[2]))))
+    n.run(PEER_TIMEOUT_NS // MS, lambda: seen.append(set(names(n[2]))))
     assert all({"n2", "n3", "n4", "n5"} <= now for now in seen)
-    assert names(n[3]) == ["n2", "n3", "n4", "n5"] and n[3].number > 2 * TERM
+    assert names(n[3]) == ["n2", "n3", "n4", "n5"] and n[3].roster_version > 2 * VERSIONS_PER_TERM
 
 
 # ---- the directory
--- a/tests/test_hardening_calls.py
+++ b/tests/test_hardening_calls.py
@@ -262,11 +262,11 @@
 def test_an_answer_older_than_what_was_held():
     """A leader that is behind what this node held when it asked has not been one for long."""
     s = Station()
-    s.node.disseminator.index = 7
+    s.node.disseminator.state_index = 7
     s.give(OrderKind.READ, None)
     s.says(LEADER, 1, index=6)
     assert not s.ended
-    s.node.disseminator.index = 9  # what came meanwhile may be newer than the answer
+    s.node.disseminator.state_index = 9  # what came meanwhile may be newer than the answer
     s.says(LEADER, 1, index=7)
     assert s.ended[0][1].index == 7
 
@@ -376,22 +376,24 @@
     """Told as ready by a clock that stood ahead of the new life's, or as leaving behind its return: neither counts."""
     nodes = Nodes(count=1)
     look, now = nodes[1], EPOCH
-    look.rule(True, "10.0.0.1", 1, now, now)
+    look.set_leadership(True, "10.0.0.1", 1, now, now)
 
     def ready():
         return look.peers[CALLER].ready
 
-    look.on_hail(CALLER, hail(1, 900 * SEC), now)
-    look.on_hail(CALLER, hail(1, 901 * SEC, ready=False), now)
-    look.on_hail(CALLER, hail(1, 900 * SEC + 1), now)  # of the same life, late
+    look.on_heartbeat(CALLER, hail(1, 900 * SEC), now)
+    look.on_heartbeat(CALLER, hail(1, 901 * SEC, ready=False), now)
+    look.on_heartbeat(CALLER, hail(1, 900 * SEC + 1), now)  # of the same life, late
     assert not ready()
-    look.on_hail(CALLER, hail(2, 5 * SEC), now + SEC)  # starts again, its clock set back
+    look.on_heartbeat(CALLER, hail(2, 5 * SEC), now + SEC)  # starts again, its clock set back
     assert ready()
-    look.on_hail(CALLER, hail(1, 902 * SEC, ready=False), now + SEC)
+    look.on_heartbeat(CALLER, hail(1, 902 * SEC, ready=False), now + SEC)
     assert ready()
-    look.on_hail(CALLER, hail(2, 6 * SEC, ready=False), now + SEC)
+    look.on_heartbeat(CALLER, hail(2, 6 * SEC, ready=False), now + SEC)
     assert not ready()
-    look.on_hail(CALLER, hail(1, 903 * SEC), now + 5 * SEC)  # no longer late: the same number drawn twice, or a mix-up
+    look.on_heartbeat(
+        CALLER, hail(1, 903 * SEC), now + 5 * SEC
+    )  # no longer late: the same number drawn twice, or a mix-up
     assert ready()
 
 
@@ -413,8 +415,8 @@
 def test_sightings_bear_the_term():
     s = Station(leads=True)
     look = s.node.disseminator
-    look.leads, look.term = True, 4
-    s.node.register.take = lambda *about: [["s1", 10]]
+    look.is_leader, look.term = True, 4
+    s.node.health_registry.add_reports = lambda *about: [["s1", 10]]
     s.node.sighted(CALLER, [], 0)
     assert [message["e"] for _, message in s.wire.take("dim")] == [4]
 
--- a/tests/test_hardening_catch_up.py
+++ b/tests/test_hardening_catch_up.py
@@ -16,8 +16,7 @@
 from rampfront.consensus.errors import RemoteProtocolError
 from rampfront.consensus.events import OrderKind
 from rampfront.consensus.member import Member
-from rampfront.membership.dissemination import PER_BYTE as PER_BYTE_OF_A_WHOLE
-from rampfront.membership.dissemination import UNDER_WAY
+from rampfront.membership.dissemination import FULL_TRANSFER_NS_PER_BYTE, FULL_TRANSFER_TIMEOUT_NS
 from rampfront.simulation.bandwidth import Bandwidth
 from rampfront.simulation.fleet import ZONES
 from rampfront.simulation.system_run import SystemRun
@@ -360,14 +359,19 @@
     n = Nodes(3)
     n.lead(1, index=300)
     look = n[2]
-    look.index, look.servers, look.number, look.roster = 5, 5, 5, (("n2", "10.0.0.2", "a1", "", True),)
+    look.state_index, look.endpoints_version, look.roster_version, look.roster = (
+        5,
+        5,
+        5,
+        (("n2", "10.0.0.2", "a1", "", True),),
+    )
     sent = n.keep()
-    look.on_hail("10.0.0.3", n[3].hail(n.now), n.now)
+    look.on_heartbeat("10.0.0.3", n[3].heartbeat(n.now), n.now)
     assert [set(message) & set("SVOa") for *_, message in sent] == [set()]
     n.run(3000)
-    assert n[3].index == 300 and look.index == 300
+    assert n[3].state_index == 300 and look.state_index == 300
     sent = n.keep()
-    look.on_hail("10.0.0.3", n[3].hail(n.now) | {"i": 0, "s": 0, "o": 0}, n.now)
+    look.on_heartbeat("10.0.0.3", n[3].heartbeat(n.now) | {"i": 0, "s": 0, "o": 0}, n.now)
     assert set("Sa") <= set(sent[-1][4])
 
 
@@ -377,11 +381,15 @@
     n.lead(1, term=4)
     n.run(3000)
     look = n[3]
-    held = look.servers, look.number, look.roster
+    held = look.endpoints_version, look.roster_version, look.roster
     assert look.term == 4
     late = {"k": "word", "l": "10.0.0.2", "e": 3, "t": 0, "S": 9, "V": 10**9, "O": [10**9, []]}
-    look.on_word("10.0.0.2", late, n.now)
-    assert (look.servers, look.number, look.roster) == held and look.index == 9 and look.leader == "10.0.0.1"
+    look.on_state_response("10.0.0.2", late, n.now)
+    assert (
+        (look.endpoints_version, look.roster_version, look.roster) == held
+        and look.state_index == 9
+        and look.leader == "10.0.0.1"
+    )
 
 
 # ---- nodes
@@ -439,18 +447,18 @@
     n.lead(1, index=300)
     n.run(3000)
     n.mates["10.0.0.1"].differences = lambda index, servers: (index >= 300, True)
-    n.mates["10.0.0.1"].state_bytes = lambda: 100_000
-    hail, sent = n[3].hail(n.now) | {"i": 5}, n.keep()
+    n.mates["10.0.0.1"].state_size_bytes = lambda: 100_000
+    hail, sent = n[3].heartbeat(n.now) | {"i": 5}, n.keep()
     for index in range(301, 311):
         n.now += 50 * MS
-        n[1].index = index
-        n[1].on_hail("10.0.0.3", hail | {"t": n.now}, n.now)
-        n[1].spread(n.now)
+        n[1].state_index = index
+        n[1].on_heartbeat("10.0.0.3", hail | {"t": n.now}, n.now)
+        n[1].push_updates(n.now)
     told = [to for *_, to, message in sent if "S" in message]
     assert told.count("10.0.0.3") == 1 and told.count("10.0.0.2") == 10
-    n.now += UNDER_WAY + PER_BYTE_OF_A_WHOLE * 100_000
+    n.now += FULL_TRANSFER_TIMEOUT_NS + FULL_TRANSFER_NS_PER_BYTE * 100_000
     n[1].tick(n.now)
-    n[1].on_hail("10.0.0.3", hail | {"t": n.now}, n.now)
+    n[1].on_heartbeat("10.0.0.3", hail | {"t": n.now}, n.now)
     assert [to for *_, to, message in sent if "S" in message].count("10.0.0.3") == 2
 
 
--- a/tests/test_hardening_isolation.py
+++ b/tests/test_hardening_isolation.py
@@ -151,11 +151,11 @@
     old.frozen, old.inbox = False, []
     node_process = old.node_process
     for machine in run.fleet.machines[4:]:
-        hail = machine.node_process.disseminator.hail(machine.node_process.clock())
+        hail = machine.node_process.disseminator.heartbeat(machine.node_process.clock())
         assert not hail["r"]
         node_process.heard(machine.ip, hail)
         assert len(node_process.disseminator.roster) == 11
-    assert not node_process.disseminator.leads
+    assert not node_process.disseminator.is_leader
 
 
 def test_a_thawed_leader_numbers_no_list_that_it_asked_for_before():
@@ -166,9 +166,13 @@
     run.go(3 * SEC)
     old.frozen, old.inbox = False, []
     node_process = old.node_process
-    held = node_process.disseminator.servers
-    node_process.polled(replace(node_process.request_proxy.servers, rows=node_process.request_proxy.servers.rows[1:]))
-    assert node_process.disseminator.servers == held and len(node_process.request_proxy.servers.rows) == 8
+    held = node_process.disseminator.endpoints_version
+    node_process.polled(
+        replace(node_process.request_proxy.servers, endpoints=node_process.request_proxy.servers.endpoints[1:])
+    )
+    assert (
+        node_process.disseminator.endpoints_version == held and len(node_process.request_proxy.servers.endpoints) == 8
+    )
 
 
 def test_a_thawed_leader_does_not_say_that_it_leads():
--- a/tests/test_node_process.py
+++ b/tests/test_node_process.py
@@ -9,7 +9,7 @@
 from proxy_fixtures import MS, SEC, Quay, Silent, orders, settings
 
 from rampfront.consensus.state import State, digest
-from rampfront.membership import server_list as platform
+from rampfront.membership import endpoint_list as platform
 from rampfront.settings import process_settings as process_settings_of
 
 
@@ -66,11 +66,11 @@
         ).encode()
     if servers:
         rows = [
-            platform.Row(uid, "one", f"10.9.0.{uid[1:]}", 9000 + int(uid[1:]), "a1", 4, "ready", 0)
+            platform.Endpoint(uid, "one", f"10.9.0.{uid[1:]}", 9000 + int(uid[1:]), "a1", 4, "ready", 0)
             for uid in servers[1]
         ]
         q.places.update({(row.host, row.port): row.id for row in rows})
-        message["V"] = platform.pack(platform.Servers(servers[0], tuple(rows)), q.clock())
+        message["V"] = platform.encode(platform.EndpointList(servers[0], tuple(rows)), q.clock())
     node_process.heard(LEADER, message)
 
 
@@ -147,18 +147,18 @@
     """The platform says what it said, yet somebody holds another list under a higher number of an older term."""
     look = node_process.disseminator
     word(node_process, 5, servers=(7, ["s1"]))
-    look.rule(True, node_process.process_settings.ip, 2, node_process.clock(), node_process.clock())
+    look.set_leadership(True, node_process.process_settings.ip, 2, node_process.clock(), node_process.clock())
     same = node_process.request_proxy.servers
     node_process.polled(same)
-    assert look.servers == 7
+    assert look.endpoints_version == 7
     node_process.heard(
         "10.1.0.4",
         {"k": "hail", "n": "n4", "z": "a1", "f": "", "r": True, "i": 5, "s": 8, "o": 0, "t": node_process.clock()},
     )
     node_process.polled(same)
-    assert look.servers == node_process.request_proxy.servers.number > 8
+    assert look.endpoints_version == node_process.request_proxy.servers.version > 8
     node_process.polled(same)
-    assert look.servers == node_process.request_proxy.servers.number == (2 << 20) + 1
+    assert look.endpoints_version == node_process.request_proxy.servers.version == (2 << 20) + 1
 
 
 def test_a_holder_without_tenants_says_nothing(node_process):
@@ -182,7 +182,7 @@
     for more in ({"S": state}, {"S": state[:-1]}, {"S": 5}, {"V": 5}, {"V": [99, [["s1"]]]}, {"V": None}):
         with pytest.raises((ValueError, TypeError, KeyError, IndexError, AttributeError)):
             node_process.heard(LEADER, {"k": "word", "l": LEADER, "e": 1, "t": 0} | more)
-    assert node_process.state.revision == 1 and node_process.disseminator.servers == 7
+    assert node_process.state.revision == 1 and node_process.disseminator.endpoints_version == 7
     q.ask()
     assert q.where() == "s1"
 
--- a/tests/test_operator_cli.py
+++ b/tests/test_operator_cli.py
@@ -21,7 +21,7 @@
 from result import Err, Ok
 
 from rampfront.consensus.state import State
-from rampfront.membership.server_list import Row, Servers
+from rampfront.membership.endpoint_list import Endpoint, EndpointList
 from rampfront.net.calls import collect
 from rampfront.net.http_client import HttpRequest, HttpResponse, RequestError
 from rampfront.net.latency_histogram import LatencyHistogram
@@ -653,11 +653,11 @@
 
 def test_views_answer_from_snapshots_and_in_pages():
     rows = tuple(
-        Row(f"i-{k:04}", "s", "10.0.0.1", 80, "z1", 2, "ready", 7 * SEC if k == 0 else 0) for k in range(PAGE + 1)
+        Endpoint(f"i-{k:04}", "s", "10.0.0.1", 80, "z1", 2, "ready", 7 * SEC if k == 0 else 0) for k in range(PAGE + 1)
     )
     link = SimpleNamespace(uid="i-0000", links=3)
     request_proxy = SimpleNamespace(
-        servers=Servers(1, rows, 3 * SEC),
+        servers=EndpointList(1, rows, 3 * SEC),
         emptied=frozenset(("z1",)),
         configuration=None,
         cold_zones={"z1": 4 * SEC},
@@ -670,11 +670,11 @@
     )
     look = SimpleNamespace(
         ready=True,
-        leads=False,
+        is_leader=False,
         leader="127.0.0.1",
-        word_at=None,
-        servers=1,
-        number=2,
+        confirmed_at_ns=None,
+        endpoints_version=1,
+        roster_version=2,
         roster=(("n1", "127.0.0.1", "z1", "127.0.0.1:80", True),),
     )
     own = SimpleNamespace(name="n1", ip="127.0.0.1", zone="z1", zones=ZONES, control=("127.0.0.1", 1))
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -202,7 +202,9 @@
             two.state.body,
             two.state.evacuated_zones,
         )
-        assert [row.id for row in one.request_proxy.servers.rows] == [row.id for row in two.request_proxy.servers.rows]
+        assert [row.id for row in one.request_proxy.servers.endpoints] == [
+            row.id for row in two.request_proxy.servers.endpoints
+        ]
         assert two.limiter.tenants.keys() == one.limiter.tenants.keys()
 
 
--- a/tests/test_server_list.py
+++ b/tests/test_server_list.py
@@ -11,18 +11,26 @@
 
 from rampfront.lab.boxes import Fleet, Make, Work
 from rampfront.lab.platform import Platform, open_platform
-from rampfront.membership.server_list import (
-    EMPTYING,
+from rampfront.membership.endpoint_list import (
+    DRAINING,
     READY,
-    Row,
-    Servers,
+    Endpoint,
+    EndpointList,
     changes,
-    pack,
-    read_page,
-    unpack,
+    decode,
+    encode,
+    parse_page,
 )
-from rampfront.membership.server_list_pager import Due, Fetch, Listed, Lost, Page, Pager, Wait
-from rampfront.membership.server_list_poller import Poller
+from rampfront.membership.endpoint_list_pager import (
+    FetchPage,
+    ListCompleted,
+    PageFailed,
+    Pager,
+    PageReceived,
+    SetTimer,
+    TimerFired,
+)
+from rampfront.membership.endpoint_list_poller import Poller
 from rampfront.net.http_client import HttpClient, HttpRequest, send_request
 from rampfront.settings.errors import FieldError
 from rampfront.settings.scalars import parse_address
@@ -52,25 +60,25 @@
 
     def carry(self, effects, answer=True):
         for effect in effects:
-            if type(effect) is Fetch:
+            if type(effect) is FetchPage:
                 self.fetched.append(effect)
                 if answer:
                     self.answer()
-            elif type(effect) is Wait:
+            elif type(effect) is SetTimer:
                 self.due = effect.until
             else:
-                (self.lists if type(effect) is Listed else self.dropped).append(effect)
+                (self.lists if type(effect) is ListCompleted else self.dropped).append(effect)
 
     def answer(self):
         fetch = self.fetched[-1]
         _, _, token = fetch.target.partition("=")
         said = self.platform.servers(SimpleNamespace(query={"PageToken": token} if token else {}))
-        self.carry(self.pager.take(self.now, Page(fetch.round, said.status, said.body)))
+        self.carry(self.pager.take(self.now, PageReceived(fetch.round, said.status, said.body)))
 
     def turn(self, answer=True):
         """On to the time the pager waits for."""
         self.now = max(self.now, self.due)
-        self.carry(self.pager.take(self.now, Due), answer)
+        self.carry(self.pager.take(self.now, TimerFired), answer)
 
     def until(self, end):
         while self.due <= end:
@@ -79,7 +87,7 @@
 
     @property
     def ids(self):
-        return [row.id for row in self.lists[-1].servers.rows]
+        return [row.id for row in self.lists[-1].servers.endpoints]
 
 
 BAD_ROWS = [
@@ -106,8 +114,8 @@
 def test_a_bad_row_is_dropped_and_not_the_list():
     servers = {f"bad-{k}": {**ENTRY, field: value} for k, (field, value) in enumerate(BAD_ROWS)}
     servers |= {"none": None, "": ENTRY, "good": ENTRY | {"ColdLeft": "1.5s", "New": 1}}
-    rows, token, odd = read_page(json.dumps({"Servers": servers, "NextToken": "p"}), SEC)
-    assert rows == [Row("good", "s", "10.128.0.9", 8080, "z", 2, READY, SEC + 1500 * MS)]
+    rows, token, odd = parse_page(json.dumps({"Servers": servers, "NextToken": "p"}), SEC)
+    assert rows == [Endpoint("good", "s", "10.128.0.9", 8080, "z", 2, READY, SEC + 1500 * MS)]
     assert token == "p" and len(odd) == len(BAD_ROWS) + 2, odd
 
 
@@ -128,7 +136,7 @@
 def test_a_page_that_cannot_be_read_fails_its_round(body):
     play = Play(3)
     play.turn(answer=False)
-    play.carry(play.pager.take(play.now, Page(1, 200, body)))
+    play.carry(play.pager.take(play.now, PageReceived(1, 200, body)))
     assert len(play.dropped) == 1 and not play.lists and play.due == play.now + 250 * MS
     play.turn()
     assert len(play.ids) == 3
@@ -140,26 +148,26 @@
     play.turn(answer=False)
     first = play.fetched[-1]
     page = play.platform.servers(SimpleNamespace(query={}))
-    play.carry(play.pager.take(play.now, Page(1, 200, page.body)), answer=False)
+    play.carry(play.pager.take(play.now, PageReceived(1, 200, page.body)), answer=False)
     assert play.fetched[-1].target == "/servers?PageToken=p-50" and not play.lists
-    play.carry(play.pager.take(play.now, Lost(1, "no answer in time")))
+    play.carry(play.pager.take(play.now, PageFailed(1, "no answer in time")))
     play.platform.remove("i-000")
     play.turn(answer=False)
-    for told in (Page(first.round, 200, page.body), Lost(first.round, "late")):
+    for told in (PageReceived(first.round, 200, page.body), PageFailed(first.round, "late")):
         assert play.pager.take(play.now, told) == []
     play.answer()
     assert len(play.ids) == 119 and play.pager.counts["late"] == 2
     play.pager.stop()
-    assert play.pager.take(play.now, Page(2, 200, page.body)) == []
+    assert play.pager.take(play.now, PageReceived(2, 200, page.body)) == []
 
 
 def test_a_token_that_comes_again_ends_the_round():
     play = Play()
     play.turn(answer=False)
     again = json.dumps({"Servers": {}, "NextToken": "p/ 1"}).encode()
-    play.carry(play.pager.take(play.now, Page(1, 200, again)), answer=False)
+    play.carry(play.pager.take(play.now, PageReceived(1, 200, again)), answer=False)
     assert play.fetched[-1].target == "/servers?PageToken=p%2F%201"
-    play.carry(play.pager.take(play.now, Page(1, 200, again)))
+    play.carry(play.pager.take(play.now, PageReceived(1, 200, again)))
     assert "again" in play.dropped[0].why
 
 
@@ -190,19 +198,19 @@
     """News is there within lag and gap; a server that is gone without having been emptying is held one round."""
     play = Play(2, lag=800 * MS)
     play.until(3 * SEC)
-    assert play.lists[-1].servers.number == 2  # empty, then two; no news, no new number
+    assert play.lists[-1].servers.version == 2  # empty, then two; no news, no new number
     play.platform.state("i-000", "emptying")
     play.until(3 * SEC + 1301 * MS)
-    assert [row.state for row in play.lists[-1].servers.rows] == [EMPTYING, READY]
+    assert [row.state for row in play.lists[-1].servers.endpoints] == [DRAINING, READY]
     play.platform.remove("i-000")
     play.platform.remove("i-001")
     play.until(play.now + 1301 * MS)
     assert play.ids == ["i-001"]
     play.until(play.now + 500 * MS)
-    assert play.ids == [] and play.lists[-1].servers.number == 5
+    assert play.ids == [] and play.lists[-1].servers.version == 5
     play.pager.above(40)  # another node's lists went up to there: nothing of ours may pass for one of them
     play.until(play.now + 1000 * MS)
-    assert play.lists[-1].servers.number == 41
+    assert play.lists[-1].servers.version == 41
 
 
 def test_good_news_needs_two_rounds():
@@ -221,11 +229,11 @@
         {"Address": "10.0.0.8:81"},
     ):
         play.now = max(play.now, play.due)
-        play.carry(play.pager.take(play.now, Due), answer=False)
+        play.carry(play.pager.take(play.now, TimerFired), answer=False)
         body = json.dumps({"Servers": {"i": ENTRY | entry}, "NextToken": None}).encode()
-        play.carry(play.pager.take(play.now, Page(play.pager.round, 200, body)))
-        row = play.lists[-1].servers.rows[0]
-        said.append((row.state[0], row.cold_until // MS))
+        play.carry(play.pager.take(play.now, PageReceived(play.pager.round, 200, body)))
+        row = play.lists[-1].servers.endpoints[0]
+        said.append((row.state[0], row.warming_until_ns // MS))
     assert said == [
         ("r", 0),
         ("e", 0),
@@ -242,16 +250,19 @@
 
 
 def test_snapshots():
-    one, two, three = (Row(uid, "s", "10.0.0.1", 80, "z", 2, READY, 0) for uid in "abc")
-    changed = Row("b", "s", "10.0.0.1", 80, "z", 2, EMPTYING, 7 * SEC)
-    old, new = Servers(1, (one, two), SEC), Servers(2, (changed, three), 5 * SEC)
+    one, two, three = (Endpoint(uid, "s", "10.0.0.1", 80, "z", 2, READY, 0) for uid in "abc")
+    changed = Endpoint("b", "s", "10.0.0.1", 80, "z", 2, DRAINING, 7 * SEC)
+    old, new = EndpointList(1, (one, two), SEC), EndpointList(2, (changed, three), 5 * SEC)
     said = changes(old, new)
     assert (said.added, said.changed, said.gone) == ((three,), (changed,), (one,))
-    assert changes(None, old).added == old.rows
-    there = unpack(cbor2.loads(cbor2.dumps(pack(new, 6 * SEC))), 100 * SEC)  # the clock of another node
-    assert there.number == 2 and there.read_at == 99 * SEC
-    assert there.rows[0] == Row("b", "s", "10.0.0.1", 80, "z", 2, EMPTYING, 101 * SEC) and there.rows[1] == three
-    good = pack(new, 6 * SEC)
+    assert changes(None, old).added == old.endpoints
+    there = decode(cbor2.loads(cbor2.dumps(encode(new, 6 * SEC))), 100 * SEC)  # the clock of another node
+    assert there.version == 2 and there.read_at_ns == 99 * SEC
+    assert (
+        there.endpoints[0] == Endpoint("b", "s", "10.0.0.1", 80, "z", 2, DRAINING, 101 * SEC)
+        and there.endpoints[1] == three
+    )
+    good = encode(new, 6 * SEC)
     for odd in (
         None,
         [],
@@ -265,7 +276,7 @@
         [1, 0, good[2], [["a", 0, "10.0.0.1", 80, 1, 2, False, -5]]],
     ):
         with pytest.raises(FieldError):
-            unpack(odd, SEC)
+            decode(odd, SEC)
 
 
 def test_the_poller_on_sockets(loop):
@@ -294,8 +305,8 @@
     )
     poller.start()
     run(until(lambda: len(lists) >= 2))
-    assert [row.id for row in lists[-1].rows] == [f"i-{k}" for k in range(5)] and doors[0].counts["callers"] == 1
-    assert poller.failed_for(poller.since + SEC) == SEC and poller.since > lists[0].read_at
+    assert [row.id for row in lists[-1].endpoints] == [f"i-{k}" for k in range(5)] and doors[0].counts["callers"] == 1
+    assert poller.failed_for(poller.since + SEC) == SEC and poller.since > lists[0].read_at_ns
     one.ill = "garbled"
     run(until(lambda: drops))
     one.ill = "silent"
@@ -304,9 +315,9 @@
     held = len(one.held)
     one.ill, count = None, len(lists)
     run(until(lambda: len(lists) > count))
-    assert lists[count].rows[0].id == "i-0"  # a move does not forget: five are held for a round, then gone
+    assert lists[count].endpoints[0].id == "i-0"  # a move does not forget: five are held for a round, then gone
     run(until(lambda: len(lists) > count + 1))
-    assert [row.id for row in lists[count + 1].rows] == ["j"] and len(one.held) == held
+    assert [row.id for row in lists[count + 1].endpoints] == ["j"] and len(one.held) == held
     poller.stop()
     calls = two.counts["calls"]
     run(asyncio.wait_for(poll(lambda: not doors[1].callers), 5))
