--- a/tests/test_deltas.py
+++ b/tests/test_deltas.py
@@ -49,7 +49,7 @@
     assert len(str(told[3])) < 600 < len(two.body)
     held = holds(one)
     held.add(held.decode(told))
-    assert held.newest.body == two.body and held.newest.rev == 6
+    assert held.newest.body == two.body and held.newest.revision == 6
     told = holds(one, two, three).encode(6)
     assert told[3] is None and held.decode(told).evacuated_zones == {"a1"}
     assert holds(one, two, three).encode(5)[3] and holds(two, three).encode(5)[3] == two.body  # unknown there: whole
