--- a/rampfront/edge/admin.py
+++ b/rampfront/edge/admin.py
@@ -7,11 +7,14 @@
 import orjson
 
 from .. import terms as t
-from ..net.calls import Answer, CallBounds, Calls, call
+from ..net.http_messages import Response
+from ..net.http_routing import endpoint
+from ..net.http_server import HttpServer
+from ..net.limits import HttpServerLimits
 
 
 def text(status, body):
-    return Answer(status, body, kind=b"text/plain")
+    return Response(status, body, content_type=b"text/plain")
 
 
 class Admin:
@@ -19,23 +22,23 @@
         self.desk, self.front, self.log = desk, front, log
         self.classes = sorted(names.products, key=names.products.get)  # names by index
         wait = bounds.admin_timeout_ns
-        self.calls = Calls(
+        self.calls = HttpServer(
             loop,
             desk.clock,
             [self],
-            CallBounds(
-                head=bounds.max_head_bytes,
-                body=bounds.max_body_bytes,
-                callers=bounds.max_admin_connections,
-                head_wait=wait,
-                body_wait=wait,
-                idle=wait,
-                write_wait=wait,
-                linger=wait,
-                sweep=0,
-                backlog=64,
-                keep=False,
-                plain=True,
+            HttpServerLimits(
+                max_head_bytes=bounds.max_head_bytes,
+                max_body_bytes=bounds.max_body_bytes,
+                max_connections=bounds.max_admin_connections,
+                head_timeout_ns=wait,
+                body_timeout_ns=wait,
+                idle_timeout_ns=wait,
+                write_timeout_ns=wait,
+                linger_timeout_ns=wait,
+                sweep_interval_ns=0,
+                listen_backlog=64,
+                keep_alive=False,
+                plain_text_errors=True,
             ),
             self.fault,
         )
@@ -50,12 +53,12 @@
     def sweep(self):
         self.calls.sweep()
 
-    @call("GET", "/v1/readyz")
+    @endpoint("GET", "/v1/readyz")
     def readyz(self, asked):
         ready = self.front.ready()
         return text(200 if ready else 503, b"ready" if ready else b"not ready")
 
-    @call("GET", "/v1/metrics")
+    @endpoint("GET", "/v1/metrics")
     def metrics(self, asked):
         front, desk = self.front, self.desk
         figures = {
@@ -72,15 +75,15 @@
             targets_disabled=avoided,
             draining=front.draining,
         )
-        return Answer(200, orjson.dumps(figures))
+        return Response(200, orjson.dumps(figures))
 
-    @call("POST", "/v1/edge-node/drain")
+    @endpoint("POST", "/v1/edge-node/drain")
     def drain(self, asked):
         self.log.record("drain")
         self.desk.core.drain()
         return text(200, b"draining")
 
-    @call("POST", "/v1/edge-node/activate")
+    @endpoint("POST", "/v1/edge-node/activate")
     def activate(self, asked):
         self.log.record("activate")
         self.desk.core.activate()
--- a/rampfront/lab/platform.py
+++ b/rampfront/lab/platform.py
@@ -6,7 +6,10 @@
 import json
 from collections import Counter, deque
 
-from ..net.calls import CallBounds, Calls, call, said, trouble
+from ..net.http_messages import error_response, json_response
+from ..net.http_routing import endpoint
+from ..net.http_server import HttpServer
+from ..net.limits import HttpServerLimits
 
 SEC = 10**9
 
@@ -57,7 +60,7 @@
                 shown = rows
         return shown
 
-    @call("GET", "/servers")
+    @endpoint("GET", "/servers")
     def servers(self, asked):
         now = self.clock()
         self.counts["calls"] += 1
@@ -65,16 +68,16 @@
         self.filled = now
         if self.left < 1:
             self.counts["over"] += 1
-            return trouble(429, "too many calls")
+            return error_response(429, "too many calls")
         self.left -= 1
         if self.ill == "silent":
             self.held.append(asked)
             return None
         if type(self.ill) is int:
-            return trouble(self.ill, "ill")
+            return error_response(self.ill, "ill")
         token, zone = asked.query.get("PageToken", "p-0"), asked.query.get("Zone")
         if not token.startswith("p-") or not token[2:].isdecimal():
-            return trouble(400, "PageToken: none of ours")
+            return error_response(400, "PageToken: none of ours")
         start = int(token[2:])
         rows = [(uid, row) for uid, row in sorted(self.seen(now).items()) if zone in (None, row[0]["Zone"])]
         page = {
@@ -82,15 +85,15 @@
             for uid, (entry, cold) in rows[start : start + self.page]
         }
         end = start + self.page
-        answer = said({"Servers": page, "NextToken": f"p-{end}" if end < len(rows) else None})
+        answer = json_response({"Servers": page, "NextToken": f"p-{end}" if end < len(rows) else None})
         if self.ill in ("garbled", "cut"):
             body = answer.body[: len(answer.body) // 2]
-            return said(json.loads('{"Servers": 7}')) if self.ill == "garbled" else answer.__class__(200, body)
+            return json_response(json.loads('{"Servers": 7}')) if self.ill == "garbled" else answer.__class__(200, body)
         return answer
 
 
 async def open_platform(loop, platform, host="127.0.0.1", port=0):
     """Returns the listener; `listener.address` is where it is."""
-    calls = Calls(loop, platform.clock, [platform], CallBounds())
+    calls = HttpServer(loop, platform.clock, [platform], HttpServerLimits())
     await calls.listen(host, port)
     return calls
--- /dev/null
+++ b/rampfront/net/http_routing.py
@@ -0,0 +1,155 @@
+"""Which handler a request goes to: endpoints are declared beside their handlers and collected into a routing table.
+
+    class Readiness:
+        @endpoint("GET", "/api/ready")
+        def ready(self, request): return Response(200)
+
+        @endpoint("POST", "/api/rpc", operation="config.replace", max_body_bytes=1 << 20)
+        def replace(self, request): ...
+
+A handler returns a `Response`, or a coroutine that does; one that returns None responds later (`request.respond`).
+"""
+
+from collections.abc import Awaitable, Callable, Iterable
+from typing import Any, NamedTuple, TypeVar
+
+from .http_messages import Headers, IncomingRequest, Response
+from .http_status import BAD_REQUEST, CONTENT_TOO_LARGE, METHOD_NOT_ALLOWED, NOT_FOUND, HttpStatusError
+
+OPERATION_PARAMETER = "call"  # of the query: tells operations of one path apart
+_MAX_QUOTED_CHARACTERS = 64
+_DECLARATIONS = "_declared_endpoints"
+
+Handler = Callable[[IncomingRequest], Response | Awaitable[Response | None] | None]
+HandlerFunction = TypeVar("HandlerFunction", bound=Callable[..., Any])
+
+
+class RoutingError(HttpStatusError):
+    """No handler takes the request. It was read completely, so its connection may be kept.
+
+    Attributes:
+        headers: header fields of its response.
+    """
+
+    def __init__(self, status: int, message: str, headers: Headers = ()) -> None:
+        """As `HttpStatusError` has it."""
+        super().__init__(status, message)
+        self.headers = headers
+
+
+class _Declaration(NamedTuple):
+    """What `endpoint` notes on a handler."""
+
+    method: str
+    path: str
+    operation: str | None
+    max_body_bytes: int | None
+
+
+class _Endpoint(NamedTuple):
+    """A handler, and the largest body that it takes; None for the server's own limit."""
+
+    handler: Handler
+    max_body_bytes: int | None
+
+
+_Methods = dict[str, _Endpoint]
+_Operations = dict[str | None, _Methods]
+
+
+def endpoint(
+    method: str, path: str, operation: str | None = None, max_body_bytes: int | None = None
+) -> Callable[[HandlerFunction], HandlerFunction]:
+    """Declares a method of a handler object as an endpoint.
+
+    Args:
+        method: the HTTP method.
+        path: the path.
+        operation: the name in the query that tells operations of one path apart; None where the path has one only.
+        max_body_bytes: the largest body, where it differs from the server's own limit.
+    """
+
+    def declare(function: HandlerFunction) -> HandlerFunction:
+        """Notes one more endpoint on the handler."""
+        declared = getattr(function, _DECLARATIONS, ())
+        setattr(function, _DECLARATIONS, (*declared, _Declaration(method, path, operation, max_body_bytes)))
+        return function
+
+    return declare
+
+
+class RoutingTable:
+    """The endpoints of a server, by path, operation and method."""
+
+    def __init__(self, owners: Iterable[object], max_body_bytes: int) -> None:
+        """Collects the endpoints that are declared on the methods of `owners`.
+
+        Args:
+            owners: objects whose methods are handlers.
+            max_body_bytes: the largest body of an endpoint that declares none.
+
+        Raises:
+            ValueError: an endpoint is declared twice, or a path both with and without operations.
+        """
+        self._max_body_bytes = max_body_bytes
+        self._paths: dict[str, _Operations] = {}
+        for owner in owners:
+            self._add(owner)
+        for path, operations in self._paths.items():
+            if None in operations and len(operations) > 1:
+                raise ValueError(f"{path} is declared both with and without a name")
+
+    def max_body_bytes(self, target: bytes) -> int:
+        """The largest body that any endpoint of a request target's path takes: all that its head tells."""
+        path = target.partition(b"?")[0].decode("latin-1")
+        limits = [
+            self._limit(endpoint) for methods in self._paths.get(path, {}).values() for endpoint in methods.values()
+        ]
+        return max(limits, default=self._max_body_bytes)
+
+    def find(self, request: IncomingRequest) -> Handler:
+        """The handler of a complete request.
+
+        Raises:
+            RoutingError: there is none, or the body is larger than it takes.
+        """
+        methods = self._methods(request)
+        if request.method not in methods:
+            allow = (b"Allow", ", ".join(methods).encode())
+            raise RoutingError(METHOD_NOT_ALLOWED, "not the method of this call", (allow,))
+        endpoint = methods[request.method]
+        if len(request.body) > self._limit(endpoint):
+            raise RoutingError(CONTENT_TOO_LARGE, "the body is too large")
+        return endpoint.handler
+
+    def handler(self, method: str, path: str, operation: str | None = None) -> Handler:
+        """The handler of an endpoint that is known to be declared. Raises KeyError."""
+        return self._paths[path][operation][method].handler
+
+    def _add(self, owner: object) -> None:
+        """Collects the endpoints of one object."""
+        for name in dir(type(owner)):
+            for declaration in getattr(getattr(type(owner), name), _DECLARATIONS, ()):
+                method, path, operation, max_body_bytes = declaration
+                methods = self._paths.setdefault(path, {}).setdefault(operation, {})
+                if method in methods:
+                    raise ValueError(f"{method} {path} {operation or ''} is declared twice")
+                methods[method] = _Endpoint(getattr(owner, name), max_body_bytes)
+
+    def _methods(self, request: IncomingRequest) -> _Methods:
+        """The endpoints of a request's path and operation, by method. Raises RoutingError."""
+        operations = self._paths.get(request.path)
+        if operations is None:
+            raise RoutingError(NOT_FOUND, "no such call")
+        if None in operations:
+            return operations[None]
+        name = request.query.get(OPERATION_PARAMETER)
+        if name is None:
+            raise RoutingError(BAD_REQUEST, "call: missing in the query")
+        if name not in operations:
+            raise RoutingError(NOT_FOUND, f"call: {name[:_MAX_QUOTED_CHARACTERS]!r} is not known")
+        return operations[name]
+
+    def _limit(self, endpoint: _Endpoint) -> int:
+        """The largest body that an endpoint takes."""
+        return self._max_body_bytes if endpoint.max_body_bytes is None else endpoint.max_body_bytes
--- a/rampfront/net/limits.py
+++ b/rampfront/net/limits.py
@@ -1,10 +1,12 @@
 """Every limit of the network code: sizes, counts and times, set once at start and handed down.
 
+`NetworkLimits` are those of clients and servers, `HttpServerLimits` those of the calls of nodes and operators.
 The limits keep the process inside its memory and its file descriptors. Figures that decide about a transaction do not
 belong here: those stand in `choice.py`.
 """
 
 from dataclasses import dataclass
+from typing import NamedTuple
 
 _MS = 10**6  # ns
 _S = 10**9  # ns
@@ -141,3 +143,22 @@
         connect_timeout_ns=connect_timeout_ns,
         server_idle_timeout_ns=2 * server_keepalive_ns // 3,
     )
+
+
+class HttpServerLimits(NamedTuple):
+    """The limits of an `HttpServer`. Times are ns, sizes bytes."""
+
+    max_head_bytes: int = 16 * _KIB
+    max_body_bytes: int = 8 * _MIB  # of an endpoint that declares no limit of its own
+    max_buffered_body_bytes: int = 64 * _MIB  # of all bodies together, until their requests are responded to
+    max_connections: int = 256  # past it the connection idle longest makes room
+    head_timeout_ns: int = 3 * _S  # a head that has begun and is not complete by then is refused with 408
+    body_timeout_ns: int = 10 * _S  # a request that is not complete by then is refused with 408
+    idle_timeout_ns: int = 15 * _S  # a connection on which nothing is requested is closed
+    response_timeout_ns: int = 30 * _S  # a request without a response for so long is cut off: its sender has left
+    write_timeout_ns: int = 10 * _S  # a response of which its receiver takes nothing for so long is given up
+    linger_timeout_ns: int = _S  # what comes behind a refusal is read and discarded for so long
+    sweep_interval_ns: int = _S // 2  # how often the timeouts are checked; 0: the owner calls `sweep`
+    listen_backlog: int = 256
+    keep_alive: bool = True  # False: one request a connection
+    plain_text_errors: bool = False  # the server's own error responses are plain text, else JSON
--- a/rampfront/node/endpoints.py
+++ b/rampfront/node/endpoints.py
@@ -9,7 +9,9 @@
 from ..consensus.events import OrderKind, Outcome
 from ..consensus.state import MOST_BODY, State
 from ..consensus.versions import content_digest
-from ..net.calls import Answer, Asked, Calls, call, said, trouble
+from ..net.http_messages import IncomingRequest, Response, error_response, json_response
+from ..net.http_routing import endpoint
+from ..net.http_server import HttpServer
 from ..settings import configuration as configurations
 from .metrics import Metrics
 from .status_views import Views, evacuation
@@ -21,19 +23,19 @@
 FEW = 2  # fronts of its own zone that a client is given at least, else those of its region join them
 MOST_PACKED = MOST_BODY - (64 << 10)  # bytes of a compressed configuration: a frame must hold what goes beside it too
 BACK = ((b"Retry-After", b"0.3"),)
-NO_ANSWER = trouble(503, "the core gave no answer in time", BACK)
+NO_ANSWER = error_response(503, "the core gave no answer in time", BACK)
 
 
 class Ready:
     def __init__(self, node_process):
         self.node_process = node_process
 
-    @call("GET", "/api/ready")
+    @endpoint("GET", "/api/ready")
     def ready(self, asked):
         return (
-            Answer(200)
+            Response(200)
             if self.node_process.disseminator.ready and self.node_process.client_front.ready()
-            else trouble(503, "not ready")
+            else error_response(503, "not ready")
         )
 
 
@@ -42,13 +44,13 @@
         self.node_process = node_process
         self.ttl = min(TTL, node_process.process_settings.terms.ttl_max)
 
-    @call("GET", "/api/lookup")
+    @endpoint("GET", "/api/lookup")
     def lookup(self, asked):
         """The ready fronts, near ones alone as long as there are some: bytes between zones and regions are dear."""
         node_process, zones = self.node_process, self.node_process.process_settings.zones
         rows = [row for row in node_process.disseminator.roster if row[3] and row[4]]
         if not rows:
-            return trouble(503, "no front is known to be ready", BACK)
+            return error_response(503, "no front is known to be ready", BACK)
         zone, region = asked.query.get("Zone"), asked.query.get("Region")
         near = [row[3] for row in rows if row[2] == zone]
         rest = [row[3] for row in rows if row[2] != zone and zones.get(row[2]) == region]
@@ -59,27 +61,27 @@
         # Guards clients against the loss of their zone until they hear of it: a few of the region's others are named too,
         # so rarely that hardly any is used while the zone stands, since clients choose by chance.
         near = near * min(TIMES, (ADDRESSES - SPARES) // len(near)) + rest[:SPARES] if rest else near
-        return said({"Addresses": near, "Ttl": f"{self.ttl // MS}ms"})
+        return json_response({"Addresses": near, "Ttl": f"{self.ttl // MS}ms"})
 
 
 class Control:
     def __init__(self, node_process):
         self.node_process = node_process
 
-    @call("POST", "/api/rpc", call="config.replace", body=32 << 20)
+    @endpoint("POST", "/api/rpc", operation="config.replace", max_body_bytes=32 << 20)
     def replace(self, asked):
         found = configurations.read(asked.body)
         if found.is_err():
             self.node_process.counts["orders_refused"] += 1
-            return said({"Message": str(found.err_value), "Field": found.err_value.field}, 400)
+            return json_response({"Message": str(found.err_value), "Field": found.err_value.field}, 400)
         revision, body = found.ok_value.revision, zlib.compress(asked.body)
         if len(body) > MOST_PACKED:
             message = f"the body is {len(body)} bytes when compressed, {MOST_PACKED} are taken"
-            return said({"Message": message, "Field": ""}, 413)
+            return json_response({"Message": message, "Field": ""}, 413)
 
         def done(verdict: str | None, state: State | None) -> None:
             if verdict == Outcome.DONE:
-                reply(asked, said({"Revision": f"r{revision}", "Holds": f"r{state.revision}"}))
+                reply(asked, json_response({"Revision": f"r{revision}", "Holds": f"r{state.revision}"}))
             elif verdict == Outcome.CONFLICT:
                 self.node_process.counts["orders_refused"] += 1
                 reply(asked, conflict(revision, body, state))
@@ -88,45 +90,45 @@
 
         self.node_process.orders.give(OrderKind.CONFIGURE, (revision, body), done)
 
-    @call("POST", "/api/rpc", call="config.read")
+    @endpoint("POST", "/api/rpc", operation="config.read")
     def read(self, asked):
         def done(verdict, state):
             if verdict != Outcome.DONE:
                 reply(asked, NO_ANSWER)
             elif not state.revision:
-                asked.answer(404, b'{"Message":"no configuration yet"}')
+                asked.respond(404, b'{"Message":"no configuration yet"}')
             else:
-                asked.answer(200, zlib.decompress(state.body))
+                asked.respond(200, zlib.decompress(state.body))
 
         self.node_process.orders.give(OrderKind.READ, None, done)
 
-    @call("POST", "/api/rpc", call="empty.start")
+    @endpoint("POST", "/api/rpc", operation="empty.start")
     def empty(self, asked):
         return self.zone(asked, OrderKind.EVACUATE)
 
-    @call("POST", "/api/rpc", call="empty.finish")
+    @endpoint("POST", "/api/rpc", operation="empty.finish")
     def fill(self, asked):
         return self.zone(asked, OrderKind.RESTORE)
 
     def zone(self, asked, kind):
         zone = asked.query.get("of")
         if zone is None:
-            return said({"Message": "of: missing in the query", "Field": "of"}, 400)
+            return json_response({"Message": "of: missing in the query", "Field": "of"}, 400)
         if zone not in self.node_process.process_settings.zones:
-            return said({"Message": f"of: {zone[:64]!r} is no zone", "Field": "of"}, 400)
+            return json_response({"Message": f"of: {zone[:64]!r} is no zone", "Field": "of"}, 400)
 
         def done(verdict: str | None, state: State | None) -> None:
-            reply(asked, said(evacuation(zone, state)) if verdict == Outcome.DONE else NO_ANSWER)
+            reply(asked, json_response(evacuation(zone, state)) if verdict == Outcome.DONE else NO_ANSWER)
 
         self.node_process.orders.give(kind, zone, done)
 
 
-def reply(asked: Asked, answer: Answer) -> bool:
+def reply(asked: IncomingRequest, answer: Response) -> bool:
     """Answers a call that was kept waiting; True if this was the answer that its caller gets."""
-    return asked.answer(answer.status, answer.body, answer.headers)
+    return asked.respond(answer.status, answer.body, answer.headers)
 
 
-def conflict(revision: int, body: bytes, state: State) -> Answer:
+def conflict(revision: int, body: bytes, state: State) -> Response:
     """The refusal of a configuration whose number stands for another content."""
     way = f"raise Revision above r{state.revision}"
     told = {
@@ -135,7 +137,7 @@
         "Sent": {"Revision": f"r{revision}", "Digest": content_digest(body).hex()},
         "Holds": {"Revision": f"r{state.revision}", "Digest": content_digest(state.body).hex()},
     }
-    return said(told, 409)
+    return json_response(told, 409)
 
 
 async def listen(node_process):
@@ -152,7 +154,7 @@
             at.setdefault(place, []).append(handler(node_process))
     made = []
     for place, handlers in at.items():
-        calls = Calls(node_process.loop, node_process.clock, handlers, on_fault=node_process.fault)
+        calls = HttpServer(node_process.loop, node_process.clock, handlers, on_fault=node_process.fault)
         await calls.listen(*place)
         made.append(calls)
     return made
--- a/rampfront/node/metrics.py
+++ b/rampfront/node/metrics.py
@@ -8,7 +8,8 @@
 from collections.abc import Iterator
 
 from ..consensus.membership_change import LEARNER, LEAVING, REPLACED, SILENT, CoreStrength
-from ..net.calls import Answer, call
+from ..net.http_messages import Response
+from ..net.http_routing import endpoint
 from ..net.latency_histogram import BUCKET_BOUNDS_NS
 
 SEC = 10**9
@@ -95,7 +96,7 @@
     def __init__(self, node_process):
         self.node_process = node_process
 
-    @call("GET", "/metrics")
+    @endpoint("GET", "/metrics")
     def metrics(self, asked):
         """For a scraper; once in ten seconds is often enough."""
         node_process = self.node_process
@@ -105,4 +106,4 @@
             node_process.add_trips,
             node_process.word_ages,
         )
-        return Answer(200, text(node_process.counts, gauges(node_process), spans).encode(), kind=KIND)
+        return Response(200, text(node_process.counts, gauges(node_process), spans).encode(), content_type=KIND)
--- a/rampfront/node/node.py
+++ b/rampfront/node/node.py
@@ -464,7 +464,7 @@
 
     def stop_when_answered(self):
         """Guards operators against an order that ends with a closed connection: it is answered within a second."""
-        if any(calls.owed for calls in self.calls):
+        if any(calls.pending_requests for calls in self.calls):
             self.timers.after(SOON, self.stop_when_answered)
         else:
             self.loop.stop()
--- a/rampfront/node/status_views.py
+++ b/rampfront/node/status_views.py
@@ -9,7 +9,8 @@
 from ..consensus.evacuations import PLAIN
 from ..consensus.member import Member
 from ..consensus.state import State
-from ..net.calls import Answer, call, said, trouble
+from ..net.http_messages import Response, error_response, json_response
+from ..net.http_routing import endpoint
 from ..proxy import routing
 
 MS = 10**6
@@ -81,12 +82,12 @@
     def __init__(self, node_process):
         self.node_process = node_process
 
-    def view(self, fields: dict) -> Answer:
+    def view(self, fields: dict) -> Response:
         """An answer with the fields of a view, and for how long the node has been out of touch."""
         silent = self.node_process.out_of_touch(self.node_process.clock())
-        return said({**fields, "OutOfTouchMs": None if silent is None else silent // MS})
+        return json_response({**fields, "OutOfTouchMs": None if silent is None else silent // MS})
 
-    @call("POST", "/api/rpc", call="state.read")
+    @endpoint("POST", "/api/rpc", operation="state.read")
     def state(self, asked):
         """Who the node is, what it holds, and how old the core's word to it is."""
         node_process, look, process_settings, state = (
@@ -128,7 +129,7 @@
             }
         )
 
-    @call("POST", "/api/rpc", call="nodes.read")
+    @endpoint("POST", "/api/rpc", operation="nodes.read")
     def nodes(self, asked):
         """The roster. All machines have alike ports (DEPLOY.md), so a node's control address is told by its ip."""
         port = self.node_process.process_settings.control[1]
@@ -143,12 +144,12 @@
             }
         )
 
-    @call("POST", "/api/rpc", call="servers.read")
+    @endpoint("POST", "/api/rpc", operation="servers.read")
     def servers(self, asked):
         """The platform's list as it came to this node; `Links`: its connections to the server; `of`: a service."""
         request_proxy, now, of = self.node_process.request_proxy, self.node_process.clock(), asked.query.get("of")
         if request_proxy.servers is None:
-            return trouble(503, "no list of servers has come to this node yet", RETRY_SOON)
+            return error_response(503, "no list of servers has come to this node yet", RETRY_SOON)
         rows, then = page(
             asked, [r for r in request_proxy.servers.endpoints if of in (None, r.service)], lambda row: row.id
         )
@@ -178,7 +179,7 @@
             }
         )
 
-    @call("POST", "/api/rpc", call="quotas.read")
+    @endpoint("POST", "/api/rpc", operation="quotas.read")
     def quotas(self, asked):
         """Tenants with a quota, as this node counts them: `Left` of the quota, what all nodes are asked for a second."""
         limiter, now = self.node_process.limiter, self.node_process.clock()
--- a/rampfront/simulation/fleet.py
+++ b/rampfront/simulation/fleet.py
@@ -315,10 +315,10 @@
 class Asked:
     """A call to the directory or of an operator."""
 
-    __slots__ = "query", "body", "answer", "path"
+    __slots__ = "query", "body", "respond", "path"
 
-    def __init__(self, query, body=b"", answer=None):
-        self.query, self.body, self.answer, self.path = query, body, answer, ""
+    def __init__(self, query, body=b"", respond=None):
+        self.query, self.body, self.respond, self.path = query, body, respond, ""
 
 
 class Fleet(Course):
--- a/rampfront/simulation/isolation.py
+++ b/rampfront/simulation/isolation.py
@@ -41,12 +41,12 @@
 
 
 def hand_in(machine: Machine, kind: str, asked: Asked) -> None:
-    """Hands an order (`config`, `read`, `empty`, `fill`) to a machine; `asked.answer` is called once."""
+    """Hands an order (`config`, `read`, `empty`, `fill`) to a machine; `asked.respond` is called once."""
     control = machine.control
     handlers = {"config": control.replace, "read": control.read, "empty": control.empty, "fill": control.fill}
     answer = handlers[kind](asked)
     if answer is not None:
-        asked.answer(answer.status, answer.body, answer.headers)
+        asked.respond(answer.status, answer.body, answer.headers)
 
 
 class Operator:
--- a/tests/pins/adapter.py
+++ b/tests/pins/adapter.py
@@ -18,7 +18,7 @@
 from rampfront.consensus import validation
 from rampfront.consensus.member import Member
 from rampfront.consensus.storage import RecordStore
-from rampfront.net.calls import collect
+from rampfront.net.http_routing import RoutingTable
 from rampfront.node.endpoints import Control, Directory, Ready
 from rampfront.node.order_messages import OrderReply, OrderRequest
 from rampfront.node.status_views import Views
@@ -176,7 +176,7 @@
         self.ask, self.answered = ask, answered
         self.query, self.body, self.path = dict(ask.query), ask.body.encode(), ask.path
 
-    def answer(self, status: int, body: bytes = b"", headers: tuple = (), *_: object) -> bool:
+    def respond(self, status: int, body: bytes = b"", headers: tuple = (), *_: object) -> bool:
         """The answer."""
         self.answered(self.ask, status, body, headers)
         return True
@@ -190,8 +190,8 @@
 
     def hand(ask: Ask) -> None:
         process = fleet.machines[ask.node - 1].node_process
-        handlers = collect([Ready(process), Directory(process), Control(process), Views(process)])
-        handler, _ = handlers[ask.path][ask.call][ask.method]
+        routes = RoutingTable([Ready(process), Directory(process), Control(process), Views(process)], 0)
+        handler = routes.handler(ask.method, ask.path, ask.call)
         at_once = handler(_Call(ask, answered))
         if at_once is not None:
             answered(ask, at_once.status, at_once.body, at_once.headers)
--- a/tests/test_hardening_calls.py
+++ b/tests/test_hardening_calls.py
@@ -18,7 +18,10 @@
 from rampfront.consensus.events import OrderKind, Outcome
 from rampfront.consensus.member import ASKING, RUNNING
 from rampfront.consensus.state import State, digest
-from rampfront.net.calls import CallBounds, Caller, Calls, call
+from rampfront.net.http_routing import endpoint
+from rampfront.net.http_server import HttpServer
+from rampfront.net.http_server_connection import HttpServerConnection
+from rampfront.net.limits import HttpServerLimits
 from rampfront.node.endpoints import Control
 from rampfront.node.node import NodeProcess
 from rampfront.node.order_messages import LIFE_BITS, MalformedMessageError, OrderReply, OrderRequest
@@ -536,14 +539,16 @@
 
     def __init__(self, *handlers, **bounds):
         self.now, self.held = 0, []
-        self.calls = Calls(None, lambda: self.now, handlers or [self], CallBounds(sweep=0, **bounds))
+        self.calls = HttpServer(
+            None, lambda: self.now, handlers or [self], HttpServerLimits(sweep_interval_ns=0, **bounds)
+        )
 
-    @call("GET", "/later")
+    @endpoint("GET", "/later")
     def later(self, asked):
         self.held.append(asked)
 
     def dial(self, text=b""):
-        caller = Caller(self.calls)
+        caller = HttpServerConnection(self.calls)
         caller.connection_made(Pipe())
         if text:
             caller.data_received(text)
@@ -570,7 +575,7 @@
         caller = d.dial(text)
         (asked,) = d.held
         caller.data_received(LATER)
-        assert asked.answer(200, b"{}") and not asked.answer(200, b"{}")
+        assert asked.respond(200, b"{}") and not asked.respond(200, b"{}")
         ((status, head, _),) = d.answers(caller)
         assert status == 200 and "connection: close" in head and caller.transport.over and len(d.held) == 1
 
@@ -580,25 +585,25 @@
     d = Desk()
     one, other = d.dial(LATER), d.dial(LATER)
     first, others = d.held
-    first.answer(200, b"1")
+    first.respond(200, b"1")
     one.data_received(LATER)
-    assert not first.answer(200, b"again") and len(d.answers(one)) == 1  # the second call still waits
-    d.held[2].answer(200, b"2")
+    assert not first.respond(200, b"again") and len(d.answers(one)) == 1  # the second call still waits
+    d.held[2].respond(200, b"2")
     assert [body for _, _, body in d.answers(one)] == [b"1", b"2"]
     other.connection_lost(None)
-    assert not others.answer(200, b"late") and not other.transport.said and d.calls.counts["left"] == 1
+    assert not others.respond(200, b"late") and not other.transport.said and d.calls.counts["abandoned"] == 1
 
 
 def test_a_full_house_says_so():
     """Where all are owed an answer the newest caller is told to come back, and no answer that is owed is lost."""
-    d = Desk(callers=3)
+    d = Desk(max_connections=3)
     owed = [d.dial(LATER) for _ in range(3)]
     newest = d.dial()
     newest.data_received(LATER)
     ((status, head, body),) = d.answers(newest)
     assert status == 503 and "retry-after: " in head and b"callers" in body and len(d.held) == 3
     for asked, caller in zip(d.held, owed, strict=True):
-        assert asked.answer(200, b"{}") and len(d.answers(caller)) == 1
+        assert asked.respond(200, b"{}") and len(d.answers(caller)) == 1
 
 
 def test_half_a_call_is_told():
@@ -613,7 +618,7 @@
 
 
 def test_too_many_bodies_come_back():
-    d = Desk(held=1)
+    d = Desk(max_buffered_body_bytes=1)
     ((status, head, _),) = d.answers(d.dial(b"GET /later HTTP/1.1\r\nContent-Length: 5\r\n\r\n"))
     assert status == 503 and "retry-after: " in head
 
@@ -725,7 +730,7 @@
         s.loop.wait(300)
         assert idle.transport.over and not caller.transport.over and not stopped
         if answers:
-            d.held[0].answer(200, b"{}")
+            d.held[0].respond(200, b"{}")
             ((_, head, _),) = d.answers(caller)
             assert "connection: close" in head
         s.loop.wait(100)
--- a/tests/test_operator_cli.py
+++ b/tests/test_operator_cli.py
@@ -22,8 +22,8 @@
 
 from rampfront.consensus.state import State
 from rampfront.membership.endpoint_list import Endpoint, EndpointList
-from rampfront.net.calls import collect
 from rampfront.net.http_client import HttpRequest, HttpResponse, RequestError
+from rampfront.net.http_routing import RoutingTable
 from rampfront.net.latency_histogram import LatencyHistogram
 from rampfront.node import metrics
 from rampfront.node.status_views import COUNTS, PAGE, Views
@@ -693,10 +693,10 @@
         counter_placement=SimpleNamespace(at=None),
         state=State(3, 1, 2, b"", frozenset(("z1",)), {"n1": ("127.0.0.1", 4)}),
     )
-    calls = collect([Views(node_process)])["/api/rpc"]
+    routes = RoutingTable([Views(node_process)], 0)
 
     def ask(name, **query):
-        answer = calls[name]["POST"][0](SimpleNamespace(query=query))
+        answer = routes.handler("POST", "/api/rpc", name)(SimpleNamespace(query=query))
         return asyncio.run(
             Quay().put(A, x=(answer.status, answer.body)).ask(None, ("127.0.0.1", 1), HttpRequest("", "?call=x"), 1, 1)
         ).unwrap()
--- a/tests/test_server_list.py
+++ b/tests/test_server_list.py
@@ -305,7 +305,8 @@
     )
     poller.start()
     run(until(lambda: len(lists) >= 2))
-    assert [row.id for row in lists[-1].endpoints] == [f"i-{k}" for k in range(5)] and doors[0].counts["callers"] == 1
+    assert [row.id for row in lists[-1].endpoints] == [f"i-{k}" for k in range(5)]
+    assert doors[0].counts["connections"] == 1
     assert poller.failed_for(poller.since + SEC) == SEC and poller.since > lists[0].read_at_ns
     one.ill = "garbled"
     run(until(lambda: drops))
@@ -320,7 +321,7 @@
     assert [row.id for row in lists[count + 1].endpoints] == ["j"] and len(one.held) == held
     poller.stop()
     calls = two.counts["calls"]
-    run(asyncio.wait_for(poll(lambda: not doors[1].callers), 5))
+    run(asyncio.wait_for(poll(lambda: not doors[1].connections), 5))
     assert two.counts["calls"] == calls and poller.handle is None
     for door in doors:
         door.close()
