--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -9,6 +9,7 @@
 import os
 import sys
 
+import known_red
 import pytest
 import uvloop
 
@@ -38,7 +39,12 @@
     return names[:count] + names[count : 2 * count][::-1] + names[2 * count :]
 
 
+def pytest_terminal_summary(terminalreporter):
+    known_red.print_outcome(terminalreporter, known_red.listed())
+
+
 def pytest_collection_modifyitems(items):
+    known_red.expect_failures(items, known_red.listed())
     worker = os.environ.get("PYTEST_XDIST_WORKER", "")
     if not worker:
         return
