--- a/rampfront/lab/system/hollow.py
+++ b/rampfront/lab/system/hollow.py
@@ -52,22 +52,22 @@
         """`about`: as the wire takes them."""
         super().__init__(*about)
         self.frame_counts = FrameCounts()
-        self.hand_over, self.told = self.told, self.take
+        self.hand_over, self.on_frame = self.on_frame, self.take
 
-    def pass_on(self, ip: str, data: bytes, kind: str) -> None:
+    def send_frame(self, ip: str, data: bytes, kind: str) -> None:
         """Counts a frame on its way out."""
         if ip != self.ip:
             self.frame_counts.note(self.frame_counts.sent, kind, len(data))
             if self.cut:
                 return
-        super().pass_on(ip, data, kind)
+        super().send_frame(ip, data, kind)
 
-    def read(self, ip: str, data: bytes) -> None:
+    def receive_frame(self, ip: str, data: bytes) -> None:
         """Notes the size for `take`."""
         if self.cut and ip != self.ip:
             return
         self.size = len(data) if ip != self.ip else 0
-        super().read(ip, data)
+        super().receive_frame(ip, data)
 
     def take(self, ip: str, message: dict) -> None:
         """Counts a frame that came in whole, and hands it over."""
@@ -104,11 +104,11 @@
 
     def close(self) -> None:
         """Ends the sockets at once, as a kill would."""
-        for side in (self.out, self.taking):
-            for connection in list(side):
-                connection.end()
-        if self.datagrams:
-            self.datagrams.close()
+        for connections in (self.outgoing, self.incoming):
+            for connection in list(connections):
+                connection.close()
+        if self.datagram_transport:
+            self.datagram_transport.close()
         if self.server:
             self.server.close()
 
--- a/rampfront/node/node.py
+++ b/rampfront/node/node.py
@@ -50,7 +50,7 @@
         self.started_at = now = self.clock()
         seeds = [host for host, _ in process_settings.seeds]
         bounds = limits.fill(process_settings)
-        self.wire = ports.wire(loop, self.clock, process_settings.ip, process_settings.ports[0], log, self.heard)
+        self.wire = ports.wire(loop, self.clock, (process_settings.ip, process_settings.ports[0]), log, self.heard)
         front = "%s:%d" % process_settings.front if process_settings.front else ""
         self.disseminator = Disseminator(
             process_settings.name, process_settings.ip, process_settings.zone, front, seeds, self.draw, self
@@ -162,8 +162,8 @@
             try:
                 self.tell(events.MessageReceived(ip, message))
             except RemoteProtocolError as odd:
-                self.counts["frames_odd"] += 1
-                self.log.record_limited("odd frame", ip, why=str(odd))
+                self.counts["frames_invalid"] += 1
+                self.log.record_limited("invalid frame", ip, why=str(odd))
 
     # ---- what servers look like to the fleet
 
--- a/rampfront/node/status_views.py
+++ b/rampfront/node/status_views.py
@@ -34,6 +34,7 @@
     "frames_odd",
     "frames_lost",
 )
+COUNTER_NAMES = {"frames_odd": "frames_invalid"}  # where a field of the call is not named as the counter is
 
 
 def page(asked, rows, key):
@@ -125,7 +126,7 @@
                     name: round(service_pool.desk.node.spare, 1)
                     for name, service_pool in node_process.request_proxy.service_pools.items()
                 },  # tries saved up
-                "Counts": {name: node_process.counts[name] for name in COUNTS},
+                "Counts": {name: node_process.counts[COUNTER_NAMES.get(name, name)] for name in COUNTS},
             }
         )
 
--- a/rampfront/simulation/fleet.py
+++ b/rampfront/simulation/fleet.py
@@ -13,8 +13,9 @@
 from ..node.node import NodeProcess
 from ..node.ports import Ports
 from ..settings import process_settings as process_settings_of
-from ..transport.transfers import Transfer
-from ..transport.wire import SMALL, Wire
+from ..transport.frames import MAX_DATAGRAM_BYTES
+from ..transport.transfer_scheduler import Transfer
+from ..transport.wire import Wire
 from .checks import Broken, Ledger
 from .outside import Platform, Reader, Server
 from .world import CATCH_UP, Course, Disk, is_joining, still_members
@@ -267,17 +268,17 @@
 class Frames(Wire):
     """The wire that serves, but for its sockets."""
 
-    def pass_on(self, ip, data, kind):
+    def send_frame(self, ip, data, kind):
         if ip == self.ip:
-            self.loop.call_soon(self.read, ip, data)
+            self.loop.call_soon(self.receive_frame, ip, data)
         elif self.loop.fleet.bandwidth is None:
             self.loop.fleet.frame(self, ip, data)
-        elif len(data) <= SMALL:
+        elif len(data) <= MAX_DATAGRAM_BYTES:
             self.loop.fleet.datagram(self, ip, data)
         else:
-            self.transfers.offer(self.clock(), Transfer(ip, kind, data))
+            self.transfer_scheduler.offer(self.clock(), Transfer(ip, kind, data))
 
-    def open(self, transfer):
+    def start_transfer(self, transfer):
         self.loop.fleet.transfer(self, transfer)
 
 
@@ -410,16 +411,16 @@
         land = partial(self.land, wire.ip, peer, transfer.data) if peer is not None else Course.nothing
         over = partial(self.do, machine, life, self.transferred, wire, transfer)
         made = self.bandwidth.transfer(wire.ip, transfer.ip, len(transfer.data), land, over)
-        transfer.stop, transfer.connected = made.end, True
+        transfer.abort, transfer.connected = made.end, True
 
     @staticmethod
     def transferred(wire, transfer):
         """A large frame has come, or is lost."""
-        wire.transfers.over(wire.clock(), transfer)
+        wire.finish_transfer(transfer)
 
     def land(self, ip, peer, data):
         if peer.up and (ip, peer.ip) not in self.cuts:
-            self.do(peer, peer.life, peer.node_process.wire.read, ip, data)
+            self.do(peer, peer.life, peer.node_process.wire.receive_frame, ip, data)
 
     # ---- machines
 
--- a/rampfront/simulation/fleet_growth.py
+++ b/rampfront/simulation/fleet_growth.py
@@ -14,14 +14,14 @@
 from random import Random
 from types import SimpleNamespace
 
-import cbor2
 import click
 
 from ..consensus.state import State, digest
 from ..membership import endpoint_list as platform
 from ..membership.deltas import DeltaHistory, StateHistory
 from ..membership.dissemination import VERSIONS_PER_TERM, Disseminator
-from ..transport import wire as flags
+from ..transport.frames import MAX_DATAGRAM_BYTES, decode_frame, encode_frame
+from ..transport.wire import MAX_OUTGOING_CONNECTIONS
 from .link_bytes import link_bytes
 
 MS, SEC = 10**6, 10**9
@@ -221,9 +221,7 @@
         self.spread(ship, (ip,), message)
 
     def spread(self, ship, ips, message):
-        data = cbor2.dumps(message)
-        if len(data) >= flags.PACKED and len(packed := zlib.compress(data)) < len(data):
-            data = packed
+        data = encode_frame(message)
         for ip in ips:
             self.post(ship, ip, data)
 
@@ -233,7 +231,7 @@
             return
         if peer is ship:
             return self.at(self.now, self.arrive, ship, peer, peer.life, data, None)
-        large = len(data) > flags.SMALL
+        large = len(data) > MAX_DATAGRAM_BYTES
         size = link_bytes(len(data))
         way = IN_ZONE if ship.zone == peer.zone else IN_REGION if ship.region == peer.region else APART
         self.tx[ship.ip] += size
@@ -248,7 +246,7 @@
         if large:
             ship.out = [row for row in ship.out if row[0] > self.now and row[1][0]]
             ship.out.append((left + 4 * way, ticket))
-            if len(ship.out) > flags.OUT:
+            if len(ship.out) > MAX_OUTGOING_CONNECTIONS:
                 ship.out.pop(0)[1][0] = False
         self.at(left + way * (3 if large else 1), self.reach, ship, peer, peer.life, data, size, ticket)
 
@@ -266,7 +264,7 @@
             self.own(peer, self.read, ship.ip, peer, data)
 
     def read(self, ip, peer, data):
-        message = cbor2.loads(flags.unpacked(data) if data[:1] == flags.MARK else data)
+        message = decode_frame(data)
         (peer.look.on_heartbeat if message["k"] == "hail" else peer.look.on_state_response)(ip, message, peer.clock())
 
     def own(self, ship, act, *args):
--- a/rampfront/simulation/link_bytes.py
+++ b/rampfront/simulation/link_bytes.py
@@ -1,6 +1,6 @@
 """What a frame between nodes weighs on the link, with the heads of its packets."""
 
-from ..transport.wire import SMALL
+from ..transport.frames import MAX_DATAGRAM_BYTES
 
 DATAGRAM_HEADS, CONNECTION_HEADS = 28, 40  # bytes of IP with UDP, of IP with TCP
 PACKET = 1460  # bytes of a connection's packet without its heads
@@ -9,6 +9,6 @@
 
 def link_bytes(size: int) -> int:
     """Bytes on the link for a frame of `size` bytes: a datagram, or a connection of its own."""
-    if size <= SMALL:
+    if size <= MAX_DATAGRAM_BYTES:
         return size + DATAGRAM_HEADS
     return size + LENGTH + CONNECTION_HEADS * (OTHERS + -(-size // PACKET))
--- a/rampfront/simulation/world.py
+++ b/rampfront/simulation/world.py
@@ -11,7 +11,7 @@
 from rampfront.consensus import events
 from rampfront.consensus.events import OrderKind, Outcome
 from rampfront.consensus.member import Member
-from rampfront.transport.wire import SMALL
+from rampfront.transport.frames import MAX_DATAGRAM_BYTES
 
 from .checks import Broken, Ledger
 from .linearizability import Kind, Operation, Recorder, Verdict
@@ -341,7 +341,7 @@
     def carry(self, ip, peer, message):
         """Over links of a bounded bandwidth: as a datagram or, where it is too large, as a transfer of its own."""
         size = len(zlib.compress(cbor2.dumps(message)))
-        way = self.bandwidth.datagram if size <= SMALL else self.bandwidth.transfer
+        way = self.bandwidth.datagram if size <= MAX_DATAGRAM_BYTES else self.bandwidth.transfer
         way(ip, peer.ip, size, partial(self.arrive, ip, peer, message))
 
     def arrive(self, ip, peer, message):
--- /dev/null
+++ b/rampfront/transport/incoming.py
@@ -0,0 +1,75 @@
+"""The receiver's end of the connection that carries one large frame."""
+
+import asyncio
+from collections.abc import Callable
+from typing import cast
+
+from .connections import ConnectionSet
+from .frames import LENGTH_PREFIX_BYTES, MAX_FRAME_BYTES, read_length_prefix
+from .transfer_scheduler import TRANSFER_TIMEOUT_NS
+
+RECEIVE_TIMEOUT_NS = TRANSFER_TIMEOUT_NS  # without a byte: a slow link may take longer for a frame, a dead one may not
+ACKNOWLEDGEMENT = b"."
+
+
+class IncomingConnection(asyncio.Protocol):
+    """Gathers one frame, hands it over and acknowledges it; the sender then closes."""
+
+    def __init__(
+        self,
+        open_connections: "ConnectionSet[IncomingConnection]",
+        clock: Callable[[], int],
+        counts: dict[str, int],
+        on_frame: Callable[[str, bytes], None],
+    ) -> None:
+        """`clock()` gives ns; `counts`: the node's counters, of which `frames_invalid` and `frames_truncated` are
+        counted here; `on_frame(sender's IP address, frame)` gets the frame."""
+        self._open_connections = open_connections
+        self._clock = clock
+        self._counts = counts
+        self._on_frame = on_frame
+        self._transport: asyncio.Transport
+        self._chunks: list[bytes] = []
+        self._received_bytes = 0
+        self._expected_bytes: int | None = None  # length prefix included; None: the prefix is not there yet
+        self.deadline_ns = clock() + RECEIVE_TIMEOUT_NS
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """A peer connected."""
+        self._transport = cast(asyncio.Transport, transport)
+        self._open_connections.add(self)
+
+    def data_received(self, data: bytes) -> None:
+        """Gathers a chunk. A frame that is too long, or followed by more, ends the connection."""
+        self.deadline_ns = self._clock() + RECEIVE_TIMEOUT_NS
+        self._chunks.append(data)
+        self._received_bytes += len(data)
+        if self._expected_bytes is None and self._received_bytes >= LENGTH_PREFIX_BYTES:
+            self._expected_bytes = LENGTH_PREFIX_BYTES + read_length_prefix(b"".join(self._chunks))
+        if self._expected_bytes is None:
+            return
+        too_large = self._expected_bytes > LENGTH_PREFIX_BYTES + MAX_FRAME_BYTES
+        if too_large or self._received_bytes > self._expected_bytes:
+            self._counts["frames_invalid"] += 1
+            self.close()
+        elif self._received_bytes == self._expected_bytes:
+            self._complete()
+
+    def _complete(self) -> None:
+        frame = b"".join(self._chunks)[LENGTH_PREFIX_BYTES:]
+        self._chunks = []
+        peer = self._transport.get_extra_info("peername")
+        self._transport.write(ACKNOWLEDGEMENT)
+        if peer:
+            self._on_frame(peer[0], frame)
+
+    def connection_lost(self, exc: Exception | None) -> None:
+        """Counts a frame that ended in the middle, unless it was given up here."""
+        was_open = self._open_connections.remove(self)
+        if was_open and self._received_bytes and self._received_bytes != self._expected_bytes:
+            self._counts["frames_truncated"] += 1
+
+    def close(self) -> None:
+        """Ends the connection at once."""
+        self._open_connections.remove(self)
+        self._transport.abort()
--- /dev/null
+++ b/rampfront/transport/outgoing.py
@@ -0,0 +1,79 @@
+"""The sender's end of the connection that carries one large frame."""
+
+import asyncio
+from collections.abc import Callable
+from typing import cast
+
+from .connections import ConnectionSet
+from .frames import with_length_prefix
+from .transfer_scheduler import Transfer
+
+
+class OutgoingConnection(asyncio.Protocol):
+    """Connects, writes the frame, and ends as soon as the receiver acknowledges it with any byte."""
+
+    def __init__(
+        self,
+        transfer: Transfer,
+        open_connections: "ConnectionSet[OutgoingConnection]",
+        counts: dict[str, int],
+        on_end: Callable[[Transfer], None],
+    ) -> None:
+        """`counts`: the node's counters, of which `frames_lost` is counted here; `on_end(transfer)` is called when the
+        transfer is over, once or more."""
+        self._transfer = transfer
+        self._open_connections = open_connections
+        self._counts = counts
+        self._on_end = on_end
+        self._frame: bytes | None = transfer.data  # None: written
+        self._transport: asyncio.Transport | None = None
+        self._connecting: asyncio.Task[object] | None = None
+        transfer.abort = self.close
+
+    @property
+    def deadline_ns(self) -> int:
+        """When it is given up."""
+        return self._transfer.deadline_ns
+
+    def connect(self, loop: asyncio.AbstractEventLoop, port: int, local_ip: str) -> None:
+        """Begins to connect to `port` of the receiver, from the node's own address."""
+        self._connecting = loop.create_task(
+            loop.create_connection(lambda: self, self._transfer.ip, port, local_addr=(local_ip, 0))
+        )
+        self._connecting.add_done_callback(self._on_connect_done)
+
+    def _on_connect_done(self, connecting: asyncio.Task[object]) -> None:
+        self._connecting = None
+        if not connecting.cancelled() and connecting.exception() is not None:
+            self._counts["frames_lost"] += 1
+            self.close()
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Writes the frame."""
+        self._transport = cast(asyncio.Transport, transport)
+        self._transfer.connected = True
+        assert self._frame is not None
+        self._transport.write(with_length_prefix(self._frame))
+        self._frame = None
+
+    def data_received(self, data: bytes) -> None:
+        """The receiver has the frame."""
+        self.close()
+
+    def connection_lost(self, exc: Exception | None) -> None:
+        """Counts the frame as lost, unless it was acknowledged or given up before: then it is out of the set."""
+        if self in self._open_connections:
+            self._counts["frames_lost"] += 1
+        self._end_transfer()
+
+    def close(self) -> None:
+        """Ends the connection, or the attempt to connect, at once. Not counted as a loss here."""
+        self._end_transfer()
+        if self._connecting:
+            self._connecting.cancel()
+        if self._transport:
+            self._transport.abort()
+
+    def _end_transfer(self) -> None:
+        self._open_connections.remove(self)
+        self._on_end(self._transfer)
--- a/rampfront/transport/wire.py
+++ b/rampfront/transport/wire.py
@@ -1,194 +1,122 @@
-"""Frames between nodes: `send(ip, message)`, one way, no answer owed; it may be lost, and so a protocol above says it again.
+"""`Wire`: sends messages to other nodes and hands over those that come in.
 
-Small ones go as one datagram (compressed from 256 bytes on), larger ones over a connection that is made for them and ends behind them: neither can
-hang behind a cut, and no connection has to be kept, proved or mended. `transfers.py` says which of those goes when. Both come in at the same port of every machine. A
-frame that cannot be read ends its connection and is counted. Source of the port: `PortRange` (DEPLOY.md).
+A frame up to `MAX_DATAGRAM_BYTES` goes as one datagram, a larger one over a TCP connection that is made for it and ends
+behind it. So no frame can hang behind a network partition, and no connection has to be kept alive or repaired. UDP and
+TCP use the same port on every machine, the first of the settings' `PortRange` (DEPLOY.md).
 """
 
 import asyncio
 import socket
 import zlib
+from collections.abc import Callable, Iterable
 
-import cbor2
-
-from .transfers import LIMIT, Transfer, Transfers
-
-SEC = 10**9
-SMALL = 1200  # bytes of a datagram: less than what any link carries whole
-MOST = 16 << 20  # bytes of a frame
-PACKED = (
-    256  # bytes of a message from which on it is compressed: lists and rosters repeat themselves, and bytes are priced
-)
-MARK = b"\x78"  # a compressed frame begins so, and no table of cbor2 does
-PATIENCE = LIMIT  # ns without a byte of a frame that comes over a connection until it is given up
-LENGTH = 4  # bytes in front of a frame over a connection: its length
-NOT_THERE = object()
-OUT, IN = 256, 64  # connections under way at most, each way; past it the oldest ends
-
-
-def unpacked(data):
-    """Guards memory against a small frame that would unpack to a huge one."""
-    way = zlib.decompressobj()
-    data = way.decompress(data, MOST)
-    if not way.eof or way.unused_data:
-        raise ValueError("a frame that is cut, too large, or not alone")
-    return data
-
-
-class Datagrams(asyncio.DatagramProtocol):
-    def __init__(self, wire):
-        self.wire = wire
-
-    def datagram_received(self, data, address):
-        self.wire.read(address[0], data)
-
-    def error_received(self, trouble):
-        pass  # a port that nobody listens at: it is told to us by silence
-
-
-class Carrier(asyncio.Protocol):
-    """The connection of one large frame that goes out."""
-
-    def __init__(self, wire, transfer):
-        self.wire, self.data, self.transport, self.task = wire, transfer.data, None, None
-        self.transfer, transfer.stop = transfer, self.end
-
-    def opened(self, task):
-        self.task = None
-        if not task.cancelled() and task.exception() is not None:
-            self.wire.counts["frames_lost"] += 1
-            self.end()
-
-    def connection_made(self, transport):
-        self.transport, self.transfer.connected = transport, True
-        transport.write(len(self.data).to_bytes(LENGTH, "big") + self.data)
-        self.data = None
-
-    def data_received(self, data):
-        self.end()  # the far side says that it has it
-
-    def connection_lost(self, trouble):
-        if self.wire.out.get(self, NOT_THERE) is None:  # nobody has said that it has it, nor was it given up here
-            self.wire.counts["frames_lost"] += 1
-        self.forget()
-
-    def forget(self):
-        self.wire.out.pop(self, None)
-        self.wire.transfers.over(self.wire.clock(), self.transfer)
-
-    def end(self):
-        self.forget()
-        if self.task:
-            self.task.cancel()
-        if self.transport:
-            self.transport.abort()
-
-
-class Taker(asyncio.Protocol):
-    """One large frame on its way to us."""
-
-    def __init__(self, wire):
-        self.wire, self.parts, self.size, self.need = wire, [], 0, None
-        self.due = wire.clock() + PATIENCE
-
-    def connection_made(self, transport):
-        self.transport = transport
-        self.wire.taking[self] = None
-        if len(self.wire.taking) > IN:
-            next(iter(self.wire.taking)).end()
-
-    def data_received(self, data):
-        self.due = self.wire.clock() + PATIENCE
-        self.parts.append(data)
-        self.size += len(data)
-        if self.need is None and self.size >= LENGTH:
-            self.need = LENGTH + int.from_bytes(b"".join(self.parts)[:LENGTH], "big")
-        if self.need and (self.need > LENGTH + MOST or self.size > self.need):
-            self.wire.counts["frames_odd"] += 1
-            return self.end()
-        if self.size == self.need:
-            data, self.parts = b"".join(self.parts)[LENGTH:], []
-            peer = self.transport.get_extra_info("peername")
-            self.transport.write(b".")
-            if peer:
-                self.wire.read(peer[0], data)
-
-    def connection_lost(self, trouble):
-        if self.wire.taking.pop(self, NOT_THERE) is None and self.size and self.size != self.need:
-            self.wire.counts["frames_torn"] += 1
-
-    def end(self):
-        self.wire.taking.pop(self, None)
-        self.transport.abort()
+from ..net.event_log import EventLog
+from .connections import ConnectionSet
+from .datagram import DatagramEndpoint
+from .frames import KIND_KEY, MAX_DATAGRAM_BYTES, InvalidFrameError, Message, decode_frame, encode_frame
+from .incoming import IncomingConnection
+from .outgoing import OutgoingConnection
+from .transfer_scheduler import Transfer, TransferScheduler
 
+MAX_OUTGOING_CONNECTIONS = 256
+MAX_INCOMING_CONNECTIONS = 64
+LISTEN_BACKLOG = 128
+LOGGED_KIND_CHARS = 20
+# What a handler raises at a message whose fields are not what they should be.
+MALFORMED_MESSAGE_ERRORS = (ValueError, LookupError, TypeError, AttributeError, ArithmeticError, zlib.error)
 
-class Wire:
-    """`told(ip, message)` gets every frame; a message is a dict with the text `k`."""
 
-    def __init__(self, loop, clock, ip, port, log, told):
-        self.loop, self.clock, self.ip, self.port, self.counts, self.told = loop, clock, ip, port, log.counts, told
+class Wire:
+    """The frames of one node. Every message that comes in goes to `on_frame(sender's IP address, message)`.
+
+    Delivery is not guaranteed and nothing is acknowledged to the caller: protocols above repeat what matters.
+    """
+
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        clock: Callable[[], int],
+        address: tuple[str, int],
+        log: EventLog,
+        on_frame: Callable[[str, Message], None],
+    ) -> None:
+        """`clock()` gives ns of a steady clock; `address`: the node's own IP address, and the port that all nodes use;
+        `log` has the counters too. Sockets are opened by `listen`."""
+        self.loop = loop
+        self.clock = clock
+        self.ip, self.port = address
         self.log = log
-        self.out, self.taking = {}, {}  # frames over connections, in the order they began; emptied by ends
-        self.transfers = Transfers(self.open, self.counts)
-        self.datagrams = None
-
-    async def listen(self):
-        self.datagrams, _ = await self.loop.create_datagram_endpoint(
-            lambda: Datagrams(self), local_addr=(self.ip, self.port), family=socket.AF_INET
+        self.counts = log.counts
+        self.on_frame = on_frame
+        self.outgoing: ConnectionSet[OutgoingConnection] = ConnectionSet(MAX_OUTGOING_CONNECTIONS)
+        self.incoming: ConnectionSet[IncomingConnection] = ConnectionSet(MAX_INCOMING_CONNECTIONS)
+        self.transfer_scheduler = TransferScheduler(self.start_transfer, self.counts)
+        self.datagram_transport: asyncio.DatagramTransport | None = None  # None: `listen` was not called yet
+
+    async def listen(self) -> None:
+        """Opens both sockets. Raises `OSError` if the port is taken."""
+        self.datagram_transport, _ = await self.loop.create_datagram_endpoint(
+            lambda: DatagramEndpoint(self.receive_frame), local_addr=(self.ip, self.port), family=socket.AF_INET
         )
-        await self.loop.create_server(lambda: Taker(self), self.ip, self.port, backlog=128)
+        await self.loop.create_server(self._accept, self.ip, self.port, backlog=LISTEN_BACKLOG)
+
+    def _accept(self) -> IncomingConnection:
+        return IncomingConnection(self.incoming, self.clock, self.counts, self.receive_frame)
 
-    def send(self, ip, message):
+    def send(self, ip: str, message: Message) -> None:
+        """Sends a message to the node at `ip`."""
         self.send_all((ip,), message)
 
-    def send_all(self, ips, message):
-        """The same to many, made once."""
-        data = cbor2.dumps(message)
-        if len(data) >= PACKED and len(packed := zlib.compress(data)) < len(data):
-            data = packed
+    def send_all(self, ips: Iterable[str], message: Message) -> None:
+        """Sends the same message to several nodes; it is encoded once."""
+        frame = encode_frame(message)
         for ip in ips:
-            self.pass_on(ip, data, message["k"])
+            self.send_frame(ip, frame, message[KIND_KEY])
 
-    def pass_on(self, ip, data, kind):
+    def send_frame(self, ip: str, data: bytes, kind: str) -> None:
+        """Sends a frame of a message of this kind the way that its size asks for; one to the node itself goes through
+        the event loop, so that a handler never runs within another."""
         if ip == self.ip:
-            self.loop.call_soon(self.read, ip, data)
-        elif len(data) <= SMALL:
+            self.loop.call_soon(self.receive_frame, ip, data)
+        elif len(data) <= MAX_DATAGRAM_BYTES:
+            assert self.datagram_transport is not None
             self.counts["frames_sent"] += 1
-            self.datagrams.sendto(data, (ip, self.port))
+            self.datagram_transport.sendto(data, (ip, self.port))
         else:
-            self.transfers.offer(self.clock(), Transfer(ip, kind, data))
-
-    def open(self, transfer):
-        """Opens the connection of a frame whose turn it is."""
-        self.counts["frames_carried"] += 1
-        carrier = Carrier(self, transfer)
-        self.out[carrier] = None
-        if len(self.out) > OUT:
-            next(iter(self.out)).end()
-        carrier.task = self.loop.create_task(
-            self.loop.create_connection(lambda: carrier, transfer.ip, self.port, local_addr=(self.ip, 0))
-        )
-        carrier.task.add_done_callback(carrier.opened)
+            self.transfer_scheduler.offer(self.clock(), Transfer(ip, kind, data))
+
+    def start_transfer(self, transfer: Transfer) -> None:
+        """Opens the connection of a large frame whose turn it is."""
+        self.counts["transfers_started"] += 1
+        connection = OutgoingConnection(transfer, self.outgoing, self.counts, self.finish_transfer)
+        self.outgoing.add(connection)
+        connection.connect(self.loop, self.port, self.ip)
+
+    def finish_transfer(self, transfer: Transfer) -> None:
+        """The connection of a large frame has ended: the next one may go."""
+        self.transfer_scheduler.finish(self.clock(), transfer)
 
-    def read(self, ip, data):
+    def receive_frame(self, ip: str, data: bytes) -> None:
+        """Decodes a frame from the node at `ip` and hands its message over; drops and counts what is invalid."""
         try:
-            message = cbor2.loads(unpacked(data) if data[:1] == MARK else data)
-            if type(message) is not dict or type(message.get("k")) is not str:
-                raise ValueError("no message")
-        except (ValueError, EOFError, cbor2.CBORDecodeError, zlib.error):
-            self.counts["frames_odd"] += 1
+            message = decode_frame(data)
+        except InvalidFrameError:
+            self.counts["frames_invalid"] += 1
             return
         try:
-            self.told(ip, message)
-        except (ValueError, LookupError, TypeError, AttributeError, ArithmeticError, zlib.error) as odd:
-            # Guards against a peer whose fields are not what they should be: the frame is dropped, and counted.
-            self.counts["frames_odd"] += 1
-            self.log.record_limited("odd frame", ip, why=repr(odd), kind=str(message["k"])[:20])
-
-    def sweep(self):
-        now = self.clock()
-        late = [carrier for carrier in self.out if carrier.transfer.due < now]
-        late += [taker for taker in self.taking if taker.due < now]
-        for connection in late:
+            self.on_frame(ip, message)
+        except MALFORMED_MESSAGE_ERRORS as error:
+            # Guards against a peer of another version, or a faulty one: its message is dropped, and counted.
+            self.counts["frames_invalid"] += 1
+            self.log.record_limited("invalid frame", ip, why=repr(error), kind=message[KIND_KEY][:LOGGED_KIND_CHARS])
+
+    def sweep(self) -> None:
+        """Closes the connections whose deadline has passed; to be called a few times a second."""
+        now_ns = self.clock()
+        expired: list[OutgoingConnection | IncomingConnection] = [
+            *self.outgoing.expired(now_ns),
+            *self.incoming.expired(now_ns),
+        ]
+        for connection in expired:
             self.counts["frames_lost"] += 1
-            connection.end()
+            connection.close()
--- a/tests/test_dissemination.py
+++ b/tests/test_dissemination.py
@@ -1,16 +1,13 @@
 """The word of the core and the roster: many lookouts on a fake network and clock; frames between nodes; the directory."""
 
 import json
-import zlib
 from types import SimpleNamespace
 
-import cbor2
 import pytest
-from proxy_fixtures import EPOCH, MS, SEC, Nodes, Quay, Silent
+from proxy_fixtures import EPOCH, MS, SEC, Nodes
 
 from rampfront.membership.dissemination import HEARTBEAT_INTERVAL_NS, PEER_TIMEOUT_NS, VERSIONS_PER_TERM
 from rampfront.node.endpoints import Directory
-from rampfront.transport import wire as flags
 
 
 def ages(n, *but):
@@ -345,96 +342,3 @@
     assert ask("unknown", "unknown") == (200, {"b1-0", "b1-1"})
     disseminator.roster = [row for row in rows if not row[4]]
     assert ask("a1")[0] == 503
-
-
-# ---- frames
-
-
-class Post(flags.Wire):
-    def __init__(self, told):
-        self.stage = Quay()
-        super().__init__(self.stage, self.stage.clock, "10.0.0.1", 7000, Silent(), told)
-
-
-@pytest.mark.parametrize(
-    "data",
-    (
-        b"",
-        b"\xff",
-        b"\x81" * 5000,
-        cbor2.dumps([1]),
-        cbor2.dumps({"k": 5}),
-        cbor2.dumps({}),
-        cbor2.dumps({"k": "word"})[:-1],
-        cbor2.dumps({"k": "x"}) + b"\x1c"[:0] + b"",
-    ),
-)
-def test_odd_frames(data):
-    """What cannot be read, or what a part finds odd, is dropped and counted; nothing of it gets through the door."""
-
-    def told(ip, message):
-        raise KeyError("n")
-
-    post = Post(told)
-    post.read("10.0.0.2", data)
-    assert post.counts["frames_odd"] == 1
-
-
-def test_lists_go_compressed():
-    """A roster of a hundred nodes fits a datagram; what would unpack past the bound, or was cut, is dropped and counted."""
-    heard, sent = [], []
-    post = Post(lambda ip, message: heard.append((ip, message)))
-    post.datagrams = SimpleNamespace(sendto=lambda data, to: sent.append(data))
-    message = {
-        "k": "word",
-        "O": [[f"front-a-hall-{k}", f"10.1.0.{k}", "a-hall", f"10.1.0.{k}:8388", True] for k in range(100)],
-    }
-    post.send("10.0.0.2", message)
-    post.send("10.0.0.2", {"k": "hail"})
-    assert len(sent) == 2 and len(cbor2.dumps(message)) > 3 * flags.SMALL
-    for data in sent:
-        post.read("10.0.0.9", data)
-    assert heard == [("10.0.0.9", message), ("10.0.0.9", {"k": "hail"})]
-    for data in (sent[0][:-9], zlib.compress(bytes(flags.MOST + 1)), flags.MARK + b"x"):
-        post.read("10.0.0.9", data)
-    assert post.counts["frames_odd"] == 3 and len(heard) == 2
-
-
-def test_large_frames():
-    """One a connection, in any pieces; longer than told or than allowed ends it, and one that stalls is given up."""
-    got = []
-    post = Post(lambda ip, message: got.append((ip, len(message["b"]))))
-
-    def taker():
-        there = SimpleNamespace(said=b"", ended=False)
-        pipe = SimpleNamespace(
-            write=lambda data: setattr(there, "said", there.said + data),
-            abort=lambda: setattr(there, "ended", True),
-            get_extra_info=lambda name: ("10.0.0.2", 5000),
-        )
-        made = flags.Taker(post)
-        made.connection_made(pipe)
-        return made, there
-
-    data = cbor2.dumps({"k": "word", "b": b"x" * 5000})
-    frame = len(data).to_bytes(4, "big") + data
-    made, there = taker()
-    for at in range(0, len(frame), 3):
-        assert not got
-        made.data_received(frame[at : at + 3])
-    assert got == [("10.0.0.2", 5000)] and there.said == b"."
-    made, there = taker()
-    made.data_received(frame + b"x")
-    assert there.ended and len(got) == 1
-    made, there = taker()
-    made.data_received((1 << 31).to_bytes(4, "big") + b"x")
-    for _ in range(flags.MOST // (1 << 20) + 1):
-        made.data_received(bytes(1 << 20))
-    assert there.ended
-    made, there = taker()
-    made.data_received(frame[:100])
-    post.stage.now += 5 * SEC
-    post.sweep()
-    assert there.ended
-    held = [taker() for _ in range(flags.IN + 5)]
-    assert sum(there.ended for _, there in held) == 5 and held[0][1].ended
--- a/tests/test_hardening_calls.py
+++ b/tests/test_hardening_calls.py
@@ -30,8 +30,6 @@
 from rampfront.quota.counter import QuotaCounter
 from rampfront.quota.limiter import Limiter
 from rampfront.settings import process_settings as process_settings_of
-from rampfront.transport import wire as flags
-from rampfront.transport.transfers import Transfer
 
 HERE, LEADER, CALLER, OTHER = "10.1.0.1", "10.1.0.9", "10.1.0.7", "10.1.0.8"
 BODY = zlib.compress(orders(1))
@@ -424,91 +422,6 @@
     assert [message["e"] for _, message in s.wire.take("dim")] == [4]
 
 
-# ---- frames over a connection
-
-
-class Wired:
-    """A wire without sockets, and connections to it."""
-
-    def __init__(self):
-        self.got, self.now, self.log = [], 0, Silent()
-        self.wire = flags.Wire(None, lambda: self.now, HERE, 7000, self.log, lambda *frame: self.got.append(frame))
-
-    def connect(self, side, ip=CALLER):
-        """`side`: a Taker or Carrier; returns it, with what was written to it and whether it ended."""
-        side.pipe = SimpleNamespace(said=b"", over=False, get_extra_info=lambda name: (ip, 5000))
-
-        def write(data):
-            side.pipe.said += data
-
-        def abort():
-            if not side.pipe.over:
-                side.pipe.over = True
-                side.connection_lost(None)
-
-        side.pipe.write, side.pipe.abort = write, abort
-        side.connection_made(side.pipe)
-        return side
-
-    def carrier(self, data):
-        carrier = flags.Carrier(self.wire, Transfer(CALLER, "said", data))
-        self.wire.out[carrier] = None
-        return self.connect(carrier)
-
-
-def framed(message):
-    data = cbor2.dumps(message)
-    return len(data).to_bytes(4, "big") + data
-
-
-def test_frames_torn_doubled_and_mixed():
-    """Each connection brings one frame of the node at its far end, whole or not at all; what else comes is counted."""
-    w, frame = Wired(), framed({"k": "word", "b": b"x" * 2000})
-    two = [w.connect(flags.Taker(w.wire), ip) for ip in (CALLER, OTHER)]
-    for at in range(0, len(frame), 500):  # pieces of two frames at a time
-        for taker in two:
-            taker.data_received(frame[at : at + 500])
-    assert [ip for ip, _ in w.got] == [CALLER, OTHER]
-    two[0].data_received(frame)  # a second one on the same connection
-    assert two[0].pipe.over and len(w.got) == 2 and w.log.counts["frames_odd"] == 1
-    torn = w.connect(flags.Taker(w.wire))
-    torn.data_received(frame[:-1])
-    torn.pipe.abort()
-    nothing = w.connect(flags.Taker(w.wire))
-    nothing.pipe.abort()
-    assert len(w.got) == 2 and w.log.counts["frames_torn"] == 1 and not w.wire.taking.keys() - {two[1]}
-    huge = w.connect(flags.Taker(w.wire))
-    huge.data_received((flags.MOST + 1).to_bytes(4, "big"))
-    assert huge.pipe.over  # at once: nothing of it is gathered
-    packed = zlib.compress(cbor2.dumps({"k": "word", "b": b"x" * 300}))
-    w.wire.read(CALLER, packed + packed)
-    assert w.log.counts["frames_odd"] == 3 and len(w.got) == 2
-
-
-def test_a_large_frame_that_nobody_confirmed_is_counted_as_lost():
-    """Once each: by the end of its connection, or as it is given up."""
-    w = Wired()
-    confirmed, broken, late = (w.carrier(b"x" * 2000) for _ in range(3))
-    confirmed.data_received(b".")
-    broken.pipe.abort()
-    assert w.log.counts["frames_lost"] == 1
-    w.now = 5 * SEC
-    w.wire.sweep()
-    assert late.pipe.over and w.log.counts["frames_lost"] == 2 and not w.wire.out
-
-
-@pytest.mark.parametrize("odd", [OverflowError, ZeroDivisionError, zlib.error, KeyError, UnicodeError])
-def test_what_a_part_finds_odd_ends_at_the_wire(odd):
-    w = Wired()
-
-    def told(ip, message):
-        raise odd("of a field")
-
-    w.wire.told = told
-    w.wire.read(CALLER, cbor2.dumps({"k": "word"}))
-    assert w.log.counts["frames_odd"] == 1
-
-
 # ---- calls of operators
 
 
--- a/tests/test_hardening_catch_up.py
+++ b/tests/test_hardening_catch_up.py
@@ -2,15 +2,12 @@
 
 import json
 import zlib
-from collections import Counter
 from functools import cache
 from random import Random
-from types import SimpleNamespace
 
 import cbor2
 import pytest
 from proxy_fixtures import Nodes
-from test_dissemination import Post
 
 from rampfront.consensus import events
 from rampfront.consensus.errors import RemoteProtocolError
@@ -21,8 +18,6 @@
 from rampfront.simulation.fleet import ZONES
 from rampfront.simulation.system_run import SystemRun
 from rampfront.simulation.world import MS, SEC, World
-from rampfront.transport.transfers import CONNECT, PER_BYTE, STALE, STALL, Transfer, Transfers
-from rampfront.transport.wire import Taker
 
 SLOW, FAST = 2_000_000 / 8, 100_000_000 / 8  # bytes a second of links of 2 and 100 Mbit/s
 GAP = 100 * MS  # between two changes of a storm
@@ -460,96 +455,3 @@
     n[1].tick(n.now)
     n[1].on_heartbeat("10.0.0.3", hail | {"t": n.now}, n.now)
     assert [to for *_, to, message in sent if "S" in message].count("10.0.0.3") == 2
-
-
-# ---- large frames between nodes
-
-
-class Lines:
-    """Connections of large frames as they are opened and ended."""
-
-    def __init__(self):
-        self.now, self.open, self.stopped, self.counts = 0, [], [], Counter()
-        self.transfers = Transfers(self.start, self.counts)
-
-    def start(self, transfer):
-        transfer.connected, transfer.stop = True, lambda: self.stopped.append(transfer)
-        self.open.append(transfer)
-
-    def offer(self, kind, data, ip="10.0.0.2"):
-        self.transfers.offer(self.now, Transfer(ip, kind, data))
-
-    def came(self, transfer):
-        self.open.remove(transfer)
-        self.transfers.over(self.now, transfer)
-
-
-def test_one_frame_at_a_time_to_one_receiver():
-    """The one under way comes whole, and behind it the newest; other receivers, kinds and orders don't wait."""
-    lines = Lines()
-    for data in (b"1", b"2", b"3"):
-        lines.offer("word", data)
-    assert [frame.data for frame in lines.open] == [b"1"] and lines.counts["frames_replaced"] == 1
-    lines.offer("full", b"f")
-    lines.offer("word", b"w", "10.0.0.3")
-    lines.offer("order", b"o")
-    lines.offer("order", b"p")
-    assert [frame.data for frame in lines.open] == [b"1", b"f", b"w", b"o", b"p"]
-    lines.came(lines.open[0])
-    assert [frame.data for frame in lines.open] == [b"f", b"w", b"o", b"p", b"3"]
-    lines.came(lines.open[-1])
-    for transfer in list(lines.open):
-        lines.came(transfer)
-        lines.transfers.over(lines.now, transfer)  # told twice: it counts once
-    assert not lines.transfers.under_way and not lines.transfers.waiting and lines.transfers.bytes == 0
-
-
-def test_a_frame_that_is_stuck():
-    """Behind a cut nothing moves: a newer frame takes another connection, sooner where none was ever up."""
-    lines = Lines()
-    lines.offer("full", b"1" * 1000)
-    first = lines.open[0]
-    lines.now = STALL
-    lines.offer("full", b"2")
-    assert not lines.stopped  # it may still come
-    lines.now += PER_BYTE * 1000 + 1
-    lines.offer("full", b"3")
-    assert lines.stopped == [first] and lines.open[-1].data == b"3"
-    lines.transfers.over(lines.now, first)
-    assert lines.transfers.under_way["10.0.0.2", "full"].data == b"3" and not lines.transfers.waiting
-    lines.offer("full", b"4", "10.0.0.9")
-    lines.open[-1].connected = False
-    lines.now += CONNECT + 1
-    lines.offer("full", b"5", "10.0.0.9")
-    assert lines.open[-1].data == b"5"
-
-
-def test_a_frame_that_waited_too_long():
-    """It is not sent: whoever lacks it has asked again since."""
-    lines = Lines()
-    lines.offer("word", b"1" * 10**6)
-    lines.offer("word", b"2")
-    lines.now += STALE + 1
-    lines.came(lines.open[0])
-    assert not lines.open and lines.counts["frames_lost"] == 1
-
-
-def test_a_large_frame_may_take_its_time():
-    """A receiver gives a frame up when nothing of it comes any more, not while it comes slowly."""
-    post = Post(lambda ip, message: got.append(ip))
-    got, ended = [], []
-    pipe = SimpleNamespace(
-        write=lambda data: None, abort=lambda: ended.append(1), get_extra_info=lambda name: ("10.0.0.2", 5)
-    )
-    taker = Taker(post)
-    taker.connection_made(pipe)
-    data = cbor2.dumps({"k": "word", "b": b"x" * 9000})
-    frame = len(data).to_bytes(4, "big") + data
-    for at in range(0, len(frame), 1000):
-        taker.data_received(frame[at : at + 1000])
-        post.stage.now += 3 * SEC
-        post.sweep()
-    assert got == ["10.0.0.2"] and not ended
-    post.stage.now += 3 * SEC
-    post.sweep()
-    assert ended
