--- a/rampfront/lab/nodes.py
+++ b/rampfront/lab/nodes.py
@@ -12,6 +12,7 @@
 import subprocess
 import sys
 import time
+from collections import deque
 from pathlib import Path
 
 import orjson
@@ -20,6 +21,8 @@
 
 TICKS = os.sysconf("SC_CLK_TCK")
 PAGE = os.sysconf("SC_PAGE_SIZE")
+MAX_PORT_DRAWS = 10_000  # before it is said that none is free
+_recent_ports: deque[int] = deque(maxlen=500)  # handed out last; their nodes may not have bound them yet
 
 
 class RunFailed(Exception):
@@ -28,15 +31,20 @@
 
 def free_port(host="127.0.0.1", low=20000, high=32000):
     """A port below those that the system hands to outgoing connections. Guards against one that a connection of
-    another run, or of this one, takes between here and the node's start."""
-    while True:
+    another run, or of this one, takes between here and the node's start, and against one port for two nodes: the first
+    has not bound it yet when the second one's is drawn. Raises RunFailed if none is found."""
+    for _ in range(MAX_PORT_DRAWS):
         port = low + secrets.randbelow(high - low)
+        if port in _recent_ports:
+            continue
         with socket.socket() as sock:
             try:
                 sock.bind((host, port))
-                return port
             except OSError:
                 continue
+        _recent_ports.append(port)
+        return port
+    raise RunFailed(f"no port between {low} and {high} is free")
 
 
 def usage(pid):
@@ -85,6 +93,7 @@
         self.python = str(python) if plan.topology.root and python.exists() else sys.executable
         self.config = folder / f"node-{number}.json"
         self.process, self.starts, self.spent = None, 0, 0.0
+        self.told_to_end = False  # by a fault, and not started again yet
         self.told = {
             "name": f"n{number}",
             "listen": self.listen,
@@ -112,6 +121,7 @@
 
     def start(self):
         self.starts += 1
+        self.told_to_end = False
         self.told["seed"] = "%x" % (self.seed * 1000 + self.number * 50 + self.starts)
         self.config.write_bytes(orjson.dumps(self.told, option=orjson.OPT_INDENT_2))
         cores = self.plan.pin.nodes
@@ -137,14 +147,24 @@
             except OSError:
                 pass
             time.sleep(0.02)
-        log = (self.folder / f"node-{self.number}.log").read_bytes()[-400:].decode(errors="replace")
-        raise RunFailed(f"node {self.number} did not become ready: {log}")
+        raise RunFailed(f"node {self.number} did not become ready: {self.log_tail()}")
+
+    def log_tail(self):
+        """What its log said last."""
+        return (self.folder / f"node-{self.number}.log").read_bytes()[-400:].decode(errors="replace")
+
+    def check_running(self):
+        """Raises RunFailed if it ended and no fault had it end: it has no totals, and others served in its place."""
+        status = self.process.poll()
+        if status is not None and not self.told_to_end:
+            raise RunFailed(f"node {self.number} ended by itself with status {status}: {self.log_tail()}")
 
     def fault(self, kind, on):
         """kill: SIGKILL, back at the end; stop: SIGSTOP until the end; restart: SIGTERM, then started anew."""
         if kind == "stop":
             return self.process.send_signal(signal.SIGSTOP if on else signal.SIGCONT)
         if on:
+            self.told_to_end = True
             self.spent += usage(self.process.pid)[0]
             self.process.send_signal(signal.SIGKILL if kind == "kill" else signal.SIGTERM)
         else:
--- a/rampfront/lab/run.py
+++ b/rampfront/lab/run.py
@@ -167,6 +167,8 @@
             ends.append(json.loads(process.stdout.read()))
         self.drain_decisions()
         get(self.addresses["control"], f"/dump?dir={self.folder.resolve()}", "POST", wait=30.0)
+        for node in self.nodes:
+            node.check_running()
         for node in self.nodes:
             node.end()
         manifest = {
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -1,5 +1,6 @@
 """The laboratory: its models alone, and short experiments on loopback that cause the failures they are about."""
 
+import socket
 from random import Random
 
 import numpy as np
@@ -8,7 +9,7 @@
 from typer.testing import CliRunner
 
 from rampfront.cli import app
-from rampfront.lab import compare, faults, plots, report, schedule, tally
+from rampfront.lab import compare, faults, nodes, plots, report, schedule, tally
 from rampfront.lab.emulator import parse
 from rampfront.lab.nodes import RunFailed
 from rampfront.lab.plan import BadPlan, changed, lay_over, parse_plan, read_plan
@@ -235,6 +236,27 @@
     assert all(totals["counter_connects"] >= 2 for totals in done["node_totals"])  # cut by the restart
 
 
+def test_no_two_nodes_get_one_port():
+    """The first of them has not bound it yet when the second one's is drawn."""
+    with socket.socket() as sock:
+        sock.bind(("127.0.0.1", 0))
+        port = sock.getsockname()[1]
+    assert nodes.free_port(low=port, high=port + 1) == port
+    with pytest.raises(RunFailed, match=f"no port between {port} and {port + 1}"):
+        nodes.free_port(low=port, high=port + 1)
+
+
+@pytest.mark.slow(5)
+def test_a_node_that_ended_by_itself_fails_the_run(tmp_path, monkeypatch):
+    """It cannot listen as another one is there, which answers in its place: its totals were missing, nobody said so."""
+    port = nodes.free_port()
+    monkeypatch.setattr(nodes, "free_port", lambda: port)
+    told = plan(duration_s=1.0)
+    told = changed(told, topology=type(told.topology)(nodes=2, boxes=told.topology.boxes))
+    with pytest.raises(RunFailed, match=r"(?s)node \d (ended by itself with status 1|did not become).*cannot listen"):
+        Repeat(told, told.seed, tmp_path).play()
+
+
 @pytest.mark.slow(6)
 def test_a_crash_a_drain_and_a_killed_node(tmp_path):
     told = plan(
