--- a/rampfront/lab/system/configuration_cost.py
+++ b/rampfront/lab/system/configuration_cost.py
@@ -19,9 +19,9 @@
 
 import click
 
+from ...consensus.body_history import patched, pieces
 from ...consensus.state import State
 from ...consensus.storage import RecordStore
-from ...membership.deltas import patched, pieces
 from ...proxy import routing
 from ...quota.limiter import Limiter
 from ...settings import configuration as configurations
--- a/rampfront/lab/system/fleet_cost.py
+++ b/rampfront/lab/system/fleet_cost.py
@@ -14,8 +14,10 @@
 import click
 import uvloop
 
-from ...membership import endpoint_list as platform
-from ...membership.deltas import DeltaHistory
+from ...membership import endpoint_codec
+from ...membership.endpoint_list import EndpointList
+from ...membership.endpoint_pages import parse_page
+from ...membership.roster import RosterEntry
 from ...net.event_log import EventLog
 from ...node import bounds as limits
 from ...node.endpoints import Directory
@@ -58,7 +60,9 @@
 def directory(nodes: int) -> dict[str, float]:
     """One answer, and the roster as a frame."""
     zones, names = list(ZONES), range(nodes)
-    roster = tuple((f"node-{n:04}", f"10.0.{n >> 8}.{n & 255}", zones[n % 23], f"10.0.0.1:{n}", True) for n in names)
+    roster = tuple(
+        RosterEntry(f"node-{n:04}", f"10.0.{n >> 8}.{n & 255}", zones[n % 23], f"10.0.0.1:{n}", True) for n in names
+    )
     node = SimpleNamespace(
         process_settings=SimpleNamespace(zones=ZONES, terms=SimpleNamespace(ttl_max=5 * SEC)),
         disseminator=SimpleNamespace(roster=roster),
@@ -94,33 +98,33 @@
     """The list as the leader reads it and as a node lays it out."""
     scale = Scale(30, servers=count, services=min(SERVICES, count), tenants=8)
     bodies, now = list(pages(scale)), 1000 * SEC
-    rows = tuple(sorted(row for body in bodies for row in platform.parse_page(body, now)[0]))
+    rows = tuple(sorted(row for body in bodies for row in parse_page(body, now).rows))
     emptying = (rows[0]._replace(state="emptying"), *rows[1:])
-    lists = DeltaHistory(0, 7)
+    lists = endpoint_codec.endpoint_history()
     lists.add(1, rows)
     lists.add(2, emptying)
-    one, two = platform.EndpointList(1, rows, now), platform.EndpointList(2, emptying, now)
+    one, two = EndpointList(1, rows, now), EndpointList(2, emptying, now)
     loop, mine = uvloop.new_event_loop(), settings()
     proxy = RequestProxy(
         loop, lambda: now, mine, limits.fill(mine), Random(1), Limiter("n", Random(1)), lambda at: True, Silent()
     )
     proxy.configuration = configurations.read(configuration(scale)).unwrap()
     turn = iter(range(1 << 30))
-    told = platform.encode_since(two, now, lists, 1)
-    held = DeltaHistory(0, 7)
+    told = endpoint_codec.encode_since(two, now, lists, 1)
+    held = endpoint_codec.endpoint_history()
     held.add(1, rows)
 
     def difference() -> None:
-        lists.made.clear()
-        platform.encode_since(two, now, lists, 1)
+        lists.add(2, emptying)
+        endpoint_codec.encode_since(two, now, lists, 1)
 
     found = {
         "list: calls of the platform a round": len(bodies),
-        "list: its pages read, ms": cost(lambda: [platform.parse_page(body, now) for body in bodies], FEW) * MICRO,
+        "list: its pages read, ms": cost(lambda: [parse_page(body, now) for body in bodies], FEW) * MICRO,
         "leader: difference of one server, ms": cost(difference, FEW) * MICRO,
-        "node: difference taken, ms": cost(lambda: platform.decode_since(told, now, held, 1), FEW) * MICRO,
+        "node: difference taken, ms": cost(lambda: endpoint_codec.decode_since(told, now, held, 1), FEW) * MICRO,
         "node: laid out anew, ms": cost(lambda: proxy.listed(two if next(turn) % 2 else one), FEW) * MICRO,
-        "list, whole: bytes of its frame": frame({"k": "word", "L": platform.encode(one, now)}),
+        "list, whole: bytes of its frame": frame({"k": "word", "L": endpoint_codec.encode(one, now)}),
         "list, one server: bytes of its frame": frame({"k": "word", "L": told}),
     }
     loop.close()
--- a/rampfront/lab/system/scale_host.py
+++ b/rampfront/lab/system/scale_host.py
@@ -139,7 +139,7 @@
             "received": counts.received,
             "leads": look.is_leader,
             "ready": look.ready,
-            "known": sum(row[4] for row in look.roster),
+            "known": sum(entry.ready for entry in look.roster),
             "counts_holder": node.counter_placement.counter_ip,
             "ip": node.process_settings.ip,
             "frames_lost": node.counts["frames_lost"],
--- a/rampfront/membership/deltas.py
+++ b/rampfront/membership/deltas.py
@@ -1,130 +1,208 @@
-"""What changed since a number that another node holds, so that only that is told. No I/O, no clock.
+"""Differences between versions of replicated data, so that a node is sent only what it lacks. No I/O, no clock.
 
-A difference names what it rests on and a mark of what must come out. Whoever holds something else, or comes out
-elsewhere, takes nothing of it and asks again; so what is held is always a whole that the leader made, and swapped whole.
+A difference names the version that it is based on and carries a digest of what must result. A node that holds another
+version, or arrives at another digest, applies nothing of it and asks again (`DeltaMismatchError`). So what a node holds
+is always a complete version that a leader made, and versions are exchanged atomically.
+
+`DeltaHistory` does this for sorted rows (the roster, the endpoint list), `StateHistory` for the state of the core,
+whose largest part is the body of the operators' configuration.
 """
 
 import zlib
+from collections.abc import Callable, Iterable, Sequence
 from hashlib import blake2b
+from typing import Any, Generic, NamedTuple, TypeVar
 
 from ..consensus.body_history import patched, pieces
-from ..consensus.state import decode_state, digest
+from ..consensus.state import State, decode_state, digest
+
+Packed = Any  # a value as cbor2 gives it, of any type
+Row = TypeVar("Row", bound=tuple[Any, ...])
 
-DEPTH = 8  # versions that a difference may rest on
-STATES, BYTES = (
-    64,
-    1 << 19,
-)  # states, and bytes of their bodies; a storm makes ten a second, and a slow link lags by some
+MAX_VERSIONS = 8  # of rows, that a difference may be based on
+# Of states, and of their bodies: a burst of changes makes ten states a second, and a node behind a slow link lags by
+# some.
+MAX_STATES = 64
+MAX_STATE_BYTES = 1 << 19
+DIGEST_BYTES = 8
+# Positions in an encoded state (`consensus.state.State.encode`).
+_STATE_INDEX = 0
+_STATE_BODY = 3
+_STATE_BODY_DIGEST = 4
 
 
 class DeltaMismatchError(Exception):
-    """A difference that rests on what is not held; `astray`: it came out wrong, and only the whole helps."""
+    """A difference that cannot be applied to what is held.
 
-    def __init__(self, corrupt=False):
+    Attributes:
+        corrupt: its result had another digest than announced: only a full transfer helps. Otherwise it is based on
+            another version than the one held.
+    """
+
+    def __init__(self, corrupt: bool = False) -> None:
+        """`corrupt`: see above."""
         super().__init__(corrupt)
         self.corrupt = corrupt
 
 
-def mark(rows, width):
-    """Of the first `width` fields of each row: the last of a server's is a time by the own clock."""
-    return blake2b(repr([tuple(row[:width]) for row in rows]).encode(), digest_size=8).digest()
+class Delta(NamedTuple, Generic[Row]):
+    """A difference between two versions of a list of rows.
+
+    Attributes:
+        changed: rows that are new or differ.
+        base: number of the version that it is based on.
+        digest: `digest_rows` of the result.
+        removed: keys of the rows that are gone.
+    """
+
+    changed: Sequence[Row]
+    base: int
+    digest: bytes
+    removed: Sequence[str]
+
+
+def digest_rows(rows: Iterable[tuple[Any, ...]], width: int) -> bytes:
+    """A digest of the first `width` fields of each row, from which fields with times by the own clock are left out."""
+    return blake2b(repr([tuple(row[:width]) for row in rows]).encode(), digest_size=DIGEST_BYTES).digest()
 
 
-class DeltaHistory:
-    """The last versions of a sorted list of rows, each a tuple that its place `key` names. Memory is `DEPTH` tuples."""
+class DeltaHistory(Generic[Row]):
+    """The last versions of a sorted list of rows. Rows that versions share are kept once."""
 
-    def __init__(self, key, width):
-        self.key, self.width = key, width
-        self.kept, self.made = {}, {}  # by number, newest last; differences of the newest by what they rest on
+    def __init__(self, key: Callable[[Row], str], digest_width: int) -> None:
+        """`key` gives what identifies a row; `digest_width` is how many of its fields the digest covers."""
+        self._key = key
+        self._digest_width = digest_width
+        self._versions: dict[int, tuple[Row, ...]] = {}  # newest last
+        self._deltas: dict[int, Delta[Row] | None] = {}  # to the newest version, by base
 
-    def add(self, number, rows):
-        self.kept[number] = rows
-        self.made.clear()
-        while len(self.kept) > DEPTH:
-            del self.kept[next(iter(self.kept))]
+    def add(self, version: int, rows: tuple[Row, ...]) -> None:
+        """Remembers `rows` as the newest version."""
+        self._versions[version] = rows
+        self._deltas.clear()
+        while len(self._versions) > MAX_VERSIONS:
+            del self._versions[next(iter(self._versions))]
 
-    def can_diff_from(self, number):
-        """Whether less than the whole goes to who holds the rows of that number."""
-        return number in self.kept
+    def can_diff_from(self, version: int) -> bool:
+        """Whether a node that holds `version` can be sent less than all rows."""
+        return version in self._versions
 
-    def difference_from(self, base):
-        """(mark, names of rows gone, rows added or changed) or None, where the whole is shorter or nothing is known."""
-        if base not in self.kept:
+    def delta_since(self, base: int) -> Delta[Row] | None:
+        """The difference from version `base` to the newest; None where all rows are shorter or `base` is not known."""
+        if base not in self._versions:
             return None
-        if base not in self.made:
-            new, old = next(reversed(self.kept.values())), self.kept[base]
-            was, now = set(old), {row[self.key] for row in new}
-            gone = [row[self.key] for row in old if row[self.key] not in now]
-            rows = [row for row in new if row not in was]
-            self.made[base] = (mark(new, self.width), gone, rows) if len(rows) + len(gone) // 2 < len(new) else None
-        return self.made[base]
-
-    def apply(self, number, base, told, gone, rows):
-        """The whole that a difference makes of what is held under `number`. Raises DeltaMismatchError."""
-        if base != number or number not in self.kept:
+        if base not in self._deltas:
+            self._deltas[base] = self._make_delta(base)
+        return self._deltas[base]
+
+    def _make_delta(self, base: int) -> Delta[Row] | None:
+        key = self._key
+        new = next(reversed(self._versions.values()))
+        old = self._versions[base]
+        old_rows = set(old)
+        new_keys = {key(row) for row in new}
+        removed = [key(row) for row in old if key(row) not in new_keys]
+        changed = [row for row in new if row not in old_rows]
+        if len(changed) + len(removed) // 2 >= len(new):
+            return None
+        return Delta(changed, base, digest_rows(new, self._digest_width), removed)
+
+    def apply(self, current_version: int, delta: Delta[Row]) -> tuple[Row, ...]:
+        """The rows that `delta` makes of those held under `current_version`.
+
+        Raises:
+            DeltaMismatchError: it is based on another version, or results in other rows than its sender holds.
+        """
+        if delta.base != current_version or current_version not in self._versions:
             raise DeltaMismatchError
-        held = {row[self.key]: row for row in self.kept[number]}
-        for name in gone:
-            held.pop(name, None)
-        held.update((row[self.key], row) for row in rows)
-        whole = tuple(sorted(held.values()))
-        if mark(whole, self.width) != told:
+        rows_by_key = {self._key(row): row for row in self._versions[current_version]}
+        for key in delta.removed:
+            rows_by_key.pop(key, None)
+        rows_by_key.update((self._key(row), row) for row in delta.changed)
+        rows = tuple(sorted(rows_by_key.values()))
+        if digest_rows(rows, self._digest_width) != delta.digest:
             raise DeltaMismatchError(corrupt=True)
-        return whole
+        return rows
 
 
 class StateHistory:
-    """The core's last states: of one whose body differs, the pieces that are new; of one with the same body, none."""
+    """The last states of the core.
 
-    def __init__(self):
-        self.kept, self.made = {}, {}  # by index, newest last; bodies as told, by the mark of what they rest on
+    A node that holds one of them is sent no body where the body is still the same, else the difference between bodies.
+    """
+
+    def __init__(self) -> None:
+        """Starts empty."""
+        self._states: dict[int, State] = {}  # by index, newest last
+        self._body_deltas: dict[bytes, list[Packed]] = {}  # to the newest body, as sent, by digest of the base
 
     @property
-    def newest(self):
-        return next(reversed(self.kept.values()), None)
-
-    def add(self, state):
-        self.kept[state.index] = state
-        self.made.clear()
-        while len(self.kept) > STATES or len(self.kept) > 1 and self.size() > BYTES:
-            del self.kept[next(iter(self.kept))]
-
-    def size(self):
-        """Bytes of the bodies; those alike are one."""
-        return sum({state.body_digest: len(state.body) for state in self.kept.values()}.values())
-
-    def can_diff_from(self, index):
-        """Whether less than the whole goes to who holds the state of that index."""
-        old = self.kept.get(index)
+    def newest(self) -> State | None:
+        """The newest state; None: there is none yet."""
+        return next(reversed(self._states.values()), None)
+
+    def add(self, state: State) -> None:
+        """Remembers `state` as the newest one."""
+        self._states[state.index] = state
+        self._body_deltas.clear()
+        while len(self._states) > MAX_STATES or len(self._states) > 1 and self._body_bytes() > MAX_STATE_BYTES:
+            del self._states[next(iter(self._states))]
+
+    def _body_bytes(self) -> int:
+        """Bytes of the bodies; equal ones count once."""
+        return sum({state.body_digest: len(state.body) for state in self._states.values()}.values())
+
+    def can_diff_from(self, index: int) -> bool:
+        """Whether a node that holds the state of `index` can be sent less than the complete state."""
+        old = self._states.get(index)
         return old is not None and bool(old.body)
 
-    def encode(self, since):
-        """Plain values for who holds the state of index `since`."""
-        new, old = self.newest, self.kept.get(since)
+    def encode_since(self, index: int) -> Packed:
+        """The newest state as cbor2 carries it, for a node that holds the state of `index`."""
+        new = next(reversed(self._states.values()))
+        old = self._states.get(index)
         if old is None or not old.body or not new.body:
             return new.encode()
         plain = new.encode(include_body=False)
         if old.body_digest != new.body_digest:
-            if old.body_digest not in self.made:
-                self.made[old.body_digest] = [
-                    old.body_digest,
-                    pieces(zlib.decompress(old.body), zlib.decompress(new.body)),
-                ]
-            plain[3] = self.made[old.body_digest]
+            plain[_STATE_BODY] = self._body_delta(old, new)
         return plain
 
-    def decode(self, plain):
-        """The checked State. Raises DeltaMismatchError, and Odd for what is none."""
-        held, body = self.newest, plain[3]
+    def _body_delta(self, old: State, new: State) -> list[Packed]:
+        """What stands in place of the new body: the digest of the old one, and the pieces that differ."""
+        delta = self._body_deltas.get(old.body_digest)
+        if delta is None:
+            delta = [old.body_digest, pieces(zlib.decompress(old.body), zlib.decompress(new.body))]
+            self._body_deltas[old.body_digest] = delta
+        return delta
+
+    def decode_since(self, plain: Packed, current_index: int) -> State | None:
+        """The state that another node's `encode_since` made; None: it is not newer than the one of `current_index`.
+
+        Raises:
+            DeltaMismatchError: its body is a difference that cannot be applied to the newest state here.
+            RemoteProtocolError: it is no state.
+        """
+        return self.decode(plain) if plain[_STATE_INDEX] > current_index else None
+
+    def decode(self, plain: Packed) -> State:
+        """As `decode_since`, whatever its index."""
+        newest = self.newest
+        body = plain[_STATE_BODY]
         if type(body) is list:
-            base, told = body
-            if held is None or held.body_digest != base:
-                raise DeltaMismatchError
-            body = zlib.compress(patched(zlib.decompress(held.body), told))
-            if digest(body) != plain[4]:
-                raise DeltaMismatchError(corrupt=True)  # also where another compressor made the operator's body smaller
-            plain = [*plain[:3], body, *plain[4:]]
-        state = decode_state(plain, (held.body,) if held else ())
+            body = self._apply_body_delta(body, plain[_STATE_BODY_DIGEST])
+            plain = [*plain[:_STATE_BODY], body, *plain[_STATE_BODY + 1 :]]
+        state = decode_state(plain, (newest.body,) if newest else ())
         if state is None:
             raise DeltaMismatchError
         return state
+
+    def _apply_body_delta(self, delta: list[Packed], wanted_digest: bytes) -> bytes:
+        base_digest, operations = delta
+        newest = self.newest
+        if newest is None or newest.body_digest != base_digest:
+            raise DeltaMismatchError
+        body = zlib.compress(patched(zlib.decompress(newest.body), operations))
+        if digest(body) != wanted_digest:
+            raise DeltaMismatchError(corrupt=True)  # also where another compressor made the operator's body smaller
+        return body
--- a/rampfront/membership/dissemination.py
+++ b/rampfront/membership/dissemination.py
@@ -1,371 +1,316 @@
-"""The word of the core to every node, and the roster of the nodes. No I/O, no clock.
-
-Every node hails the leader of the core, and tells what it holds; the leader answers with its word: how long ago a
-majority stood behind it, and whatever the node lacks (state, servers, roster). Whoever is not the leader answers with
-what it was told itself, so that a node which is cut off from the core alone still learns of it through the others. The
-word's age is counted from the moment at which the node asked, by its own steady clock: it is never younger than told.
-
-`Disseminator` decides whom to ask, what to answer and what is news. Everything newer goes by number alone: states by the
-core's index, servers and roster by a number in which the leader's term comes first. So nothing goes back, whatever is
-late, repeated or out of order. What changed is told as a difference to what the asker holds (`deltas.py`), and whole where
-that is not known. A state that could not be taken brings no age: what is held must be as young as the word says.
+"""Keeps every node up to date with the core: its state, the endpoint list, the roster, and the lease's age. No I/O, no
+clock.
+
+This is anti-entropy with a leader. Every node sends heartbeats to the leader of the core and tells by numbers what it
+holds (`versions.py`). The leader answers how long ago a majority stood behind it, and sends what the node lacks; a
+change it pushes at once, and the next heartbeat makes up for a push that was lost. A node that does not lead answers
+with what it was sent itself, so that one which is cut off from the leader alone still learns of everything through the
+others.
+
+What is sent is a difference to what the receiver holds where that is known (`deltas.py`), else a full transfer, of
+which there is a budget (`transfer_budget.py`). A state that could not be applied brings no age with it: what is held
+must be as young as the lease claims.
+
+`Disseminator` joins the parts, each of which decides one thing: when to send a heartbeat and to whom (`heartbeats.py`),
+what to answer (`responder.py`), which leader to follow and how old the lease is (`leadership.py`), which nodes live
+(`peers.py`), which of them make up the roster (`roster.py`).
 """
 
-from .deltas import DeltaHistory, DeltaMismatchError
-
-MS, SEC = 10**6, 10**9
-
-HEARTBEAT_INTERVAL_NS = 800 * MS  # gap of a node's hails to the leader
-HURRY, RUSH = 150 * MS, 50 * MS  # and while the last hails went unanswered, or it never had a word
-TIRED = 400 * MS  # gap of the hails of one that never had a word, in the end: guards seeds while there is no leader
-DEAF = 1300 * MS  # a leader that has not answered for so long: others are asked too
-PEER_TIMEOUT_NS = 2400 * MS  # a node that the leader has not heard for so long leaves the roster
-VERSIONS_PER_TERM = 1 << 20  # numbers of one leader's term
-# Gap of rosters in which nobody left: at most, and for each node they go to. Guards links against one for each that
-# comes.
-PACE, EACH = SEC, MS
-# Wholes that a leader gives away in a tick, at most, and for each of ROWS nodes, as they grow with the fleet; and those of another
-# node. Guards links against all that start at once.
-MAX_FULL_TRANSFERS, ROWS, FEW = 64, 6000, 8
-ASKED = 2  # hails to the same node of one that never had a word: guards links against the whole from each seed
-LATE = 3 * SEC  # for which a frame of a life that is over may come behind those of the next one
-FULL_TRANSFER_TIMEOUT_NS, FULL_TRANSFER_NS_PER_BYTE = (
-    300 * MS,
-    8_000,
-)  # a whole is not sent again for so long, and ns for each byte of its body
-
-
-class Peer:
-    """A node as the leader hears it."""
-
-    __slots__ = (
-        "name",
-        "ip",
-        "zone",
-        "front",
-        "ready",
-        "heard",
-        "asked",
-        "index",
-        "servers",
-        "roster",
-        "life",
-        "former_life",
-        "began",
-    )
-
-    def __init__(self, name, ip):
-        self.name, self.ip = name, ip
-        self.zone = self.front = ""
-        self.ready, self.heard = False, 0
-        self.asked = 0  # when its last hail was sent, by its own clock
-        self.life = self.former_life = None  # of the process at this address
-        self.began = 0  # when this life was first heard
-        self.index = self.servers = self.roster = 0
-
-    def row(self):
-        return [self.name, self.ip, self.zone, self.front, self.ready]
-
-    def newer(self, life, asked, now):
-        """Whether a hail, sent at `asked` by the clock of its sender, is news: guards the roster against a late one of a
-        node that has said since that it leaves, or of the life before a restart, whose clock may have stood elsewhere."""
-        if life == self.life:
-            return asked > self.asked
-        if life == self.former_life and now - self.began < LATE:
-            return False
-        self.former_life, self.life, self.began = self.life, life, now
-        return True
-
-
-def whole(value, least=0):
-    if type(value) is not int or not least <= value < 1 << 62:
-        raise ValueError("a whole number should stand here")
-    return value
+from collections.abc import Callable, Sequence
+from random import Random
 
+from . import messages
+from .deltas import DeltaMismatchError, Packed
+from .dissemination_host import DisseminationHost
+from .heartbeats import HeartbeatSchedule
+from .leadership import CoreStatus, Leadership
+from .messages import Heartbeat, Message, StateResponse
+from .peers import Peer, PeerTable
+from .responder import Responder
+from .roster import Roster, RosterEntry, someone_stopped_serving
+from .versions import ReplicaVersions, first_version
 
-def text(value):
-    if type(value) is not str or len(value) > 256:
-        raise ValueError("a short text should stand here")
-    return value
+MS = 10**6  # ns
+SEC = 10**9
 
-
-def rows(value):
-    if type(value) is not list or len(value) > 10000:
-        raise ValueError("the roster is no list")
-    return tuple((text(name), text(ip), text(zone), text(front), bool(ready)) for name, ip, zone, front, ready in value)
+INCARNATION_BITS = 24
+# Interval between rosters in which nobody stopped serving: at most, and for each node that they go to. Guards links
+# against a roster for each node that joins.
+MAX_ROSTER_INTERVAL_NS = SEC
+ROSTER_INTERVAL_PER_NODE_NS = MS
 
 
 class Disseminator:
-    """`encode_state(since)` and `encode_endpoints(now, since)` give what is passed on to who holds `since`; `differences(index,
-    servers)` tells for each whether that is less than the whole, `state_size_bytes()` what the whole state takes; `on_state(plain, now)`,
-    `on_endpoints(plain, now)` and `on_roster()` take news, the first two raise DeltaMismatchError; `send(ip, message)` sends, `send_all(ips,
-    message)` the same to many. All are the station's."""
-
-    def __init__(self, me, ip, zone, front, seeds, draw, node_process):
-        self.me, self.ip, self.zone, self.front, self.seeds, self.draw = me, ip, zone, front, seeds, draw
-        self.node_process, self.send = node_process, node_process.send
+    """A node's part in the dissemination, the leader's included.
+
+    Attributes:
+        state_index: index of the state that the host holds; the host reports it (`state_changed`).
+        endpoints_version: number of the endpoint list that the host holds (`endpoints_changed`).
+        ready: whether this node takes requests (`set_ready`).
+        must_renumber_endpoints: a node holds an endpoint list that an older leader numbered above this leader's.
+        leadership: the leader that is followed, and the lease's age.
+        roster_replica: this node's replica of the roster.
+        peer_table: the other nodes, as this node hears them while it leads.
+        schedule: when heartbeats are sent, and to whom.
+        responder: what other nodes are answered.
+        incarnation: of this process; goes with each heartbeat and comes back in its answer.
+    """
+
+    def __init__(self, own: RosterEntry, seeds: Sequence[str], random: Random, host: DisseminationHost) -> None:
+        """Holds nothing yet.
+
+        Args:
+            own: this node, not ready.
+            seeds: addresses of nodes to ask while no others are known.
+            random: spreads intervals and targets.
+            host: the process.
+        """
+        self._own = own
+        self._host = host
         self.ready = False
-        self.leader, self.is_leader, self.term = None, False, 0  # term: in which `leader` leads, as far as is known
-        self.confirmed_at_ns = (
-            None  # ns, own clock: a majority of the core stood behind what we hold at that moment, or later
-        )
-        self.state_index = self.endpoints_version = self.roster_version = 0  # of what we hold: state, servers, roster
-        self.roster = ()  # rows of the last roster
-        self.peers = {}  # by ip: what the leader hears; emptied as they fall silent
-        self.answered_at, self.next_heartbeat_at_ns = 0, 0
-        self.life = draw.getrandbits(24)  # goes with each question, and comes back with its answer
-        self.must_renumber_endpoints = (
-            False  # somebody holds a list of servers that an older leader numbered above ours
-        )
-        self.turn, self.asked = 0, None  # of those whom it asks beside the leader
-        self.rosters, self.roster_at = DeltaHistory(1, 5), 0  # versions of the roster; when the leader made the last
-        self.tries, self.given, self.gave = (
-            0,
-            0,
-            {},
-        )  # hails; wholes given away in this tick; by ip: until when, state, list
-        self.astray = set()  # S, V, O: of which only the whole helps
-
-    # ---- what is asked
-
-    def tick(self, now):
-        self.given = 0
-        if self.gave:
-            self.gave = {ip: row for ip, row in self.gave.items() if now < row[0]}
+        self.state_index = 0
+        self.endpoints_version = 0
+        self.must_renumber_endpoints = False
+        self.leadership = Leadership(own.ip)
+        self.roster_replica = Roster()
+        self.peer_table = PeerTable(own.ip)
+        self.incarnation = random.getrandbits(INCARNATION_BITS)
+        self.schedule = HeartbeatSchedule(own.ip, seeds, random)
+        self.responder = Responder(host, self.leadership, self.roster_replica)
+        self._roster_made_at_ns = 0  # when this leader made its last roster
+        self._corrupt_parts: set[str] = set()  # keys of parts of which a difference came out wrong
+
+    # ---- what others read
+
+    @property
+    def leader(self) -> str | None:
+        """Address of the leader; None: not known."""
+        return self.leadership.leader
+
+    @property
+    def term(self) -> int:
+        """The term in which it leads, as far as is known."""
+        return self.leadership.term
+
+    @property
+    def is_leader(self) -> bool:
+        """Whether this node leads."""
+        return self.leadership.is_leader
+
+    @property
+    def confirmed_at_ns(self) -> int | None:
+        """When a majority last stood behind what is held, by the own clock; None: never heard of."""
+        return self.leadership.confirmed_at_ns
+
+    @property
+    def roster(self) -> tuple[RosterEntry, ...]:
+        """All nodes."""
+        return self.roster_replica.entries
+
+    @property
+    def roster_version(self) -> int:
+        """Number of that roster."""
+        return self.roster_replica.version
+
+    @property
+    def versions(self) -> ReplicaVersions:
+        """What this node holds."""
+        return ReplicaVersions(self.state_index, self.endpoints_version, self.roster_replica.version)
+
+    # ---- what the host reports
+
+    def set_seeds(self, seeds: Sequence[str]) -> None:
+        """The settings name other seeds from now on."""
+        self.schedule.seeds = seeds
+
+    def set_ready(self, ready: bool) -> None:
+        """Whether this node takes requests; a change goes with a heartbeat at once."""
+        if ready != self.ready:
+            self.ready = ready
+            self.schedule.expedite()
+
+    def state_changed(self, index: int) -> None:
+        """The host holds the state of `index` from now on."""
+        self.state_index = index
+
+    def endpoints_changed(self, version: int) -> None:
+        """The host holds the endpoint list `version` from now on."""
+        self.endpoints_version = version
+
+    def number_endpoints(self) -> int:
+        """The number of a new endpoint list that this leader makes."""
+        self.must_renumber_endpoints = False
+        return max(self.endpoints_version + 1, first_version(self.term))
+
+    def set_leadership(self, status: CoreStatus, now: int) -> None:
+        """The member of the core beside this node reports who leads. A new leader tells all nodes.
+
+        That guards leases, and the leader's own roster, against nodes that find out only by asking around.
+        """
+        begins_to_lead = status.is_leader and not self.is_leader
+        if begins_to_lead:
+            self.peer_table.reset(self.roster, self.versions, now)
+        self.leadership.update(status, now)
+        if begins_to_lead:
+            announcement = messages.encode_state_response(self.responder.update(self.versions, self.versions, now))
+            for ip in self.peer_table.by_ip:
+                self._host.send(ip, announcement)
+
+    # ---- heartbeats
+
+    def tick(self, now: int) -> None:
+        """Looks at the time: sends what is due, and as the leader renews the roster."""
+        self.responder.start_tick(now)
         if self.is_leader:
-            self.refresh_roster(now)
-        if now < self.next_heartbeat_at_ns:
+            self._refresh_roster(now)
+        if not self.schedule.is_due(now):
             return
-        calm = self.is_leader or self.confirmed_at_ns is not None and now - self.answered_at < DEAF
-        gap = (
-            HEARTBEAT_INTERVAL_NS
-            if calm
-            else HURRY
-            if self.confirmed_at_ns is not None
-            else min(TIRED, RUSH << min(8, self.tries // 16))
-        )
-        self.tries += 1
-        self.next_heartbeat_at_ns = now + int(gap * self.draw.uniform(0.85, 1.15))
+        in_contact = self.leadership.in_contact(now)
+        had_response = self.leadership.had_response
+        self.schedule.begin_attempt(now, in_contact, had_response)
         if self.is_leader:
             return
-        hail = self.heartbeat(now)
+        frame = messages.encode_heartbeat(self.heartbeat(now))
         if self.leader:
-            self.send(self.leader, hail)
-        if (not calm or not self.leader) and (other := self.other()):
-            self.send(other, hail)
-
-    def heartbeat(self, now):
-        index, servers, number = [
-            0 if key in self.astray else held
-            for key, held in zip("SVO", (self.state_index, self.endpoints_version, self.roster_version))
-        ]
-        return {
-            "k": "hail",
-            "n": self.me,
-            "z": self.zone,
-            "f": self.front,
-            "r": self.ready,
-            "i": index,
-            "s": servers,
-            "o": number,
-            "t": now,
-            "b": self.life,
-        }
-
-    def other(self):
-        """Seeds and known nodes in turn; None for one that knows nobody."""
-        ips = [row[1] for row in self.roster if row[1] != self.ip]
-        ips += [ip for ip in self.seeds if ip != self.ip and ip not in ips]
-        if not ips:
-            return None
-        if self.confirmed_at_ns is not None or self.asked not in ips or self.tries % ASKED == 1:
-            self.turn += 1
-            self.asked = ips[self.turn % len(ips)] if self.turn % 2 else self.draw.choice(ips)
-        return self.asked
-
-    # ---- what is told
-
-    def on_heartbeat(self, ip, told, now):
-        index, servers, number, asked = [whole(told[key]) for key in "isot"]
+            self._host.send(self.leader, frame)
+        if not in_contact or not self.leader:
+            alternate = self.schedule.alternate_target([entry.ip for entry in self.roster], had_response)
+            if alternate:
+                self._host.send(alternate, frame)
+
+    def heartbeat(self, now: int) -> Heartbeat:
+        """This node's heartbeat. Of a part that came out wrong it claims to hold nothing: that asks for all of it."""
+        versions = self.versions
+        if self._corrupt_parts:
+            versions = ReplicaVersions(
+                0 if messages.STATE in self._corrupt_parts else versions.state_index,
+                0 if messages.ENDPOINTS in self._corrupt_parts else versions.endpoints_version,
+                0 if messages.ROSTER in self._corrupt_parts else versions.roster_version,
+            )
+        return Heartbeat(versions, now, self.incarnation, self._own._replace(ready=self.ready))
+
+    # ---- responses
+
+    def on_heartbeat(self, ip: str, message: Message, now: int) -> None:
+        """A node sent a heartbeat: as the leader notes it, and answers what that node lacks.
+
+        Raises:
+            ValueError, LookupError: it is no heartbeat.
+        """
+        heartbeat = messages.decode_heartbeat(message, ip if self.is_leader else None)
         if self.is_leader:
-            name, zone, front = text(told["n"]), text(told["z"]), text(told["f"])
-            peer = self.peers.get(ip)
+            peer = self.peer_table.get_or_add(ip, heartbeat)
             if peer is None:
-                if len(self.peers) >= 4096:
-                    return
-                peer = self.peers[ip] = Peer(name, ip)
-            was = peer.ready
-            if peer.newer(whole(told.get("b", 0)), asked, now):
-                peer.name, peer.zone, peer.front, peer.ready = name, zone, front, bool(told["r"])
-                peer.heard, peer.asked, peer.index, peer.servers, peer.roster = now, asked, index, servers, number
-            first = self.term * VERSIONS_PER_TERM + 1
-            # Guards against what an old leader numbered when another led already: whoever took it would keep it.
-            self.must_renumber_endpoints = self.must_renumber_endpoints or self.endpoints_version < servers < first
-            if self.roster_version < number < first:
-                self.roster_version = first
-                self.rosters.add(first, self.roster)
-                self.push_updates(now)
-            if was and not peer.ready:
-                self.refresh_roster(now)  # who leaves is left out at once; who came waits for a tick, with others
-        if not self.gives(ip, now, index, servers):
-            return  # it asks again
-        word = self.state_response(now, index, servers, number, asked)
-        if "b" in told:
-            word["b"] = whole(told["b"])
-        self.send(ip, word)
-
-    def gives(self, ip, now, index, servers):
-        """Whether the word may go to one that holds these: state or list is given whole to few at a time, once each. Not
-        to one alone that holds nothing: guards slow links against a whole with each change to one that is far behind."""
-        state_known, list_known = self.node_process.differences(index, servers)
-        whole_state = index < self.state_index and not state_known
-        whole_list = servers < self.endpoints_version and not list_known
-        if not whole_state and not whole_list:
+                return
+            self._record(peer, heartbeat, now)
+        versions = self.versions
+        if self.responder.may_send(ip, versions, heartbeat.versions, now):  # else it asks again
+            response = self.responder.response(versions, heartbeat, now)
+            self._host.send(ip, messages.encode_state_response(response))
+
+    def _record(self, peer: Peer, heartbeat: Heartbeat, now: int) -> None:
+        """The leader takes note of a heartbeat.
+
+        A node that stops serving is out of the roster at once; one that joins waits for a tick, with others.
+        """
+        was_ready = peer.entry.ready
+        peer.record(heartbeat, now)
+        self._renumber_above(heartbeat.versions, now)
+        if was_ready and not peer.entry.ready:
+            self._refresh_roster(now)
+
+    def _renumber_above(self, versions: ReplicaVersions, now: int) -> None:
+        """Guards against what an old leader numbered when another led already: whoever took it would keep it."""
+        first = first_version(self.term)
+        if self.endpoints_version < versions.endpoints_version < first:
+            self.must_renumber_endpoints = True
+        if self.roster_version < versions.roster_version < first:
+            self.roster_replica.replace(first, self.roster)
+            self.push_updates(now)
+
+    def push_updates(self, now: int) -> None:
+        """Sends what changed to every node that lacks it, as far as this leader knows."""
+        versions = self.versions
+        targets: dict[ReplicaVersions, list[str]] = {}  # addresses by what they hold
+        for ip, peer in self.peer_table.lagging(versions):
+            if self.responder.may_send(ip, versions, peer.versions, now):
+                targets.setdefault(peer.versions, []).append(ip)
+                peer.versions = versions
+        for peers_hold, ips in targets.items():
+            update = self.responder.update(versions, peers_hold, now)
+            self._host.send_all(ips, messages.encode_state_response(update))
+
+    # ---- what responses bring
+
+    def on_state_response(self, ip: str, message: Message, now: int) -> None:
+        """A node sent what this one lacks: takes it over, with its age, and follows the leader that it names.
+
+        Raises:
+            ValueError, LookupError, TypeError: it is no response.
+        """
+        response = messages.decode_state_response(message)
+        state_is_current = self._apply_parts(response, now)
+        # Guards revocation against an age that comes beside a state which was not applied: it would vouch for the older
+        # one.
+        if self.is_leader or not state_is_current:
+            return
+        if self._proves_age(response, now) and response.age_ns is not None:
+            self.leadership.confirm(ip, response.leader, response.requested_at_ns, response.age_ns)
+        if self.leadership.follow(response.leader, response.term, now):
+            self.schedule.expedite()
+
+    def _apply_parts(self, response: StateResponse, now: int) -> bool:
+        """Takes over the parts of a response. Returns whether the state is as new as the response claims."""
+        state_is_current = self._apply(messages.STATE, self._host.on_state, response.state, now)
+        # Guards lists and rosters against what a leader numbered that had been deposed without knowing. A committed
+        # state is one, whoever sends it.
+        if response.term >= self.term:
+            self._apply(messages.ENDPOINTS, self._host.on_endpoints, response.endpoints, now)
+            self._apply(messages.ROSTER, self._on_roster, response.roster, now)
+        return state_is_current
+
+    def _apply(self, part: str, take_over: Callable[[Packed, int], None], packed: Packed | None, now: int) -> bool:
+        """Takes over one part. Returns False if it is a difference that does not fit; then it is asked for again."""
+        if packed is None:
             return True
-        until, state, listed = self.gave.get(ip, (0, False, False))
-        if (state or not whole_state) and (listed or not whole_list):
+        try:
+            take_over(packed, now)
+        except DeltaMismatchError as mismatch:
+            if mismatch.corrupt:
+                self._corrupt_parts.add(part)
+            self.schedule.expedite()
             return False
-        if self.given >= (
-            max(16, min(MAX_FULL_TRANSFERS, ROWS // max(1, len(self.roster)))) if self.is_leader else FEW
-        ):
-            return False
-        self.given += 1
-        until = max(
-            until,
-            now
-            + FULL_TRANSFER_TIMEOUT_NS
-            + (FULL_TRANSFER_NS_PER_BYTE * self.node_process.state_size_bytes() if whole_state else 0),
-        )
-        self.gave[ip] = until, whole_state or state, whole_list or listed
+        self._corrupt_parts.discard(part)
         return True
 
-    def state_response(self, now, index, servers, number, asked):
-        """`asked` 0: nobody asked, so it gives no age."""
-        message = {"k": "word", "l": self.leader or "", "e": self.term, "t": asked}
-        if self.confirmed_at_ns is None:
-            return message  # what a former life left on the disk may be hundreds of versions old: it is not handed on
-        if self.state_index:
-            message["a"] = max(0, now - self.confirmed_at_ns)
-        if index < self.state_index:
-            message["S"] = self.node_process.encode_state(index)
-        if servers < self.endpoints_version:
-            message["V"] = self.node_process.encode_endpoints(now, servers)
-        if number < self.roster_version:
-            since = self.rosters.difference_from(number)
-            rest = self.roster if since is None else since[2]
-            message["O"] = [self.roster_version, [list(row) for row in rest]]
-            if since is not None:
-                message["O"] += [number, *since[:2]]  # what it rests on, the mark, who is gone
-        return message
-
-    def on_state_response(self, ip, told, now):
-        held = True
-        asked, leader, term = whole(told["t"]), text(told["l"]), whole(told["e"])
-        for key, take in (
-            ("S", self.node_process.on_state),
-            ("V", self.node_process.on_endpoints),
-            ("O", self.got_roster),
-        ):
-            # Guards lists and rosters against what a leader that was deposed unawares numbered on. A state in force is one
-            # whoever tells it.
-            if key in told and (key == "S" or term >= self.term):
-                try:
-                    take(told[key], now)
-                    self.astray.discard(key)
-                except DeltaMismatchError as gap:
-                    if gap.corrupt:
-                        self.astray.add(key)
-                    held = held and key != "S"
-                    self.next_heartbeat_at_ns = 0
-        # Guards revocation against an age that is told beside a state which was not taken: it would vouch for the older one.
-        if self.is_leader or not held:
+    def _on_roster(self, packed: Packed, now: int) -> None:
+        update = messages.decode_roster_update(packed, self.roster_version)
+        if update is not None and not self.is_leader:
+            self.roster_replica.apply(update)
+            self._host.on_roster()
+
+    def _proves_age(self, response: StateResponse, now: int) -> bool:
+        """Whether a response answers a question of this process.
+
+        Guards against an answer to the process before, which held more: it says nothing of what this one lacks.
+        """
+        is_own = response.incarnation is None or response.incarnation == self.incarnation
+        return 0 < response.requested_at_ns <= now and is_own
+
+    # ---- the leader's roster
+
+    def _refresh_roster(self, now: int) -> None:
+        """Makes a new roster where the nodes that this leader hears have changed, and pushes it to all."""
+        self.peer_table.drop_silent(now)
+        own = self._own._replace(ready=self.ready)
+        entries = tuple(sorted([own, *self.peer_table.entries()]))
+        if entries == self.roster:
             return
-        # Guards against an answer to the life before, which held more than this one: it says nothing of what we lack.
-        if asked and "a" in told and asked <= now and told.get("b", self.life) == self.life:
-            at = asked - whole(told["a"])
-            if self.confirmed_at_ns is None or at > self.confirmed_at_ns:
-                self.confirmed_at_ns = at
-                # Guards against nodes that hand an old word round when the leader is gone: only it answers for now.
-                self.answered_at = max(self.answered_at, asked if ip == leader else at)
-        if not leader or leader == self.ip or term < self.term:
-            return  # Guards against an old leader that still names itself, and those that have not heard of the new one
-        if term > self.term:
-            self.term, self.leader, self.next_heartbeat_at_ns = term, leader, 0  # it is asked at once
-        elif self.leader is None or now - self.answered_at > DEAF:
-            self.leader = leader
-
-    def got_roster(self, plain, now):
-        number, rest, *since = plain
-        if not self.is_leader and whole(number) > self.roster_version:
-            rest = rows(rest)
-            self.roster = self.rosters.apply(self.roster_version, *since, rest) if since else rest
-            self.roster_version = number
-            self.rosters.add(number, self.roster)
-            self.node_process.on_roster()
-
-    # ---- the leader's part
-
-    def refresh_roster(self, now):
-        """The leader's view of the nodes; a change is a new roster, which goes to all at once."""
-        for ip in [ip for ip, peer in self.peers.items() if now - peer.heard > PEER_TIMEOUT_NS]:
-            del self.peers[ip]
-        mine = (self.me, self.ip, self.zone, self.front, self.ready)
-        new = tuple(sorted([mine] + [tuple(peer.row()) for ip, peer in self.peers.items() if ip != self.ip]))
-        if new != self.roster:
-            serve = {row[1] for row in new if row[4]}
-            calm = all(row[1] in serve for row in self.roster if row[4])
-            if calm and now - self.roster_at < min(PACE, EACH * len(self.peers)):
+        if not someone_stopped_serving(self.roster, entries):
+            interval_ns = min(MAX_ROSTER_INTERVAL_NS, ROSTER_INTERVAL_PER_NODE_NS * len(self.peer_table.by_ip))
+            if now - self._roster_made_at_ns < interval_ns:
                 return
-            self.roster, self.roster_version, self.roster_at = (
-                new,
-                max(self.roster_version + 1, self.term * VERSIONS_PER_TERM + 1),
-                now,
-            )
-            self.rosters.add(self.roster_version, new)
-            self.node_process.on_roster()
-            self.push_updates(now)
-
-    def push_updates(self, now):
-        """What changed goes to every node that lacks it, as far as it was heard to."""
-        lacking = {}
-        for ip, peer in self.peers.items():
-            if ip != self.ip and (
-                peer.index < self.state_index
-                or peer.servers < self.endpoints_version
-                or peer.roster < self.roster_version
-            ):
-                if not self.gives(ip, now, peer.index, peer.servers):
-                    continue
-                lacking.setdefault((peer.index, peer.servers, peer.roster), []).append(ip)
-                peer.index, peer.servers, peer.roster = self.state_index, self.endpoints_version, self.roster_version
-        for held, ips in lacking.items():
-            self.node_process.send_all(ips, self.state_response(now, *held, 0))
-
-    def set_leadership(self, leads, leader, term, backed_at, now):
-        """From the keeper beside us, where there is one."""
-        begins = leads and not self.is_leader
-        if begins:
-            self.peers = {}
-            # Guards the directory against a new leader that has heard nobody yet: the old roster stands for a while.
-            for name, ip, zone, front, ready in self.roster:
-                if ip != self.ip:
-                    peer = self.peers[ip] = Peer(name, ip)
-                    peer.zone, peer.front, peer.ready, peer.heard = zone, front, ready, now
-                    # What it lacks, its next hail tells: guards links against the whole state to all at once.
-                    peer.index, peer.servers, peer.roster = (
-                        self.state_index,
-                        self.endpoints_version,
-                        self.roster_version,
-                    )
-        if leader or self.is_leader and not leads:
-            self.leader = leader
-        self.is_leader, self.term = leads, max(self.term, term) if leads else self.term
-        if leads and backed_at is not None:
-            self.confirmed_at_ns = max(self.confirmed_at_ns or backed_at, backed_at)
-            self.answered_at = now
-        if begins:
-            # Guards leases, and its own roster, against nodes that find out only by asking around: it tells them.
-            for ip in self.peers:
-                self.send(
-                    ip, self.state_response(now, self.state_index, self.endpoints_version, self.roster_version, 0)
-                )
+        self._roster_made_at_ns = now
+        self.roster_replica.replace(max(self.roster_version + 1, first_version(self.term)), entries)
+        self._host.on_roster()
+        self.push_updates(now)
--- /dev/null
+++ b/rampfront/membership/endpoint_codec.py
@@ -0,0 +1,129 @@
+"""Endpoint lists between nodes: as values for cbor2, in full or as a difference. No I/O, no clock.
+
+Packed is `[version, age, names, rows]`: services and zones go as positions in `names`, and times as ns that are left or
+past, since two nodes' clocks differ. A difference has `rows` for what changed, and three parts more: the version that
+it is based on, the digest of the result, ids that are gone. A list from another node is not trusted: what is not valid
+raises `FieldError`, a `ValueError`.
+"""
+
+from operator import attrgetter
+from typing import NamedTuple
+
+from ..settings.errors import FieldError, quoted
+from ..settings.scalars import PORTS
+from .deltas import Delta, DeltaHistory, Packed
+from .endpoint_list import (
+    DRAINING,
+    MAX_CAPACITY,
+    MAX_ENDPOINTS,
+    MAX_WARMING_NS,
+    READY,
+    Endpoint,
+    EndpointList,
+    check_count,
+    check_ip,
+    check_name,
+)
+
+
+class _PackedList(NamedTuple):
+    """The parts of a complete list."""
+
+    version: Packed
+    age_ns: Packed
+    names: Packed
+    rows: Packed
+
+
+_COMPLETE_PARTS = len(_PackedList._fields)
+
+
+def endpoint_history() -> DeltaHistory[Endpoint]:
+    """An empty history of lists. The last field is not in the digest: a time by the own clock."""
+    return DeltaHistory(attrgetter("id"), len(Endpoint._fields) - 1)
+
+
+def encode(endpoint_list: EndpointList, now: int) -> list[Packed]:
+    """The complete list."""
+    positions: dict[str, int] = {}
+    rows = [
+        [
+            endpoint.id,
+            positions.setdefault(endpoint.service, len(positions)),
+            endpoint.host,
+            endpoint.port,
+            positions.setdefault(endpoint.zone, len(positions)),
+            endpoint.capacity,
+            endpoint.state == DRAINING,
+            max(0, endpoint.warming_until_ns - now) if endpoint.warming_until_ns else 0,
+        ]
+        for endpoint in endpoint_list.endpoints
+    ]
+    return [endpoint_list.version, max(0, now - endpoint_list.read_at_ns), list(positions), rows]
+
+
+def decode(plain: Packed, now: int) -> EndpointList:
+    """The list that `encode` packed, its times by the own clock. Raises FieldError."""
+    try:
+        packed = _PackedList(*plain)
+        version = packed.version
+        age_ns = packed.age_ns
+        if type(version) is not int or type(age_ns) is not int or version < 0 or age_ns < 0:
+            raise FieldError("no list of servers")
+        if len(packed.rows) > MAX_ENDPOINTS:
+            raise FieldError("no list of servers")
+        names = [check_name(name, "a name") for name in packed.names]
+        endpoints = _decode_endpoints(packed.rows, names, now)
+    except FieldError:
+        raise
+    except (TypeError, ValueError, IndexError) as error:
+        raise FieldError(f"no list of servers: {error}") from None
+    return EndpointList(version, endpoints, now - age_ns)
+
+
+def _decode_endpoints(rows: Packed, names: list[str], now: int) -> tuple[Endpoint, ...]:
+    """Of several rows with the same id, the last one counts."""
+    endpoints: dict[str, Endpoint] = {}
+    for server_id, service, host, port, zone, capacity, draining, warming_ns in rows:
+        if type(warming_ns) is not int or not 0 <= warming_ns <= MAX_WARMING_NS or type(draining) is not bool:
+            raise FieldError(f"a row: {quoted(server_id)}")
+        if service < 0 or zone < 0:
+            raise FieldError(f"a row: {quoted(server_id)}")
+        endpoints[server_id] = Endpoint(
+            check_name(server_id, "Id"),
+            names[service],
+            check_ip(host),
+            check_count(port, PORTS.stop - 1, "port"),
+            names[zone],
+            check_count(capacity, MAX_CAPACITY, "Capacity"),
+            DRAINING if draining else READY,
+            now + warming_ns if warming_ns else 0,
+        )
+    return tuple(endpoints.values())
+
+
+def encode_since(endpoint_list: EndpointList, now: int, history: DeltaHistory[Endpoint], version: int) -> list[Packed]:
+    """The list for a node that holds `version`: the difference where `history` has one, else the complete list."""
+    delta = history.delta_since(version)
+    if delta is None:
+        return encode(endpoint_list, now)
+    changed = EndpointList(endpoint_list.version, tuple(delta.changed), endpoint_list.read_at_ns)
+    return [*encode(changed, now), delta.base, delta.digest, delta.removed]
+
+
+def decode_since(
+    plain: list[Packed], now: int, history: DeltaHistory[Endpoint], current_version: int
+) -> EndpointList | None:
+    """The list that `encode_since` packed; None: it is not newer than `current_version`.
+
+    Raises:
+        FieldError: it is no list.
+        DeltaMismatchError: it is a difference that cannot be applied to what `history` has under `current_version`.
+    """
+    received = decode(plain[:_COMPLETE_PARTS], now)
+    if received.version <= current_version:
+        return None
+    if len(plain) == _COMPLETE_PARTS:
+        return received
+    delta = Delta(received.endpoints, *plain[_COMPLETE_PARTS:])
+    return EndpointList(received.version, history.apply(current_version, delta), received.read_at_ns)
--- a/rampfront/membership/endpoint_list_pager.py
+++ b/rampfront/membership/endpoint_list_pager.py
@@ -1,33 +1,44 @@
-"""Asks for the pages of the platform's list, round after round. No I/O, no clock.
+"""Decides when to ask the platform for which page of its list of servers, round after round. No I/O, no clock.
 
-`Pager.take` is given what came and when, and returns what to do. It must never mix pages of two rounds, or show a list
-that is not whole.
+A round is all pages of the list. `Pager.take` is given what happened and when, and returns what is to be done; the
+`Poller` does it. Pages of two rounds are never mixed, and a list that is not complete is never shown.
+
+The rate of calls is kept by a token bucket. A round that failed is followed by a pause that doubles with each further
+failure. Good news of a server, or that it is gone, is believed of two rounds in a row (`endpoint_pages.confirm`).
 """
 
 from collections import Counter
 from collections.abc import Callable
-from typing import NamedTuple
+from operator import attrgetter
+from typing import NamedTuple, TypeAlias
 from urllib.parse import quote
 
 from ..settings.errors import FieldError, quoted
 from ..settings.scalars import SEC
-from .endpoint_list import MOST_ROWS, READY, Endpoint, EndpointList, believed, parse_page
+from .endpoint_list import MAX_ENDPOINTS, READY, Endpoint, EndpointList
+from .endpoint_pages import confirm, parse_page
 
-OK, TOO_MANY_CALLS = 200, 429
-MOST_PAGES = 512  # of a round
-LEAST_RATE = 0.01  # calls a second
-# Behind a round that failed: the first, or the gap if that is shorter; doubled up to the second, or the gap if that
-# is longer. No longer: once the platform is back, what it shows must be everywhere within `Drain`.
-FIRST_PAUSE, LONGEST_PAUSE = SEC // 4, SEC
-MOST_FAILURES, MOST_DOUBLINGS = 16, 8  # that are told apart
-REFUSED = 2  # a round that was answered with 429 counts as so many failures
+OK = 200
+TOO_MANY_REQUESTS = 429
+MAX_PAGES = 512  # of a round
+MIN_CALLS_PER_S = 0.01
+BUCKET_NS = SEC // 2  # what the bucket holds, at least: a round's pages lie close together
+# Behind a round that failed: the first pause, or the interval if that is shorter; doubled up to the longest, or the
+# interval if that is longer. No longer: once the platform is back, what it shows must be everywhere within `Drain`.
+FIRST_PAUSE_NS = SEC // 4
+MAX_PAUSE_NS = SEC
+MAX_FAILURES = 16  # that are told apart
+MAX_DOUBLINGS = 8
+FAILURES_OF_REJECTION = 2  # a round that was answered with 429 counts as so many failures
+MIN_SPREAD = 0.75  # of a pause; at random up to half as much again
+SPREAD = 0.5
 
 
-# ---- what a pager takes
+# ---- events, which a pager takes
 
 
 class PageReceived(NamedTuple):
-    """The answer to a `FetchPage`: its round, and the status and body."""
+    """The platform answered a `FetchPage`: its round, and the status and body."""
 
     round: int
     status: int
@@ -35,17 +46,17 @@
 
 
 class PageFailed(NamedTuple):
-    """No answer to a `FetchPage`, and why."""
+    """The platform did not answer a `FetchPage`, and why."""
 
     round: int
     why: str
 
 
 class TimerFired:
-    """The time asked for by `SetTimer` has come."""
+    """The time set by `SetTimer` has come."""
 
 
-# ---- what it wants done
+# ---- effects, which it returns
 
 
 class FetchPage(NamedTuple):
@@ -56,29 +67,29 @@
 
 
 class SetTimer(NamedTuple):
-    """Give it `TimerFired` at this time (ns); a later `SetTimer` replaces it."""
+    """Give `TimerFired` at this time (ns); it replaces the one before."""
 
     until: int
 
 
 class ListCompleted(NamedTuple):
-    """The round is whole: this is the list."""
+    """The round is complete: this is the list."""
 
     servers: EndpointList
 
 
 class RoundFailed(NamedTuple):
-    """The round brought no list."""
+    """The round brought no list, and why."""
 
     why: str
 
 
-Event = PageReceived | PageFailed | type[TimerFired]
-Effect = FetchPage | SetTimer | ListCompleted | RoundFailed
+Event: TypeAlias = PageReceived | PageFailed | type[TimerFired]
+Effect: TypeAlias = FetchPage | SetTimer | ListCompleted | RoundFailed
 
 
-class _KnownPage(NamedTuple):
-    """A page as it last was, and what it says."""
+class _CachedPage(NamedTuple):
+    """A page as it was last received, and what it says."""
 
     body: bytes
     rows: list[Endpoint]
@@ -86,149 +97,189 @@
     faults: int
 
 
+class _RoundResult(NamedTuple):
+    """What a complete round amounts to: the endpoints, and ids whose good news waits for the next round."""
+
+    endpoints: tuple[Endpoint, ...]
+    pending: frozenset[str]
+
+
 class Pager:
-    """Asks for the pages of one round after another, and makes a list of each round that is whole."""
-
-    def __init__(self, gap: int, per_s: float, draw: Callable[[], float] | None = None, number: int = 0) -> None:
-        """`gap`: ns from the start of one round to the start of the next. `per_s`: calls a second at most, on average,
-        with half a second's worth at once so that the pages of a round lie close together. `draw`: a random.Random's
-        `random`, which spreads retries. `number`: lists to come carry numbers above this one."""
-        self.gap, self.draw, self.number = gap, draw, number
-        self.cost = round(SEC / max(per_s, LEAST_RATE))  # ns of the bucket that one call uses
-        self.room = max(self.cost, SEC // 2)  # ns that the bucket holds
-        self.full_at = 0  # when the bucket will be full again
-        self.round = self.failed = 0
-        self.began, self.asking = 0, False  # of the round that runs; False: none does
-        self.token: str | None = None  # of the page asked for; None: of the first one
-        self.seen: set[str] = set()  # tokens of this round
-        self.rows: dict[str, Endpoint] = {}  # of this round, by id
-        self.pages = 0
-        self.known: dict[str | None, _KnownPage] = {}  # by token; those of the newest round
-        self.waits: int | None = None  # a page that is to be fetched once the bucket allows it
-        self.last: EndpointList | None = None  # the newest list
-        self.held: frozenset[str] = frozenset()  # ids with good news, or none, in the newest round for the first time
+    """Asks for the pages of one round after another, and makes a list of each round that is complete."""
+
+    def __init__(
+        self,
+        interval_ns: int,
+        max_calls_per_s: float,
+        random: Callable[[], float] | None = None,
+        version: int = 0,
+    ) -> None:
+        """No round is running.
+
+        Args:
+            interval_ns: from the start of one round to the start of the next.
+            max_calls_per_s: calls of the platform at most, on average.
+            random: a `random.Random`'s `random`, which spreads pauses; None: they are not spread.
+            version: lists to come carry numbers above this one.
+        """
         self.counts: Counter[str] = Counter()
-
-    def above(self, number: int) -> None:
+        self.round = 0  # number of the newest round
+        self.failures = 0  # in a row
+        self._interval_ns = interval_ns
+        self._random = random
+        self._version = version
+        self._last: EndpointList | None = None  # the newest list
+        self._pending: frozenset[str] = frozenset()  # ids whose good news waits for the next round
+        # The token bucket.
+        self._call_cost_ns = round(SEC / max(max_calls_per_s, MIN_CALLS_PER_S))
+        self._bucket_ns = max(self._call_cost_ns, BUCKET_NS)
+        self._bucket_full_at_ns = 0
+        self._deferred_until_ns: int | None = None  # a page waits for the bucket; None: none does
+        # The round that is running.
+        self._is_running = False
+        self._started_at_ns = 0
+        self._token: str | None = None  # of the page asked for; None: of the first one
+        self._tokens_seen: set[str] = set()
+        self._rows: dict[str, Endpoint] = {}  # by id
+        self._pages = 0
+        self._cache: dict[str | None, _CachedPage] = {}  # pages of the newest round, by token
+
+    def skip_versions(self, version: int) -> None:
         """Lists to come carry numbers above this one: another node's lists went up to it."""
-        self.number = max(self.number, number)
+        self._version = max(self._version, version)
 
     def take(self, now: int, event: Event) -> list[Effect]:
-        """Takes in an answer, the lack of one, or `TimerFired`; returns what is to be done, in order."""
+        """Takes in an event at `now` (ns); returns what is to be done, in order."""
         if isinstance(event, type):  # `TimerFired`
-            return self.go_on(now)
-        if not self.asking or event.round != self.round:
+            return self._continue(now)
+        if not self._is_running or event.round != self.round:
             self.counts["late"] += 1  # of a round that was given up
             return []
         if isinstance(event, PageFailed):
-            return self.drop(now, event.why, 1)
+            return self._fail_round(now, event.why, 1)
         if event.status != OK:
-            return self.drop(now, f"status {event.status}", REFUSED if event.status == TOO_MANY_CALLS else 1)
-        return self.take_page(now, event.body)
+            failures = FAILURES_OF_REJECTION if event.status == TOO_MANY_REQUESTS else 1
+            return self._fail_round(now, f"status {event.status}", failures)
+        return self._take_page(now, event.body)
 
-    def take_page(self, now: int, body: bytes) -> list[Effect]:
+    def stop(self) -> None:
+        """Gives up the round that is running; what is still received of it is ignored."""
+        self._is_running = False
+        self._deferred_until_ns = None
+        self._rows = {}
+        self._tokens_seen = set()
+
+    def _continue(self, now: int) -> list[Effect]:
+        """Goes on with a page that was deferred, or with the next round."""
+        if self._deferred_until_ns is not None:
+            return self._fetch_page(now)
+        return [] if self._is_running else self._start_round(now)
+
+    def _start_round(self, now: int) -> list[Effect]:
+        self.round += 1
+        self._started_at_ns = now
+        self._is_running = True
+        self._token = None
+        self._tokens_seen = set()
+        self._rows = {}
+        self._pages = 0
+        return self._fetch_page(now)
+
+    def _fetch_page(self, now: int) -> list[Effect]:
+        """Asks for the next page, once the bucket allows it."""
+        start_ns = max(self._bucket_full_at_ns, now)
+        if start_ns + self._call_cost_ns - now > self._bucket_ns:
+            self._deferred_until_ns = start_ns + self._call_cost_ns - self._bucket_ns
+            return [SetTimer(self._deferred_until_ns)]
+        self._bucket_full_at_ns = start_ns + self._call_cost_ns
+        self._deferred_until_ns = None
+        self._pages += 1
+        self.counts["calls"] += 1
+        target = "/servers" if self._token is None else f"/servers?PageToken={quote(self._token, safe='')}"
+        return [FetchPage(self.round, target)]
+
+    def _take_page(self, now: int, body: bytes) -> list[Effect]:
         """Takes in the page that was asked for."""
         try:
-            page = self.read(body, now)
+            page = self._read_page(body, now)
         except FieldError as error:
-            return self.drop(now, f"odd page: {error}", 1)
+            return self._fail_round(now, f"odd page: {error}", 1)
         self.counts["odd_rows"] += page.faults
         for row in page.rows:
-            self.rows[row.id] = row
+            self._rows[row.id] = row
         if page.token is None:
-            return self.close(now)
-        self.token = page.token
-        self.seen.add(page.token)
-        return self.fetch(now)
-
-    def go_on(self, now: int) -> list[Effect]:
-        """The time that was asked for has come: for a page that waited, or for the next round."""
-        if self.waits is not None:
-            return self.fetch(now)
-        return [] if self.asking else self.begin(now)
-
-    def read(self, body: bytes, now: int) -> _KnownPage:
-        """The page that was asked for. Most come again byte for byte: such a one is not read again, unless a server on
-        it is cold, whose time left is counted from now. Raises FieldError for one that cannot be the next page."""
-        known = self.known.get(self.token)
-        if known is None or known.body != body:
-            page = parse_page(body, now)
-            known = _KnownPage(body, page.rows, page.token, len(page.faults))
+            return self._complete_round(now)
+        self._token = page.token
+        self._tokens_seen.add(page.token)
+        return self._fetch_page(now)
+
+    def _read_page(self, body: bytes, now: int) -> _CachedPage:
+        """Reads the page that was asked for.
+
+        Most pages come again byte for byte. Such a one is not parsed again, unless a server on it is warming up, whose
+        time left counts from now.
+
+        Raises:
+            FieldError: it cannot be the next page.
+        """
+        page = self._cache.get(self._token)
+        if page is None or page.body != body:
+            parsed = parse_page(body, now)
+            page = _CachedPage(body, parsed.rows, parsed.token, len(parsed.faults))
             if any(row.warming_until_ns for row in page.rows):
-                self.known.pop(self.token, None)
+                self._cache.pop(self._token, None)
             else:
-                self.known[self.token] = known
-        if known.token is not None and (known.token in self.seen or self.pages >= MOST_PAGES):
-            raise FieldError(f"NextToken: {quoted(known.token)} again")
-        if len(self.rows) + len(known.rows) > MOST_ROWS:
+                self._cache[self._token] = page
+        if page.token is not None and (page.token in self._tokens_seen or self._pages >= MAX_PAGES):
+            raise FieldError(f"NextToken: {quoted(page.token)} again")
+        if len(self._rows) + len(page.rows) > MAX_ENDPOINTS:
             raise FieldError("more servers than can be")
-        return known
-
-    def stop(self) -> None:
-        """The round that runs is given up; what still comes of it is not read."""
-        self.asking, self.waits = False, None
-        self.rows, self.seen = {}, set()
-
-    def begin(self, now: int) -> list[Effect]:
-        """Starts a round."""
-        self.round += 1
-        self.began, self.asking = now, True
-        self.token, self.seen, self.rows, self.pages = None, set(), {}, 0
-        return self.fetch(now)
-
-    def fetch(self, now: int) -> list[Effect]:
-        """Keeps the rate: a call that would go beyond it waits, and its round with it."""
-        start = max(self.full_at, now)
-        if start + self.cost - now > self.room:
-            self.waits = start + self.cost - self.room
-            return [SetTimer(self.waits)]
-        self.full_at, self.waits = start + self.cost, None
-        self.pages += 1
-        self.counts["calls"] += 1
-        target = "/servers" if self.token is None else f"/servers?PageToken={quote(self.token, safe='')}"
-        return [FetchPage(self.round, target)]
+        return page
 
-    def drop(self, now: int, why: str, weight: int) -> list[Effect]:
-        """The round brought no list: the next one begins after a pause, which grows with the failures in a row."""
+    def _fail_round(self, now: int, why: str, failures: int) -> list[Effect]:
+        """Ends a round without a list; it counts as so many `failures`."""
         self.counts["dropped"] += 1
-        self.failed = min(MOST_FAILURES, self.failed + weight)
+        self.failures = min(MAX_FAILURES, self.failures + failures)
         self.stop()
-        doubled = min(FIRST_PAUSE, self.gap) << min(MOST_DOUBLINGS, self.failed - 1)
-        pause = min(max(LONGEST_PAUSE, self.gap), doubled)
-        if self.draw:
-            pause = round(pause * (0.75 + self.draw() / 2))
-        return [SetTimer(now + pause), RoundFailed(why)]
-
-    def close(self, now: int) -> list[Effect]:
-        """The round is whole."""
-        rows, self.held = self.settle(now)
-        self.counts["held"] += len(self.held)
+        doublings = min(MAX_DOUBLINGS, self.failures - 1)
+        pause_ns = min(max(MAX_PAUSE_NS, self._interval_ns), min(FIRST_PAUSE_NS, self._interval_ns) << doublings)
+        if self._random:
+            pause_ns = round(pause_ns * (MIN_SPREAD + self._random() * SPREAD))
+        return [SetTimer(now + pause_ns), RoundFailed(why)]
+
+    def _complete_round(self, now: int) -> list[Effect]:
+        """Makes a list of the round. The timer goes first, so that a fault of the list's receiver ends no rounds."""
+        result = self._compare_round(now)
+        self._pending = result.pending
+        self.counts["held"] += len(result.pending)
         self.counts["rounds"] += 1
-        self.failed = 0
-        if self.last is None or self.last.version != self.number or self.last.endpoints != rows:
-            self.number += 1
-        self.last = EndpointList(self.number, rows, self.began)
-        self.known = {token: page for token, page in self.known.items() if token is None or token in self.seen}
+        self.failures = 0
+        if self._last is None or self._last.version != self._version or self._last.endpoints != result.endpoints:
+            self._version += 1
+        self._last = EndpointList(self._version, result.endpoints, self._started_at_ns)
+        self._cache = {
+            token: page for token, page in self._cache.items() if token is None or token in self._tokens_seen
+        }
         self.stop()
-        # The wait goes first, so that a fault of whoever takes the list does not end the rounds.
-        return [SetTimer(max(now, self.began + self.gap)), ListCompleted(self.last)]
-
-    def settle(self, now: int) -> tuple[tuple[Endpoint, ...], frozenset[str]]:
-        """What is believed of the round's rows, by id, and of which ids the news waits for the next round."""
-        fresh, held = self.rows, set()
-        rows: list[Endpoint] = []
-        for old in self.last.endpoints if self.last else ():
-            row = fresh.pop(old.id, None)
-            if row is None:
-                if old.state == READY and old.id not in self.held:
-                    held.add(old.id)
-                    rows.append(old)
-            elif row is old:
-                rows.append(old)
-            else:
-                row, hold = believed(old, row, now, old.id in self.held)
-                rows.append(row)
-                if hold:
-                    held.add(old.id)
-        rows += fresh.values()
-        return tuple(sorted(rows, key=lambda row: row.id)), frozenset(held)
+        return [SetTimer(max(now, self._started_at_ns + self._interval_ns)), ListCompleted(self._last)]
+
+    def _compare_round(self, now: int) -> _RoundResult:
+        """Compares the round's rows with the list before."""
+        unmatched = self._rows
+        pending: set[str] = set()
+        endpoints: list[Endpoint] = []
+        for old in self._last.endpoints if self._last else ():
+            row = unmatched.pop(old.id, None)
+            was_pending = old.id in self._pending
+            if row is old:
+                endpoints.append(old)
+            elif row is not None:
+                believed = confirm(old, row, now, was_pending)
+                endpoints.append(believed.endpoint)
+                if believed.pending:
+                    pending.add(old.id)
+            elif old.state == READY and not was_pending:  # gone without having drained: kept for a round
+                endpoints.append(old)
+                pending.add(old.id)
+        endpoints += unmatched.values()
+        return _RoundResult(tuple(sorted(endpoints, key=attrgetter("id"))), frozenset(pending))
--- a/rampfront/membership/endpoint_list_poller.py
+++ b/rampfront/membership/endpoint_list_poller.py
@@ -1,12 +1,13 @@
 """Asks the platform for its list of servers, round after round, while it is started.
 
-It owns the connection to the platform and one timer. It must never decide what a list says: `Pager` does.
+It owns the connection to the platform and one timer, and carries out the effects of a `Pager`, which decides.
 """
 
 from asyncio import AbstractEventLoop, Task, TimerHandle
 from collections import Counter
 from collections.abc import Callable
 from random import Random
+from typing import NamedTuple, assert_never
 
 from result import Ok
 
@@ -26,111 +27,149 @@
     TimerFired,
 )
 
-PAGE_WAIT, PAGE_LONGEST = 1.0, 2.0  # s, for one page, the connect included; the longer one behind a failure, for a
-# platform that is slow would never be heard. No longer: what hangs since a cut is found out only then
-PAGE_MOST = 4 << 20  # bytes of one
+PAGE_TIMEOUT_S = 1.0  # for one page, the connect included
+# Behind a failure, for a platform that is slow would never be heard. No longer: a call that hangs since the network was
+# partitioned is found out only then.
+RETRY_TIMEOUT_S = 2.0
+MAX_PAGE_BYTES = 4 << 20
+
+Address = tuple[str, int]  # host and port
+
+
+class PollSettings(NamedTuple):
+    """Whom to ask, and how often.
+
+    Attributes:
+        address: the platform's.
+        max_calls_per_s: calls at most, on average.
+        interval_ns: from the start of one round to the start of the next.
+    """
+
+    address: Address
+    max_calls_per_s: float
+    interval_ns: int
+
+
+def _ignore(_why: str) -> None:
+    """Nobody is to be told."""
+
+
+class PollCallbacks(NamedTuple):
+    """Who is told of a round's end.
+
+    Attributes:
+        on_list: called with the list of a round that was complete.
+        on_failure: called with the reason why a round brought none.
+    """
+
+    on_list: Callable[[EndpointList], None]
+    on_failure: Callable[[str], None] = _ignore
 
 
 class Poller:
-    """Carries out what a `Pager` wants done, on sockets."""
+    """Carries out the effects of a `Pager` on sockets.
+
+    Attributes:
+        since_ns: time of the last success, or else of the start.
+        running: whether it is started.
+    """
 
     def __init__(
         self,
         loop: AbstractEventLoop,
         clock: Callable[[], int],
-        address: tuple[str, int],
-        per_s: float,
-        on_list: Callable[[EndpointList], None],
-        gap_ns: int,
-        rng: Random | None = None,
-        on_drop: Callable[[str], None] | None = None,
+        settings: PollSettings,
+        callbacks: PollCallbacks,
+        random: Random | None = None,
     ) -> None:
-        """`address` is the platform's, `clock` gives ns; `per_s` and `gap_ns` as `Pager` has them. `on_list` is called
-        with each whole list, `on_drop` with the reason for each round that brought none."""
+        """`clock` gives ns; `random` spreads the pauses behind failures, None: they are not spread."""
         self.loop = loop
         self.clock = clock
-        self.address = address
-        self.on_list = on_list
-        self.on_drop = on_drop
-        self.pager = Pager(gap_ns, per_s, rng.random if rng else None)
-        self.client: HttpClient | None = None
-        self.handle: TimerHandle | None = None
-        self.task: Task[None] | None = None
+        self.callbacks = callbacks
         self.running = False
-        self.since = clock()  # the last success, or else the start
+        self.since_ns = clock()
+        self.timer: TimerHandle | None = None
+        self._address = settings.address
+        self._pager = Pager(settings.interval_ns, settings.max_calls_per_s, random.random if random else None)
+        self._client: HttpClient | None = None
+        self._task: Task[None] | None = None
 
     @property
     def counts(self) -> Counter[str]:
         """What the pager counted: calls, rounds, what was dropped and why."""
-        return self.pager.counts
+        return self._pager.counts
 
     def start(self) -> None:
-        """At once, whatever pause was under way before."""
+        """Begins a round at once, whatever pause was under way before."""
         if not self.running:
-            self.running, self.since = True, self.clock()
+            self.running = True
+            self.since_ns = self.clock()
             self.take(TimerFired)
 
     def stop(self) -> None:
-        """Ends the round that runs, and the connection."""
+        """Ends the round that is running, and the connection."""
         self.running = False
-        self.pager.stop()
-        if self.handle:
-            self.handle.cancel()
-        if self.task:
-            self.task.cancel()
-        if self.client:
-            self.client.close()
-        self.client = self.handle = self.task = None
-
-    def move(self, address: tuple[str, int]) -> None:
-        """The platform is elsewhere from now on: what the old address still says would be old news."""
-        if address != self.address:
+        self._pager.stop()
+        if self.timer:
+            self.timer.cancel()
+        if self._task:
+            self._task.cancel()
+        if self._client:
+            self._client.close()
+        self.timer = None
+        self._task = None
+        self._client = None
+
+    def change_address(self, address: Address) -> None:
+        """The platform is elsewhere from now on: an answer from the old address would be outdated."""
+        if address != self._address:
             was_running = self.running
-            self.address = address
+            self._address = address
             self.stop()
             if was_running:
                 self.running = True
                 self.take(TimerFired)
 
-    def failed_for(self, now: int) -> int:
-        """ns since the last whole list, or since the start when there was none."""
-        return max(0, now - self.since)
+    def failing_ns(self, now: int) -> int:
+        """Time since the last complete list, or since the start when there was none."""
+        return max(0, now - self.since_ns)
 
     def take(self, event: Event) -> None:
-        """Gives the pager what came, and carries out what it wants done."""
+        """Gives the pager an event, and carries out its effects."""
         now = self.clock()
-        for effect in self.pager.take(now, event):
-            self.carry_out(effect, now)
+        for effect in self._pager.take(now, event):
+            self._carry_out(effect, now)
             if not self.running:  # stopped by whoever took the list
                 return
 
-    def carry_out(self, effect: Effect, now: int) -> None:
-        """One thing that the pager wants done."""
-        if isinstance(effect, FetchPage):
-            self.task = self.loop.create_task(self.fetch(effect))
-        elif isinstance(effect, SetTimer):
-            if self.handle:
-                self.handle.cancel()
-            self.handle = self.loop.call_later(max(0, effect.until - now) / SEC, self.due)
-        elif isinstance(effect, ListCompleted):
-            self.since = now
-            self.on_list(effect.servers)
-        elif isinstance(effect, RoundFailed) and self.on_drop:
-            self.on_drop(effect.why)
-
-    def due(self) -> None:
-        """The time that the pager waited for has come."""
-        self.handle = None
+    def _carry_out(self, effect: Effect, now: int) -> None:
+        match effect:
+            case FetchPage():
+                self._task = self.loop.create_task(self.fetch(effect))
+            case SetTimer(until):
+                if self.timer:
+                    self.timer.cancel()
+                self.timer = self.loop.call_later(max(0, until - now) / SEC, self._on_timer)
+            case ListCompleted(servers):
+                self.since_ns = now
+                self.callbacks.on_list(servers)
+            case RoundFailed(why):
+                self.callbacks.on_failure(why)
+            case _:
+                assert_never(effect)
+
+    def _on_timer(self) -> None:
+        self.timer = None
         self.take(TimerFired)
 
     async def fetch(self, effect: FetchPage) -> None:
-        """Asks for a page, and gives the pager what came of it."""
-        if self.client is None:
-            self.client = HttpClient(self.loop, self.address, PAGE_MOST)
-        wait = PAGE_LONGEST if self.pager.failed else PAGE_WAIT
-        result = await self.client.request(HttpRequest("GET", effect.target), timeout_s=wait)
+        """Asks for a page, and gives the pager the answer."""
+        if self._client is None:
+            self._client = HttpClient(self.loop, self._address, MAX_PAGE_BYTES)
+        timeout_s = RETRY_TIMEOUT_S if self._pager.failures else PAGE_TIMEOUT_S
+        result = await self._client.request(HttpRequest("GET", effect.target), timeout_s=timeout_s)
         if isinstance(result, Ok):
-            reply = result.ok_value
-            self.take(PageReceived(effect.round, reply.status, reply.body))
+            response = result.ok_value
+            self.take(PageReceived(effect.round, response.status, response.body))
         else:
             self.take(PageFailed(effect.round, result.err_value.reason))
--- /dev/null
+++ b/rampfront/membership/messages.py
@@ -0,0 +1,283 @@
+"""The frames by which nodes keep each other up to date: built, checked and encoded here alone. No I/O, no clock.
+
+| kind on the wire | class | from, to |
+| --- | --- | --- |
+| `hail` | `Heartbeat` | every node to the leader: that it lives, and what it holds |
+| `word` | `StateResponse` | the answer: the lease's age and what the asker lacks; or the leader's push of a change |
+| `sight` | `HealthReports` | every node to the leader: what its requests show of the servers |
+| `dim` | `HealthVerdicts` | the leader to every node: what the reports of all together show |
+
+The constants below are the keys on the wire. Kinds, keys and the order of keys never change: nodes of an older and a
+newer version run side by side. A key whose value is `None` in the class is left out of the frame.
+
+Frames come from other machines. A decoder raises `ValueError`, `LookupError` or `TypeError` for a field that is missing
+or cannot be what it should; the transport then drops the frame and counts it. Keys that are not known are ignored.
+
+The state, the endpoint list and the roster within a `StateResponse` stay packed until they are known to be newer than
+what is held, since only then, and with what is held, can a difference be decoded: by `deltas.StateHistory`,
+`endpoint_codec.decode_since` and `decode_roster_update`.
+"""
+
+from collections.abc import Container, Mapping, Sequence
+from typing import Any, NamedTuple
+
+from .deltas import Delta, Packed
+from .roster import RosterEntry, RosterUpdate
+from .server_health import MAX_REPORTS, OBSERVATIONS, VERDICTS, ServerReport
+from .versions import ReplicaVersions
+
+Message = Mapping[str, Any]  # a frame as cbor2 gives it
+
+KIND = "k"
+
+HEARTBEAT = "hail"
+NODE_NAME = "n"
+NODE_ZONE = "z"
+NODE_FRONT = "f"
+NODE_READY = "r"
+STATE_INDEX = "i"
+ENDPOINTS_VERSION = "s"
+ROSTER_VERSION = "o"
+INCARNATION = "b"  # of the asking process; comes back in the response
+
+STATE_RESPONSE = "word"
+LEADER = "l"
+LEADER_TERM = "e"
+SENT_AT = "t"  # in a heartbeat: when it was sent, by its sender's clock
+AGE = "a"
+STATE = "S"
+ENDPOINTS = "V"
+ROSTER = "O"
+
+HEALTH_REPORTS = "sight"
+HEALTH_VERDICTS = "dim"
+TERM = "e"
+REPORTS = "r"
+
+INTEGER_LIMIT = 1 << 62
+MAX_TEXT_CHARACTERS = 256  # of a name, an address or a zone
+MAX_ROSTER_ENTRIES = 10_000
+MAX_SERVER_ID_CHARACTERS = 200
+
+
+class Heartbeat(NamedTuple):
+    """A node tells what it holds, and asks for what it lacks.
+
+    Attributes:
+        versions: what it holds, by number.
+        sent_at_ns: when it was sent, by the sender's clock.
+        incarnation: drawn at the start of the sending process; None: an older version, which sends none.
+        sender: the node as it is to stand in the roster; None where it is not read (`decode_heartbeat`).
+    """
+
+    versions: ReplicaVersions
+    sent_at_ns: int
+    incarnation: int | None
+    sender: RosterEntry | None
+
+
+class StateResponse(NamedTuple):
+    """What a node lacks, and how recently a majority of the core confirmed it.
+
+    Attributes:
+        leader: address of the leader that the sender follows; empty: it knows none.
+        term: the term in which that leader leads.
+        requested_at_ns: `sent_at_ns` of the heartbeat that is answered; 0: a push, which proves no age.
+        age_ns: how long before the heartbeat arrived a majority stood behind the leader; None: not known.
+        state: the core's state, packed; None: the receiver has it.
+        endpoints: the endpoint list, packed; None: the receiver has it.
+        roster: the roster, packed; None: the receiver has it.
+        incarnation: that of the heartbeat, None for a push.
+    """
+
+    leader: str
+    term: int
+    requested_at_ns: int
+    age_ns: int | None = None
+    state: Packed | None = None
+    endpoints: Packed | None = None
+    roster: Packed | None = None
+    incarnation: int | None = None
+
+
+class HealthReports(NamedTuple):
+    """What one node's requests show of servers: (server, observation) each."""
+
+    reports: Sequence[ServerReport]
+
+
+class HealthVerdicts(NamedTuple):
+    """What the leader of `term` concludes from the reports: (server, verdict) each."""
+
+    term: int
+    verdicts: Sequence[ServerReport]
+
+
+def _integer(value: object) -> int:
+    if type(value) is not int or not 0 <= value < INTEGER_LIMIT:
+        raise ValueError("not an integer in range")
+    return value
+
+
+def _text(value: object) -> str:
+    if type(value) is not str or len(value) > MAX_TEXT_CHARACTERS:
+        raise ValueError("not a short text")
+    return value
+
+
+def encode_heartbeat(heartbeat: Heartbeat) -> dict[str, Packed]:
+    """The frame of a heartbeat that has a sender."""
+    sender = heartbeat.sender
+    assert sender is not None  # only a received one may lack it
+    versions = heartbeat.versions
+    return {
+        KIND: HEARTBEAT,
+        NODE_NAME: sender.name,
+        NODE_ZONE: sender.zone,
+        NODE_FRONT: sender.front,
+        NODE_READY: sender.ready,
+        STATE_INDEX: versions.state_index,
+        ENDPOINTS_VERSION: versions.endpoints_version,
+        ROSTER_VERSION: versions.roster_version,
+        SENT_AT: heartbeat.sent_at_ns,
+        INCARNATION: heartbeat.incarnation,
+    }
+
+
+def decode_heartbeat(message: Message, sender_ip: str | None) -> Heartbeat:
+    """The heartbeat in a frame.
+
+    Args:
+        message: the frame.
+        sender_ip: where it came from; None where no roster is made, since there the sender's description is not read.
+
+    Raises:
+        ValueError, LookupError: see the module's text.
+    """
+    versions = ReplicaVersions(
+        _integer(message[STATE_INDEX]), _integer(message[ENDPOINTS_VERSION]), _integer(message[ROSTER_VERSION])
+    )
+    sent_at_ns = _integer(message[SENT_AT])
+    incarnation = _integer(message[INCARNATION]) if INCARNATION in message else None
+    if sender_ip is None:
+        return Heartbeat(versions, sent_at_ns, incarnation, None)
+    name = _text(message[NODE_NAME])
+    zone = _text(message[NODE_ZONE])
+    front = _text(message[NODE_FRONT])
+    sender = RosterEntry(name, sender_ip, zone, front, bool(message[NODE_READY]))
+    return Heartbeat(versions, sent_at_ns, incarnation, sender)
+
+
+def encode_state_response(response: StateResponse) -> dict[str, Packed]:
+    """The frame of a response or a push."""
+    message = {
+        KIND: STATE_RESPONSE,
+        LEADER: response.leader,
+        LEADER_TERM: response.term,
+        SENT_AT: response.requested_at_ns,
+    }
+    if response.age_ns is not None:
+        message[AGE] = response.age_ns
+    if response.state is not None:
+        message[STATE] = response.state
+    if response.endpoints is not None:
+        message[ENDPOINTS] = response.endpoints
+    if response.roster is not None:
+        message[ROSTER] = response.roster
+    if response.incarnation is not None:
+        message[INCARNATION] = response.incarnation
+    return message
+
+
+def decode_state_response(message: Message) -> StateResponse:
+    """The response in a frame, its parts still packed.
+
+    Raises:
+        ValueError, LookupError: see the module's text.
+    """
+    if None in message.values():
+        raise ValueError("a key without a value")
+    return StateResponse(
+        _text(message[LEADER]),
+        _integer(message[LEADER_TERM]),
+        _integer(message[SENT_AT]),
+        _integer(message[AGE]) if AGE in message else None,
+        message.get(STATE),
+        message.get(ENDPOINTS),
+        message.get(ROSTER),
+        _integer(message[INCARNATION]) if INCARNATION in message else None,
+    )
+
+
+def encode_roster_update(update: RosterUpdate) -> list[Packed]:
+    """A roster within a response: its number and entries, and what a difference needs."""
+    plain: list[Packed] = [update.version, [list(entry) for entry in update.entries]]
+    if update.delta is not None:
+        plain += [update.delta.base, update.delta.digest, update.delta.removed]
+    return plain
+
+
+def decode_roster_update(plain: Packed, current_version: int) -> RosterUpdate | None:
+    """The roster that `encode_roster_update` packed; None: it is not newer than `current_version`.
+
+    Raises:
+        ValueError, TypeError: see the module's text.
+    """
+    version, *parts = plain
+    if _integer(version) <= current_version:
+        return None
+    packed_entries, *packed_delta = parts
+    entries = _decode_roster_entries(packed_entries)
+    if not packed_delta:
+        return RosterUpdate(version, entries)
+    return RosterUpdate(version, entries, Delta(entries, *packed_delta))
+
+
+def _decode_roster_entries(packed: Packed) -> tuple[RosterEntry, ...]:
+    if type(packed) is not list or len(packed) > MAX_ROSTER_ENTRIES:
+        raise ValueError("the roster is no list")
+    return tuple(
+        RosterEntry(_text(name), _text(ip), _text(zone), _text(front), bool(ready))
+        for name, ip, zone, front, ready in packed
+    )
+
+
+def encode_health_reports(message: HealthReports) -> dict[str, Packed]:
+    """The frame of a node's reports."""
+    return {KIND: HEALTH_REPORTS, REPORTS: [list(report) for report in message.reports]}
+
+
+def decode_health_reports(message: Message) -> HealthReports:
+    """The reports in a frame. Raises ValueError, LookupError."""
+    return HealthReports(_decode_server_reports(message[REPORTS], OBSERVATIONS))
+
+
+def encode_health_verdicts(message: HealthVerdicts) -> dict[str, Packed]:
+    """The frame of the leader's verdicts."""
+    return {
+        KIND: HEALTH_VERDICTS,
+        TERM: message.term,
+        REPORTS: [list(verdict) for verdict in message.verdicts],
+    }
+
+
+def decode_health_verdicts(message: Message) -> HealthVerdicts:
+    """The verdicts in a frame. Raises ValueError, LookupError."""
+    return HealthVerdicts(_integer(message[TERM]), _decode_server_reports(message[REPORTS], VERDICTS))
+
+
+def _decode_server_reports(packed: Packed, statuses: Container[int]) -> list[ServerReport]:
+    if type(packed) is not list or len(packed) > MAX_REPORTS:
+        raise ValueError("server reports are no list")
+    return [_decode_server_report(row, statuses) for row in packed]
+
+
+def _decode_server_report(row: Packed, statuses: Container[int]) -> ServerReport:
+    if type(row) is not list or len(row) != len(ServerReport._fields):
+        raise ValueError("a server report is no row")
+    report = ServerReport(*row)
+    if type(report.server_id) is not str or len(report.server_id) > MAX_SERVER_ID_CHARACTERS:
+        raise ValueError("a server report without a server")
+    if type(report.status) is not int or report.status not in statuses:
+        raise ValueError("a server report of no known status")
+    return report
--- /dev/null
+++ b/rampfront/membership/responder.py
@@ -0,0 +1,69 @@
+"""What a node sends to another that holds less, and whether it may be sent now. No I/O, no clock."""
+
+from .dissemination_host import DisseminationHost
+from .leadership import Leadership
+from .messages import Heartbeat, StateResponse, encode_roster_update
+from .roster import Roster
+from .transfer_budget import MAX_FULL_TRANSFERS_OF_OTHERS, TransferBudget, leader_limit
+from .versions import ReplicaVersions
+
+
+class Responder:
+    """Makes responses and pushes; sends nothing itself."""
+
+    def __init__(self, host: DisseminationHost, leadership: Leadership, roster: Roster) -> None:
+        """The parts of the node that responses are made of."""
+        self._host = host
+        self._leadership = leadership
+        self._roster = roster
+        self._budget = TransferBudget()
+
+    def start_tick(self, now: int) -> None:
+        """Gives the budget of full transfers until the next tick."""
+        self._budget.start_tick(now)
+
+    def may_send(self, ip: str, own: ReplicaVersions, receiver: ReplicaVersions, now: int) -> bool:
+        """Whether a response may go to a node now; if it needs a full transfer, begins that.
+
+        Args:
+            ip: the receiver's address.
+            own: what this node holds.
+            receiver: what the receiver holds.
+            now: ns.
+        """
+        lacks_state = receiver.state_index < own.state_index
+        lacks_endpoints = receiver.endpoints_version < own.endpoints_version
+        full_state = lacks_state and not self._host.can_diff_state_from(receiver.state_index)
+        full_endpoints = lacks_endpoints and not self._host.can_diff_endpoints_from(receiver.endpoints_version)
+        if not full_state and not full_endpoints:
+            return True
+        leads = self._leadership.is_leader
+        limit = leader_limit(len(self._roster.entries)) if leads else MAX_FULL_TRANSFERS_OF_OTHERS
+        state_bytes = self._host.state_size_bytes() if full_state else None
+        return self._budget.begin(ip, now, state_bytes, full_endpoints, limit)
+
+    def update(self, own: ReplicaVersions, receiver: ReplicaVersions, now: int) -> StateResponse:
+        """A push to a node that holds `receiver`. It proves no age, since nobody asked."""
+        return self.response(own, Heartbeat(receiver, 0, None, None), now)
+
+    def response(self, own: ReplicaVersions, heartbeat: Heartbeat, now: int) -> StateResponse:
+        """The answer to a heartbeat: what its sender lacks of `own`, and how old that is at most."""
+        leader = self._leadership.leader or ""
+        term = self._leadership.term
+        age_ns = self._leadership.age_ns(now)
+        if age_ns is None:
+            # What an earlier process left on the disk may be hundreds of versions old: it is not handed on.
+            return StateResponse(leader, term, heartbeat.sent_at_ns, incarnation=heartbeat.incarnation)
+        versions = heartbeat.versions
+        state = endpoints = roster = None
+        if versions.state_index < own.state_index:
+            state = self._host.encode_state(versions.state_index)
+        if versions.endpoints_version < own.endpoints_version:
+            endpoints = self._host.encode_endpoints(now, versions.endpoints_version)
+        if versions.roster_version < own.roster_version:
+            roster = encode_roster_update(self._roster.update_since(versions.roster_version))
+        if not own.state_index:
+            age_ns = None  # without a state, nothing has an age
+        return StateResponse(
+            leader, term, heartbeat.sent_at_ns, age_ns, state, endpoints, roster, heartbeat.incarnation
+        )
--- a/rampfront/node/endpoints.py
+++ b/rampfront/node/endpoints.py
@@ -48,7 +48,7 @@
     def lookup(self, asked):
         """The ready fronts, near ones alone as long as there are some: bytes between zones and regions are dear."""
         node_process, zones = self.node_process, self.node_process.process_settings.zones
-        rows = [row for row in node_process.disseminator.roster if row[3] and row[4]]
+        rows = [entry for entry in node_process.disseminator.roster if entry.front and entry.ready]
         if not rows:
             return error_response(503, "no front is known to be ready", BACK)
         zone, region = asked.query.get("Zone"), asked.query.get("Region")
--- a/rampfront/node/metrics.py
+++ b/rampfront/node/metrics.py
@@ -52,7 +52,7 @@
     if core_member is not None and core_member.leadership is not None:
         yield from core_gauges(core_member.leadership.strength(now))
     yield "nodes_known", len(look.roster)
-    yield "nodes_ready", sum(row[4] for row in look.roster)
+    yield "nodes_ready", sum(entry.ready for entry in look.roster)
     if request_proxy.servers is not None:
         yield "servers_listed", len(request_proxy.servers.endpoints)
         yield "servers_ready", sum(row.state == "ready" for row in request_proxy.servers.endpoints)
--- a/rampfront/node/node.py
+++ b/rampfront/node/node.py
@@ -13,10 +13,14 @@
 from ..consensus import events
 from ..consensus.errors import RemoteProtocolError
 from ..consensus.member import Member
-from ..membership import endpoint_list as platform
-from ..membership.deltas import DeltaHistory, StateHistory
-from ..membership.dissemination import VERSIONS_PER_TERM, Disseminator
-from ..membership.server_health import MAX_REPORTS, HealthRegistry
+from ..membership import endpoint_codec, messages
+from ..membership.deltas import StateHistory
+from ..membership.dissemination import Disseminator
+from ..membership.endpoint_list_poller import PollCallbacks, PollSettings
+from ..membership.health_registry import HealthRegistry
+from ..membership.leadership import CoreStatus
+from ..membership.roster import RosterEntry
+from ..membership.server_health import MAX_REPORTS
 from ..net.desk import Timers
 from ..net.latency_histogram import LatencyHistogram
 from ..proxy.core import RequestProxy
@@ -52,9 +56,8 @@
         bounds = limits.fill(process_settings)
         self.wire = ports.wire(loop, self.clock, (process_settings.ip, process_settings.ports[0]), log, self.heard)
         front = "%s:%d" % process_settings.front if process_settings.front else ""
-        self.disseminator = Disseminator(
-            process_settings.name, process_settings.ip, process_settings.zone, front, seeds, self.draw, self
-        )
+        own = RosterEntry(process_settings.name, process_settings.ip, process_settings.zone, front, False)
+        self.disseminator = Disseminator(own, seeds, self.draw, self)
         self.lease = (
             process_settings.terms.revoke_within - MARGIN if process_settings.terms.revoke_everywhere else 60 * SEC
         )
@@ -77,7 +80,7 @@
         self.state, self.states, self.lists = (
             None,
             StateHistory(),
-            DeltaHistory(0, 7),
+            endpoint_codec.endpoint_history(),
         )  # the last two: what differences rest on
         self.core_member, self.disk, self.record_store = None, None, None
         self.orders = Orders(self)
@@ -107,13 +110,11 @@
                 log.record("disk unread", why=repr(trouble))
         self.poller = None
         if process_settings.platform:
-            self.poller = ports.poller(
-                loop, self.clock, process_settings.platform, process_settings.platform_per_s, self.polled, POLL
-            )
+            polling = PollSettings(process_settings.platform, process_settings.platform_per_s, POLL)
+            callbacks = PollCallbacks(self.polled, self.unpolled)
+            self.poller = ports.poller(loop, self.clock, polling, callbacks)
         self.polling, self.ending = False, False
         self.calls = []  # the listeners of the system's own addresses
-        if self.poller:
-            self.poller.on_drop = self.unpolled
 
     # ---- between nodes
 
@@ -126,9 +127,9 @@
     def heard(self, ip, message):
         now, kind = self.clock(), message["k"]
         self.check_leadership(now)
-        if kind == "hail":
+        if kind == messages.HEARTBEAT:
             self.disseminator.on_heartbeat(ip, message, now)
-        elif kind == "word":
+        elif kind == messages.STATE_RESPONSE:
             self.disseminator.on_state_response(ip, message, now)
             self.look(now)
         elif kind == "add":
@@ -143,12 +144,14 @@
             if pending and self.limiter.link.pending is not pending:
                 self.add_trips.record(now - pending.first_sent_at)
             self.arm_tide()  # what came due meanwhile need not wait for the timer that sends again
-        elif kind == "sight":
-            self.sighted(ip, message["r"], now)
-        elif kind == "dim":
+        elif kind == messages.HEALTH_REPORTS:
+            self.on_health_reports(ip, message, now)
+        elif kind == messages.HEALTH_VERDICTS:
             # Guards against what a leader of an older term still has to say of servers.
-            if ip == self.disseminator.leader and message["e"] >= self.disseminator.term:
-                self.request_proxy.sighted(message["r"])
+            if ip == self.disseminator.leader:
+                health = messages.decode_health_verdicts(message)
+                if health.term >= self.disseminator.term:
+                    self.request_proxy.sighted(health.verdicts)
         elif kind in ("order", "said"):
             self.orders.heard(ip, message)
         elif self.core_member:
@@ -160,16 +163,18 @@
 
     # ---- what servers look like to the fleet
 
-    def sighted(self, ip, rows, now):
-        """Reports come to the leader alone; what they bear out goes to all, itself too."""
-        if self.disseminator.is_leader and (
-            news := self.health_registry.add_reports(ip, rows, self.request_proxy.nodes, now)
-        ):
-            all_ips = list(dict.fromkeys((self.process_settings.ip, *self.disseminator.peers)))
-            for start in range(0, len(news), MAX_REPORTS):
-                self.send_all(
-                    all_ips, {"k": "dim", "e": self.disseminator.term, "r": news[start : start + MAX_REPORTS]}
-                )
+    def on_health_reports(self, ip, message, now):
+        """Reports come to the leader alone; its verdicts go to all, itself too."""
+        if not self.disseminator.is_leader:
+            return
+        reports = messages.decode_health_reports(message).reports
+        verdicts = self.health_registry.add_reports(ip, reports, self.request_proxy.nodes, now)
+        if not verdicts:
+            return
+        all_ips = list(dict.fromkeys((self.process_settings.ip, *self.disseminator.peer_table.by_ip)))
+        for start in range(0, len(verdicts), MAX_REPORTS):
+            part = messages.HealthVerdicts(self.disseminator.term, verdicts[start : start + MAX_REPORTS])
+            self.send_all(all_ips, messages.encode_health_verdicts(part))
 
     # ---- the keeper
 
@@ -207,9 +212,9 @@
         core_member, disseminator = self.core_member, self.disseminator
         led = disseminator.is_leader
         leads = core_member.is_leader and core_member.quorum_confirmed_at is not None
-        disseminator.set_leadership(
-            leads, core_member.leader_ip, self.state.term if self.state else 0, core_member.quorum_confirmed_at, now
-        )
+        term = self.state.term if self.state else 0
+        status = CoreStatus(leads, core_member.leader_ip, term, core_member.quorum_confirmed_at)
+        disseminator.set_leadership(status, now)
         if leads != led:
             self.log.record("leads" if leads else "follows", term=disseminator.term)
         if self.poller and leads != self.polling:
@@ -224,7 +229,7 @@
             return  # Guards against going back: a late or repeated word changes nothing
         old, self.state = self.state, state
         self.states.add(state)
-        self.disseminator.state_index = state.index
+        self.disseminator.state_changed(state.index)
         if state.revision and (old is None or state.revision != old.revision):
             found = configurations.read(zlib.decompress(state.body))
             if found.is_ok():
@@ -246,17 +251,21 @@
             self.disseminator.push_updates(self.clock())
 
     def encode_state(self, since):
-        return self.states.encode(since)
+        return self.states.encode_since(since)
 
-    def differences(self, index, servers):
-        return self.states.can_diff_from(index), self.lists.can_diff_from(servers)
+    def can_diff_state_from(self, index):
+        return self.states.can_diff_from(index)
+
+    def can_diff_endpoints_from(self, version):
+        return self.lists.can_diff_from(version)
 
     def state_size_bytes(self):
         return len(self.state.body) if self.state is not None else 0
 
     def on_state(self, plain, now):
-        if plain[0] > self.disseminator.state_index:
-            self.apply(self.states.decode(plain))
+        state = self.states.decode_since(plain, self.disseminator.state_index)
+        if state is not None:
+            self.apply(state)
 
     def polled(self, servers):
         now, old = self.clock(), self.request_proxy.servers
@@ -269,9 +278,7 @@
             and not self.disseminator.must_renumber_endpoints
         ):
             return
-        self.disseminator.must_renumber_endpoints = False
-        number = max(self.disseminator.endpoints_version + 1, self.disseminator.term * VERSIONS_PER_TERM + 1)
-        self.serve(replace(servers, version=number))
+        self.serve(replace(servers, version=self.disseminator.number_endpoints()))
         self.disseminator.push_updates(now)
 
     def unpolled(self, why):
@@ -279,21 +286,21 @@
         self.log.record_limited("platform", "list", why=why)
 
     def serve(self, servers):
-        self.disseminator.endpoints_version = servers.version
+        self.disseminator.endpoints_changed(servers.version)
         self.lists.add(servers.version, servers.endpoints)
         self.request_proxy.listed(servers)
         self.health_registry.set_servers((row.id, row.zone) for row in servers.endpoints)
 
     def encode_endpoints(self, now, since):
-        return platform.encode_since(self.request_proxy.servers, now, self.lists, since)
+        return endpoint_codec.encode_since(self.request_proxy.servers, now, self.lists, since)
 
     def on_endpoints(self, plain, now):
-        servers = platform.decode_since(plain, now, self.lists, self.disseminator.endpoints_version)
+        servers = endpoint_codec.decode_since(plain, now, self.lists, self.disseminator.endpoints_version)
         if not self.disseminator.is_leader and servers is not None:
             self.serve(servers)
 
     def on_roster(self):
-        count = max(1, sum(row[4] for row in self.disseminator.roster))
+        count = max(1, sum(entry.ready for entry in self.disseminator.roster))
         self.request_proxy.counted(count)
         self.quota_counter.set_proxy_count(count)
         self.moor()
@@ -311,8 +318,7 @@
     def look(self, now):
         ready = self.client_front.ready() and not self.ending
         if ready != self.disseminator.ready:
-            self.disseminator.ready = ready
-            self.disseminator.next_heartbeat_at_ns = 0
+            self.disseminator.set_ready(ready)
             self.log.record("ready" if ready else "not ready")
 
     # ---- the tide
@@ -320,7 +326,9 @@
     def moor(self):
         members = [ip for ip, _ in self.state.members.values()] if self.state else []
         self.say(
-            self.counter_placement.rank(self.clock(), members, {row[1] for row in self.disseminator.roster if row[4]})
+            self.counter_placement.rank(
+                self.clock(), members, {entry.ip for entry in self.disseminator.roster if entry.ready}
+            )
         )
         self.arm_tide()
 
@@ -363,8 +371,10 @@
         self.tell(events.Tick())
         self.disseminator.tick(now)
         self.orders.tick(now)
-        if (rows := self.request_proxy.health_reporter.take_reports(now)) and self.disseminator.leader:
-            self.send(self.disseminator.leader, {"k": "sight", "r": rows})
+        reports = self.request_proxy.health_reporter.take_reports(now)
+        if reports and self.disseminator.leader:
+            frame = messages.encode_health_reports(messages.HealthReports(reports))
+            self.send(self.disseminator.leader, frame)
         self.look(now)
         if self.disseminator.confirmed_at_ns is not None:
             self.word_ages.record(max(0, now - self.disseminator.confirmed_at_ns))
@@ -420,11 +430,12 @@
         if found.is_err():
             return self.log.record("settings kept", why=found.err_value)
         new = found.ok_value
-        self.disseminator.seeds = [host for host, _ in new.seeds]
+        seeds = [host for host, _ in new.seeds]
+        self.disseminator.set_seeds(seeds)
         if self.core_member:
-            self.core_member.seeds = list(self.disseminator.seeds)
+            self.core_member.seeds = list(seeds)
         if self.poller and new.platform:
-            self.poller.move(new.platform)
+            self.poller.change_address(new.platform)
         # Guards against a 400 for a zone that the other nodes know by now; those that are gone may yet be taken back.
         self.process_settings.zones.update(new.zones)
         self.log.record("settings read")
--- a/rampfront/node/status_views.py
+++ b/rampfront/node/status_views.py
@@ -134,7 +134,7 @@
     def nodes(self, asked):
         """The roster. All machines have alike ports (DEPLOY.md), so a node's control address is told by its ip."""
         port = self.node_process.process_settings.control[1]
-        rows, then = page(asked, self.node_process.disseminator.roster, lambda row: row[0])
+        rows, then = page(asked, self.node_process.disseminator.roster, lambda entry: entry.name)
         return self.view(
             {
                 "Nodes": [
--- a/rampfront/proxy/core.py
+++ b/rampfront/proxy/core.py
@@ -10,7 +10,8 @@
 
 from .. import terms as t
 from ..choice import Line
-from ..membership.server_health import HEALTHY, HealthReporter
+from ..membership.health_reporter import HealthReporter
+from ..membership.server_health import HEALTHY
 from ..net.core import Exchange, Unfit
 from ..net.desk import Desk
 from ..net.latency_histogram import LatencyHistogram
--- a/rampfront/proxy/forwarding.py
+++ b/rampfront/proxy/forwarding.py
@@ -9,6 +9,7 @@
 
 from .. import terms as t
 from ..membership import server_health
+from ..membership.health_reporter import CONNECT_TIMEOUT_NS
 from ..net.upstream import IDLE, WAITING, Link, Upstream
 
 MS, SEC = 10**6, 10**9
@@ -135,7 +136,7 @@
             self.until = FAR
         if self.exchange:
             now = self.pool.clock()
-            hung = how == t.UNREACHED and now - self.sent_at >= server_health.CONNECT_TIMEOUT_NS
+            hung = how == t.UNREACHED and now - self.sent_at >= CONNECT_TIMEOUT_NS
             self.pool.health_reporter.request_ended(
                 self.ref, self.target.uid, now, server_health.CONNECT_TIMED_OUT if hung else SAW.get(how)
             )
--- a/rampfront/simulation/fleet_growth.py
+++ b/rampfront/simulation/fleet_growth.py
@@ -17,9 +17,13 @@
 import click
 
 from ..consensus.state import State, digest
-from ..membership import endpoint_list as platform
-from ..membership.deltas import DeltaHistory, StateHistory
-from ..membership.dissemination import VERSIONS_PER_TERM, Disseminator
+from ..membership import endpoint_codec, messages
+from ..membership.deltas import StateHistory
+from ..membership.dissemination import Disseminator
+from ..membership.endpoint_list import Endpoint, EndpointList
+from ..membership.leadership import CoreStatus
+from ..membership.roster import RosterEntry
+from ..membership.versions import first_version
 from ..transport.frames import MAX_DATAGRAM_BYTES, decode_frame, encode_frame
 from ..transport.wire import MAX_OUTGOING_CONNECTIONS
 from .link_bytes import link_bytes
@@ -94,16 +98,15 @@
         self.sea, self.k, self.ip, self.zone, self.region = sea, k, sea.ip(k), k % sea.zones, k % sea.zones % 2
         self.disk, self.up, self.life = k <= sea.disks, True, life
         self.offset = k * 7_777_777_777
-        self.state, self.servers, self.states, self.lists = None, None, StateHistory(), DeltaHistory(0, 7)
-        self.look = Disseminator(
-            f"front-hall-{self.zone}-{k}",
-            self.ip,
-            f"north-hall-{self.zone}",
-            f"{self.ip}:8388",
-            [sea.ip(j) for j in range(1, min(sea.disks, 4) + 1)],
-            sea.draw,
-            self,
+        self.state, self.servers, self.states, self.lists = (
+            None,
+            None,
+            StateHistory(),
+            endpoint_codec.endpoint_history(),
         )
+        own = RosterEntry(f"front-hall-{self.zone}-{k}", self.ip, f"north-hall-{self.zone}", f"{self.ip}:8388", False)
+        seeds = [sea.ip(j) for j in range(1, min(sea.disks, 4) + 1)]
+        self.look = Disseminator(own, seeds, sea.draw, self)
         self.out_free = self.in_free = 0
         self.out = []  # large frames under way, in the order they began
 
@@ -117,36 +120,42 @@
         self.sea.spread(self, ips, message)
 
     def encode_state(self, since):
-        return self.states.encode(since)
+        return self.states.encode_since(since)
 
-    def differences(self, index, servers):
-        return self.states.can_diff_from(index), self.lists.can_diff_from(servers)
+    def can_diff_state_from(self, index):
+        return self.states.can_diff_from(index)
+
+    def can_diff_endpoints_from(self, version):
+        return self.lists.can_diff_from(version)
 
     def state_size_bytes(self):
         return len(self.state.body) if self.state is not None else 0
 
     def on_state(self, plain, now):
-        if plain[0] > self.look.state_index:
-            self.apply(self.states.decode(plain))
+        state = self.states.decode_since(plain, self.look.state_index)
+        if state is not None:
+            self.apply(state)
 
     def apply(self, state):
-        self.state, self.look.state_index = state, state.index
+        self.state = state
+        self.look.state_changed(state.index)
         self.states.add(state)
         self.look.ready = self.servers is not None
         if self.look.is_leader:
             self.look.push_updates(self.clock())
 
     def encode_endpoints(self, now, since):
-        return platform.encode_since(self.servers, now, self.lists, since)
+        return endpoint_codec.encode_since(self.servers, now, self.lists, since)
 
     def on_endpoints(self, plain, now):
-        servers = platform.decode_since(plain, now, self.lists, self.look.endpoints_version)
+        servers = endpoint_codec.decode_since(plain, now, self.lists, self.look.endpoints_version)
         if not self.look.is_leader and servers is not None:
             self.serve(servers)
 
     def serve(self, servers):
         self.lists.add(servers.version, servers.endpoints)
-        self.servers, self.look.endpoints_version = servers, servers.version
+        self.servers = servers
+        self.look.endpoints_changed(servers.version)
         self.look.ready = self.state is not None
 
     def on_roster(self):
@@ -166,7 +175,7 @@
         self.lead = self.ships[self.ip(1)]
         self.lead.apply(self.entry(State(1, 1, 0, members={"n1": (self.ip(1), 1)})))
         self.rows = [
-            platform.Endpoint(
+            Endpoint(
                 f"i-{self.draw.getrandbits(40):010x}",
                 "huvo11a" if n % 3 else "wuno96b",
                 f"10.{n % self.zones}.{64 + n // 250 % 100}.{n % 250}",
@@ -265,7 +274,9 @@
 
     def read(self, ip, peer, data):
         message = decode_frame(data)
-        (peer.look.on_heartbeat if message["k"] == "hail" else peer.look.on_state_response)(ip, message, peer.clock())
+        (peer.look.on_heartbeat if message["k"] == messages.HEARTBEAT else peer.look.on_state_response)(
+            ip, message, peer.clock()
+        )
 
     def own(self, ship, act, *args):
         if ship is not self.lead:
@@ -287,7 +298,7 @@
 
     def beat(self, ship):
         if ship is self.lead:
-            ship.look.set_leadership(True, ship.ip, 1, ship.clock(), ship.clock())
+            ship.look.set_leadership(CoreStatus(True, ship.ip, 1, ship.clock()), ship.clock())
         ship.look.tick(ship.clock())
 
     def run(self, ms):
@@ -335,9 +346,7 @@
     def listed(self, rows):
         lead = self.lead
         self.rows = rows
-        made = platform.EndpointList(
-            max(lead.look.endpoints_version + 1, VERSIONS_PER_TERM + 1), tuple(sorted(rows)), lead.clock()
-        )
+        made = EndpointList(max(lead.look.endpoints_version + 1, first_version(1)), tuple(sorted(rows)), lead.clock())
         lead.serve(made)
         self.own(lead, lead.look.push_updates, lead.clock())
         return lambda ship: ship.look.endpoints_version >= made.version
@@ -359,7 +368,7 @@
     def known(self):
         """Everybody's roster shows just those that are up, each ready."""
         up = sum(ship.up for ship in self.ships.values())
-        return lambda ship: len(ship.look.roster) == up and all(row[4] for row in ship.look.roster)
+        return lambda ship: len(ship.look.roster) == up and all(entry.ready for entry in ship.look.roster)
 
     def stop(self, ships):
         for ship in ships:
--- a/rampfront/simulation/isolation.py
+++ b/rampfront/simulation/isolation.py
@@ -239,7 +239,7 @@
         self.fleet.watch.word()
         for machine in self.fleet.machines:
             if self.cut_since and not self.quiet and machine.up and not machine.frozen:
-                ready = sum(row[4] for row in machine.node_process.disseminator.roster)
+                ready = sum(entry.ready for entry in machine.node_process.disseminator.roster)
                 if 2 * ready <= len(self.fleet.machines):
                     raise Broken(f"{machine.name} knows {ready} fronts")
         self.fleet.at(self.fleet.now + LOOK, self.look)
--- a/rampfront/simulation/system_faults.py
+++ b/rampfront/simulation/system_faults.py
@@ -248,7 +248,7 @@
         fleet.seeds = [fleet.core[k].ip if k < len(fleet.core) else "10.99.9.9" for k in some]
         for machine in fleet.machines:
             if machine.up and not machine.frozen:
-                machine.node_process.disseminator.seeds = list(fleet.seeds)
+                machine.node_process.disseminator.set_seeds(list(fleet.seeds))
                 if machine.core_member:
                     machine.core_member.seeds = list(fleet.seeds)
 
--- a/rampfront/simulation/system_run.py
+++ b/rampfront/simulation/system_run.py
@@ -179,7 +179,7 @@
             is_joining = machine.counted and fleet.is_joining(machine)
             if not node_process.disseminator.ready or is_joining:
                 raise Broken(f"{machine.name} is not ready in the calm" + (", nor taken in" if is_joining else ""))
-            listed = [row[0] for row in node_process.disseminator.roster if row[4]]
+            listed = [entry.name for entry in node_process.disseminator.roster if entry.ready]
             if listed != rows:
                 raise Broken(f"{machine.name} lists {listed} as ready")
         lists = {m.node_process.disseminator.endpoints_version for m in up}
--- a/tests/proxy_fixtures.py
+++ b/tests/proxy_fixtures.py
@@ -8,8 +8,13 @@
 import cbor2
 from helper import Pipe, Stage
 
+from rampfront.membership import messages
 from rampfront.membership.dissemination import Disseminator
 from rampfront.membership.endpoint_list import Endpoint, EndpointList
+from rampfront.membership.leadership import CoreStatus
+from rampfront.membership.messages import Heartbeat
+from rampfront.membership.roster import RosterEntry
+from rampfront.membership.versions import ReplicaVersions
 from rampfront.net.event_log import EventLog
 from rampfront.node import bounds
 from rampfront.node.log import COUNTED
@@ -282,14 +287,25 @@
         self.reply(name, status, b"", tag, None, "Not-Run: 1\r\n")
 
 
+def heartbeat_frame(disseminator, now):
+    """The frame of a heartbeat that it sends."""
+    return messages.encode_heartbeat(disseminator.heartbeat(now))
+
+
+def response_frame(disseminator, now, state_index, endpoints_version, roster_version, requested_at_ns):
+    """The frame of its answer to a node that holds these."""
+    heartbeat = Heartbeat(ReplicaVersions(state_index, endpoints_version, roster_version), requested_at_ns, None, None)
+    response = disseminator.responder.response(disseminator.versions, heartbeat, now)
+    return messages.encode_state_response(response)
+
+
 class Mate:
     """The station of one lookout: states and lists are numbers here."""
 
     def __init__(self, nodes, name, ip, zone):
         self.nodes, self.ip = nodes, ip
-        self.disseminator = Disseminator(
-            name, ip, zone, f"{ip}:80", ["10.0.0.1", "10.0.0.2", "10.0.0.3"], nodes.draw, self
-        )
+        own = RosterEntry(name, ip, zone, f"{ip}:80", False)
+        self.disseminator = Disseminator(own, ["10.0.0.1", "10.0.0.2", "10.0.0.3"], nodes.draw, self)
         self.rosters, self.took = 0, []
 
     def send(self, ip, message):
@@ -305,8 +321,11 @@
     def encode_endpoints(self, now, since):
         return self.disseminator.endpoints_version
 
-    def differences(self, index, servers):
-        return index > 0, servers > 0
+    def can_diff_state_from(self, index):
+        return index > 0
+
+    def can_diff_endpoints_from(self, version):
+        return version > 0
 
     def state_size_bytes(self):
         return 0
@@ -386,7 +405,8 @@
                         if self.backed:
                             self.backed_at = self.now
                             self.agreed.append((self.now, mate.disseminator.state_index))
-                        mate.disseminator.set_leadership(True, mate.ip, self.term, self.backed_at, self.now)
+                        status = CoreStatus(True, mate.ip, self.term, self.backed_at)
+                        mate.disseminator.set_leadership(status, self.now)
                     mate.disseminator.tick(self.now)
             if every:
                 every()
--- a/tests/test_deltas.py
+++ b/tests/test_deltas.py
@@ -3,18 +3,23 @@
 import random
 import zlib
 from dataclasses import replace
+from operator import itemgetter
 
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant
 from hypothesis.stateful import rule as step
-from proxy_fixtures import SEC, Nodes, orders, rule
+from proxy_fixtures import SEC, Nodes, heartbeat_frame, orders, response_frame, rule
 
+from rampfront.consensus.body_history import patched, pieces
 from rampfront.consensus.state import State, digest
-from rampfront.membership import endpoint_list as platform
-from rampfront.membership.deltas import DeltaHistory, DeltaMismatchError, StateHistory, patched, pieces
-from rampfront.membership.dissemination import MAX_FULL_TRANSFERS, VERSIONS_PER_TERM
+from rampfront.membership import endpoint_codec
+from rampfront.membership.deltas import DeltaHistory, DeltaMismatchError, StateHistory
+from rampfront.membership.endpoint_list import Endpoint, EndpointList
+from rampfront.membership.leadership import CoreStatus
+from rampfront.membership.transfer_budget import MAX_FULL_TRANSFERS
+from rampfront.membership.versions import VERSIONS_PER_TERM
 from rampfront.simulation.fleet_growth import Sea
 
 
@@ -45,19 +50,21 @@
     one = entry(5, orders(5, rules=rules))
     two = entry(6, orders(6, rules=rules[:50] + [rule("/new/")] + rules[51:]))
     three = replace(two, index=7, evacuated_zones=frozenset({"a1"}))
-    told = holds(one, two).encode(5)
+    told = holds(one, two).encode_since(5)
     assert len(str(told[3])) < 600 < len(two.body)
     held = holds(one)
     held.add(held.decode(told))
     assert held.newest.body == two.body and held.newest.revision == 6
-    told = holds(one, two, three).encode(6)
+    told = holds(one, two, three).encode_since(6)
     assert told[3] is None and held.decode(told).evacuated_zones == {"a1"}
-    assert holds(one, two, three).encode(5)[3] and holds(two, three).encode(5)[3] == two.body  # unknown there: whole
+    assert (
+        holds(one, two, three).encode_since(5)[3] and holds(two, three).encode_since(5)[3] == two.body
+    )  # unknown there: whole
 
 
 def test_a_body_that_does_not_fit():
     one, two, other = entry(5, orders(5)), entry(6, orders(6)), entry(5, b'{"k":"another"}')
-    told = holds(one, two).encode(5)
+    told = holds(one, two).encode_since(5)
     for held in (holds(), holds(other)):
         with pytest.raises(DeltaMismatchError) as gap:
             held.decode(told)
@@ -74,37 +81,37 @@
 
 
 def server(k, port=80, cold=0):
-    return platform.Endpoint(f"i-{k}", "one", "10.0.0.1", port, "a1", 4, "ready", cold)
+    return Endpoint(f"i-{k}", "one", "10.0.0.1", port, "a1", 4, "ready", cold)
 
 
 def test_lists_in_differences():
     """By ids; a time is told as what is left of it, and is not in the mark; late, repeated and foreign ones change nothing."""
 
     def of(*numbers):
-        wake = DeltaHistory(0, 7)
+        wake = endpoint_codec.endpoint_history()
         for number in numbers:
             wake.add(number, lists[number].endpoints)
         return wake
 
     rows = [server(k) for k in range(10, 30)]
     lists = {
-        1: platform.EndpointList(1, tuple(rows)),
-        2: platform.EndpointList(2, tuple(rows[:5] + rows[6:])),
-        3: platform.EndpointList(3, tuple(rows[:3] + [server(13, 99, 7 * SEC)] + rows[4:5] + rows[6:])),
+        1: EndpointList(1, tuple(rows)),
+        2: EndpointList(2, tuple(rows[:5] + rows[6:])),
+        3: EndpointList(3, tuple(rows[:3] + [server(13, 99, 7 * SEC)] + rows[4:5] + rows[6:])),
     }
-    told = platform.encode_since(lists[3], 2 * SEC, of(1, 2, 3), 1)
+    told = endpoint_codec.encode_since(lists[3], 2 * SEC, of(1, 2, 3), 1)
     assert len(told[3]) == 1 and told[6] == ["i-15"]
-    got = platform.decode_since(told, 102 * SEC, of(1), 1)
+    got = endpoint_codec.decode_since(told, 102 * SEC, of(1), 1)
     assert [row[:7] for row in got.endpoints] == [row[:7] for row in lists[3].endpoints]
     assert got.endpoints[3].warming_until_ns == 107 * SEC
-    assert platform.decode_since(told, 0, of(1, 2, 3), 3) is None
+    assert endpoint_codec.decode_since(told, 0, of(1, 2, 3), 3) is None
     with pytest.raises(DeltaMismatchError) as gap:
-        platform.decode_since(told, 0, of(1, 2), 2)
+        endpoint_codec.decode_since(told, 0, of(1, 2), 2)
     assert not gap.value.corrupt
     with pytest.raises(DeltaMismatchError) as gap:
-        platform.decode_since([*told[:5], b"another", told[6]], 0, of(1), 1)
+        endpoint_codec.decode_since([*told[:5], b"another", told[6]], 0, of(1), 1)
     assert gap.value.corrupt
-    assert len(platform.encode_since(lists[3], 0, of(2, 3), 1)) == 4  # of what is not known any more: whole
+    assert len(endpoint_codec.encode_since(lists[3], 0, of(2, 3), 1)) == 4  # of what is not known any more: whole
 
 
 def test_a_state_that_was_not_taken_brings_no_age():
@@ -118,12 +125,12 @@
         raise DeltaMismatchError(corrupt=True)
 
     mate.on_state = astray
-    word = n[1].state_response(n.now, 0, 1 << 40, 1 << 60, n.now)
+    word = response_frame(n[1], n.now, 0, 1 << 40, 1 << 60, n.now)
     look.on_state_response("10.0.0.1", word, n.now)
-    assert look.confirmed_at_ns == at and look.next_heartbeat_at_ns == 0 and look.heartbeat(n.now)["i"] == 0
+    assert look.confirmed_at_ns == at and look.schedule.is_due(0) and heartbeat_frame(look, n.now)["i"] == 0
     del mate.on_state
     look.on_state_response("10.0.0.1", word, n.now)
-    assert look.confirmed_at_ns == n.now and look.heartbeat(n.now)["i"] == look.state_index
+    assert look.confirmed_at_ns == n.now and heartbeat_frame(look, n.now)["i"] == look.state_index
 
 
 @pytest.mark.parametrize("seed", range(3))
@@ -135,12 +142,12 @@
     n.run(4000)
     sent = n.keep()
     for step in range(1, 8):
-        n[5].ready, n[5].next_heartbeat_at_ns = bool(step % 2), 0
+        n[5].set_ready(bool(step % 2))
         n.silent = {"10.0.0.9"} if step == 3 else set()
         n.run(500)
-    n[1].is_leader = False
+    n[1].leadership.is_leader = False
     n.lead(2, term=2)
-    n[1].set_leadership(False, "10.0.0.2", 2, None, n.now)
+    n[1].set_leadership(CoreStatus(False, "10.0.0.2", 2, None), n.now)
     n[7].ready = True
     n.run(4000)
     rosters = [message["O"] for _, _, _, _, message in sent if "O" in message]
@@ -196,8 +203,8 @@
     """What is under way is not given again, but what came since is; and what was lost, a little later."""
     n = Nodes(3)
     n.lead(1)
-    n[1].set_leadership(True, "10.0.0.1", 1, n.now, n.now)
-    hail, sent = n[2].heartbeat(n.now), n.keep()
+    n[1].set_leadership(CoreStatus(True, "10.0.0.1", 1, n.now), n.now)
+    hail, sent = heartbeat_frame(n[2], n.now), n.keep()
     n[1].on_heartbeat("10.0.0.2", hail, n.now)
     n[1].on_heartbeat("10.0.0.2", hail, n.now)
     assert [set("SV") & set(message) for *_, message in sent] == [{"S"}]
@@ -218,10 +225,10 @@
 
     @initialize()
     def begin(self):
-        self.number, self.rows, self.leader, self.told = 1, (("a", 1),), DeltaHistory(0, 2), []
+        self.number, self.rows, self.leader, self.told = 1, (("a", 1),), DeltaHistory(itemgetter(0), 2), []
         self.made = {}
         self.put()
-        self.held, self.wake = (0, ()), DeltaHistory(0, 2)
+        self.held, self.wake = (0, ()), DeltaHistory(itemgetter(0), 2)
 
     def put(self):
         self.leader.add(self.number, self.rows)
@@ -240,7 +247,7 @@
     @step(number=st.sampled_from((0, 0, 1, 2, 9)))
     def another_leads(self, number):
         """It numbers from where it stood, may use a number that the other one used, and knows no older versions."""
-        self.number, self.leader = max(1, self.number - number), DeltaHistory(0, 2)
+        self.number, self.leader = max(1, self.number - number), DeltaHistory(itemgetter(0), 2)
         self.rows = (("y", 0), ("z", number))
         self.put()
         self.changes("a", 1, 1)
@@ -248,7 +255,7 @@
     @step(back=st.integers(0, 1), now=st.booleans())
     def tells(self, back, now):
         held = max(0, self.held[0] - back)
-        since = self.leader.difference_from(held)
+        since = self.leader.delta_since(held)
         self.told.append((self.number, held, since) if since else (self.number, None, self.rows))
         self.hear(0) if now else None
 
@@ -261,7 +268,7 @@
         if number <= self.held[0]:
             return
         try:
-            whole = told if base is None else self.wake.apply(self.held[0], base, *told)
+            whole = told if base is None else self.wake.apply(self.held[0], told)
         except DeltaMismatchError:
             return
         self.held = number, whole
@@ -269,7 +276,7 @@
 
     @step()
     def starts_again(self):
-        self.held, self.wake = (0, ()), DeltaHistory(0, 2)
+        self.held, self.wake = (0, ()), DeltaHistory(itemgetter(0), 2)
 
     @invariant()
     def it_holds_a_whole_that_was_made(self):
--- a/tests/test_dissemination.py
+++ b/tests/test_dissemination.py
@@ -4,9 +4,13 @@
 from types import SimpleNamespace
 
 import pytest
-from proxy_fixtures import EPOCH, MS, SEC, Nodes
+from proxy_fixtures import EPOCH, MS, SEC, Nodes, heartbeat_frame, response_frame
 
-from rampfront.membership.dissemination import HEARTBEAT_INTERVAL_NS, PEER_TIMEOUT_NS, VERSIONS_PER_TERM
+from rampfront.membership.heartbeats import HEARTBEAT_INTERVAL_NS
+from rampfront.membership.leadership import CoreStatus
+from rampfront.membership.peers import PEER_TIMEOUT_NS
+from rampfront.membership.roster import RosterEntry
+from rampfront.membership.versions import VERSIONS_PER_TERM
 from rampfront.node.endpoints import Directory
 
 
@@ -79,7 +83,7 @@
             n.lead(2, index=n[1].state_index + 1, term=2)
             n[2].endpoints_version = 2 * VERSIONS_PER_TERM
         if step == 30:
-            n[1].set_leadership(False, None, 2, None, n.now)
+            n[1].set_leadership(CoreStatus(False, None, 2, None), n.now)
     n.shuffle, n.backed = False, True
     n.run(6000)
     assert all(
@@ -128,10 +132,10 @@
     n = Nodes(3)
     look = n[2]
     word = {"k": "word", "l": "10.0.0.1", "e": 1, "t": EPOCH + SEC, "a": 200 * MS}
-    n[1].state_index, n[1].confirmed_at_ns = 4, EPOCH
+    n[1].state_index, n[1].leadership.confirmed_at_ns = 4, EPOCH
     answer = []
-    n[1].send = lambda ip, message: answer.append(message)
-    n[1].on_heartbeat("10.0.0.2", look.heartbeat(EPOCH + SEC) | {"b": look.life ^ 1}, EPOCH + SEC)
+    n.mates["10.0.0.1"].send = lambda ip, message: answer.append(message)
+    n[1].on_heartbeat("10.0.0.2", heartbeat_frame(look, EPOCH + SEC) | {"b": look.incarnation ^ 1}, EPOCH + SEC)
     answer[0].pop("S")
     look.on_state_response("10.0.0.1", answer[0], EPOCH + 9 * SEC)
     assert answer[0]["a"] == SEC and look.confirmed_at_ns is None  # an answer to the life before, which held more
@@ -141,7 +145,7 @@
     look.on_state_response("10.0.0.1", word | {"t": EPOCH + 10 * SEC}, EPOCH + 9 * SEC)
     look.on_state_response("10.0.0.1", word | {"a": 900 * MS}, EPOCH + 9 * SEC)
     assert look.confirmed_at_ns == EPOCH + 800 * MS
-    assert "a" not in look.state_response(n.now, 0, 0, 0, 0)  # without a state there is nothing that could be young
+    assert "a" not in response_frame(look, n.now, 0, 0, 0, 0)  # without a state there is nothing that could be young
 
 
 def test_an_old_leader_that_numbers_on():
@@ -151,20 +155,15 @@
     n.lead(1)
     n.run(3000)
     n.lead(2, term=2)
-    n[2].roster_version, n[2].roster, n[2].endpoints_version = n[1].roster_version, n[1].roster, VERSIONS_PER_TERM + 7
+    n[2].roster_replica.version, n[2].roster_replica.entries = n[1].roster_version, n[1].roster
+    n[2].endpoints_version = VERSIONS_PER_TERM + 7
     n.run(10)
-    n[1].roster_version, n[1].roster, n[1].endpoints_version = (
-        n[1].roster_version + 1,
-        n[1].roster[:3],
-        VERSIONS_PER_TERM + 8,
-    )
+    n[1].roster_replica.version, n[1].roster_replica.entries = n[1].roster_version + 1, n[1].roster[:3]
+    n[1].endpoints_version = VERSIONS_PER_TERM + 8
     for k in (1, 5):
-        n[k].roster_version, n[k].roster, n[k].endpoints_version = (
-            n[1].roster_version,
-            n[1].roster,
-            VERSIONS_PER_TERM + 8,
-        )
-    n[1].set_leadership(False, None, 1, None, n.now)
+        n[k].roster_replica.version, n[k].roster_replica.entries = n[1].roster_version, n[1].roster
+        n[k].endpoints_version = VERSIONS_PER_TERM + 8
+    n[1].set_leadership(CoreStatus(False, None, 1, None), n.now)
     n.run(3000)
     assert all(n[k].roster == n[2].roster and len(n[k].roster) == 6 for k in range(1, 7))
     assert n[2].must_renumber_endpoints  # the station numbers its next list anew
@@ -205,25 +204,26 @@
     n = Nodes(3)
     n.lead(1)
     n.run(2000)
-    hail = n[2].heartbeat(n.now)
+    hail = heartbeat_frame(n[2], n.now)
     for odd in ({"n": 5}, {"z": None}, {"f": "x" * 300}, {"i": "1"}, {"s": -1}, {"o": 1.5}, {"t": "now"}):
         with pytest.raises(ValueError):
             n[1].on_heartbeat("10.0.0.99", hail | odd, n.now)
-    assert "10.0.0.99" not in n[1].peers
+    assert "10.0.0.99" not in n[1].peer_table.by_ip
 
 
 def test_nobody_to_ask():
     """One that knows nobody asks nobody, and goes on."""
     n = Nodes(1)
-    n.leader, n[1].seeds = None, ["10.0.0.1"]
+    n.leader = None
+    n[1].set_seeds(["10.0.0.1"])
     n.run(1000)
-    n[1].seeds = []
+    n[1].set_seeds([])
     n.run(1000)
     assert not n.number and n[1].confirmed_at_ns is None
 
 
 def names(look, ready=True):
-    return [row[0] for row in look.roster if row[4] or not ready]
+    return [entry.name for entry in look.roster if entry.ready or not ready]
 
 
 def test_the_roster_drops_the_silent():
@@ -238,7 +238,7 @@
     n.run((PEER_TIMEOUT_NS - 6 * HEARTBEAT_INTERVAL_NS // 5) // MS)
     assert "n5" in names(n[4])
     n.run(2 * HEARTBEAT_INTERVAL_NS // MS)
-    assert "n5" not in names(n[4], ready=False) and len(n[1].peers) <= 6
+    assert "n5" not in names(n[4], ready=False) and len(n[1].peer_table.by_ip) <= 6
     n.silent.clear()
     n.run(1500)
     assert "n5" in names(n[4])
@@ -251,9 +251,9 @@
     for k in range(1, 7):
         n[k].ready = True
     n.run(3000)
-    late = n[5].heartbeat(n.now)
+    late = heartbeat_frame(n[5], n.now)
     n.run(10)
-    n[5].ready, n[5].next_heartbeat_at_ns = False, 0  # as the station does
+    n[5].set_ready(False)  # as the station does
     n.run(30)
     assert all("n5" not in names(n[k]) for k in (1, 2, 3, 4, 6))
     n[1].on_heartbeat("10.0.0.5", late, n.now)
@@ -266,16 +266,16 @@
     n = Nodes(5)
     n.lead(1)
     n.run(3000)
-    look, old = n[3], n[1].state_response(n.now, 1, 1, 1 << 40, n.now)
+    look, old = n[3], response_frame(n[1], n.now, 1, 1, 1 << 40, n.now)
     n.silent.add("10.0.0.1")
     n.lead(2, term=2)
     n.run(50)
     assert look.leader == "10.0.0.2" and n.now - look.confirmed_at_ns < 100 * MS
     n[1].set_leadership(
-        False, None, 1, None, n.now
+        CoreStatus(False, None, 1, None), n.now
     )  # it learns that it leads no more, not yet who does, and asks nobody who says 'you'
     n[1].on_state_response(
-        "10.0.0.4", n[4].state_response(n.now, 1, 1, 1 << 40, n.now) | {"l": "10.0.0.1", "e": 1}, n.now
+        "10.0.0.4", response_frame(n[4], n.now, 1, 1, 1 << 40, n.now) | {"l": "10.0.0.1", "e": 1}, n.now
     )
     assert n[1].leader is None
     for later in (0, 2 * SEC):  # the second time it is deaf
@@ -292,7 +292,7 @@
         n[k].ready = True
     n.run(3000)
     n.silent |= {"10.0.0.1", "10.0.0.6"}
-    n[1].is_leader, sent = False, n.keep()
+    n[1].leadership.is_leader, sent = False, n.keep()
     n.lead(2, term=2)
     n.run(100)
     assert set(names(n[2])) == {"n1", "n2", "n3", "n4", "n5", "n6"}
@@ -312,7 +312,7 @@
     then any; never one that is not ready."""
     zones = {"a1": "a", "a2": "a", "b1": "b"}
     rows = [
-        (f"{zone}-{k}", f"10.0.{at}.{k}", zone, f"{zone}-{k}", ready)
+        RosterEntry(f"{zone}-{k}", f"10.0.{at}.{k}", zone, f"{zone}-{k}", ready)
         for at, zone in enumerate(zones)
         for k, ready in enumerate((True, True, False))
     ]
@@ -335,10 +335,10 @@
     assert ask("a1") == (200, {"a1-0", "a1-1", "a2-0", "a2-1"})
     assert sum(spread) > 0.9 * len(spread)
     assert ask("b1", "b") == (200, {"b1-0", "b1-1"})
-    disseminator.roster = [row for row in rows if row[0] != "a1-0"]
+    disseminator.roster = [row for row in rows if row.name != "a1-0"]
     assert ask("a1") == (200, {"a1-1", "a2-0", "a2-1"})
-    disseminator.roster = [row for row in rows if row[2] == "b1"]
+    disseminator.roster = [row for row in rows if row.zone == "b1"]
     assert ask("a1") == (200, {"b1-0", "b1-1"})
     assert ask("unknown", "unknown") == (200, {"b1-0", "b1-1"})
-    disseminator.roster = [row for row in rows if not row[4]]
+    disseminator.roster = [row for row in rows if not row.ready]
     assert ask("a1")[0] == 503
--- a/tests/test_hardening_calls.py
+++ b/tests/test_hardening_calls.py
@@ -18,6 +18,8 @@
 from rampfront.consensus.events import OrderKind, Outcome
 from rampfront.consensus.member import ASKING, RUNNING
 from rampfront.consensus.state import State, digest
+from rampfront.membership.leadership import CoreStatus
+from rampfront.membership.server_health import UNHEALTHY
 from rampfront.net.http_routing import endpoint
 from rampfront.net.http_server import HttpServer
 from rampfront.net.http_server_connection import HttpServerConnection
@@ -97,7 +99,7 @@
         self.core = self.node.core_member = Core() if leads else None
         self.ended = []
         if not leads:
-            self.node.disseminator.leader = LEADER
+            self.node.disseminator.leadership.leader = LEADER
         self.node.tick()
 
     def give(self, kind=OrderKind.EVACUATE, body="a1"):
@@ -251,7 +253,7 @@
     for verdict in (Outcome.REJECTED, Outcome.UNKNOWN, "busy", Outcome.NOT_LEADER):
         s = Station()
         s.give()
-        s.node.disseminator.leader = OTHER
+        s.node.disseminator.leadership.leader = OTHER
         s.loop.wait(350)
         assert [ip for ip, _ in s.wire.take("order")] == [LEADER, OTHER]
         s.says(LEADER, 1, verdict)
@@ -377,10 +379,10 @@
     """Told as ready by a clock that stood ahead of the new life's, or as leaving behind its return: neither counts."""
     nodes = Nodes(count=1)
     look, now = nodes[1], EPOCH
-    look.set_leadership(True, "10.0.0.1", 1, now, now)
+    look.set_leadership(CoreStatus(True, "10.0.0.1", 1, now), now)
 
     def ready():
-        return look.peers[CALLER].ready
+        return look.peer_table.by_ip[CALLER].entry.ready
 
     look.on_heartbeat(CALLER, hail(1, 900 * SEC), now)
     look.on_heartbeat(CALLER, hail(1, 901 * SEC, ready=False), now)
@@ -402,23 +404,23 @@
     """Neither one at the address of the present one, in an older term, nor one elsewhere."""
     s, seen = Station(), []
     s.node.request_proxy.sighted = seen.append
-    s.node.disseminator.term = 3
-    s.node.heard(LEADER, {"k": "dim", "e": 2, "r": ["old"]})
-    s.node.heard(OTHER, {"k": "dim", "e": 4, "r": ["elsewhere"]})
+    s.node.disseminator.leadership.term = 3
+    s.node.heard(LEADER, {"k": "dim", "e": 2, "r": [["old", UNHEALTHY]]})
+    s.node.heard(OTHER, {"k": "dim", "e": 4, "r": [["elsewhere", UNHEALTHY]]})
     for odd in ({}, {"e": None}):
-        with pytest.raises((KeyError, TypeError)):
-            s.node.heard(LEADER, {"k": "dim", "r": ["odd"]} | odd)
+        with pytest.raises((KeyError, ValueError)):
+            s.node.heard(LEADER, {"k": "dim", "r": [["odd", UNHEALTHY]]} | odd)
     assert not seen
-    s.node.heard(LEADER, {"k": "dim", "e": 3, "r": ["now"]})
-    assert seen == [["now"]]
+    s.node.heard(LEADER, {"k": "dim", "e": 3, "r": [["now", UNHEALTHY]]})
+    assert seen == [[("now", UNHEALTHY)]]
 
 
 def test_sightings_bear_the_term():
     s = Station(leads=True)
     look = s.node.disseminator
-    look.is_leader, look.term = True, 4
+    look.leadership.is_leader, look.leadership.term = True, 4
     s.node.health_registry.add_reports = lambda *about: [["s1", 10]]
-    s.node.sighted(CALLER, [], 0)
+    s.node.on_health_reports(CALLER, {"k": "sight", "r": []}, 0)
     assert [message["e"] for _, message in s.wire.take("dim")] == [4]
 
 
--- a/tests/test_hardening_catch_up.py
+++ b/tests/test_hardening_catch_up.py
@@ -7,13 +7,14 @@
 
 import cbor2
 import pytest
-from proxy_fixtures import Nodes
+from proxy_fixtures import Nodes, heartbeat_frame
 
 from rampfront.consensus import events
 from rampfront.consensus.errors import RemoteProtocolError
 from rampfront.consensus.events import OrderKind
 from rampfront.consensus.member import Member
-from rampfront.membership.dissemination import FULL_TRANSFER_NS_PER_BYTE, FULL_TRANSFER_TIMEOUT_NS
+from rampfront.membership.roster import RosterEntry
+from rampfront.membership.transfer_budget import FULL_TRANSFER_NS_PER_BYTE, FULL_TRANSFER_TIMEOUT_NS
 from rampfront.simulation.bandwidth import Bandwidth
 from rampfront.simulation.fleet import ZONES
 from rampfront.simulation.system_run import SystemRun
@@ -354,19 +355,15 @@
     n = Nodes(3)
     n.lead(1, index=300)
     look = n[2]
-    look.state_index, look.endpoints_version, look.roster_version, look.roster = (
-        5,
-        5,
-        5,
-        (("n2", "10.0.0.2", "a1", "", True),),
-    )
+    look.state_index, look.endpoints_version, look.roster_replica.version = 5, 5, 5
+    look.roster_replica.entries = (RosterEntry("n2", "10.0.0.2", "a1", "", True),)
     sent = n.keep()
-    look.on_heartbeat("10.0.0.3", n[3].heartbeat(n.now), n.now)
+    look.on_heartbeat("10.0.0.3", heartbeat_frame(n[3], n.now), n.now)
     assert [set(message) & set("SVOa") for *_, message in sent] == [set()]
     n.run(3000)
     assert n[3].state_index == 300 and look.state_index == 300
     sent = n.keep()
-    look.on_heartbeat("10.0.0.3", n[3].heartbeat(n.now) | {"i": 0, "s": 0, "o": 0}, n.now)
+    look.on_heartbeat("10.0.0.3", heartbeat_frame(n[3], n.now) | {"i": 0, "s": 0, "o": 0}, n.now)
     assert set("Sa") <= set(sent[-1][4])
 
 
@@ -441,9 +438,10 @@
     n = Nodes(3)
     n.lead(1, index=300)
     n.run(3000)
-    n.mates["10.0.0.1"].differences = lambda index, servers: (index >= 300, True)
+    n.mates["10.0.0.1"].can_diff_state_from = lambda index: index >= 300
+    n.mates["10.0.0.1"].can_diff_endpoints_from = lambda version: True
     n.mates["10.0.0.1"].state_size_bytes = lambda: 100_000
-    hail, sent = n[3].heartbeat(n.now) | {"i": 5}, n.keep()
+    hail, sent = heartbeat_frame(n[3], n.now) | {"i": 5}, n.keep()
     for index in range(301, 311):
         n.now += 50 * MS
         n[1].state_index = index
--- a/tests/test_hardening_isolation.py
+++ b/tests/test_hardening_isolation.py
@@ -7,6 +7,7 @@
 from random import Random
 
 import pytest
+from proxy_fixtures import heartbeat_frame
 from result import Ok
 
 from rampfront.consensus.events import OrderEnded, OrderKind, Outcome
@@ -151,7 +152,7 @@
     old.frozen, old.inbox = False, []
     node_process = old.node_process
     for machine in run.fleet.machines[4:]:
-        hail = machine.node_process.disseminator.heartbeat(machine.node_process.clock())
+        hail = heartbeat_frame(machine.node_process.disseminator, machine.node_process.clock())
         assert not hail["r"]
         node_process.heard(machine.ip, hail)
         assert len(node_process.disseminator.roster) == 11
--- a/tests/test_node_process.py
+++ b/tests/test_node_process.py
@@ -9,7 +9,9 @@
 from proxy_fixtures import MS, SEC, Quay, Silent, orders, settings
 
 from rampfront.consensus.state import State, digest
-from rampfront.membership import endpoint_list as platform
+from rampfront.membership import endpoint_codec
+from rampfront.membership.endpoint_list import Endpoint, EndpointList
+from rampfront.membership.leadership import CoreStatus
 from rampfront.settings import process_settings as process_settings_of
 
 
@@ -66,11 +68,10 @@
         ).encode()
     if servers:
         rows = [
-            platform.Endpoint(uid, "one", f"10.9.0.{uid[1:]}", 9000 + int(uid[1:]), "a1", 4, "ready", 0)
-            for uid in servers[1]
+            Endpoint(uid, "one", f"10.9.0.{uid[1:]}", 9000 + int(uid[1:]), "a1", 4, "ready", 0) for uid in servers[1]
         ]
         q.places.update({(row.host, row.port): row.id for row in rows})
-        message["V"] = platform.encode(platform.EndpointList(servers[0], tuple(rows)), q.clock())
+        message["V"] = endpoint_codec.encode(EndpointList(servers[0], tuple(rows)), q.clock())
     node_process.heard(LEADER, message)
 
 
@@ -78,7 +79,7 @@
     """Rounds of the platform's list that bring none; ages of the word, of ten looks a second; requests and answers."""
     q = node_process.loop
     made = type(node_process)(q, replace(node_process.process_settings, platform=("10.9.9.9", 80)), Silent(), 3)
-    made.poller.on_drop("status 429")
+    made.poller.callbacks.on_failure("status 429")
     assert made.counts["lists_failed"] == 1 and not sum(made.word_ages.counts)
     word(node_process, 1, servers=(1, ["s1"]))
     q.wait(1000)
@@ -147,7 +148,8 @@
     """The platform says what it said, yet somebody holds another list under a higher number of an older term."""
     look = node_process.disseminator
     word(node_process, 5, servers=(7, ["s1"]))
-    look.set_leadership(True, node_process.process_settings.ip, 2, node_process.clock(), node_process.clock())
+    status = CoreStatus(True, node_process.process_settings.ip, 2, node_process.clock())
+    look.set_leadership(status, node_process.clock())
     same = node_process.request_proxy.servers
     node_process.polled(same)
     assert look.endpoints_version == 7
@@ -241,13 +243,13 @@
     path.write_text("{")
     node_process.core_member = SimpleNamespace(seeds=[])
     node_process.reread(str(path))
-    assert node_process.disseminator.seeds == ["10.1.0.1", "10.1.0.2"]
+    assert node_process.disseminator.schedule.seeds == ["10.1.0.1", "10.1.0.2"]
     new = settings()
     new["Network"]["SeedNodes"] = ["10.1.0.5:82"]
     path.write_text(json.dumps(new))
     node_process.reread(str(path))
     core_member, node_process.core_member = node_process.core_member, None
-    assert node_process.disseminator.seeds == core_member.seeds == ["10.1.0.5"]
+    assert node_process.disseminator.schedule.seeds == core_member.seeds == ["10.1.0.5"]
     q.answer("t1")
     assert q.got().status == 200
 
--- a/tests/test_operator_cli.py
+++ b/tests/test_operator_cli.py
@@ -22,6 +22,7 @@
 
 from rampfront.consensus.state import State
 from rampfront.membership.endpoint_list import Endpoint, EndpointList
+from rampfront.membership.roster import RosterEntry
 from rampfront.net.http_client import HttpRequest, HttpResponse, RequestError
 from rampfront.net.http_routing import RoutingTable
 from rampfront.net.latency_histogram import LatencyHistogram
@@ -675,7 +676,7 @@
         confirmed_at_ns=None,
         endpoints_version=1,
         roster_version=2,
-        roster=(("n1", "127.0.0.1", "z1", "127.0.0.1:80", True),),
+        roster=(RosterEntry("n1", "127.0.0.1", "z1", "127.0.0.1:80", True),),
     )
     own = SimpleNamespace(name="n1", ip="127.0.0.1", zone="z1", zones=ZONES, control=("127.0.0.1", 1))
     node_process = SimpleNamespace(
--- a/tests/test_server_list.py
+++ b/tests/test_server_list.py
@@ -11,16 +11,8 @@
 
 from rampfront.lab.boxes import Fleet, Make, Work
 from rampfront.lab.platform import Platform, open_platform
-from rampfront.membership.endpoint_list import (
-    DRAINING,
-    READY,
-    Endpoint,
-    EndpointList,
-    changes,
-    decode,
-    encode,
-    parse_page,
-)
+from rampfront.membership.endpoint_codec import decode, encode
+from rampfront.membership.endpoint_list import DRAINING, READY, Endpoint, EndpointList, changes
 from rampfront.membership.endpoint_list_pager import (
     FetchPage,
     ListCompleted,
@@ -30,7 +22,8 @@
     SetTimer,
     TimerFired,
 )
-from rampfront.membership.endpoint_list_poller import Poller
+from rampfront.membership.endpoint_list_poller import PollCallbacks, Poller, PollSettings
+from rampfront.membership.endpoint_pages import parse_page
 from rampfront.net.http_client import HttpClient, HttpRequest, send_request
 from rampfront.settings.errors import FieldError
 from rampfront.settings.scalars import parse_address
@@ -208,7 +201,7 @@
     assert play.ids == ["i-001"]
     play.until(play.now + 500 * MS)
     assert play.ids == [] and play.lists[-1].servers.version == 5
-    play.pager.above(40)  # another node's lists went up to there: nothing of ours may pass for one of them
+    play.pager.skip_versions(40)  # another node's lists went up to there: nothing of ours may pass for one of them
     play.until(play.now + 1000 * MS)
     assert play.lists[-1].servers.version == 41
 
@@ -300,19 +293,18 @@
             news.clear()
             await asyncio.wait_for(news.wait(), 5)
 
-    poller = Poller(
-        loop, clock, doors[0].address, 1000.0, lambda s: told(lists, s), 2 * MS, on_drop=lambda why: told(drops, why)
-    )
+    callbacks = PollCallbacks(lambda s: told(lists, s), lambda why: told(drops, why))
+    poller = Poller(loop, clock, PollSettings(doors[0].address, 1000.0, 2 * MS), callbacks)
     poller.start()
     run(until(lambda: len(lists) >= 2))
     assert [row.id for row in lists[-1].endpoints] == [f"i-{k}" for k in range(5)]
     assert doors[0].counts["connections"] == 1
-    assert poller.failed_for(poller.since + SEC) == SEC and poller.since > lists[0].read_at_ns
+    assert poller.failing_ns(poller.since_ns + SEC) == SEC and poller.since_ns > lists[0].read_at_ns
     one.ill = "garbled"
     run(until(lambda: drops))
     one.ill = "silent"
     run(asyncio.wait_for(poll(lambda: one.held), 5))
-    poller.move(doors[1].address)
+    poller.change_address(doors[1].address)
     held = len(one.held)
     one.ill, count = None, len(lists)
     run(until(lambda: len(lists) > count))
@@ -322,7 +314,7 @@
     poller.stop()
     calls = two.counts["calls"]
     run(asyncio.wait_for(poll(lambda: not doors[1].connections), 5))
-    assert two.counts["calls"] == calls and poller.handle is None
+    assert two.counts["calls"] == calls and poller.timer is None
     for door in doors:
         door.close()
 
