--- a/rampfront/lab/system/configuration_cost.py
+++ b/rampfront/lab/system/configuration_cost.py
@@ -22,7 +22,7 @@
 from ...consensus.body_history import patched, pieces
 from ...consensus.state import State
 from ...consensus.storage import RecordStore
-from ...proxy import routing
+from ...proxy.priorities import PriorityRanks
 from ...quota.limiter import Limiter
 from ...settings import configuration as configurations
 from ...settings.errors import FieldError
@@ -184,7 +184,7 @@
     limiter = Limiter("n", Random(1))
     limiter.set_quotas(customers, 0)
     yield measure("node: `limiter.set_quotas`", lambda: limiter.set_quotas(customers, 0))
-    yield measure("node: `routing.ranks`", lambda: routing.ranks(read))
+    yield measure("node: `PriorityRanks`", lambda: PriorityRanks(read))
     found = [(host, prefix + b"x/1") for host, book in read.hosts.items() for prefix in book.routes]
     asked, keys = (found * LOOKED_UP)[:LOOKED_UP], (list(read.customers) * LOOKED_UP)[:LOOKED_UP]
     yield measure(f"{LOOKED_UP} requests: routes found", lambda: [read.route(*one) for one in asked])
--- a/rampfront/lab/system/counts_cost.py
+++ b/rampfront/lab/system/counts_cost.py
@@ -1,7 +1,7 @@
 """What counts of tenants cost their holder and a node, by the number of tenants: `python -m ...counts_cost`.
 
 `QuotaCounter` and `Limiter` as they serve, in one process, without frames: processor time of one call, and the parts of
-budgets that nodes of a fleet get (`proxy.routing.spare`, `share`), by the number of nodes.
+budgets that nodes of a fleet get (`proxy.budget_shares`), by the number of nodes.
 """
 
 import time
@@ -12,7 +12,7 @@
 
 import click
 
-from ...proxy import routing
+from ...proxy.budget_shares import set_budgets
 from ...quota.counter import QuotaCounter
 from ...quota.limiter import Limiter
 from ...quota.limits import QuotaRule
@@ -105,7 +105,7 @@
     bounds = SimpleNamespace(retry_ratio=0.2, extra_tries=EXTRA_TRIES)
     node = SimpleNamespace(spare=1.0)
     service = SimpleNamespace(cold_per_s=COLD_PER_S, warmup=3 * SEC)
-    routing.share(node, SimpleNamespace(terms=bounds), nodes, service)
+    set_budgets(node, bounds, service, nodes)
     return node.spare_most, node.bear_most
 
 
--- a/rampfront/lab/system/hollow.py
+++ b/rampfront/lab/system/hollow.py
@@ -166,14 +166,14 @@
 class HollowProxy(RequestProxy):
     """Holds a request proxy's snapshots, and no connection pools."""
 
-    def lay(self) -> None:
+    def update_endpoints(self) -> None:
         """No pools to lay out."""
 
     def ready(self) -> bool:
         """Ready as a real one whose pools have a server that is up."""
         return (
             self.configuration is not None
-            and self.fresh(self.clock())
+            and self.is_fresh(self.clock())
             and self.servers is not None
             and any(row.state == "ready" for row in self.servers.endpoints)
         )
@@ -186,11 +186,9 @@
         """`about` and `more`: as `NodeProcess` takes them."""
         super().__init__(*about, **more)
         real = self.request_proxy
-        self.request_proxy = HollowProxy(
-            self.loop, self.clock, self.process_settings, real.bounds, self.draw, self.limiter, self.fresh, self.log
-        )
-        self.request_proxy.took = self.arm_tide
-        self.client_front = ClientFront(self.loop, self.request_proxy, real.bounds, self.log)
+        self.request_proxy = HollowProxy(real.environment, self.limiter, self.fresh)
+        self.request_proxy.on_quota_used = self.arm_tide
+        self.client_front = ClientFront(real.environment, self.request_proxy)
 
     async def listen(self) -> None:
         """Opens the wire alone."""
--- a/rampfront/node/metrics.py
+++ b/rampfront/node/metrics.py
@@ -101,8 +101,8 @@
         """For a scraper; once in ten seconds is often enough."""
         node_process = self.node_process
         spans = (
-            node_process.request_proxy.requests,
-            node_process.request_proxy.answers,
+            node_process.request_proxy.request_durations,
+            node_process.request_proxy.response_durations,
             node_process.add_trips,
             node_process.word_ages,
         )
--- a/rampfront/node/node.py
+++ b/rampfront/node/node.py
@@ -23,8 +23,9 @@
 from ..membership.server_health import MAX_REPORTS
 from ..net.desk import Timers
 from ..net.latency_histogram import LatencyHistogram
-from ..proxy.core import RequestProxy
-from ..proxy.front import ClientFront
+from ..proxy.client_front import ClientFront
+from ..proxy.environment import ProxyEnvironment
+from ..proxy.request_proxy import RequestProxy
 from ..quota.counter import QuotaCounter
 from ..quota.counter_placement import CounterPlacement
 from ..quota.limiter import Limiter
@@ -71,12 +72,11 @@
         )
         self.gauge_at = 0  # when the gauge has something to tell unasked; 0: nothing
         self.tide_at = 0  # when the timer that asks the tide is due; 0: there is none
-        self.request_proxy = RequestProxy(
-            loop, self.clock, process_settings, bounds, self.draw, self.limiter, self.fresh, log
-        )
-        self.request_proxy.took = self.arm_tide
+        environment = ProxyEnvironment(loop, self.clock, process_settings, bounds, self.draw, log)
+        self.request_proxy = RequestProxy(environment, self.limiter, self.fresh)
+        self.request_proxy.on_quota_used = self.arm_tide
         self.health_registry = HealthRegistry()
-        self.client_front = ClientFront(loop, self.request_proxy, bounds, log)
+        self.client_front = ClientFront(environment, self.request_proxy)
         self.state, self.states, self.lists = (
             None,
             StateHistory(),
@@ -151,7 +151,7 @@
             if ip == self.disseminator.leader:
                 health = messages.decode_health_verdicts(message)
                 if health.term >= self.disseminator.term:
-                    self.request_proxy.sighted(health.verdicts)
+                    self.request_proxy.apply_health_reports(health.verdicts)
         elif kind in ("order", "said"):
             self.orders.heard(ip, message)
         elif self.core_member:
@@ -168,7 +168,7 @@
         if not self.disseminator.is_leader:
             return
         reports = messages.decode_health_reports(message).reports
-        verdicts = self.health_registry.add_reports(ip, reports, self.request_proxy.nodes, now)
+        verdicts = self.health_registry.add_reports(ip, reports, self.request_proxy.proxy_count, now)
         if not verdicts:
             return
         all_ips = list(dict.fromkeys((self.process_settings.ip, *self.disseminator.peer_table.by_ip)))
@@ -235,8 +235,8 @@
             if found.is_ok():
                 self.log.record("configuration", revision=state.revision)
                 configuration = found.ok_value
-                self.client_front.capped(configuration.caps)
-                self.request_proxy.charted(configuration)
+                self.client_front.apply_caps(configuration.caps)
+                self.request_proxy.apply_configuration(configuration)
                 self.quota_counter.set_quotas(configuration.named, self.clock())
                 self.arm_tide()
             else:
@@ -246,7 +246,7 @@
             self.moor()
         if old is None or old.evacuated_zones != state.evacuated_zones:
             self.log.record("zones emptied", zones=sorted(state.evacuated_zones))
-            self.request_proxy.zoned(state.evacuated_zones)
+            self.request_proxy.apply_evacuations(state.evacuated_zones)
         if self.disseminator.is_leader:
             self.disseminator.push_updates(self.clock())
 
@@ -288,7 +288,7 @@
     def serve(self, servers):
         self.disseminator.endpoints_changed(servers.version)
         self.lists.add(servers.version, servers.endpoints)
-        self.request_proxy.listed(servers)
+        self.request_proxy.apply_server_list(servers)
         self.health_registry.set_servers((row.id, row.zone) for row in servers.endpoints)
 
     def encode_endpoints(self, now, since):
@@ -301,7 +301,7 @@
 
     def on_roster(self):
         count = max(1, sum(entry.ready for entry in self.disseminator.roster))
-        self.request_proxy.counted(count)
+        self.request_proxy.apply_proxy_count(count)
         self.quota_counter.set_proxy_count(count)
         self.moor()
 
--- a/rampfront/node/status_views.py
+++ b/rampfront/node/status_views.py
@@ -11,7 +11,7 @@
 from ..consensus.state import State
 from ..net.http_messages import Response, error_response, json_response
 from ..net.http_routing import endpoint
-from ..proxy import routing
+from ..proxy.slow_start import warm_up_started_at
 
 MS = 10**6
 LATER = ((b"Retry-After", b"1"),)
@@ -49,7 +49,7 @@
     service = request_proxy.configuration.services.get(row.service) if request_proxy.configuration else None
     if service is None:
         return max(0, row.warming_until_ns - now)
-    born = routing.born(row, service, request_proxy.cold_zones.get(row.zone), now)
+    born = warm_up_started_at(row, service, request_proxy.reopened_zones.get(row.zone), now)
     return born + service.warmup - now if born else 0
 
 
@@ -123,7 +123,7 @@
                 "Servers": look.endpoints_version,
                 "Roster": look.roster_version,
                 "Spare": {
-                    name: round(service_pool.desk.node.spare, 1)
+                    name: round(service_pool.saved_attempts, 1)
                     for name, service_pool in node_process.request_proxy.service_pools.items()
                 },  # tries saved up
                 "Counts": {name: node_process.counts[COUNTER_NAMES.get(name, name)] for name in COUNTS},
@@ -169,7 +169,7 @@
                         "Zone": r.zone,
                         "Capacity": r.capacity,
                         "State": r.state,
-                        "Emptied": r.zone in request_proxy.emptied,
+                        "Emptied": r.zone in request_proxy.evacuated_zones,
                         "ColdMs": cold(request_proxy, r, now) // MS,
                         "Links": links.get(r.id, 0),
                     }
--- a/rampfront/operator_cli/explain.py
+++ b/rampfront/operator_cli/explain.py
@@ -1,4 +1,4 @@
-"""Why a request would meet what it meets: `explain` goes the way of `proxy/core.py` by what one node holds, step by step.
+"""Why a request would meet what it meets: `explain` goes the way of `proxy/request_proxy.py` by what one node holds, step by step.
 
 It never sends the request, and reads no clock. Whether a quota lets it in is the node's chance at that moment: told is
 what is left of it. The pick among the servers named is `choice.py`'s.
--- /dev/null
+++ b/rampfront/proxy/attempt_policy.py
@@ -0,0 +1,59 @@
+"""Under which terms `choice.py` makes attempts for one service: what may be repeated, hedged, cancelled. No I/O.
+
+One `choice.Node` decides for each service. It gets its terms here: a request of a route that changes something is
+sent to a second server only where the first certainly did not run it; one that only reads may be retried, and hedged
+once it is late (a second attempt beside the first; Dean and Barroso, "The Tail at Scale"); a client that leaves
+cancels all.
+"""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from .. import terms as t
+from ..settings.scalars import MS, SEC
+from .budget_shares import retry_budget
+from .slow_start import DEFAULT_WARM_UP_NS
+
+if TYPE_CHECKING:
+    from ..settings.process_settings import Guarantees
+
+READ_ONLY = "read_only"  # a route's kind whose requests may run more than once
+_KINDS = {READ_ONLY: t.INQUIRY, "changing": t.ONCE_ONLY, "upload": t.ONCE_ONLY}
+_LATE_VALUE_PART = 0.3  # what a response past its target is taken to earn, of its value: the wire does not say
+_MOST_ATTEMPTS = 8  # whatever a route allows
+_LONGEST_ADVICE_NS = 2 * SEC
+_SHORTEST_STEP_NS = MS  # gap between two inputs of a `choice.Node`
+_SLOW_START_PART = 0.2
+_NO_PLAN = t.Plan(0.0, 0.0, 0, 0.0, 0.0, 0.0, 0.0)  # quotas are the limiter's, not `choice.py`'s
+
+
+def product_of(kind: str, target_ns: int) -> t.Product:
+    """What requests of a route allow: `kind` is the route's, `target_ns` the time within which a response has its full
+    value."""
+    return t.Product(kind=_KINDS[kind], group=t.ALL, sla=target_ns, repeat_window=0, late_share=_LATE_VALUE_PART)
+
+
+def node_terms(guarantees: Guarantees, proxy_count: int) -> t.Terms:
+    """The terms of a service's `choice.Node`, without products: those come as routes are used."""
+    return t.Terms(
+        products=[],
+        plans=[_NO_PLAN],
+        nodes=1,
+        max_submissions=_MOST_ATTEMPTS,
+        may_probe=False,
+        may_cancel=True,
+        has_counter=False,
+        counter_wait=0,
+        largest=1.0,
+        subscribes=False,
+        longest_advice=_LONGEST_ADVICE_NS,
+        tick=_SHORTEST_STEP_NS,
+        cold_share=_SLOW_START_PART,
+        warm_within=DEFAULT_WARM_UP_NS,
+        fall_multiple=2.0,
+        tip_after=SEC,
+        tells=True,
+        may_copy=True,
+        spare=retry_budget(guarantees, proxy_count),
+    )
--- /dev/null
+++ b/rampfront/proxy/endpoints.py
@@ -0,0 +1,70 @@
+"""The servers that may be sent to: what the configuration, the server list and the evacuations amount to. No I/O.
+
+This is the one place that puts the three together; `ServicePool.update` hands what changed to the service's decisions.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Collection, Mapping
+from typing import TYPE_CHECKING, NamedTuple
+
+from .. import terms as t
+from ..membership.endpoint_list import DRAINING, READY
+from .locality import server_weights
+from .slow_start import warm_up_started_at
+
+if TYPE_CHECKING:
+    from ..membership.endpoint_list import Endpoint, EndpointList
+    from ..settings.configuration import Configuration
+    from ..settings.process_settings import ProcessSettings
+
+_STATES = {READY: t.UP, DRAINING: t.DRAINING}
+_ONE_CELL = 0  # servers of this system have no cells
+_FULL_WEIGHT = 1.0
+
+
+class ServiceEndpoint(NamedTuple):
+    """A server as the decisions and the connections of its service have it; in the order that `Desk.listed` takes."""
+
+    state: int  # UP, DRAINING or REMOVED, of `terms`
+    zone: int  # index
+    cell: int
+    weight: float
+    warm_up_started_at: int  # ns; 0: long ago
+    address: tuple[str, int] | None  # None: of one that was removed
+    locality: float  # weight by the path there
+
+
+class Zones(NamedTuple):
+    """What is known of the zones."""
+
+    index_by_name: Mapping[str, int]  # servers of other zones get nothing
+    evacuated: Collection[str]  # names
+    reopened_at: Mapping[str, int]  # when the evacuation of a zone ended (ns), of those that were evacuated lately
+
+
+def endpoints_by_service(
+    configuration: Configuration, servers: EndpointList, zones: Zones, process_settings: ProcessSettings, now: int
+) -> dict[str, dict[str, ServiceEndpoint]]:
+    """The endpoints of every service of the configuration, by service and by server id; `now` ns."""
+    listed: dict[str, list[Endpoint]] = {name: [] for name in configuration.services}
+    for endpoint in servers.endpoints:
+        if endpoint.service in listed and endpoint.zone in zones.index_by_name:
+            listed[endpoint.service].append(endpoint)
+    found: dict[str, dict[str, ServiceEndpoint]] = {}
+    for name, endpoints in listed.items():
+        locality = server_weights(endpoints, process_settings)
+        service = configuration.services[name]
+        found[name] = {
+            endpoint.id: ServiceEndpoint(
+                t.DRAINING if endpoint.zone in zones.evacuated else _STATES.get(endpoint.state, t.DRAINING),
+                zones.index_by_name[endpoint.zone],
+                _ONE_CELL,
+                _FULL_WEIGHT,
+                warm_up_started_at(endpoint, service, zones.reopened_at.get(endpoint.zone), now),
+                (endpoint.host, endpoint.port),
+                locality[endpoint.id],
+            )
+            for endpoint in endpoints
+        }
+    return found
--- /dev/null
+++ b/rampfront/proxy/environment.py
@@ -0,0 +1,24 @@
+"""What the proxy of one process stands on, handed down to its parts as one."""
+
+from __future__ import annotations
+
+from asyncio import AbstractEventLoop
+from collections.abc import Callable
+from dataclasses import dataclass
+from random import Random
+
+from ..net.event_log import EventLog
+from ..net.limits import NetworkLimits
+from ..settings.process_settings import ProcessSettings
+
+
+@dataclass(frozen=True, slots=True)
+class ProxyEnvironment:
+    """Made once by the process."""
+
+    loop: AbstractEventLoop
+    clock: Callable[[], int]  # ns
+    process_settings: ProcessSettings
+    limits: NetworkLimits
+    draw: Random
+    log: EventLog
--- /dev/null
+++ b/rampfront/proxy/request.py
@@ -0,0 +1,137 @@
+"""A request's two forms: as a client sent it, and as it is under way.
+
+`ReceivedRequest` is what the client's connection read, immutable. Once it is admitted, `ProxiedRequest` stands for it
+until the client has its one response. What it may still be answered depends on what its attempts have left behind, so
+its life is one state and a table of transitions; nothing else may set the state:
+
+    UNEXECUTED --attempt uncertain--> POSSIBLY_EXECUTED --failure response--> FAILURE_RETAINED
+        |                                     |                                     |
+        +--closed--> CLOSED_UNEXECUTED        +--closed--> CLOSED <--closed---------+
+
+An attempt that certainly did not run changes nothing. Attempts may end behind the close: a hedged request's second
+one, or those that were cancelled with it. A closed request keeps what is known of its execution, because a decision
+that was taken just before the close is still carried out and counted by it.
+"""
+
+from enum import IntEnum
+from typing import NamedTuple, Protocol
+
+from ..net.core import Exchange
+from ..net.desk import Desk
+from ..settings.configuration import Customer
+from .outcomes import LocalResponse
+from .server_response import ServerResponse
+
+HeaderRow = tuple[bytes, bytes]  # a field's name as it came, and its value
+
+
+class ReceivedRequest(NamedTuple):
+    """A client's whole request, its framing checked."""
+
+    method: bytes
+    target: bytes  # as it came: a path, or an absolute URL
+    path: bytes  # of the target; begins with a slash
+    header_rows: list[HeaderRow]  # all fields in their order
+    header: dict[bytes, bytes]  # the fields that a proxy goes by, by their names in lower case; `host` is one
+    body: bytes
+
+
+class RequestState(IntEnum):
+    """Where a request stands."""
+
+    UNEXECUTED = 0  # no server can have run it
+    POSSIBLY_EXECUTED = 1  # a server may have run it; no response is at hand
+    FAILURE_RETAINED = 2  # a server may have run it; its failure goes back if nothing better comes
+    CLOSED_UNEXECUTED = 3  # the client has its response, or is gone; no server can have run it
+    CLOSED = 4  # the client has its response, or is gone; a server may have run it
+
+
+class RequestEvent(IntEnum):
+    """What changes a request's state."""
+
+    ATTEMPT_UNCERTAIN = 0  # an attempt ended, and its server may have run it
+    FAILURE_RESPONSE = 1  # likewise, and the server gave a response that tells of a failure
+    CLOSE = 2  # the client got its response, or went away
+
+
+# By state, then by event, in the order of their numbers: looked up for each request.
+_TRANSITIONS: tuple[tuple[RequestState, RequestState, RequestState], ...] = (
+    (RequestState.POSSIBLY_EXECUTED, RequestState.FAILURE_RETAINED, RequestState.CLOSED_UNEXECUTED),  # UNEXECUTED
+    (RequestState.POSSIBLY_EXECUTED, RequestState.FAILURE_RETAINED, RequestState.CLOSED),  # POSSIBLY_EXECUTED
+    (RequestState.FAILURE_RETAINED, RequestState.FAILURE_RETAINED, RequestState.CLOSED),  # FAILURE_RETAINED
+    (RequestState.CLOSED, RequestState.CLOSED, RequestState.CLOSED_UNEXECUTED),  # CLOSED_UNEXECUTED
+    (RequestState.CLOSED, RequestState.CLOSED, RequestState.CLOSED),  # CLOSED
+)
+
+_CLOSE = RequestEvent.CLOSE
+_NOT_EXECUTED = (RequestState.UNEXECUTED, RequestState.CLOSED_UNEXECUTED)
+
+
+class RequestingClient(Protocol):
+    """The client's side of a request: `client_front.ClientConnection`."""
+
+    def taken(self, exchange: "ProxiedRequest") -> None:
+        """The request was admitted; the client is owed its response."""
+
+    def forward(self, response: ServerResponse) -> None:
+        """Writes a server's response."""
+
+    def respond(self, response: LocalResponse) -> None:
+        """Writes a response of this proxy."""
+
+
+class ProxiedRequest(Exchange):
+    """One admitted request: what is sent for it, who waits for it, and its state."""
+
+    __slots__ = ("desk", "customer", "received_at", "deadline_at", "once_only", "state", "failure_response")
+
+    client: RequestingClient | None
+
+    def __init__(self, client: RequestingClient, try_id: bytes, head: bytes, body: bytes, product: int) -> None:
+        """`head`: the request line and fields for the server; `product`: its index among those of its service."""
+        super().__init__(client, try_id, head, body, product, "all")
+        self.state = RequestState.UNEXECUTED
+        self.failure_response: ServerResponse | None = None
+
+    def admit(
+        self, desk: Desk, customer: Customer | None, received_at: int, deadline_at: int, *, once_only: bool
+    ) -> None:
+        """Sets what holds from its admission on.
+
+        `desk`: of its service, which has its attempts; `received_at`, `deadline_at`: ns of the clock; `once_only`:
+        whether no second server may run it once one may have."""
+        self.desk = desk
+        self.customer = customer
+        self.received_at = received_at
+        self.deadline_at = deadline_at
+        self.once_only = once_only
+
+    def apply(self, event: RequestEvent) -> None:
+        """Changes the state by the table."""
+        self.state = _TRANSITIONS[self.state][event]
+
+    @property
+    def may_have_run(self) -> bool:
+        """Whether a server may have run it, be it closed or not."""
+        return self.state not in _NOT_EXECUTED
+
+    @property
+    def retained_failure(self) -> ServerResponse | None:
+        """The failure that goes back if nothing better comes."""
+        return self.failure_response if self.state is RequestState.FAILURE_RETAINED else None
+
+    def retain_failure(self, response: ServerResponse) -> None:
+        """Keeps a server's failure: the last one goes back if nothing better comes."""
+        self.failure_response = response
+        self.apply(RequestEvent.FAILURE_RESPONSE)
+
+    def close(self) -> RequestingClient | None:
+        """Nothing is owed any more. Returns who waits for the response, once; None where the client is gone."""
+        client, self.client = self.client, None
+        self.apply(_CLOSE)
+        return client
+
+    def cancel(self) -> None:
+        """The client is gone: ends every attempt, by the one path there is for it."""
+        self.close()
+        self.desk.left(self)
--- /dev/null
+++ b/rampfront/proxy/server_response.py
@@ -0,0 +1,66 @@
+"""A server's complete response, as it goes back to the client, and the header fields that are looked at on the way.
+
+Source: PROTOCOL.md, "Servers". Fields that concern one connection alone (RFC 9110, 7.6.1) are left behind in both
+directions; all others are passed on as they came.
+"""
+
+from typing import NamedTuple, TypedDict
+
+HOP_BY_HOP_FIELDS = frozenset(
+    (
+        b"connection",
+        b"keep-alive",
+        b"proxy-connection",
+        b"te",
+        b"trailer",
+        b"transfer-encoding",
+        b"upgrade",
+        b"content-length",
+        b"proxy-authenticate",
+        b"proxy-authorization",
+    )
+)  # `content-length` too: bodies are passed on whole, so their length is written anew
+
+MISDIRECTED = 421  # another server has the address
+# A client takes these to say that the request has not run; without `Not-Run` it may have.
+NOT_RUN_STATUSES = frozenset((408, 429, 503))
+FIRST_SERVER_ERROR = 500
+SUCCESS_STATUSES = range(200, 300)
+
+
+class ServerResponse(NamedTuple):
+    """A response that was read to its end and belongs to its request."""
+
+    status: int
+    header_rows: list[tuple[bytes, bytes]]  # without hop-by-hop fields
+    body: bytes
+
+
+class ServerLoad(TypedDict):
+    """What `Server-Load` says, in the form of `terms.Probed.report`: requests that run there, that wait there, and how
+    many it runs at once."""
+
+    running: int
+    waiting: int
+    slots: int
+
+
+_LOAD_PARTS = 3
+_LONGEST_LOAD_NUMBER = 6  # digits
+
+
+def parse_server_load(text: bytes) -> ServerLoad | None:
+    """The figures of a `Server-Load` field; None where it is not three small whole numbers."""
+    parts = text.split(b",")
+    if len(parts) != _LOAD_PARTS:
+        return None
+    for part in parts:
+        if not part.strip().isdigit() or len(part) > _LONGEST_LOAD_NUMBER:
+            return None
+    running, waiting, slots = map(int, parts)
+    return {"running": running, "waiting": waiting, "slots": slots}
+
+
+def is_failure(status: int) -> bool:
+    """Whether a response of this status counts as a failed attempt."""
+    return status >= FIRST_SERVER_ERROR or status in NOT_RUN_STATUSES
--- a/rampfront/simulation/rules.py
+++ b/rampfront/simulation/rules.py
@@ -45,7 +45,7 @@
         apply, rule, take, give = (
             node_process.apply,
             node_process.rule,
-            node_process.request_proxy.take,
+            node_process.request_proxy.handle_request,
             node_process.orders.give,
         )
 
@@ -57,11 +57,11 @@
             rule(now)
             self.ruled(machine, node_process)
 
-        def taken(client, method, url, host, path, fields, said, body):
-            tag = (said.get(b"try-id") or b"").decode()
+        def taken(client, received):
+            tag = (received.header.get(b"try-id") or b"").decode()
             if request := fleet.requests.get(tag):
                 self.taken(machine, node_process, request)
-            take(client, method, url, host, path, fields, said, body)
+            take(client, received)
 
         def given(kind, body, done):
             call = fleet.calling
@@ -73,7 +73,7 @@
 
             give(kind, body, ended)
 
-        node_process.apply, node_process.rule, node_process.request_proxy.take, node_process.orders.give = (
+        node_process.apply, node_process.rule, node_process.request_proxy.handle_request, node_process.orders.give = (
             applied,
             ruled,
             taken,
--- a/tests/proxy_fixtures.py
+++ b/tests/proxy_fixtures.py
@@ -18,8 +18,9 @@
 from rampfront.net.event_log import EventLog
 from rampfront.node import bounds
 from rampfront.node.log import COUNTED
-from rampfront.proxy.core import RequestProxy
-from rampfront.proxy.front import ClientFront
+from rampfront.proxy.client_front import ClientFront
+from rampfront.proxy.environment import ProxyEnvironment
+from rampfront.proxy.request_proxy import RequestProxy
 from rampfront.settings import configuration as configurations
 from rampfront.settings import process_settings as process_settings_of
 
@@ -96,10 +97,10 @@
         self.left -= 1
         return None if self.left >= 0 else 700 * MS
 
-    def give_back(self, name, now):
+    def refund(self, name, now):
         self.back.append(name)
 
-    def limits(self, named, now):
+    def set_quotas(self, named, now):
         self.named = named
 
 
@@ -159,17 +160,9 @@
         self.process_settings = process_settings_of.read(settings()).ok_value
         self.places, self.numbers = {}, 0
         limits = bounds.fill(self.process_settings)
-        self.request_proxy = RequestProxy(
-            self,
-            self.clock,
-            self.process_settings,
-            limits,
-            random.Random(5),
-            self.quota,
-            lambda now: self.word,
-            self.log,
-        )
-        self.client_front = ClientFront(self, self.request_proxy, limits, self.log)
+        environment = ProxyEnvironment(self, self.clock, self.process_settings, limits, random.Random(5), self.log)
+        self.request_proxy = RequestProxy(environment, self.quota, lambda now: self.word)
+        self.client_front = ClientFront(environment, self.request_proxy)
         self.make = lambda: self.client_front.kind(self.client_front)
         if servers is not None:
             self.order(rules=rules, tenants=tenants, **caps)
@@ -185,8 +178,8 @@
 
     def order(self, revision=1, **other):
         configuration = configurations.read(orders(revision, **other)).ok_value
-        self.client_front.capped(configuration.caps)
-        self.request_proxy.charted(configuration)
+        self.client_front.apply_caps(configuration.caps)
+        self.request_proxy.apply_configuration(configuration)
         self.settle()
 
     def list(self, servers, at=None, cold=None):
@@ -208,7 +201,7 @@
                 )
             )
         self.numbers += 1
-        self.request_proxy.listed(EndpointList(self.numbers, tuple(rows)))
+        self.request_proxy.apply_server_list(EndpointList(self.numbers, tuple(rows)))
         self.settle()
 
     # ---- clients
--- a/tests/test_hardening_calls.py
+++ b/tests/test_hardening_calls.py
@@ -403,7 +403,7 @@
 def test_sightings_of_an_old_leader_do_not_bind():
     """Neither one at the address of the present one, in an older term, nor one elsewhere."""
     s, seen = Station(), []
-    s.node.request_proxy.sighted = seen.append
+    s.node.request_proxy.apply_health_reports = seen.append
     s.node.disseminator.leadership.term = 3
     s.node.heard(LEADER, {"k": "dim", "e": 2, "r": [["old", UNHEALTHY]]})
     s.node.heard(OTHER, {"k": "dim", "e": 4, "r": [["elsewhere", UNHEALTHY]]})
--- a/tests/test_hardening_once.py
+++ b/tests/test_hardening_once.py
@@ -203,7 +203,7 @@
     works = {
         "a configuration without the route": lambda q: q.order(2, rules=[rule("/other/", service="two")]),
         "its servers leave the list": lambda q: q.list({"s9": ("two", "a1")}),
-        "its zone is emptied": lambda q: q.request_proxy.zoned(frozenset(["a1"])),
+        "its zone is emptied": lambda q: q.request_proxy.apply_evacuations(frozenset(["a1"])),
         "lower caps": lambda q: q.order(2, MaxBodyBytes=1, MaxHeaderBytes=64),
         "drained": lambda q: q.client_front.drain(),
         "retired": lambda q: (setattr(q.client_front, "server", q), q.client_front.retire(lambda: None)),
--- a/tests/test_node_process.py
+++ b/tests/test_node_process.py
@@ -88,11 +88,15 @@
     q.wait(30)
     q.reply()
     assert (
-        node_process.request_proxy.requests.counts[5] == node_process.request_proxy.answers.counts[5] == 1
+        node_process.request_proxy.request_durations.counts[5]
+        == node_process.request_proxy.response_durations.counts[5]
+        == 1
     )  # 25 to 50 ms
     assert (
-        sum(node_process.request_proxy.requests.counts) == 1
-        and 30 * MS <= node_process.request_proxy.answers.total <= node_process.request_proxy.requests.total
+        sum(node_process.request_proxy.request_durations.counts) == 1
+        and 30 * MS
+        <= node_process.request_proxy.response_durations.total_ns
+        <= node_process.request_proxy.request_durations.total_ns
     )
 
 
@@ -136,7 +140,11 @@
     for index in (4, 5):
         word(node_process, index, revision=2, servers=(index, ["s3"]))
     q.ask(key="ann-key")
-    assert q.got().status == 401 and node_process.state.revision == 3 and node_process.request_proxy.emptied == {"b1"}
+    assert (
+        q.got().status == 401
+        and node_process.state.revision == 3
+        and node_process.request_proxy.evacuated_zones == {"b1"}
+    )
     q.ask(key="new")
     assert q.where() != "s3"
     word(node_process, 6, revision=3, zones=["a1"])  # the same configuration, another evacuation
--- a/tests/test_operator_cli.py
+++ b/tests/test_operator_cli.py
@@ -659,13 +659,13 @@
     link = SimpleNamespace(uid="i-0000", links=3)
     request_proxy = SimpleNamespace(
         servers=EndpointList(1, rows, 3 * SEC),
-        emptied=frozenset(("z1",)),
+        evacuated_zones=frozenset(("z1",)),
         configuration=None,
-        cold_zones={"z1": 4 * SEC},
+        reopened_zones={"z1": 4 * SEC},
         service_pools={
             "s": SimpleNamespace(
                 connection_pool=SimpleNamespace(targets={0: link}),
-                desk=SimpleNamespace(node=SimpleNamespace(spare=2.25)),
+                saved_attempts=2.25,
             )
         },
     )
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -186,7 +186,7 @@
     assert line == "PUT /put/x?y=1 HTTP/1.1" and sent == body and fields["Content-Length"] == str(len(body))
     assert not {"Transfer-Encoding", "Expect"} & set(fields)
     q.reply(body=body)
-    assert q.got().body == body and q.client_front.held == 0
+    assert q.got().body == body and q.client_front.buffered_bytes == 0
 
 
 def test_an_answer_goes_back_as_it_is():
@@ -226,7 +226,9 @@
     q.ask(WRITE, body=b"x" * 1000)
     server = q.pipes[q.where()]
     q.client().cut()
-    assert server.closed and q.client_front.held == 0 and not q.request_proxy.service_pools["one"].desk.books.out
+    assert (
+        server.closed and q.client_front.buffered_bytes == 0 and not q.request_proxy.service_pools["one"].desk.books.out
+    )
 
 
 MALFORMED = {
@@ -272,7 +274,7 @@
     data, status = MALFORMED[what]
     q = Quay(TWO, MaxHeaderBytes=2000, MaxBodyBytes=5000)
     q.client().feed(data)
-    assert q.got().status == status and q.pipes["c"].closed and not q.out() and q.client_front.held == 0
+    assert q.got().status == status and q.pipes["c"].closed and not q.out() and q.client_front.buffered_bytes == 0
 
 
 def test_a_request_that_never_becomes_whole():
--- a/tests/test_proxy_servers.py
+++ b/tests/test_proxy_servers.py
@@ -44,7 +44,7 @@
 
 
 def evacuate(q):
-    q.request_proxy.zoned(frozenset(["a1"]))
+    q.request_proxy.apply_evacuations(frozenset(["a1"]))
 
 
 def gone(q):
@@ -72,13 +72,13 @@
     """Nothing more to a zone that is emptied, what is idle there is closed; what runs there ends; taken back, it
     serves."""
     q = Quay(TWO)
-    q.request_proxy.zoned(frozenset(["a2"]))
+    q.request_proxy.apply_evacuations(frozenset(["a2"]))
     for k in range(8):
         q.ask(client=f"c{k}", tag=f"t{k}")
     assert set(q.out()) == {"s1"}
     q = Quay({"s1": ("one", "a1")})
     q.ask()
-    q.request_proxy.zoned(frozenset(["a1"]))
+    q.request_proxy.apply_evacuations(frozenset(["a1"]))
     q.reply()
     assert q.got().status == 200 and q.pipes["s1"].closed
     q.ask(tag="t2")
@@ -86,7 +86,7 @@
     q.list({"s1": ("one", "a1"), "s2": ("one", "a1")})  # a new list does not undo it
     q.ask(tag="t2")
     assert q.got().status == 503
-    q.request_proxy.zoned(frozenset())
+    q.request_proxy.apply_evacuations(frozenset())
     q.wait(3100)  # its servers may have become cold
     q.ask(tag="t3")
     assert q.out()
@@ -159,8 +159,8 @@
 def test_a_server_is_cold_for_as_long_as_its_service_says():
     q = Quay()
     configuration = configurations.read(orders().replace(b'"3s"', b'"6s"')).ok_value
-    q.client_front.capped(configuration.caps)
-    q.request_proxy.charted(configuration)
+    q.client_front.apply_caps(configuration.caps)
+    q.request_proxy.apply_configuration(configuration)
     q.list({"s1": ("one", "a1")}, cold={"s1": 6000})
     node = q.request_proxy.service_pools["one"].desk.node
     (server,) = node.servers.values()
@@ -177,11 +177,13 @@
     warm = {f"s{k}": ("one", "a1") for k in range(1, 5)}
     q, came = Quay(warm), []
     if back:
-        q.request_proxy.zoned(frozenset(["a2"]))
+        q.request_proxy.apply_evacuations(frozenset(["a2"]))
         q.list(warm | {"s9": ("one", "a2")})
     for k in range(400):
         if k == 100:
-            q.request_proxy.zoned(frozenset()) if back else q.list(warm | {"s9": ("one", "a1")}, cold={"s9": 3000})
+            q.request_proxy.apply_evacuations(frozenset()) if back else q.list(
+                warm | {"s9": ("one", "a1")}, cold={"s9": 3000}
+            )
         q.ask(tag=f"t{k}")
         if q.where() == "s9":
             came.append(q.now / SEC)
--- a/tests/test_system_run.py
+++ b/tests/test_system_run.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from rampfront.proxy.core import RequestProxy
+from rampfront.proxy.request_proxy import RequestProxy
 from rampfront.simulation.checks import Broken
 from rampfront.simulation.plan import draw_plan
 from rampfront.simulation.shrink import as_test, shrink
@@ -79,7 +79,9 @@
     monkeypatch.setattr(
         RequestProxy,
         "__init__",
-        lambda request_proxy, *args: (init(request_proxy, *args), setattr(request_proxy, "fresh", lambda now: True))[0],
+        lambda request_proxy, *args: (init(request_proxy, *args), setattr(request_proxy, "is_fresh", lambda now: True))[
+            0
+        ],
     )
     with pytest.raises(Broken, match="behind its revocation"):
         SystemRun(3, plan=rows, length=12000).play()
