--- a/rampfront/lab/system/configuration_cost.py
+++ b/rampfront/lab/system/configuration_cost.py
@@ -1,6 +1,6 @@
 """What a configuration costs a node by its size, and a trial of carrying changes: `python -m ...configuration_cost`.
 
-Measured are the steps that a change takes on a node today (`NodeProcess.apply`, `membership.deltas`,
+Measured are the steps that a change takes on a node today (`ReplicatedState.apply`, `membership.deltas`,
 `consensus.storage`), each by itself. The trial takes the same change as rows: only these are checked, and the rest is
 shared with the version before. A whole configuration is read in slices, between which a node could serve. The trial is
 no part of a node.
--- a/rampfront/lab/system/fleet_cost.py
+++ b/rampfront/lab/system/fleet_cost.py
@@ -19,10 +19,11 @@
 from ...membership.endpoint_pages import parse_page
 from ...membership.roster import RosterEntry
 from ...net.event_log import EventLog
-from ...node import bounds as limits
-from ...node.endpoints import Directory
-from ...node.log import COUNTED
-from ...proxy.core import RequestProxy
+from ...node.directory_call import Directory
+from ...node.limits import network_limits
+from ...node.metrics import COUNTERS
+from ...proxy.environment import ProxyEnvironment
+from ...proxy.request_proxy import RequestProxy
 from ...quota.limiter import Limiter
 from ...settings import configuration as configurations
 from ...settings import process_settings as process_settings_of
@@ -42,7 +43,7 @@
 
     def __init__(self) -> None:
         """With the system's names."""
-        super().__init__("n", SEC, COUNTED)
+        super().__init__("n", SEC, COUNTERS)
 
     def record(self, event: str, **more: object) -> None:
         """Nothing."""
@@ -63,13 +64,9 @@
     roster = tuple(
         RosterEntry(f"node-{n:04}", f"10.0.{n >> 8}.{n & 255}", zones[n % 23], f"10.0.0.1:{n}", True) for n in names
     )
-    node = SimpleNamespace(
-        process_settings=SimpleNamespace(zones=ZONES, terms=SimpleNamespace(ttl_max=5 * SEC)),
-        disseminator=SimpleNamespace(roster=roster),
-        draw=Random(1),
-    )
+    settings = SimpleNamespace(zones=ZONES, terms=SimpleNamespace(ttl_max=5 * SEC))
     asked = SimpleNamespace(query={"Zone": zones[0], "Region": ZONES[zones[0]]})
-    serving = Directory(node)
+    serving = Directory(SimpleNamespace(roster=roster), settings, Random(1))
     return {
         "directory: one answer, us": cost(lambda: serving.lookup(asked), MANY),
         "roster, whole: bytes of its frame": frame({"k": "word", "R": [list(row) for row in roster]}),
@@ -105,9 +102,8 @@
     lists.add(2, emptying)
     one, two = EndpointList(1, rows, now), EndpointList(2, emptying, now)
     loop, mine = uvloop.new_event_loop(), settings()
-    proxy = RequestProxy(
-        loop, lambda: now, mine, limits.fill(mine), Random(1), Limiter("n", Random(1)), lambda at: True, Silent()
-    )
+    environment = ProxyEnvironment(loop, lambda: now, mine, network_limits(mine), Random(1), Silent())
+    proxy = RequestProxy(environment, Limiter("n", Random(1)), lambda at: True)
     proxy.configuration = configurations.read(configuration(scale)).unwrap()
     turn = iter(range(1 << 30))
     told = endpoint_codec.encode_since(two, now, lists, 1)
@@ -123,7 +119,7 @@
         "list: its pages read, ms": cost(lambda: [parse_page(body, now) for body in bodies], FEW) * MICRO,
         "leader: difference of one server, ms": cost(difference, FEW) * MICRO,
         "node: difference taken, ms": cost(lambda: endpoint_codec.decode_since(told, now, held, 1), FEW) * MICRO,
-        "node: laid out anew, ms": cost(lambda: proxy.listed(two if next(turn) % 2 else one), FEW) * MICRO,
+        "node: laid out anew, ms": cost(lambda: proxy.apply_server_list(two if next(turn) % 2 else one), FEW) * MICRO,
         "list, whole: bytes of its frame": frame({"k": "word", "L": endpoint_codec.encode(one, now)}),
         "list, one server: bytes of its frame": frame({"k": "word", "L": told}),
     }
--- a/rampfront/lab/system/hollow.py
+++ b/rampfront/lab/system/hollow.py
@@ -6,11 +6,18 @@
 What it does not show is a real node's memory and its processor time: these are measured on the real ones.
 """
 
+from asyncio import AbstractEventLoop
 from collections.abc import Callable
 
-from ...node.node import NodeProcess
-from ...proxy.core import RequestProxy
-from ...proxy.front import ClientFront
+from ...consensus.state import State
+from ...membership.endpoint_list import EndpointList
+from ...net.event_log import EventLog
+from ...node.assembly import build_node_process
+from ...node.endpoints import open_listeners
+from ...node.node_process import NodeProcess
+from ...node.ports import Ports
+from ...proxy.request_proxy import RequestProxy
+from ...settings.process_settings import ProcessSettings
 from ...simulation.link_bytes import link_bytes
 from ...transport.wire import Wire
 
@@ -121,46 +128,80 @@
     on_event: Callable[[str, str, int], None] | None = None
     asks_per_s = 0.0
 
+    def __init__(self, **parts: object) -> None:
+        """`parts`: as `NodeProcess` has them."""
+        super().__init__(**parts)
+        self.drawn_from, self.tenant_names = None, ()
+        self.watch_states()
+        self.watch_lists()
+        self.watch_readiness()
+
     def tell_event(self, what: str, value: int) -> None:
         """Reports one change."""
         if self.on_event:
-            self.on_event(self.process_settings.name, what, value)
-
-    def apply(self, state: object) -> None:
-        """Takes a state, and reports its revision and index once both are in force here."""
-        held = self.state
-        super().apply(state)
-        if self.state is not held:
-            self.tell_event("index", self.state.index)
-            if held is None or held.revision != self.state.revision:
-                self.tell_event("revision", self.state.revision)
-
-    def serve(self, servers: object) -> None:
-        """Takes a list of servers, and reports its number."""
-        super().serve(servers)
-        self.tell_event("servers", servers.version)
-
-    def look(self, now: int) -> None:
+            self.on_event(self.context.process_settings.name, what, value)
+
+    def watch_states(self) -> None:
+        """Reports a state's revision and index once both are in force here."""
+        apply = self.replicated_state.apply
+
+        def applied(state: State) -> None:
+            held = self.replicated_state.state
+            apply(state)
+            taken = self.replicated_state.state
+            if taken is not held:
+                self.tell_event("index", taken.index)
+                if held is None or held.revision != taken.revision:
+                    self.tell_event("revision", taken.revision)
+
+        self.replicated_state.apply = applied
+
+    def watch_lists(self) -> None:
+        """Reports the number of a list of servers once it is in force here."""
+        install = self.server_list.install
+
+        def installed(servers: EndpointList) -> None:
+            install(servers)
+            self.tell_event("servers", servers.version)
+
+        self.server_list.install = installed
+
+    def watch_readiness(self) -> None:
         """Reports when the node becomes ready, or no longer is."""
-        ready = self.disseminator.ready
-        super().look(now)
-        if self.disseminator.ready != ready:
-            self.tell_event("ready", int(self.disseminator.ready))
+        update = self.readiness.update
+
+        def updated(now: int) -> None:
+            ready = self.readiness.announced
+            update(now)
+            if self.readiness.announced != ready:
+                self.tell_event("ready", int(self.readiness.announced))
 
-    def begin(self) -> None:
+        self.readiness.update = updated
+
+    async def listen(self) -> None:
+        """Opens all that a node listens at."""
+        await open_listeners(self)
+
+    def start(self) -> None:
         """Starts, and asks for quotas if told to."""
-        super().begin()
+        super().start()
         if self.asks_per_s:
-            self.timers.after(int(self.draw.expovariate(self.asks_per_s) * SEC), self.ask_quota)
+            self.ask_quota_later()
+
+    def ask_quota_later(self) -> None:
+        """Sets the time of the next question."""
+        gap = int(self.context.rng.expovariate(self.asks_per_s) * SEC)
+        self.context.scheduler.call_after(gap, self.ask_quota)
 
     def ask_quota(self) -> None:
         """One question to the limiter, of a tenant drawn evenly, as a request of that tenant would put it."""
-        self.timers.after(int(self.draw.expovariate(self.asks_per_s) * SEC), self.ask_quota)
-        if tenants := self.limiter.tenants:
-            if getattr(self, "drawn_from", None) is not tenants:
+        self.ask_quota_later()
+        limiter = self.quota_exchange.limiter
+        if tenants := limiter.tenants:
+            if self.drawn_from is not tenants:
                 self.drawn_from, self.tenant_names = tenants, tuple(tenants)
-            self.limiter.take(self.draw.choice(self.tenant_names), self.clock())
-            self.arm_tide()
+            limiter.take(self.context.rng.choice(self.tenant_names), self.context.clock())
+            self.quota_exchange.schedule_flush()
 
 
 class HollowProxy(RequestProxy):
@@ -182,21 +223,26 @@
 class HollowNode(Measured):
     """A node without its client front, its other listeners, its pools and a disk."""
 
-    def __init__(self, *about: object, **more: object) -> None:
-        """`about` and `more`: as `NodeProcess` takes them."""
-        super().__init__(*about, **more)
-        real = self.request_proxy
-        self.request_proxy = HollowProxy(real.environment, self.limiter, self.fresh)
-        self.request_proxy.on_quota_used = self.arm_tide
-        self.client_front = ClientFront(real.environment, self.request_proxy)
-
     async def listen(self) -> None:
         """Opens the wire alone."""
-        await self.wire.listen()
+        await self.context.wire.listen()
 
     def kill(self) -> None:
         """Ends at once: no word to anybody, as after a kill."""
-        self.wire.close()
-        self.timers.heap.clear()
-        if self.timers.handle:
-            self.timers.handle.cancel()
+        self.context.wire.close()
+        self.close()
+
+
+def build_measured_node(
+    loop: AbstractEventLoop, settings: ProcessSettings, log: EventLog, seed: int, ports: Ports
+) -> Measured:
+    """A real node that tells of its changes."""
+    return build_node_process(loop, settings, log, seed, ports._replace(node_process=Measured))
+
+
+def build_hollow_node(
+    loop: AbstractEventLoop, settings: ProcessSettings, log: EventLog, seed: int, ports: Ports
+) -> HollowNode:
+    """A hollow one."""
+    ports = ports._replace(node_process=HollowNode, request_proxy=HollowProxy)
+    return build_node_process(loop, settings, log, seed, ports)
--- a/rampfront/lab/system/machine.py
+++ b/rampfront/lab/system/machine.py
@@ -11,11 +11,14 @@
 import os
 import sys
 import time
+from functools import partial
 
 from ... import choice
 from ...consensus.storage import Files
 from ...node.__main__ import main
-from ...node.node import NodeProcess
+from ...node.assembly import build_node_process
+from ...node.endpoints import open_listeners
+from ...node.ports import Ports
 from ...quota.limiter import Limiter
 from ...quota.update_schedule import NEVER
 from ..tally import Bucket
@@ -53,8 +56,8 @@
 class Apart(Limiter):
     """Each pilot keeps quotas by itself: `part` of each, and nobody is told."""
 
-    def __init__(self, limiter, part):
-        super().__init__(limiter.proxy_name, limiter.random, 0, limiter.rule)
+    def __init__(self, part, *about):
+        super().__init__(*about)
         self.part, self.buckets = part, {}
 
     def set_quotas(self, settings, now):
@@ -94,29 +97,35 @@
     return node.pick(some)[0] if some else None
 
 
-def machine(told):
-    """The class of the process."""
+def builder(told):
+    """What builds the process, in place of `build_node_process`."""
     if told["variant"] == "random":
         choice.Node.choose = by_chance
+    part = {"split": 1.0 / told["pilots"], "unshared": 1.0}.get(told["variant"])
+    ports = Ports(limiter=partial(Apart, part)) if part else Ports()
 
-    class Machine(NodeProcess):
-        def __init__(self, *about):
-            super().__init__(*about)
-            if self.record_store:
-                self.record_store.files = FaultyDisk(told["disk"])
-            part = {"split": 1.0 / told["pilots"], "unshared": 1.0}.get(told["variant"])
-            if part:
-                self.limiter = self.request_proxy.limiter = Apart(self.limiter, part)
+    def build(loop, settings, log, seed):
+        node = build_node_process(loop, settings, log, seed, ports)
+        if node.core.record_store:
+            node.core.record_store.files = FaultyDisk(told["disk"])
+        return node
 
-        async def listen(self):
-            await super().listen()
-            if told["relay"]:
-                self.wire.port = told["relay"]  # it listens at its own by now, and sends here
+    return build
 
-    return Machine
+
+def opener(told):
+    """What opens the listeners, in place of `open_listeners`."""
+
+    async def open_behind_relay(node):
+        await open_listeners(node)
+        if told["relay"]:
+            node.context.wire.port = told["relay"]  # it listens at its own by now, and sends here
+
+    return open_behind_relay
 
 
 if __name__ == "__main__":
-    code = main(machine(json.loads(sys.argv[1])))
+    told = json.loads(sys.argv[1])
+    code = main(builder(told), opener(told))
     sys.stderr.flush()
     os._exit(code)
--- a/rampfront/lab/system/scale_host.py
+++ b/rampfront/lab/system/scale_host.py
@@ -22,7 +22,7 @@
 from ...node.ports import Ports
 from ...settings import configuration as configurations
 from ...settings import process_settings as process_settings_of
-from .hollow import CountedWire, HollowNode, Measured
+from .hollow import CountedWire, Measured, build_hollow_node, build_measured_node
 
 PORTS = Ports(wire=CountedWire)
 KB = 1024
@@ -78,9 +78,9 @@
 
     def make(self, name: str) -> Measured:
         """A node that is not started yet."""
-        kind = HollowNode if self.spec.hollow else Measured
+        build = build_hollow_node if self.spec.hollow else build_measured_node
         settings, seed = self.read(self.paths[name]), int.from_bytes(os.urandom(8), "big")
-        node = kind(self.loop, settings, Log(name), seed, ports=PORTS)
+        node = build(self.loop, settings, Log(name), seed, PORTS)
         node.on_event, node.asks_per_s = self.note, self.spec.asks_per_s
         return node
 
@@ -92,7 +92,7 @@
             self.note(name, "started", 1)
             node = self.nodes[name] = self.make(name)
             await node.listen()
-            node.begin()
+            node.start()
         return {}
 
     async def kill(self, names: list[str]) -> dict:
@@ -104,13 +104,13 @@
     async def cut(self, names: list[str]) -> dict:
         """Cuts nodes off from all others."""
         for name in names:
-            self.nodes[name].wire.cut = True
+            self.nodes[name].context.wire.cut = True
         return {}
 
     async def join(self, names: list[str]) -> dict:
         """Ends a cut."""
         for name in names:
-            self.nodes[name].wire.cut = False
+            self.nodes[name].context.wire.cut = False
         return {}
 
     async def take_events(self, _: list[str]) -> dict:
@@ -132,7 +132,7 @@
     @staticmethod
     def describe(node: Measured) -> dict:
         """One node's counters, and what it holds."""
-        counts, look = node.wire.frame_counts, node.disseminator
+        counts, look = node.context.wire.frame_counts, node.disseminator
         return {
             **counts.totals(),
             "sent": counts.sent,
@@ -140,10 +140,10 @@
             "leads": look.is_leader,
             "ready": look.ready,
             "known": sum(entry.ready for entry in look.roster),
-            "counts_holder": node.counter_placement.counter_ip,
-            "ip": node.process_settings.ip,
-            "frames_lost": node.counts["frames_lost"],
-            "stores": node.counts["stores"],
+            "counts_holder": node.quota_exchange.placement.counter_ip,
+            "ip": node.context.process_settings.ip,
+            "frames_lost": node.context.counts["frames_lost"],
+            "stores": node.context.counts["stores"],
         }
 
     async def answer(self, line: bytes, say: Callable[[dict], None]) -> bool:
--- a/rampfront/net/desk.py
+++ b/rampfront/net/desk.py
@@ -69,6 +69,14 @@
             wait = max(0, heap[0][0] - self.clock())
             self.handle = self.loop.call_later((wait + MS - 1) // MS / 1000, self.fire)
 
+    def close(self):
+        """Ends all of them."""
+        self.heap.clear()
+        self.dead = 0
+        if self.handle:
+            self.handle.cancel()
+            self.handle = None
+
     def fire(self):
         self.handle = None
         now = self.clock()
--- a/rampfront/node/__main__.py
+++ b/rampfront/node/__main__.py
@@ -1,42 +1,77 @@
 """`python -m rampfront.node`: one process of the system, its settings at the path in RAMPFRONT_SETTINGS.
 
-SIGTERM: leaves in order and exits 0. SIGHUP reads the settings again, of which the platform's address and the seeds are
-taken over. SIGUSR1 prints the counters. A faulty file is named on standard error, with exit status 2.
+SIGTERM and SIGINT shut it down gracefully, and it exits 0. SIGHUP reads the settings again, of which the platform's
+address, the seeds and new zones are taken over. SIGUSR1 prints the counters. A faulty settings file is named on
+standard error, with exit status 2.
 """
 
+from __future__ import annotations
+
+import gc
 import os
 import sys
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    from asyncio import AbstractEventLoop
+    from collections.abc import Awaitable, Callable
+
+    from .log import Log
+    from .node_process import NodeProcess
 
 os.environ.setdefault("UV_USE_IO_URING", "0")  # before the loop is there: not every machine has it
 
+DEFAULT_SETTINGS_PATH = "/etc/rampfront/local.json"
+SEED_BYTES = 8
+EXIT_OK = 0
+EXIT_FAULTY_SETTINGS = 2
 
-def main(kind=None):
-    """`kind`: the class of the process, where it is not `NodeProcess` itself; the laboratory's machines have one."""
-    import signal
 
+def main(
+    build: Callable[..., NodeProcess] | None = None,
+    open_listeners: Callable[[NodeProcess], Awaitable[None]] | None = None,
+) -> int:
+    """Run a node until it ends, and return the exit status.
+
+    `build` and `open_listeners` stand in place of the functions of these names, for the laboratory's machines. Imports
+    wait until here so that the environment above is set before them.
+    """
     import uvloop
+    from result import Err
 
     from ..settings import process_settings
+    from . import assembly, endpoints
     from .log import Log
-    from .node import NodeProcess
 
-    path = os.environ.get("RAMPFRONT_SETTINGS", "/etc/rampfront/local.json")
+    path = os.environ.get("RAMPFRONT_SETTINGS", DEFAULT_SETTINGS_PATH)
     found = process_settings.load(path)
-    if found.is_err():
+    if isinstance(found, Err):
         print(f"rampfront: {found.err_value}", file=sys.stderr)
-        return 2
-    mine = found.ok_value
+        return EXIT_FAULTY_SETTINGS
+    settings = found.ok_value
     loop = uvloop.new_event_loop()
-    log = Log(mine.name)
-    node_process = (kind or NodeProcess)(loop, mine, log, int.from_bytes(os.urandom(8), "big"), path)
-    node_process.start()
-    loop.add_signal_handler(signal.SIGTERM, node_process.end)
-    loop.add_signal_handler(signal.SIGINT, node_process.end)
-    loop.add_signal_handler(signal.SIGHUP, lambda: node_process.reread(path))
-    loop.add_signal_handler(signal.SIGUSR1, log.record_counters, "asked")
+    log = Log(settings.name)
+    seed = int.from_bytes(os.urandom(SEED_BYTES), "big")
+    node = (build or assembly.build_node_process)(loop, settings, log, seed)
+    loop.run_until_complete((open_listeners or endpoints.open_listeners)(node))
+    node.start()
+    node.settings_reloader.watch(path)
+    gc.collect()
+    gc.freeze()  # what exists from the start on is not looked through again
+    handle_signals(loop, node, log, path)
     loop.run_forever()
     log.record_counters("end")
-    return 0
+    return EXIT_OK
+
+
+def handle_signals(loop: AbstractEventLoop, node: NodeProcess, log: Log, settings_path: str) -> None:
+    """Attach the process' signals to the parts that they are for."""
+    import signal
+
+    loop.add_signal_handler(signal.SIGTERM, node.shutdown.begin)
+    loop.add_signal_handler(signal.SIGINT, node.shutdown.begin)
+    loop.add_signal_handler(signal.SIGHUP, node.settings_reloader.reload, settings_path)
+    loop.add_signal_handler(signal.SIGUSR1, log.record_counters, "asked")
 
 
 if __name__ == "__main__":
--- /dev/null
+++ b/rampfront/node/context.py
@@ -0,0 +1,37 @@
+"""What every part of a node's process shares: clock, timers, random source, settings, log, wire, and what it holds."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from ..terms import slotted
+
+if TYPE_CHECKING:
+    from asyncio import AbstractEventLoop
+    from collections.abc import Callable
+    from random import Random
+
+    from ..net.event_log import EventLog
+    from ..settings.process_settings import ProcessSettings
+    from ..transport.wire import Wire
+    from .scheduler import Scheduler
+    from .snapshots import Snapshots
+
+
+@slotted
+class NodeContext:
+    """Handed to each part when it is built. No part replaces a field."""
+
+    loop: AbstractEventLoop
+    clock: Callable[[], int]  # ns of a steady clock
+    scheduler: Scheduler
+    rng: Random
+    process_settings: ProcessSettings
+    log: EventLog
+    wire: Wire  # sends frames to other nodes
+    snapshots: Snapshots  # the state and the list of servers in force here
+
+    @property
+    def counts(self) -> dict[str, int]:
+        """The process' counters by name; `metrics.py` says what each counts."""
+        return self.log.counts
--- /dev/null
+++ b/rampfront/node/control_calls.py
@@ -0,0 +1,123 @@
+"""The operators' calls that order something: a new configuration, an evacuation, or a read confirmed by the core.
+
+Each call is checked here, submitted as an order to the core's leader, and answered when its verdict comes, or after a
+time-out with 503. Source of names and bodies: PROTOCOL.md, "The operator".
+"""
+
+from __future__ import annotations
+
+import zlib
+from typing import TYPE_CHECKING
+
+from result import Err
+
+from ..consensus.events import OrderKind, Outcome
+from ..consensus.state import MOST_BODY
+from ..consensus.versions import content_digest
+from ..net.http_messages import error_response, json_response
+from ..net.http_routing import endpoint
+from ..settings import configuration as configurations
+from .evacuation_view import evacuation_view
+
+if TYPE_CHECKING:
+    from collections.abc import Mapping
+
+    from ..consensus.state import State
+    from ..net.http_messages import IncomingRequest, Response
+    from .order_submitter import OrderSubmitter
+
+MAX_REQUEST_BYTES = 32 << 20
+MAX_COMPRESSED_BYTES = MOST_BODY - (64 << 10)  # of a configuration: a frame must hold what goes beside it too
+MAX_SHOWN_ZONE = 64  # characters of a zone that a refusal quotes
+NO_ANSWER = error_response(503, "the core gave no answer in time", ((b"Retry-After", b"0.3"),))
+
+
+class Control:
+    """The operators' orders."""
+
+    def __init__(self, orders: OrderSubmitter, zones: Mapping[str, str], counts: dict[str, int]) -> None:
+        """`zones`: the region of each zone that the settings name."""
+        self._orders = orders
+        self._zones = zones
+        self.counts = counts
+
+    @endpoint("POST", "/api/rpc", operation="config.replace", max_body_bytes=MAX_REQUEST_BYTES)
+    def replace_configuration(self, request: IncomingRequest) -> Response | None:
+        """Put a configuration into force. One that is not valid, or too large, is refused here."""
+        found = configurations.read(request.body)
+        if isinstance(found, Err):
+            self.counts["orders_refused"] += 1
+            return json_response({"Message": str(found.err_value), "Field": found.err_value.field}, 400)
+        revision, body = found.ok_value.revision, zlib.compress(request.body)
+        if len(body) > MAX_COMPRESSED_BYTES:
+            message = f"the body is {len(body)} bytes when compressed, {MAX_COMPRESSED_BYTES} are taken"
+            return json_response({"Message": message, "Field": ""}, 413)
+
+        def on_done(verdict: str | None, state: State | None) -> None:
+            if verdict == Outcome.DONE and state is not None:
+                reply(request, json_response({"Revision": f"r{revision}", "Holds": f"r{state.revision}"}))
+            elif verdict == Outcome.CONFLICT and state is not None:
+                self.counts["orders_refused"] += 1
+                reply(request, conflict_answer(revision, body, state))
+            else:
+                reply(request, NO_ANSWER)
+
+        self._orders.submit(OrderKind.CONFIGURE, (revision, body), on_done)
+        return None
+
+    @endpoint("POST", "/api/rpc", operation="config.read")
+    def read_configuration(self, request: IncomingRequest) -> None:
+        """Return the configuration in force, confirmed by a majority of the core."""
+
+        def on_done(verdict: str | None, state: State | None) -> None:
+            if verdict != Outcome.DONE or state is None:
+                reply(request, NO_ANSWER)
+            elif not state.revision:
+                request.respond(404, b'{"Message":"no configuration yet"}')
+            else:
+                request.respond(200, zlib.decompress(state.body))
+
+        self._orders.submit(OrderKind.READ, None, on_done)
+
+    @endpoint("POST", "/api/rpc", operation="empty.start")
+    def start_evacuation(self, request: IncomingRequest) -> Response | None:
+        """Take a zone's servers out of use."""
+        return self._change_zone(request, OrderKind.EVACUATE)
+
+    @endpoint("POST", "/api/rpc", operation="empty.finish")
+    def finish_evacuation(self, request: IncomingRequest) -> Response | None:
+        """Take a zone's servers back into use."""
+        return self._change_zone(request, OrderKind.RESTORE)
+
+    def _change_zone(self, request: IncomingRequest, kind: str) -> Response | None:
+        zone = request.query.get("of")
+        if zone is None:
+            return json_response({"Message": "of: missing in the query", "Field": "of"}, 400)
+        if zone not in self._zones:
+            return json_response({"Message": f"of: {zone[:MAX_SHOWN_ZONE]!r} is no zone", "Field": "of"}, 400)
+
+        def on_done(verdict: str | None, state: State | None) -> None:
+            if verdict == Outcome.DONE and state is not None:
+                reply(request, json_response(evacuation_view(zone, state)))
+            else:
+                reply(request, NO_ANSWER)
+
+        self._orders.submit(kind, zone, on_done)
+        return None
+
+
+def reply(request: IncomingRequest, answer: Response) -> bool:
+    """Response a call that was kept waiting. Returns whether this was the answer that its caller gets."""
+    return request.respond(answer.status, answer.body, answer.headers)
+
+
+def conflict_answer(revision: int, body: bytes, state: State) -> Response:
+    """Return the refusal of a configuration whose number stands for another content."""
+    advice = f"raise Revision above r{state.revision}"
+    fields = {
+        "Message": f"Revision: r{revision} was confirmed with another content, and r{state.revision} holds; {advice}",
+        "Field": "Revision",
+        "Sent": {"Revision": f"r{revision}", "Digest": content_digest(body).hex()},
+        "Holds": {"Revision": f"r{state.revision}", "Digest": content_digest(state.body).hex()},
+    }
+    return json_response(fields, 409)
--- /dev/null
+++ b/rampfront/node/evacuation_view.py
@@ -0,0 +1,22 @@
+"""How an evacuated zone is shown to operators, in the answer to an order and in the views."""
+
+from typing import TypeAlias
+
+from ..consensus.evacuations import PLAIN
+from ..consensus.state import State
+
+EvacuationView: TypeAlias = dict[str, str | bool | int]
+
+
+def evacuation_view(zone: str, state: State) -> EvacuationView:
+    """Whether a zone is evacuated, and by how many operators as far as that is known."""
+    if zone not in state.evacuated_zones:
+        return {"Zone": zone, "Emptied": False, "Operators": 0, "Repeated": False, "Returned": False}
+    evacuation = state.evacuations.get(zone, PLAIN)
+    return {
+        "Zone": zone,
+        "Emptied": True,
+        "Operators": evacuation.operators,
+        "Repeated": evacuation.repeated,
+        "Returned": evacuation.returned,
+    }
--- /dev/null
+++ b/rampfront/node/leadership.py
@@ -0,0 +1,50 @@
+"""Follows the role of the core's member beside us: tells the disseminator who leads, lets the leader poll servers."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from ..membership.leadership import CoreStatus
+from .log_events import LogEvent
+
+if TYPE_CHECKING:
+    from ..membership.dissemination import Disseminator
+    from .context import NodeContext
+    from .core_driver import CoreDriver
+    from .readiness import Readiness
+    from .server_list_service import ServerListService
+
+
+class LeadershipMonitor:
+    """What hangs on leading, at a node that has a member of the core."""
+
+    def __init__(
+        self,
+        context: NodeContext,
+        core: CoreDriver,
+        disseminator: Disseminator,
+        server_list: ServerListService,
+        readiness: Readiness,
+    ) -> None:
+        """Build it over the parts that have to know who leads."""
+        self._log = context.log
+        self._core = core
+        self._disseminator = disseminator
+        self._snapshots = context.snapshots
+        self._server_list = server_list
+        self._readiness = readiness
+
+    def update(self, now: int) -> None:
+        """Take over the member's role. A leader leads once a majority stands behind it for the first time."""
+        member, disseminator, state = self._core.member, self._disseminator, self._snapshots.state
+        assert member is not None  # who has no member is never told
+        led = disseminator.is_leader
+        leads = member.is_leader and member.quorum_confirmed_at is not None
+        term = state.term if state else 0
+        status = CoreStatus(leads, member.leader_ip, term, member.quorum_confirmed_at)
+        disseminator.set_leadership(status, now)
+        if leads != led:
+            event = LogEvent.LEADERSHIP_GAINED if leads else LogEvent.LEADERSHIP_LOST
+            self._log.record(event, term=disseminator.term)
+        self._server_list.poll_while(leads)
+        self._readiness.update(now)
--- /dev/null
+++ b/rampfront/node/limits.py
@@ -0,0 +1,37 @@
+"""Limits of the sockets, from what the machine has (`Caps` of the settings file). Source: DEPLOY.md."""
+
+from ..net.limits import NetworkLimits
+from ..settings.process_settings import ProcessSettings
+
+MS, SEC = 10**6, 10**9
+KIB, MIB = 1 << 10, 1 << 20
+RESERVED_DESCRIPTORS = 200  # for files, and what the loop and our own listeners need
+MIN_SOCKETS = 256
+RESERVED_SOCKETS = 256  # for operators, the platform and other nodes
+OVERFLOW_CLIENTS = 16
+
+
+def network_limits(process_settings: ProcessSettings) -> NetworkLimits:
+    """Return the limits of a process of the system: a third of its sockets are for connections to servers."""
+    sockets = max(MIN_SOCKETS, process_settings.open_files - RESERVED_DESCRIPTORS)
+    server_connections = sockets // 3
+    return NetworkLimits(
+        max_clients=sockets - server_connections - RESERVED_SOCKETS,
+        overflow_clients=OVERFLOW_CLIENTS,
+        max_server_connections=server_connections,
+        max_active_clients=sockets // 3,
+        connect_timeout_ns=250 * MS,
+        server_idle_timeout_ns=7 * SEC,
+        max_body_bytes=64 * MIB,
+        max_response_bytes=64 * MIB,
+        max_head_bytes=32 * KIB,
+        response_read_timeout_ns=3 * SEC,
+        first_request_timeout_ns=10 * SEC,
+        client_idle_timeout_ns=15 * SEC,
+        request_read_timeout_ns=10 * SEC,
+        write_timeout_ns=10 * SEC,
+        answer_margin_ns=10 * MS,
+        health_check_timeout_ns=SEC,
+        read_buffer_bytes=64 * KIB,
+        listen_backlog=512,
+    )
--- /dev/null
+++ b/rampfront/node/log_events.py
@@ -0,0 +1,74 @@
+"""The events of the log of a node's process, declared in one place: name, level, fields, meaning.
+
+`docs/` prints this table; a test holds both together. Events of the shared packages (`net/`, `transport/`) stand here
+too, because a node's log has them. A line is `NODE EVENT field=value ...` on standard error. Events with the field
+`party` are rate limited: one line for an event and party in ten seconds, and `more` tells how many were left out.
+"""
+
+from __future__ import annotations
+
+from enum import StrEnum
+
+
+class LogEvent(StrEnum):
+    """An event's value is its name in the log; `level`, `fields` and `meaning` describe it."""
+
+    level: str
+    fields: tuple[str, ...]
+    meaning: str
+
+    def __new__(cls, name: str, level: str, fields: str, meaning: str) -> LogEvent:
+        """`fields`: names with blanks between them."""
+        event = str.__new__(cls, name)
+        event._value_ = name
+        event.level = level
+        event.fields = tuple(fields.split())
+        event.meaning = meaning
+        return event
+
+    # The process.
+    STARTED = "started", "info", "zone disk first_boot", "the process serves; `disk`: it is a member of the core"
+    READY = "ready", "info", "", "the node asks for clients"
+    NOT_READY = "not ready", "warning", "", "the node asks for no more clients: no lease, no server, or it ends"
+    SHUTDOWN_STARTED = "shutting down", "info", "", "SIGTERM came: clients are served on, then the process ends"
+    TOTALS = "totals", "info", "why", "every counter, on SIGUSR1 and at the end"
+    INTERNAL_ERROR = "internal error", "error", "party error", "a defect in an operator's call (`party`: its path)"
+
+    # Settings and state.
+    SETTINGS_RELOADED = "settings reloaded", "info", "", "the settings file was read again and taken over"
+    SETTINGS_REJECTED = "settings rejected", "error", "error", "the settings file is faulty: nothing has changed"
+    CONFIGURATION_APPLIED = "configuration applied", "info", "revision", "a revision is in force at this node"
+    CONFIGURATION_UNREADABLE = (
+        "configuration unreadable",
+        "error",
+        "revision error",
+        "this program can't read a revision that the core took: it is older than the configuration",
+    )
+    EVACUATIONS_CHANGED = "evacuations changed", "info", "zones", "the zones that are evacuated from now on"
+
+    # The core.
+    LEADERSHIP_GAINED = "leadership gained", "info", "term", "this node leads the core"
+    LEADERSHIP_LOST = "leadership lost", "info", "term", "this node no longer leads the core"
+    CORE_MEMBERS_CHANGED = "core members changed", "info", "members", "the members of the core from now on"
+    RECORD_UNREADABLE = (
+        "record unreadable",
+        "error",
+        "error",
+        "the core's record on disk can't be read: the node serves clients, but is no member until it starts anew",
+    )
+    STORE_FAILED = "store failed", "error", "party error", "the disk refused the core's record; it is tried again"
+    ORDER_REPLY_DROPPED = (
+        "order reply dropped",
+        "info",
+        "party reason",
+        "a reply to an operator's order came late, or from a node (`party`) that was not asked",
+    )
+
+    # Between nodes, and towards servers and the platform.
+    FRAME_INVALID = "invalid frame", "warning", "party error", "a frame of the node `party` is not valid: dropped"
+    SERVER_LIST_POLL_FAILED = (
+        "server list poll failed",
+        "warning",
+        "party error",
+        "a round of the platform's list failed",
+    )
--- a/rampfront/node/metrics.py
+++ b/rampfront/node/metrics.py
@@ -1,109 +1,138 @@
-"""What a scraper reads at the control address: counters, what the node holds at this moment, spans in fixed buckets.
+"""The metrics of a node's process, declared in one place: name, type, help.
 
-Text exposition format 0.0.4, written from its public description: https://prometheus.io/docs/instrumenting/exposition_formats/.
-Nothing is sent anywhere and nothing is made until it is asked for. The lines are as many on every node and every day: none
-carries a tenant, a server, a route or a key. `docs/system/observing.md` says which line answers which question.
+Counters are kept under the names of `COUNTERS` by the log (`log.py`), and the parts that count add to them. What the
+node holds at a moment (`GAUGES`) and how long things took (`HISTOGRAMS`) is read when a scraper asks
+(`metrics_page.py`). `docs/` prints these tables; a test holds both together.
 """
 
 from collections.abc import Iterator
+from typing import NamedTuple
 
-from ..consensus.membership_change import LEARNER, LEAVING, REPLACED, SILENT, CoreStrength
-from ..net.http_messages import Response
-from ..net.http_routing import endpoint
-from ..net.latency_histogram import BUCKET_BOUNDS_NS
-
-SEC = 10**9
-KIND = b"text/plain; version=0.0.4; charset=utf-8"
-LABELS = (*(f"{edge / SEC:g}" for edge in BUCKET_BOUNDS_NS), "+Inf")
-SPANS = (
-    ("request", "From a whole request to its answer, at this pilot; what no server was asked for is left out."),
-    ("server_answer", "From a request handed to a server to its whole answer, good or bad."),
-    ("adds_round_trip", "From counts told to their holder to the answer, sendings again included."),
-    ("word_age", "Age of the core's word, looked at ten times a second."),
-)
-
-
-def gauges(node_process):
-    """(name, value) of what the node holds. What it does not know is left out, as the format has it."""
-    now, look, state, request_proxy = (
-        node_process.clock(),
-        node_process.disseminator,
-        node_process.state,
-        node_process.request_proxy,
-    )
-    node_process.check_leadership(now)
-    yield "ready", look.ready
-    silent = node_process.out_of_touch(now)
-    yield "in_touch", node_process.fresh(now)
-    yield "out_of_touch", silent is not None
-    yield "out_of_touch_seconds", (silent or 0) / SEC
-    yield "leads", look.is_leader
-    yield "ending", node_process.ending
-    yield "lease_seconds", node_process.lease / SEC
-    if look.confirmed_at_ns is not None:
-        yield "word_age_now_seconds", max(0, now - look.confirmed_at_ns) / SEC
-    if state is not None:
-        yield "configuration_revision", state.revision
-        yield "core_step", state.index
-        yield "core_term", state.term
-        yield "core_members", len(state.members)
-        yield "zones_emptied", len(state.evacuated_zones)
-    core_member = node_process.core_member
-    if core_member is not None and core_member.leadership is not None:
-        yield from core_gauges(core_member.leadership.strength(now))
-    yield "nodes_known", len(look.roster)
-    yield "nodes_ready", sum(entry.ready for entry in look.roster)
-    if request_proxy.servers is not None:
-        yield "servers_listed", len(request_proxy.servers.endpoints)
-        yield "servers_ready", sum(row.state == "ready" for row in request_proxy.servers.endpoints)
-        yield "servers_list_age_seconds", max(0, now - request_proxy.servers.read_at_ns) / SEC
-    yield "client_connections", len(node_process.client_front.clients)
-    yield "quotas_alone", node_process.limiter.is_isolated(now)
-
-
-def core_gauges(strength: CoreStrength) -> Iterator[tuple[str, float]]:
-    """What the leader alone knows of the core's members."""
-    states = [row.state for row in strength.members]
-    yield "core_members_wanted", strength.wanted
-    yield "core_members_silent", sum(state in (SILENT, REPLACED) for state in states)
-    yield "core_members_leaving", states.count(LEAVING)
-    yield "core_learners", states.count(LEARNER)
-    yield "core_full_strength", strength.full_for is not None
-    yield "core_full_strength_seconds", (strength.full_for or 0) / SEC
-
-
-def text(counts, held, spans):
-    """The page. `counts`: name to count; `held`: (name, value); `spans`: one `LatencyHistogram` for each of SPANS."""
-    lines = []
-    for name, count in counts.items():
-        lines += (f"# TYPE rampfront_{name}_total counter", f"rampfront_{name}_total {count}")
-    for name, value in held:
-        lines += (
-            f"# TYPE rampfront_{name} gauge",
-            f"rampfront_{name} {value:g}" if type(value) is float else f"rampfront_{name} {int(value)}",
-        )
-    for (name, about), span in zip(SPANS, spans, strict=True):
-        name, up = f"rampfront_{name}_seconds", 0
-        lines += (f"# HELP {name} {about}", f"# TYPE {name} histogram")
-        for label, count in zip(LABELS, span.counts):
-            up += count
-            lines.append(f'{name}_bucket{{le="{label}"}} {up}')
-        lines += (f"{name}_sum {span.total_ns / SEC:.9f}", f"{name}_count {up}")
-    return "\n".join(lines) + "\n"
-
-
-class Metrics:
-    def __init__(self, node_process):
-        self.node_process = node_process
-
-    @endpoint("GET", "/metrics")
-    def metrics(self, asked):
-        """For a scraper; once in ten seconds is often enough."""
-        node_process = self.node_process
-        spans = (
-            node_process.request_proxy.request_durations,
-            node_process.request_proxy.response_durations,
-            node_process.add_trips,
-            node_process.word_ages,
-        )
-        return Response(200, text(node_process.counts, gauges(node_process), spans).encode(), content_type=KIND)
+PREFIX = "rampfront_"
+
+# In the order of print. The first part is counted by the packages shared with the edge node (`net.notes.COUNTED`).
+COUNTERS = {
+    "clients": "Connections of clients that were accepted.",
+    "clients_shed": "Connections of clients that were closed, or turned away, because too many were open.",
+    "taken": "Requests that were read completely.",
+    "malformed": "Requests that were not valid HTTP, or beyond the bounds of the configuration.",
+    "pipelined": "Requests that came before the one in front of them had its answer.",
+    "slow": "Connections of clients that were closed for being too slow.",
+    "left": "Clients that closed the connection before their answer.",
+    "settled": "Requests that were answered with a server's answer.",
+    "declined": "Requests that were turned away with the promise that they have not run.",
+    "voided": "Requests that may have run, and have no answer of a server.",
+    "turned_away": "Requests on connections beyond the bound, which were told to come back.",
+    "submissions": "Attempts at servers, retries and hedged requests included.",
+    "dispatches": "Attempts that were written to a connection.",
+    "resent": "Retries: attempts after one that failed.",
+    "copies": "Hedged requests: attempts beside one that is late.",
+    "done": "Attempts that ended with an answer.",
+    "relayed": "Answers of servers that were passed on.",
+    "error": "Attempts that ended with a server's error.",
+    "unseen": "Attempts that the server never took up.",
+    "timed_out": "Attempts that ended by their time limit.",
+    "broken": "Attempts whose connection broke.",
+    "cancelled": "Attempts that were cancelled.",
+    "connects": "Connections to servers that were opened.",
+    "connects_failed": "Connections to servers that did not come about.",
+    "links_shed": "Connections to servers that were closed because too many were open.",
+    "links_short": "Attempts that found no free connection within the bound.",
+    "probes": "Health checks that were sent.",
+    "probes_failed": "Health checks that failed.",
+    "odd_answers": "Answers of servers that were not valid.",
+    "faults": "Defects: exceptions that no part expected.",
+    "frames_sent": "Frames to other nodes that went as one datagram.",
+    "transfers_started": "Frames to other nodes that went over a connection.",
+    "frames_lost": "Frames over connections that did not arrive, as far as is known.",
+    "frames_replaced": "Frames that were dropped unsent because a newer one of their kind took their place.",
+    "frames_invalid": "Frames of other nodes that were not valid.",
+    "frames_truncated": "Frames of other nodes that ended before they were complete.",
+    "unknown_route": "Requests answered 404: no route has this host and path.",
+    "unknown_key": "Requests answered 401: no tenant has this key.",
+    "over_quota": "Requests answered 429: the tenant's quota is used up.",
+    "no_word": "Requests answered 503: the node has no configuration, or its lease has expired.",
+    "no_server": "Requests answered 503: no server of the service is available.",
+    "misplaced": "Answers 421 of servers: another server stands at the address.",
+    "server_lists": "Complete lists of servers that were read from the platform.",
+    "server_lists_failed": "Rounds of the platform's list of servers that failed.",
+    "orders": "Orders of operators that were submitted at this node.",
+    "orders_refused": "Orders that were refused as faulty, or as in conflict with a confirmed revision.",
+    "orders_repeated": "Requests for an order that this node, as the leader, had already.",
+    "orders_busy": "Orders that were refused because too many were in flight.",
+    "orders_abandoned": "Orders that the core never answered to this node as the leader.",
+    "replies_unsolicited": "Replies to orders that nobody waited for, or that did not count.",
+    "stores": "Records of the core that were handed to the disk.",
+    "stores_failed": "Records of the core that the disk refused.",
+}
+
+# In the order of print. A gauge whose value is not known is left out.
+GAUGES = {
+    "ready": "1: the node asks for clients.",
+    "lease_valid": "1: what the node holds is young enough to let requests run.",
+    "out_of_touch": "1: no majority of the core has stood behind what the node holds for 2.5 s.",
+    "out_of_touch_seconds": "For how long that has been so; 0 while the node is in touch.",
+    "leads": "1: the node leads the core.",
+    "shutting_down": "1: the node is shutting down.",
+    "lease_duration_seconds": "Age of the lease past which no request runs.",
+    "lease_age_seconds": "Time since a majority of the core stood behind what the node holds.",
+    "configuration_revision": "The revision of the configuration in force here.",
+    "core_state_index": "The log index of the core's state in force here.",
+    "core_term": "The term in which that state was proposed.",
+    "core_members": "Members of the core, by that state.",
+    "zones_evacuated": "Zones that are evacuated, by that state.",
+    "core_members_target": "At the leader: how many members the core should have.",
+    "core_members_silent": "At the leader: members that do not answer.",
+    "core_members_leaving": "At the leader: members that shut down.",
+    "core_learners": "At the leader: nodes that catch up in order to become members.",
+    "core_full_strength": "At the leader: 1 while the core is at full strength.",
+    "core_full_strength_seconds": "At the leader: for how long, in its term.",
+    "nodes_known": "Nodes of the roster.",
+    "nodes_ready": "Nodes of the roster that are ready.",
+    "servers_listed": "Servers of the list in force here.",
+    "servers_ready": "Servers of that list that are ready.",
+    "server_list_age_seconds": "Time since that list changed.",
+    "client_connections": "Connections of clients that are open.",
+    "quota_counter_silent": "1: the counter of quotas does not answer, and the node goes by its even share.",
+}
+
+# In the order of print.
+HISTOGRAMS = {
+    "request": "From a complete request to its answer, at this node; what was sent to no server is left out.",
+    "server_answer": "From an attempt handed to a server to its complete answer, good or bad.",
+    "quota_round_trip": "From counts sent to the counter of quotas to its answer, retransmissions included.",
+    "lease_age_sampled": "Age of the lease, sampled ten times a second.",
+}
+
+
+class Metric(NamedTuple):
+    """A metric as a scraper sees it."""
+
+    name: str
+    kind: str
+    help: str
+
+
+def counter_name(name: str) -> str:
+    """Return the full name of a counter."""
+    return f"{PREFIX}{name}_total"
+
+
+def gauge_name(name: str) -> str:
+    """Return the full name of a gauge."""
+    return f"{PREFIX}{name}"
+
+
+def histogram_name(name: str) -> str:
+    """Return the full name of a histogram."""
+    return f"{PREFIX}{name}_seconds"
+
+
+def all_metrics() -> Iterator[Metric]:
+    """Every metric, in the order of print."""
+    for name, text in COUNTERS.items():
+        yield Metric(counter_name(name), "counter", text)
+    for name, text in GAUGES.items():
+        yield Metric(gauge_name(name), "gauge", text)
+    for name, text in HISTOGRAMS.items():
+        yield Metric(histogram_name(name), "histogram", text)
--- /dev/null
+++ b/rampfront/node/node_process.py
@@ -0,0 +1,97 @@
+"""One process of the system: the parts that it is made of, and the two timers that drive them.
+
+The parts are built and joined by `assembly.build_node_process`. Nothing is decided here: agreement is the core
+member's (`consensus`), what is passed on to whom the disseminator's (`membership`), who is served the proxy's
+(`proxy`), quotas the limiter's and the counter's (`quota`).
+"""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from ..terms import slotted
+from .log_events import LogEvent
+
+if TYPE_CHECKING:
+    from ..membership.dissemination import Disseminator
+    from ..proxy.client_front import ClientFront
+    from ..proxy.request_proxy import RequestProxy
+    from .context import NodeContext
+    from .core_driver import CoreDriver
+    from .frame_dispatch import FrameDispatcher
+    from .leadership import LeadershipMonitor
+    from .lease import Lease
+    from .order_executor import OrderExecutor
+    from .order_submitter import OrderSubmitter
+    from .quota_exchange import QuotaExchange
+    from .readiness import Readiness
+    from .replicated_state import ReplicatedState
+    from .server_health_exchange import ServerHealthExchange
+    from .server_list_service import ServerListService
+    from .settings_reload import SettingsReloader
+    from .shutdown import Shutdown
+
+MS = 10**6
+TICK_NS = 100 * MS  # of all parts that look at the time
+FIRST_TICK_NS = 25 * MS  # the same until the node has a lease for the first time
+SWEEP_NS = 250 * MS  # of connections that are idle or late
+
+
+@slotted
+class NodeProcess:
+    """The parts of a node. Each has one job and owns its own state; this class starts, drives and ends them."""
+
+    context: NodeContext
+    frame_dispatcher: FrameDispatcher
+    disseminator: Disseminator
+    lease: Lease
+    core: CoreDriver
+    leadership: LeadershipMonitor
+    replicated_state: ReplicatedState
+    server_list: ServerListService
+    server_health: ServerHealthExchange
+    quota_exchange: QuotaExchange
+    request_proxy: RequestProxy
+    client_front: ClientFront
+    orders: OrderSubmitter
+    order_executor: OrderExecutor
+    readiness: Readiness
+    settings_reloader: SettingsReloader
+    shutdown: Shutdown
+
+    def start(self) -> None:
+        """Start the parts and the timers; to be called once, when the listeners are open."""
+        settings = self.context.process_settings
+        has_disk = self.core.member is not None
+        self.context.log.record(LogEvent.STARTED, zone=settings.zone, disk=has_disk, first_boot=settings.first)
+        self.core.start()
+        self.tick()
+        self.sweep()
+
+    def tick(self) -> None:
+        """Let every part look at the time. The next tick is set first, so that a defect in a part doesn't end them."""
+        has_lease = self.disseminator.confirmed_at_ns is not None
+        self.context.scheduler.call_after(TICK_NS if has_lease else FIRST_TICK_NS, self.tick)
+        now = self.context.clock()
+        self.core.tick()
+        self.disseminator.tick(now)
+        self.order_executor.tick(now)
+        self.orders.tick(now)
+        self.server_health.send_reports(now)
+        self.readiness.update(now)
+        self.lease.sample_age(now)
+        self.quota_exchange.tick(now)
+
+    def sweep(self) -> None:
+        """Close connections that are idle or late, and say what the log held back."""
+        self.context.scheduler.call_after(SWEEP_NS, self.sweep)
+        self.client_front.sweep()
+        self.context.wire.sweep()
+        self.context.log.sweep()
+        for service_pool in self.request_proxy.service_pools.values():
+            service_pool.connection_pool.sweep()
+
+    def close(self) -> None:
+        """End every timer and listener at once; nobody is told."""
+        self.context.scheduler.close()
+        self.shutdown.listeners.close()
--- a/rampfront/node/order_messages.py
+++ b/rampfront/node/order_messages.py
@@ -1,9 +1,12 @@
-"""What two nodes say to each other about an operator's order: the request to the leader of the core and its reply.
+"""The two messages by which an operator's order crosses the fleet: the request to the core's leader, and its reply.
 
-Each message is an immutable class; `decode` of each is the one place where its fields are checked, and raises
-`MalformedMessageError`, upon which the wire drops the frame and counts it. A caller is known by its address and its
-life: a number that its process draws at its start. One process stands at an address and port at a time, so its name
-would tell nothing more and is not sent.
+Each message is an immutable class that is built, checked and encoded in this module alone. The wire's short keys stand
+in one list below; no other module knows them. `decode` raises `MalformedMessageError`, upon which the transport drops
+the frame and counts it.
+
+An order is identified as a request of a client is in Raft (dissertation, section 6.3): by the client and a number that
+the client counts up. The client is a node's address and its incarnation, which its process draws at each start. One
+process stands at an address at a time, so a name would add nothing and is not sent.
 """
 
 from collections.abc import Callable, Sequence
@@ -12,15 +15,28 @@
 from ..consensus.events import OrderKind, Outcome
 from ..consensus.state import MOST_BODY, MOST_ZONE, State, decode_state
 
-BUSY = "busy"  # not taken: the table of orders under way is full, at the leader or here
+# Keys of the frames, as they stand on the wire.
+FRAME_KIND = "k"
+INCARNATION = "l"
+NUMBER = "r"
+ORDER_KIND = "o"
+BODY = "b"
+VERDICT = "v"
+STATE = "S"
+
+REQUEST_FRAME = "order"
+REPLY_FRAME = "said"
+
+BUSY = "busy"  # not taken: the table of orders in flight is full, at the leader or here
 VERDICTS = frozenset((Outcome.DONE, Outcome.NOT_LEADER, Outcome.REJECTED, Outcome.UNKNOWN, Outcome.CONFLICT, BUSY))
-WITH_STATE = frozenset((Outcome.DONE, Outcome.CONFLICT))  # verdicts that rest on what is in force, and come with it
-CONFIGURATION = ("revision", "bytes")  # the fields of a configuration's order
-LIFE_BITS = 32
-LIVES = 1 << LIFE_BITS
-LARGEST_NUMBER = 1 << 53
+VERDICTS_WITH_STATE = frozenset((Outcome.DONE, Outcome.CONFLICT))  # they rest on the committed state, and carry it
+CONFIGURATION_FIELDS = ("revision", "bytes")  # of the body of a configuration's order
+INCARNATION_BITS = 32
+INCARNATION_LIMIT = 1 << INCARNATION_BITS
+LARGEST_NUMBER = 1 << 53  # what JSON readers of other languages keep exactly
 
-Body: TypeAlias = tuple[int, bytes] | str | None  # a revision and its compressed bytes, a zone, or nothing
+Frame: TypeAlias = dict[str, Any]  # a message as the transport carries it
+OrderBody: TypeAlias = tuple[int, bytes] | str | None  # a revision and its compressed bytes, a zone, or nothing
 
 
 class MalformedMessageError(ValueError):
@@ -28,106 +44,123 @@
 
 
 class OrderKey(NamedTuple):
-    """An order as the leader knows it: who gave it, in which life, and its number there."""
+    """An order as the leader knows it: the node that submitted it, that node's incarnation, and the number there."""
 
     ip: str
-    life: int
+    incarnation: int
     number: int
 
 
 class OrderRequest(NamedTuple):
-    """An order on its way to the leader of the core."""
+    """An order on its way to the leader of the core. `kind`: one of `OrderKind`."""
 
-    life: int
+    incarnation: int
     number: int
     kind: str
-    body: Body
-
-    def encode(self) -> dict[str, Any]:
-        """The plain message for the wire."""
-        return {"k": "order", "l": self.life, "r": self.number, "o": str(self.kind), "b": self.body}
+    body: OrderBody
+
+    def encode(self) -> Frame:
+        """Return the frame for the transport."""
+        return {
+            FRAME_KIND: REQUEST_FRAME,
+            INCARNATION: self.incarnation,
+            NUMBER: self.number,
+            ORDER_KIND: str(self.kind),
+            BODY: self.body,
+        }
 
     @classmethod
-    def decode(cls, plain: dict[str, Any]) -> Self:
-        """Raises MalformedMessageError."""
-        kind = plain.get("o")
-        body = BODIES.get(kind) if type(kind) is str else None
-        if body is None:
+    def decode(cls, frame: Frame) -> Self:
+        """Check a frame and return its message. Raises MalformedMessageError."""
+        kind = frame.get(ORDER_KIND)
+        check_body = BODY_CHECKS.get(kind) if type(kind) is str else None
+        if check_body is None:
             raise MalformedMessageError("order: kind")
-        life, number = identity(plain)
-        return cls(life, number, kind, body(plain.get("b")))
+        incarnation, number = decode_identity(frame)
+        return cls(incarnation, number, kind, check_body(frame.get(BODY)))
 
 
 class OrderReply(NamedTuple):
-    """How an order ended at the node that was asked. `state`: with DONE and CONFLICT, what is in force there. Without
-    `whole` its body stays off the wire, being the one that the order brought: the caller holds that."""
+    """How an order ended at the node that it was sent to.
 
-    life: int
+    `state`: with DONE and CONFLICT, the committed state there. Without `with_body` its body stays off the wire, because
+    it is the one that the order brought and the submitter holds it.
+    """
+
+    incarnation: int
     number: int
     verdict: str
     state: State | None = None
-    whole: bool = True
-
-    def encode(self) -> dict[str, Any]:
-        """The plain message for the wire."""
-        plain = {"k": "said", "l": self.life, "r": self.number, "v": str(self.verdict)}
+    with_body: bool = True
+
+    def encode(self) -> Frame:
+        """Return the frame for the transport."""
+        frame = {
+            FRAME_KIND: REPLY_FRAME,
+            INCARNATION: self.incarnation,
+            NUMBER: self.number,
+            VERDICT: str(self.verdict),
+        }
         if self.state is not None:
-            plain["S"] = self.state.encode(self.whole)
-        return plain
+            frame[STATE] = self.state.encode(self.with_body)
+        return frame
 
     @classmethod
-    def decode(cls, plain: dict[str, Any], bodies: Sequence[bytes] = ()) -> Self:
-        """`bodies`: those that the caller holds. Raises MalformedMessageError, and consensus' `RemoteProtocolError` (a
-        ValueError too) for a state that does not hold."""
-        verdict = plain.get("v")
+    def decode(cls, frame: Frame, bodies: Sequence[bytes] = ()) -> Self:
+        """Check a frame and return its message.
+
+        `bodies`: configuration bodies that the caller holds, for a state that comes without its own. Raises
+        MalformedMessageError, and the consensus package's own ValueError for a state that is not valid.
+        """
+        verdict = frame.get(VERDICT)
         if type(verdict) is not str or verdict not in VERDICTS:
             raise MalformedMessageError("reply: verdict")
         state = None
-        if plain.get("S") is not None:
-            state = decode_state(plain["S"], bodies)
+        if frame.get(STATE) is not None:
+            state = decode_state(frame[STATE], bodies)
             if state is None:
                 raise MalformedMessageError("reply: a state without its body")
-        elif verdict in WITH_STATE:
+        elif verdict in VERDICTS_WITH_STATE:
             raise MalformedMessageError(f"reply: {verdict}, and no state")
-        life, number = identity(plain)
-        return cls(life, number, verdict, state)
+        incarnation, number = decode_identity(frame)
+        return cls(incarnation, number, verdict, state)
 
 
-def identity(plain: dict[str, Any]) -> tuple[int, int]:
-    """The caller's life and the number of the order there. Raises MalformedMessageError."""
-    life, number = plain.get("l"), plain.get("r")
-    if type(life) is not int or not 0 <= life < LIVES:
-        raise MalformedMessageError("life")
+def decode_identity(frame: Frame) -> tuple[int, int]:
+    """Return the submitter's incarnation and the order's number there. Raises MalformedMessageError."""
+    incarnation, number = frame.get(INCARNATION), frame.get(NUMBER)
+    if type(incarnation) is not int or not 0 <= incarnation < INCARNATION_LIMIT:
+        raise MalformedMessageError("incarnation")
     if type(number) is not int or not 0 < number < LARGEST_NUMBER:
         raise MalformedMessageError("number")
-    return life, number
+    return incarnation, number
 
 
-def _configuration(body: object) -> tuple[int, bytes]:
-    if not isinstance(body, (list, tuple)) or len(body) != len(CONFIGURATION):
+def _check_configuration(body: object) -> tuple[int, bytes]:
+    if not isinstance(body, (list, tuple)) or len(body) != len(CONFIGURATION_FIELDS):
         raise MalformedMessageError("order: a configuration is a revision and its bytes")
-    revision, packed = body
+    revision, compressed = body
     if type(revision) is not int or not 0 < revision < LARGEST_NUMBER:
         raise MalformedMessageError("order: revision")
-    if type(packed) is not bytes or len(packed) > MOST_BODY:
+    if type(compressed) is not bytes or len(compressed) > MOST_BODY:
         raise MalformedMessageError("order: bytes of the configuration")
-    return revision, packed
+    return revision, compressed
 
 
-def _zone(body: object) -> str:
+def _check_zone(body: object) -> str:
     if type(body) is not str or not 0 < len(body) <= MOST_ZONE:
         raise MalformedMessageError("order: zone")
     return body
 
 
-def _nothing(body: object) -> None:
+def _check_empty(body: object) -> None:
     if body is not None:
         raise MalformedMessageError("order: a read has no body")
 
 
-BODIES: dict[str, Callable[[object], Body]] = {
-    OrderKind.CONFIGURE: _configuration,
-    OrderKind.EVACUATE: _zone,
-    OrderKind.RESTORE: _zone,
-    OrderKind.READ: _nothing,
+BODY_CHECKS: dict[str, Callable[[object], OrderBody]] = {
+    OrderKind.CONFIGURE: _check_configuration,
+    OrderKind.EVACUATE: _check_zone,
+    OrderKind.RESTORE: _check_zone,
+    OrderKind.READ: _check_empty,
 }
--- a/rampfront/node/order_table.py
+++ b/rampfront/node/order_table.py
@@ -1,75 +1,99 @@
-"""Orders that the leader has taken from nodes, itself among them: each is carried out once, however often it comes.
+"""The leader's memory of orders: each is carried out once, however often its request arrives.
 
-An order is known by its `OrderKey`. While it is under way a repeat changes nothing, and for KEPT behind its end a
-repeat gets the same verdict: callers repeat an order while they hear nothing, and a datagram may come late, when the
-operator has given the next order already. No I/O, no clock; times are ns of a steady clock.
+Submitters repeat a request while they hear nothing, and a datagram may arrive late, when the operator has submitted the
+next order already. So an order is known by its `OrderKey` while it is in flight, when a repeat changes nothing, and for
+`RETENTION_NS` after its answer, when a repeat gets the same verdict. This is the session table of Raft (dissertation,
+section 6.3), bounded by time and by number.
+
+No I/O, no clock; times are ns of a steady clock.
 """
 
 from enum import Enum
+from typing import NamedTuple
 
 from ..consensus.events import OrderKind, Outcome
 from .order_messages import OrderKey
 
 SEC = 10**9
-MOST_UNDER_WAY = 256
-MOST_KEPT = 1024  # answers; the oldest go first
-KEPT = 5 * SEC  # beyond what a caller waits and a datagram may be late
-ABANDONED = 10 * SEC  # an order that the core never answered is let go; the core itself answers each within 2.5 s
+MAX_IN_FLIGHT = 256
+MAX_ANSWERED = 1024  # answers; the oldest go first
+RETENTION_NS = 5 * SEC  # longer than a submitter waits and than a datagram may be late
+ABANDONED_AFTER_NS = 10 * SEC  # the core answers each order within 2.5 s; one it never answered is forgotten
 
 
 class Admission(Enum):
-    """What is to be done with an order that came."""
+    """What is to be done with a request that arrived."""
 
     NEW = "new"
-    UNDER_WAY = "under way"
+    IN_FLIGHT = "in flight"
     FULL = "full"
 
 
+class InFlightOrder(NamedTuple):
+    """An order that the core has not answered yet."""
+
+    kind: str
+    admitted_at: int
+    body_digest: bytes
+
+
+class AnsweredOrder(NamedTuple):
+    """An order that the core has answered."""
+
+    verdict: str
+    answered_at: int
+
+
 class OrderTable:
-    """Under way and lately answered orders, by key."""
+    """Orders in flight and orders answered lately, by key."""
 
     def __init__(self) -> None:
-        """An empty table."""
-        # Kind, came at, digest of its body; emptied by answers and by time.
-        self.under_way: dict[OrderKey, tuple[str, int, bytes]] = {}
-        self.answered: dict[OrderKey, tuple[str, int]] = {}  # verdict, answered at; emptied by time and by number
+        """Start empty."""
+        self.in_flight: dict[OrderKey, InFlightOrder] = {}  # emptied by answers and by time
+        self.answered: dict[OrderKey, AnsweredOrder] = {}  # oldest first; emptied by time and by number
 
-    def known(self, key: OrderKey) -> str | None:
-        """The verdict of an order that was answered lately."""
+    def verdict_of(self, key: OrderKey) -> str | None:
+        """Return the verdict of an order that was answered lately, or None."""
         found = self.answered.get(key)
-        return found[0] if found else None
+        return found.verdict if found else None
 
-    def admit(self, key: OrderKey, kind: str, now: int, mark: bytes = b"") -> Admission:
-        """Notes a new order as under way. `mark`: the digest of the body that it brought."""
-        if key in self.under_way:
-            return Admission.UNDER_WAY
-        if len(self.under_way) >= MOST_UNDER_WAY:
+    def admit(self, key: OrderKey, kind: str, now: int, body_digest: bytes = b"") -> Admission:
+        """Record an order as in flight, unless it is already or the table is full.
+
+        `body_digest`: of the configuration that the order brought.
+        """
+        if key in self.in_flight:
+            return Admission.IN_FLIGHT
+        if len(self.in_flight) >= MAX_IN_FLIGHT:
             return Admission.FULL
-        self.under_way[key] = kind, now, mark
+        self.in_flight[key] = InFlightOrder(kind, now, body_digest)
         return Admission.NEW
 
     def answer(self, key: OrderKey, verdict: str, now: int) -> bytes | None:
-        """The order has ended so. The digest of its body, or None if it was not under way: nobody is owed an answer.
+        """Record how an order ended.
+
+        Returns the digest of its body, or None if it was not in flight, when nobody is owed an answer.
 
-        A verdict of what is in force, or may be, is kept: carried out once more it could undo a later order, or count
-        twice. One that was not taken may come anew, and a read changes nothing."""
-        found = self.under_way.pop(key, None)
-        if found is None:
+        A verdict that is in force, or may be, is kept: carried out once more the order could undo a later one, or count
+        twice. An order that was not taken may arrive anew, and a read changes nothing.
+        """
+        order = self.in_flight.pop(key, None)
+        if order is None:
             return None
-        kind, _, mark = found
-        if kind != OrderKind.READ and verdict in (Outcome.DONE, Outcome.UNKNOWN):
-            if len(self.answered) >= MOST_KEPT:
-                del self.answered[next(iter(self.answered))]
-            self.answered[key] = verdict, now
-        return mark
+        if order.kind != OrderKind.READ and verdict in (Outcome.DONE, Outcome.UNKNOWN):
+            if len(self.answered) >= MAX_ANSWERED:
+                oldest = next(iter(self.answered))
+                del self.answered[oldest]
+            self.answered[key] = AnsweredOrder(verdict, now)
+        return order.body_digest
 
     def expire(self, now: int) -> int:
-        """Lets go of what is too old; returns how many orders never got their answer."""
-        for key, (_, at) in list(self.answered.items()):
-            if now - at <= KEPT:
-                break  # in the order in which they were answered
+        """Forget what is too old. Returns how many orders never got their answer."""
+        for key, order in list(self.answered.items()):
+            if now - order.answered_at <= RETENTION_NS:
+                break  # the rest were answered later
             del self.answered[key]
-        lost = [key for key, (_, at, _) in self.under_way.items() if now - at > ABANDONED]
-        for key in lost:
-            del self.under_way[key]
-        return len(lost)
+        abandoned = [key for key, order in self.in_flight.items() if now - order.admitted_at > ABANDONED_AFTER_NS]
+        for key in abandoned:
+            del self.in_flight[key]
+        return len(abandoned)
--- a/rampfront/node/ports.py
+++ b/rampfront/node/ports.py
@@ -1,5 +1,9 @@
-"""What a node stands on: clock, frames, disk and platform. The serving process takes these as they are; the simulation
-(`rampfront/simulation/`) gives others, so that it plays the very `NodeProcess` that serves."""
+"""What a node stands on: clock, frames, disk, platform, and the parts that a laboratory swaps.
+
+The serving process takes the defaults. The simulation (`rampfront/simulation/`) gives others, so that it plays the very
+`NodeProcess` that serves; the laboratory (`rampfront/lab/system/`) swaps single parts, so that the program needs no
+switch for tests. (Ports in the sense of Cockburn's "ports and adapters".)
+"""
 
 from collections.abc import Callable
 from concurrent.futures import ThreadPoolExecutor
@@ -8,19 +12,24 @@
 from ..consensus.storage import RecordStore
 from ..membership.endpoint_list_poller import Poller
 from ..net.desk import Clock
+from ..proxy.request_proxy import RequestProxy
+from ..quota.limiter import Limiter
 from ..transport.wire import Wire
+from .node_process import NodeProcess
 
 
 class Ports(NamedTuple):
-    """Each is called once, as what stands there by default is."""
+    """Factories. Each is called once by `assembly.build_node_process`, with the arguments of its default."""
 
     clock: Callable[..., Any] = Clock
     wire: Callable[..., Any] = Wire
     record_store: Callable[..., Any] = RecordStore
-    crew: Callable[..., Any] = (
-        ThreadPoolExecutor  # of the disk: one that hangs holds up nobody but the member of the core
-    )
+    # Of the disk: a disk that hangs holds up nobody but the member of the core.
+    disk_executor: Callable[..., Any] = ThreadPoolExecutor
     poller: Callable[..., Any] = Poller
+    limiter: Callable[..., Any] = Limiter
+    request_proxy: Callable[..., Any] = RequestProxy
+    node_process: Callable[..., Any] = NodeProcess
 
 
-PORTS = Ports()
+DEFAULT_PORTS = Ports()
--- /dev/null
+++ b/rampfront/node/readiness.py
@@ -0,0 +1,44 @@
+"""Whether this node asks for clients: it says so to the platform, and to the other nodes by the roster."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from .log_events import LogEvent
+
+if TYPE_CHECKING:
+    from ..membership.dissemination import Disseminator
+    from ..proxy.client_front import ClientFront
+    from .context import NodeContext
+
+
+class Readiness:
+    """Ready is a node whose front can serve and that is not shutting down."""
+
+    def __init__(self, context: NodeContext, disseminator: Disseminator, client_front: ClientFront) -> None:
+        """`disseminator` tells the other nodes, `client_front` knows whether it can serve."""
+        self._log = context.log
+        self._disseminator = disseminator
+        self._client_front = client_front
+        self._withdrawn = False
+
+    @property
+    def announced(self) -> bool:
+        """What the other nodes were told last."""
+        return self._disseminator.ready
+
+    def is_ready(self) -> bool:
+        """Whether both this moment and the last update say so."""
+        return self._disseminator.ready and self._client_front.ready()
+
+    def withdraw(self) -> None:
+        """The process shuts down: the next update says not ready, and so do all after it."""
+        self._withdrawn = True
+
+    def update(self, now: int) -> None:
+        """Look anew; a change is told to the other nodes at once. `now` in ns."""
+        ready = self._client_front.ready() and not self._withdrawn
+        if ready == self._disseminator.ready:
+            return
+        self._disseminator.set_ready(ready)
+        self._log.record(LogEvent.READY if ready else LogEvent.NOT_READY)
--- /dev/null
+++ b/rampfront/node/replicated_state.py
@@ -0,0 +1,81 @@
+"""Brings the core's committed states into force at this node: configuration, members of the core, evacuated zones."""
+
+from __future__ import annotations
+
+import zlib
+from typing import TYPE_CHECKING
+
+from result import Err
+
+from ..settings import configuration as configurations
+from .log_events import LogEvent
+
+if TYPE_CHECKING:
+    from ..consensus.state import State
+    from ..membership.deltas import Packed
+    from ..membership.dissemination import Disseminator
+    from ..proxy.client_front import ClientFront
+    from ..proxy.request_proxy import RequestProxy
+    from .context import NodeContext
+    from .quota_exchange import QuotaExchange
+
+
+class ReplicatedState:
+    """The state that is in force here. It only ever goes forward."""
+
+    def __init__(
+        self,
+        context: NodeContext,
+        disseminator: Disseminator,
+        request_proxy: RequestProxy,
+        client_front: ClientFront,
+        quota_exchange: QuotaExchange,
+    ) -> None:
+        """Build it over the parts that act by the state."""
+        self._clock = context.clock
+        self._log = context.log
+        self._snapshots = context.snapshots
+        self._disseminator = disseminator
+        self._request_proxy = request_proxy
+        self._client_front = client_front
+        self._quota_exchange = quota_exchange
+
+    @property
+    def state(self) -> State | None:
+        """What is in force; None until the first state arrives."""
+        return self._snapshots.state
+
+    def receive(self, packed: Packed) -> None:
+        """Take a state from another node's packed values. Raises like `Snapshots.decode_state`."""
+        state = self._snapshots.decode_state(packed, self._disseminator.state_index)
+        if state is not None:
+            self.apply(state)
+
+    def apply(self, state: State) -> None:
+        """Bring a state into force, unless this one or a newer one is: a late or repeated update changes nothing."""
+        old = self._snapshots.state
+        if old is not None and state.index <= old.index:
+            return
+        self._snapshots.put_state(state)
+        self._disseminator.state_changed(state.index)
+        if state.revision and (old is None or state.revision != old.revision):
+            self._apply_configuration(state)
+        if old is None or old.members != state.members:
+            self._log.record(LogEvent.CORE_MEMBERS_CHANGED, members=sorted(state.members))
+            self._quota_exchange.update_placement()
+        if old is None or old.evacuated_zones != state.evacuated_zones:
+            self._log.record(LogEvent.EVACUATIONS_CHANGED, zones=sorted(state.evacuated_zones))
+            self._request_proxy.apply_evacuations(state.evacuated_zones)
+        if self._disseminator.is_leader:
+            self._disseminator.push_updates(self._clock())
+
+    def _apply_configuration(self, state: State) -> None:
+        found = configurations.read(zlib.decompress(state.body))
+        if isinstance(found, Err):
+            self._log.record(LogEvent.CONFIGURATION_UNREADABLE, revision=state.revision, error=found.err_value)
+            return
+        configuration = found.ok_value
+        self._log.record(LogEvent.CONFIGURATION_APPLIED, revision=state.revision)
+        self._client_front.apply_caps(configuration.caps)
+        self._request_proxy.apply_configuration(configuration)
+        self._quota_exchange.apply_limits(configuration.named)
--- /dev/null
+++ b/rampfront/node/server_health_exchange.py
@@ -0,0 +1,61 @@
+"""Reports of what proxies see of servers go to the leader; what it concludes from all of them goes to every proxy."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from ..membership import messages
+from ..membership.server_health import MAX_REPORTS
+
+if TYPE_CHECKING:
+    from ..membership.dissemination import Disseminator
+    from ..membership.health_registry import HealthRegistry
+    from ..proxy.request_proxy import RequestProxy
+    from .context import NodeContext
+
+
+class ServerHealthExchange:
+    """Carries reports and verdicts between the proxies and the leader's registry, which makes the verdicts."""
+
+    def __init__(
+        self,
+        context: NodeContext,
+        disseminator: Disseminator,
+        request_proxy: RequestProxy,
+        registry: HealthRegistry,
+    ) -> None:
+        """`request_proxy` sees servers and acts by verdicts, `registry` concludes where this node leads."""
+        self._own_ip = context.process_settings.ip
+        self._wire = context.wire
+        self._disseminator = disseminator
+        self._request_proxy = request_proxy
+        self.registry = registry
+
+    def send_reports(self, now: int) -> None:
+        """Send the leader what this node's proxy has seen since, if there is anything."""
+        reports = self._request_proxy.health_reporter.take_reports(now)
+        if reports and self._disseminator.leader:
+            frame = messages.encode_health_reports(messages.HealthReports(reports))
+            self._wire.send(self._disseminator.leader, frame)
+
+    def on_report(self, ip: str, frame: messages.Message, now: int) -> None:
+        """Take a node's report at the leader; what several nodes bear out goes to all, this node too."""
+        disseminator = self._disseminator
+        if not disseminator.is_leader:
+            return
+        reports = messages.decode_health_reports(frame).reports
+        verdicts = self.registry.add_reports(ip, reports, self._request_proxy.proxy_count, now)
+        if not verdicts:
+            return
+        everyone = list(dict.fromkeys((self._own_ip, *disseminator.peer_table.by_ip)))
+        for start in range(0, len(verdicts), MAX_REPORTS):
+            part = messages.HealthVerdicts(disseminator.term, verdicts[start : start + MAX_REPORTS])
+            self._wire.send_all(everyone, messages.encode_health_verdicts(part))
+
+    def on_verdict(self, ip: str, frame: messages.Message, now: int) -> None:
+        """Act by the leader's verdicts. What the leader of an older term still has to say is dropped."""
+        if ip != self._disseminator.leader:
+            return
+        health = messages.decode_health_verdicts(frame)
+        if health.term >= self._disseminator.term:
+            self._request_proxy.apply_health_reports(health.verdicts)
--- /dev/null
+++ b/rampfront/node/shutdown.py
@@ -0,0 +1,74 @@
+"""Graceful shutdown: the node leaves the directory at once, serves on while clients still come, and answers all."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from .log_events import LogEvent
+from .operator_listeners import OperatorListeners
+
+if TYPE_CHECKING:
+    from ..membership.dissemination import Disseminator
+    from ..proxy.client_front import ClientFront
+    from .context import NodeContext
+    from .core_driver import CoreDriver
+    from .readiness import Readiness
+
+MS, SEC = 10**6, 10**9
+MIN_SERVE_ON_NS = SEC // 2  # clients that looked the node up before still come; else half of the period of grace
+MIN_GRACE_NS = SEC
+GRACE_MARGIN_NS = 300 * MS  # the process ends so long before the period of grace does
+POLL_NS = 25 * MS
+
+
+class Shutdown:
+    """The steps from SIGTERM to the end of the loop."""
+
+    def __init__(
+        self,
+        context: NodeContext,
+        core: CoreDriver,
+        disseminator: Disseminator,
+        client_front: ClientFront,
+        readiness: Readiness,
+    ) -> None:
+        """Build it over the parts that have to know of the end."""
+        self._context = context
+        self._core = core
+        self._disseminator = disseminator
+        self._client_front = client_front
+        self._readiness = readiness
+        self.listeners = OperatorListeners()
+        self.in_progress = False
+
+    def begin(self) -> None:
+        """Start the shutdown; a second call changes nothing.
+
+        A leader of the core gives way first, then the roster says that this node is not ready. The loop stops within
+        the settings' period of grace, answered or not.
+        """
+        if self.in_progress:
+            return
+        self.in_progress = True
+        self._readiness.withdraw()
+        self._core.leave()
+        self._context.log.record(LogEvent.SHUTDOWN_STARTED)
+        self._client_front.drain()
+        self._readiness.update(self._context.clock())
+        self._disseminator.tick(self._context.clock())
+        grace = self._context.process_settings.terms.grace
+        scheduler = self._context.scheduler
+        scheduler.call_after(max(MIN_SERVE_ON_NS, grace // 2), self._stop_accepting)
+        scheduler.call_after(max(MIN_GRACE_NS, grace - GRACE_MARGIN_NS), self._context.loop.stop)
+
+    def _stop_accepting(self) -> None:
+        """Take no new connections; end once those that are there and all calls have their answers."""
+        self.listeners.drain()
+        self._client_front.retire(self._stop_when_answered)
+
+    def _stop_when_answered(self) -> None:
+        """Stop the loop, but not before each operator's call has its answer, which takes a second at most."""
+        if self.listeners.has_pending_calls():
+            self._context.scheduler.call_after(POLL_NS, self._stop_when_answered)
+        else:
+            self._context.loop.stop()
--- /dev/null
+++ b/rampfront/node/snapshots.py
@@ -0,0 +1,77 @@
+"""The versions of state and server list that a node holds, and their exchange with other nodes as differences.
+
+A disseminator decides what goes to whom; what it passes on and takes in are these snapshots. The serving process and
+the model of a growing fleet (`simulation/fleet_growth.py`) both keep them here.
+"""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from ..membership import endpoint_codec
+from ..membership.deltas import StateHistory
+
+if TYPE_CHECKING:
+    from ..consensus.state import State
+    from ..membership.deltas import Packed
+    from ..membership.endpoint_list import EndpointList
+
+
+class Snapshots:
+    """The newest state and list, and the versions before them that differences rest on."""
+
+    def __init__(self) -> None:
+        """Hold nothing yet."""
+        self.state: State | None = None
+        self.servers: EndpointList | None = None
+        self._states = StateHistory()
+        self._lists = endpoint_codec.endpoint_history()
+
+    def put_state(self, state: State) -> None:
+        """Hold a newer state."""
+        self.state = state
+        self._states.add(state)
+
+    def put_endpoints(self, servers: EndpointList) -> None:
+        """Hold a newer list."""
+        self.servers = servers
+        self._lists.add(servers.version, servers.endpoints)
+
+    # ---- to other nodes
+
+    def encode_state(self, index: int) -> Packed:
+        """Return the state, packed for a node that holds the one of `index`."""
+        return self._states.encode_since(index)
+
+    def encode_endpoints(self, now: int, version: int) -> Packed:
+        """Return the list, packed for a node that holds `version`; `now` in ns."""
+        assert self.servers is not None  # nobody holds less than nothing
+        return endpoint_codec.encode_since(self.servers, now, self._lists, version)
+
+    def can_diff_state_from(self, index: int) -> bool:
+        """Return whether a node that holds the state of `index` needs less than the complete one."""
+        return self._states.can_diff_from(index)
+
+    def can_diff_endpoints_from(self, version: int) -> bool:
+        """Return whether a node that holds `version` of the list needs less than the complete one."""
+        return self._lists.can_diff_from(version)
+
+    def state_size_bytes(self) -> int:
+        """Return the bytes of the state's body."""
+        return len(self.state.body) if self.state is not None else 0
+
+    # ---- from other nodes
+
+    def decode_state(self, packed: Packed, current_index: int) -> State | None:
+        """Return the state that another node packed, or None if it is not newer than `current_index`.
+
+        Raises `membership.deltas.DeltaMismatchError` for a difference to what is not held, ValueError for no state.
+        """
+        return self._states.decode_since(packed, current_index)
+
+    def decode_endpoints(self, packed: Packed, now: int, current_version: int) -> EndpointList | None:
+        """Return the list that another node packed, or None if it is not newer than `current_version`.
+
+        Raises like `decode_state`.
+        """
+        return endpoint_codec.decode_since(packed, now, self._lists, current_version)
--- a/rampfront/node/status_views.py
+++ b/rampfront/node/status_views.py
@@ -1,212 +1,227 @@
-"""Read calls for the operators' bridge: what this node holds at this moment, from its own snapshots. No call changes or
-asks anything elsewhere, so a node that is cut off answers them too, and what it says is its own view: `OutOfTouchMs` tells
-for how long no majority of the core has stood behind it (null: it is in touch). No key is shown.
+"""Read calls for the operators' tools: what this node holds at this moment, from its own snapshots.
+
+No call changes or asks anything elsewhere, so a node that is cut off answers them too, and what it says is its own
+view: `OutOfTouchMs` tells for how long no majority of the core has stood behind it (null: it is in touch). No key is
+shown.
 
 Times are ms, of spans that are left or past: clocks of two nodes differ. Lists come in pages, so that none holds the
-loop for long: `after=ID` goes on behind an id, and `Next` tells it (null on the last page).
+loop for long: `after=ID` goes on behind an id, and `Next` tells it (null on the last page). The names of the answers'
+fields are the operators' own (PROTOCOL.md, "The operator"); `COUNTERS_SHOWN` says which counter stands behind each.
 """
 
-from ..consensus.evacuations import PLAIN
-from ..consensus.member import Member
-from ..consensus.state import State
-from ..net.http_messages import Response, error_response, json_response
-from ..net.http_routing import endpoint
-from ..proxy.slow_start import warm_up_started_at
+from __future__ import annotations
 
-MS = 10**6
-LATER = ((b"Retry-After", b"1"),)
-PAGE = 500  # rows of an answer
-RETRY_SOON = ((b"Retry-After", b"0.3"),)
-COUNTS = (
-    "faults",
-    "stores_failed",
-    "lists_failed",
-    "orders_refused",
-    "over_quota",
-    "unknown_key",
-    "unknown_route",
-    "no_word",
-    "no_server",
-    "taken",
-    "settled",
-    "declined",
-    "voided",
-    "frames_odd",
-    "frames_lost",
-)
-COUNTER_NAMES = {"frames_odd": "frames_invalid"}  # where a field of the call is not named as the counter is
-
-
-def page(asked, rows, key):
-    """The rows behind `after`, at most PAGE of them, and the id to go on from."""
-    after = asked.query.get("after", "")
-    rows = sorted([row for row in rows if key(row) > after], key=key)
-    return rows[:PAGE], key(rows[PAGE - 1]) if len(rows) > PAGE else None
-
-
-def cold(request_proxy, row, now):
-    """ns for which this pilot holds the server to be cold yet: as the list tells, or as its zone was lately taken back."""
-    service = request_proxy.configuration.services.get(row.service) if request_proxy.configuration else None
-    if service is None:
-        return max(0, row.warming_until_ns - now)
-    born = warm_up_started_at(row, service, request_proxy.reopened_zones.get(row.zone), now)
-    return born + service.warmup - now if born else 0
+from typing import TYPE_CHECKING, Any
 
+from ..net.http_messages import error_response, json_response
+from ..net.http_routing import endpoint
+from ..proxy.slow_start import warm_up_started_at
+from .evacuation_view import evacuation_view
 
-def evacuation(zone: str, state: State) -> dict[str, str | bool | int]:
-    """Whether a zone is emptied, and by whom as far as that is known."""
-    if zone not in state.evacuated_zones:
-        return {"Zone": zone, "Emptied": False, "Operators": 0, "Repeated": False, "Returned": False}
-    held = state.evacuations.get(zone, PLAIN)
-    return {
-        "Zone": zone,
-        "Emptied": True,
-        "Operators": held.operators,
-        "Repeated": held.repeated,
-        "Returned": held.returned,
-    }
+if TYPE_CHECKING:
+    from collections.abc import Callable, Iterable
+    from typing import TypeVar
 
+    from ..membership.endpoint_list import Endpoint
+    from ..net.http_messages import IncomingRequest, Response
+    from ..proxy.request_proxy import RequestProxy
+    from ..quota.limiter import Limiter, TenantCounts
+    from .node_process import NodeProcess
 
-def core_view(core_member: Member | None, now: int) -> dict | None:
-    """What the leader knows of the core's members; None at all other nodes."""
-    if core_member is None or core_member.leadership is None:
-        return None
-    strength = core_member.leadership.strength(now)
-    return {
-        "Wanted": strength.wanted,
-        "FullMs": None if strength.full_for is None else strength.full_for // MS,
-        "Members": [{"Name": row.name, "Ip": row.ip, "State": row.state} for row in strength.members],
-    }
+    T = TypeVar("T")
 
+MS = 10**6
+PAGE_ROWS = 500  # of an answer
+RETRY_SHORTLY = ((b"Retry-After", b"0.3"),)
+COUNTERS_SHOWN = {  # field of the answer: counter
+    "faults": "faults",
+    "stores_failed": "stores_failed",
+    "lists_failed": "server_lists_failed",
+    "orders_refused": "orders_refused",
+    "over_quota": "over_quota",
+    "unknown_key": "unknown_key",
+    "unknown_route": "unknown_route",
+    "no_word": "no_word",
+    "no_server": "no_server",
+    "taken": "taken",
+    "settled": "settled",
+    "declined": "declined",
+    "voided": "voided",
+    "frames_odd": "frames_invalid",
+    "frames_lost": "frames_lost",
+}
+
+
+class StatusViews:
+    """The read calls of one node."""
+
+    def __init__(self, node: NodeProcess) -> None:
+        """`node`: whose view they show."""
+        self._node = node
 
-class Views:
-    def __init__(self, node_process):
-        self.node_process = node_process
+    @endpoint("POST", "/api/rpc", operation="state.read")
+    def state(self, _: IncomingRequest) -> Response:
+        """Who the node is, what it holds, and how old its lease is."""
+        node, settings, state = self._node, self._node.context.process_settings, self._node.replicated_state.state
+        now = node.context.clock()
+        node.core.step_down_if_overdue(now)
+        disseminator = node.disseminator
+        fields: dict[str, Any] = {
+            "Node": settings.name,
+            "Ip": settings.ip,
+            "Zone": settings.zone,
+            "Ready": disseminator.ready,
+            "Ending": node.shutdown.in_progress,
+            "Disk": node.core.member is not None,
+            "Leads": disseminator.is_leader,
+            "Leader": disseminator.leader,
+            "Term": state.term if state else 0,
+            "Index": state.index if state else 0,
+            "Revision": f"r{state.revision}" if state and state.revision else None,
+            "Members": [[name, ip] for name, (ip, _) in sorted(state.members.items())] if state else [],
+            "Core": self._core_fields(now),
+            "Emptied": sorted(state.evacuated_zones) if state else [],
+            "Evacuations": [evacuation_view(zone, state) for zone in sorted(state.evacuated_zones)] if state else [],
+            "Zones": settings.zones,
+            **self._lease_fields(now),
+            "Servers": disseminator.endpoints_version,
+            "Roster": disseminator.roster_version,
+            "Spare": self._retry_budgets(),
+            "Counts": {field: node.context.counts[counter] for field, counter in COUNTERS_SHOWN.items()},
+        }
+        return self._view(fields)
+
+    def _core_fields(self, now: int) -> dict[str, Any] | None:
+        """What the leader knows of the core's members; None at all other nodes."""
+        strength = self._node.core.strength(now)
+        if strength is None:
+            return None
+        return {
+            "Wanted": strength.wanted,
+            "FullMs": None if strength.full_for is None else strength.full_for // MS,
+            "Members": [{"Name": row.name, "Ip": row.ip, "State": row.state} for row in strength.members],
+        }
 
-    def view(self, fields: dict) -> Response:
-        """An answer with the fields of a view, and for how long the node has been out of touch."""
-        silent = self.node_process.out_of_touch(self.node_process.clock())
-        return json_response({**fields, "OutOfTouchMs": None if silent is None else silent // MS})
+    def _lease_fields(self, now: int) -> dict[str, Any]:
+        lease = self._node.lease
+        age = lease.age(now)
+        return {
+            "WordAgeMs": None if age is None else max(0, age) // MS,
+            "LeaseMs": lease.duration // MS,
+            "Fresh": lease.is_valid(now),
+        }
 
-    @endpoint("POST", "/api/rpc", operation="state.read")
-    def state(self, asked):
-        """Who the node is, what it holds, and how old the core's word to it is."""
-        node_process, look, process_settings, state = (
-            self.node_process,
-            self.node_process.disseminator,
-            self.node_process.process_settings,
-            self.node_process.state,
-        )
-        now, core_member = node_process.clock(), node_process.core_member
-        node_process.check_leadership(now)
-        return self.view(
-            {
-                "Node": process_settings.name,
-                "Ip": process_settings.ip,
-                "Zone": process_settings.zone,
-                "Ready": look.ready,
-                "Ending": node_process.ending,
-                "Disk": core_member is not None,
-                "Leads": look.is_leader,
-                "Leader": look.leader,
-                "Term": state.term if state else 0,
-                "Index": state.index if state else 0,
-                "Revision": f"r{state.revision}" if state and state.revision else None,
-                "Members": [[name, ip] for name, (ip, _) in sorted(state.members.items())] if state else [],
-                "Core": core_view(core_member, now),
-                "Emptied": sorted(state.evacuated_zones) if state else [],
-                "Evacuations": [evacuation(zone, state) for zone in sorted(state.evacuated_zones)] if state else [],
-                "Zones": process_settings.zones,
-                "WordAgeMs": None if look.confirmed_at_ns is None else max(0, now - look.confirmed_at_ns) // MS,
-                "LeaseMs": node_process.lease // MS,
-                "Fresh": node_process.fresh(now),
-                "Servers": look.endpoints_version,
-                "Roster": look.roster_version,
-                "Spare": {
-                    name: round(service_pool.saved_attempts, 1)
-                    for name, service_pool in node_process.request_proxy.service_pools.items()
-                },  # tries saved up
-                "Counts": {name: node_process.counts[COUNTER_NAMES.get(name, name)] for name in COUNTS},
-            }
-        )
+    def _retry_budgets(self) -> dict[str, float]:
+        """Retries that each service has saved up."""
+        service_pools = self._node.request_proxy.service_pools
+        return {name: round(service_pool.saved_attempts, 1) for name, service_pool in service_pools.items()}
 
     @endpoint("POST", "/api/rpc", operation="nodes.read")
-    def nodes(self, asked):
-        """The roster. All machines have alike ports (DEPLOY.md), so a node's control address is told by its ip."""
-        port = self.node_process.process_settings.control[1]
-        rows, then = page(asked, self.node_process.disseminator.roster, lambda entry: entry.name)
-        return self.view(
+    def nodes(self, request: IncomingRequest) -> Response:
+        """The roster. All machines use the same ports (DEPLOY.md), so a node's control address follows from its ip."""
+        control = self._node.context.process_settings.control
+        assert control is not None  # it is the address that this call came to
+        entries, next_id = page_of(request, self._node.disseminator.roster, lambda entry: entry.name)
+        views = [
             {
-                "Nodes": [
-                    {"Name": name, "Ip": ip, "Zone": zone, "Front": front, "Control": f"{ip}:{port}", "Ready": ready}
-                    for name, ip, zone, front, ready in rows
-                ],
-                "Next": then,
+                "Name": entry.name,
+                "Ip": entry.ip,
+                "Zone": entry.zone,
+                "Front": entry.front,
+                "Control": f"{entry.ip}:{control[1]}",
+                "Ready": entry.ready,
             }
-        )
+            for entry in entries
+        ]
+        return self._view({"Nodes": views, "Next": next_id})
 
     @endpoint("POST", "/api/rpc", operation="servers.read")
-    def servers(self, asked):
+    def servers(self, request: IncomingRequest) -> Response:
         """The platform's list as it came to this node; `Links`: its connections to the server; `of`: a service."""
-        request_proxy, now, of = self.node_process.request_proxy, self.node_process.clock(), asked.query.get("of")
-        if request_proxy.servers is None:
-            return error_response(503, "no list of servers has come to this node yet", RETRY_SOON)
-        rows, then = page(
-            asked, [r for r in request_proxy.servers.endpoints if of in (None, r.service)], lambda row: row.id
-        )
-        links = {
-            target.uid: target.links
-            for service_pool in request_proxy.service_pools.values()
-            for target in service_pool.connection_pool.targets.values()
-        }
-        return self.view(
-            {
-                "Servers": [
-                    {
-                        "Id": r.id,
-                        "Service": r.service,
-                        "Address": f"{r.host}:{r.port}",
-                        "Zone": r.zone,
-                        "Capacity": r.capacity,
-                        "State": r.state,
-                        "Emptied": r.zone in request_proxy.evacuated_zones,
-                        "ColdMs": cold(request_proxy, r, now) // MS,
-                        "Links": links.get(r.id, 0),
-                    }
-                    for r in rows
-                ],
-                "ChangedMs": max(0, now - request_proxy.servers.read_at_ns) // MS,
-                "Next": then,
-            }
-        )
+        request_proxy, now = self._node.request_proxy, self._node.context.clock()
+        servers = request_proxy.servers
+        if servers is None:
+            return error_response(503, "no list of servers has come to this node yet", RETRY_SHORTLY)
+        service = request.query.get("of")
+        matching = [row for row in servers.endpoints if service in (None, row.service)]
+        rows, next_id = page_of(request, matching, lambda row: row.id)
+        links = open_links(request_proxy)
+        views = [server_view(request_proxy, row, links, now) for row in rows]
+        changed_ms = max(0, now - servers.read_at_ns) // MS
+        return self._view({"Servers": views, "ChangedMs": changed_ms, "Next": next_id})
 
     @endpoint("POST", "/api/rpc", operation="quotas.read")
-    def quotas(self, asked):
-        """Tenants with a quota, as this node counts them: `Left` of the quota, what all nodes are asked for a second."""
-        limiter, now = self.node_process.limiter, self.node_process.clock()
-        rows, then = page(asked, list(limiter.tenants.values()), lambda row: row.name)
-        alone = limiter.is_isolated(now)
+    def quotas(self, request: IncomingRequest) -> Response:
+        """Tenants with a quota, as this node counts them; `AskedPerS`: of all nodes."""
+        quota_exchange, now = self._node.quota_exchange, self._node.context.clock()
+        limiter = quota_exchange.limiter
+        rows, next_id = page_of(request, limiter.tenants.values(), lambda row: row.name)
+        is_isolated = limiter.is_isolated(now)
+        views = [tenant_view(limiter, row, now) for row in rows]
+        holder = quota_exchange.placement.counter_ip
+        return self._view({"Holder": holder, "Alone": is_isolated, "Quotas": views, "Next": next_id})
+
+    def _view(self, fields: dict[str, Any]) -> Response:
+        """Return an answer with the fields of a view, and for how long the node has been out of touch."""
+        out_of_touch_for = self._node.lease.out_of_touch_for(self._node.context.clock())
+        return json_response({**fields, "OutOfTouchMs": None if out_of_touch_for is None else out_of_touch_for // MS})
+
+
+def page_of(request: IncomingRequest, rows: Iterable[T], id_of: Callable[[T], str]) -> tuple[list[T], str | None]:
+    """Return the rows behind the id `after` of the query, at most PAGE_ROWS, and the id to go on from, if any."""
+    after = request.query.get("after", "")
+    remaining = sorted([row for row in rows if id_of(row) > after], key=id_of)
+    page = remaining[:PAGE_ROWS]
+    return page, id_of(page[-1]) if len(remaining) > PAGE_ROWS else None
+
+
+def open_links(request_proxy: RequestProxy) -> dict[str, int]:
+    """Return how many connections this node has to each server, by its id."""
+    return {
+        target.uid: target.links
+        for service_pool in request_proxy.service_pools.values()
+        for target in service_pool.connection_pool.targets.values()
+    }
 
-        def held(row, what):
-            """Counts of the window that runs. A row that nobody asked for since still stands in an older one."""
-            return round(getattr(row.now, what)) if limiter.in_present_window(row, now) else 0
 
-        return self.view(
-            {
-                "Holder": self.node_process.counter_placement.counter_ip,
-                "Alone": alone,
-                "Quotas": [
-                    {
-                        "Tenant": row.name,
-                        "PerS": row.quota.per_s,
-                        "Burst": row.quota.burst,
-                        "Left": round(limiter.available(row, now), 1),
-                        "AskedPerS": round(row.requested_per_s, 1),
-                        "Own": held(row, "own"),
-                        "Others": held(row, "held"),
-                    }
-                    for row in rows
-                ],
-                "Next": then,
-            }
-        )
+def server_view(request_proxy: RequestProxy, row: Endpoint, links: dict[str, int], now: int) -> dict[str, Any]:
+    """Return how a server is shown."""
+    return {
+        "Id": row.id,
+        "Service": row.service,
+        "Address": f"{row.host}:{row.port}",
+        "Zone": row.zone,
+        "Capacity": row.capacity,
+        "State": row.state,
+        "Emptied": row.zone in request_proxy.evacuated_zones,
+        "ColdMs": slow_start_left(request_proxy, row, now) // MS,
+        "Links": links.get(row.id, 0),
+    }
+
+
+def slow_start_left(request_proxy: RequestProxy, row: Endpoint, now: int) -> int:
+    """Return for how many ns yet the server is in slow start, by the list or as its zone was lately taken back."""
+    configuration = request_proxy.configuration
+    service = configuration.services.get(row.service) if configuration else None
+    if service is None:
+        return max(0, row.warming_until_ns - now)
+    started_at = warm_up_started_at(row, service, request_proxy.reopened_zones.get(row.zone), now)
+    return started_at + service.warmup - now if started_at else 0
+
+
+def tenant_view(limiter: Limiter, row: TenantCounts, now: int) -> dict[str, Any]:
+    """Return how a tenant's quota is shown."""
+    return {
+        "Tenant": row.name,
+        "PerS": row.quota.per_s,
+        "Burst": row.quota.burst,
+        "Left": round(limiter.available(row, now), 1),
+        "AskedPerS": round(row.requested_per_s, 1),
+        "Own": window_count(limiter, row, row.now.own, now),
+        "Others": window_count(limiter, row, row.now.held, now),
+    }
+
+
+def window_count(limiter: Limiter, row: TenantCounts, count: float, now: int) -> int:
+    """Return a count of the current window. A tenant without a request since still stands in an older one."""
+    return round(count) if limiter.in_present_window(row, now) else 0
--- a/rampfront/simulation/fleet.py
+++ b/rampfront/simulation/fleet.py
@@ -8,9 +8,9 @@
 import cbor2
 
 from ..net.event_log import EventLog
-from ..node.endpoints import Control, Directory
-from ..node.log import COUNTED
-from ..node.node import NodeProcess
+from ..node.assembly import build_node_process
+from ..node.endpoints import control, directory
+from ..node.metrics import COUNTERS
 from ..node.ports import Ports
 from ..settings import process_settings as process_settings_of
 from ..transport.frames import MAX_DATAGRAM_BYTES
@@ -28,7 +28,7 @@
 
 class Quiet(EventLog):
     def __init__(self, name):
-        super().__init__(name, SEC, COUNTED)
+        super().__init__(name, SEC, COUNTERS)
 
     def record(self, event, **more):
         pass
@@ -310,7 +310,7 @@
 
     @property
     def core_member(self):
-        return self.node_process.core_member
+        return self.node_process.core.member
 
 
 class Asked:
@@ -420,7 +420,7 @@
 
     def land(self, ip, peer, data):
         if peer.up and (ip, peer.ip) not in self.cuts:
-            self.do(peer, peer.life, peer.node_process.wire.receive_frame, ip, data)
+            self.do(peer, peer.life, peer.node_process.context.wire.receive_frame, ip, data)
 
     # ---- machines
 
@@ -465,22 +465,22 @@
             clock=lambda: (lambda: machine.offset + self.now),
             wire=Frames,
             record_store=partial(Plate, machine),
-            crew=lambda count: None,
+            disk_executor=lambda count: None,
             poller=Reader,
         )
-        node_process = machine.node_process = NodeProcess(
+        node_process = machine.node_process = build_node_process(
             loop, self.process_settings(machine), Quiet(machine.name), self.chance.getrandbits(64), ports=ports
         )
         node_process.client_front.server = Listener
-        machine.control, machine.directory = Control(node_process), Directory(node_process)
+        machine.control, machine.directory = control(node_process), directory(node_process)
         self.watch.join(machine)
-        if machine.counted and not machine.began and node_process.core_member.entry is not None:
+        if machine.counted and not machine.began and node_process.core.member.entry is not None:
             self.ledger.founders.add(machine.name)
             if len(self.ledger.founders) > 1:
                 raise Broken("founded twice")
         machine.began = True
         self.calmer(machine)
-        self.do(machine, machine.life, node_process.begin)
+        self.do(machine, machine.life, node_process.start)
 
     def stop(self, machine, why="kill"):
         """A kill, or a loss of power: a store under way has happened or not."""
--- a/rampfront/simulation/isolation.py
+++ b/rampfront/simulation/isolation.py
@@ -43,7 +43,12 @@
 def hand_in(machine: Machine, kind: str, asked: Asked) -> None:
     """Hands an order (`config`, `read`, `empty`, `fill`) to a machine; `asked.respond` is called once."""
     control = machine.control
-    handlers = {"config": control.replace, "read": control.read, "empty": control.empty, "fill": control.fill}
+    handlers = {
+        "config": control.replace_configuration,
+        "read": control.read_configuration,
+        "empty": control.start_evacuation,
+        "fill": control.finish_evacuation,
+    }
     answer = handlers[kind](asked)
     if answer is not None:
         asked.respond(answer.status, answer.body, answer.headers)
@@ -257,5 +262,5 @@
             raise Broken("an order is not acknowledged behind the join")
         if any(revision_of(replies[0].body) != self.numbers for replies in reads):
             raise Broken("a read behind the join is not the newest")
-        if len({machine.node_process.state.position for machine in machines}) > 1:
+        if len({machine.node_process.replicated_state.state.position for machine in machines}) > 1:
             raise Broken("machines hold different states behind the join")
--- a/rampfront/simulation/operators.py
+++ b/rampfront/simulation/operators.py
@@ -184,7 +184,12 @@
         told = partial(self.said, Try(call, machine, tries, operation))
         body = zlib.decompress(call.body[1]) if call.kind == "config" else b""
         asked = Asked({"of": call.body}, body, told)
-        way = {"config": control.replace, "read": control.read, "empty": control.empty, "fill": control.fill}[call.kind]
+        way = {
+            "config": control.replace_configuration,
+            "read": control.read_configuration,
+            "empty": control.start_evacuation,
+            "fill": control.finish_evacuation,
+        }[call.kind]
         fleet.calling = call
         try:
             said = way(asked)
--- a/rampfront/simulation/rules.py
+++ b/rampfront/simulation/rules.py
@@ -43,10 +43,10 @@
         """Looks on at what a station applies and claims, from its start on."""
         node_process, fleet = machine.node_process, self.fleet
         apply, rule, take, give = (
-            node_process.apply,
-            node_process.rule,
+            node_process.replicated_state.apply,
+            node_process.leadership.update,
             node_process.request_proxy.handle_request,
-            node_process.orders.give,
+            node_process.orders.submit,
         )
 
         def applied(state):
@@ -73,15 +73,13 @@
 
             give(kind, body, ended)
 
-        node_process.apply, node_process.rule, node_process.request_proxy.handle_request, node_process.orders.give = (
-            applied,
-            ruled,
-            taken,
-            given,
-        )
+        node_process.replicated_state.apply = applied
+        node_process.leadership.update = ruled
+        node_process.request_proxy.handle_request = taken
+        node_process.orders.submit = given
 
     def applied(self, machine, node_process):
-        state = node_process.state
+        state = node_process.replicated_state.state
         self.ledger.ruled(machine, state)
         revision = node_process.request_proxy.configuration.revision if node_process.request_proxy.configuration else 0
         if revision < machine.revision:
@@ -98,7 +96,7 @@
             raise Broken(f"{machine.name} calls {state.index} in force, which lay on {sorted(held)} alone")
 
     def ruled(self, machine, node_process):
-        core_member = node_process.core_member
+        core_member = node_process.core.member
         if core_member is None:
             return
         if core_member.leadership is not None:
@@ -114,7 +112,7 @@
         """The claim on which every lease rests: what was acknowledged before the word's time is held. Looked at often."""
         for machine in self.fleet.machines:
             if machine.up and (at := machine.node_process.disseminator.confirmed_at_ns) is not None:
-                newest, state = self.ledger.newest(at - machine.offset), machine.node_process.state
+                newest, state = self.ledger.newest(at - machine.offset), machine.node_process.replicated_state.state
                 if newest and (state is None or state.index < newest):
                     raise Broken(f"{machine.name} lacks {newest}, and its word is younger than that")
 
@@ -129,7 +127,7 @@
         configuration, fleet = node_process.request_proxy.configuration, self.fleet
         request.revision = configuration.revision if configuration else 0
         at = bisect_left(self.acked, (request.sent - APPLY, 0))
-        if at and configuration is not None and node_process.fresh(node_process.clock()):
+        if at and configuration is not None and node_process.lease.is_valid(node_process.context.clock()):
             must = self.acked[at - 1][1]
             if request.revision < must and self.touch(machine, request.sent):
                 raise Broken(
--- a/rampfront/simulation/system_faults.py
+++ b/rampfront/simulation/system_faults.py
@@ -31,9 +31,9 @@
     def term(self, who: int, ms: int) -> None:
         """SIGTERM; it starts again behind its grace."""
         machine, fleet = self.pick(who), self.fleet
-        if machine.up and not machine.node_process.ending:
+        if machine.up and not machine.node_process.shutdown.in_progress:
             fleet.rougher(machine)
-            fleet.do(machine, machine.life, machine.node_process.end)
+            fleet.do(machine, machine.life, machine.node_process.shutdown.begin)
             self.after(6000, self.grace, machine, machine.life)
             self.after(6000 + ms, fleet.start, machine)
 
@@ -155,9 +155,9 @@
     def told_to_leave(self, machine: Machine) -> None:
         """SIGTERM."""
         fleet = self.fleet
-        if machine.up and not machine.node_process.ending:
+        if machine.up and not machine.node_process.shutdown.in_progress:
             fleet.rougher(machine)
-            fleet.do(machine, machine.life, machine.node_process.end)
+            fleet.do(machine, machine.life, machine.node_process.shutdown.begin)
 
     def end_for_good(self, machine: Machine) -> None:
         """A machine whose successor runs is gone."""
--- a/rampfront/simulation/system_run.py
+++ b/rampfront/simulation/system_run.py
@@ -114,7 +114,7 @@
         self.end_faults()
         down = self.left_down()
         for machine in fleet.machines:
-            if machine not in down and not (machine.up and not machine.node_process.ending):
+            if machine not in down and not (machine.up and not machine.node_process.shutdown.in_progress):
                 fleet.stop(machine)
                 fleet.start(machine)
             machine.troubles = 0 if machine.up else 1
@@ -230,7 +230,7 @@
         fleet.run(fleet.now + 6 * SEC)
         if call.verdict != "done" or json.loads(call.state)["Revision"] != f"r{number}":
             raise Broken(f"LOST: r{number} is not read back behind the closing fault")
-        behind = [m.name for m in was if m.node_process.state.index < floor]
+        behind = [m.name for m in was if m.node_process.replicated_state.state.index < floor]
         if behind:
             raise Broken(f"LOST: {behind} do not know what was acknowledged")
         self.serves(3 * SEC)
@@ -258,7 +258,7 @@
         fleet = self.fleet
         leader = next((machine for machine in fleet.core if machine.up and machine.leads), None)
         if leader is not None:
-            state = leader.node_process.state
+            state = leader.node_process.replicated_state.state
             end = self.history.begin(Operation(Kind.READ, leader.name, fleet.now))
             self.history.end_read(
                 end, fleet.now, state.revision, mark(zlib.decompress(state.body)), state.evacuated_zones
--- a/tests/pins/adapter.py
+++ b/tests/pins/adapter.py
@@ -19,9 +19,9 @@
 from rampfront.consensus.member import Member
 from rampfront.consensus.storage import RecordStore
 from rampfront.net.http_routing import RoutingTable
-from rampfront.node.endpoints import Control, Directory, Ready
+from rampfront.node.endpoints import ReadyCheck, control, directory
 from rampfront.node.order_messages import OrderReply, OrderRequest
-from rampfront.node.status_views import Views
+from rampfront.node.status_views import StatusViews
 from rampfront.operator_cli import explain, snapshot, survey
 from rampfront.settings import configuration as configurations
 from rampfront.simulation.schedule import Run
@@ -118,7 +118,7 @@
         return cbor2.dumps(OrderRequest.decode(plain).encode())
     if kind == "said":
         whole = "S" not in plain or plain["S"][3] is not None
-        return cbor2.dumps(OrderReply.decode(plain, bodies)._replace(whole=whole).encode())
+        return cbor2.dumps(OrderReply.decode(plain, bodies)._replace(with_body=whole).encode())
     return cbor2.dumps(plain)
 
 
@@ -190,8 +190,8 @@
 
     def hand(ask: Ask) -> None:
         process = fleet.machines[ask.node - 1].node_process
-        routes = RoutingTable([Ready(process), Directory(process), Control(process), Views(process)], 0)
-        handler = routes.handler(ask.method, ask.path, ask.call)
+        handlers = [ReadyCheck(process.readiness), directory(process), control(process), StatusViews(process)]
+        handler = RoutingTable(handlers, 0).handler(ask.method, ask.path, ask.call)
         at_once = handler(_Call(ask, answered))
         if at_once is not None:
             answered(ask, at_once.status, at_once.body, at_once.headers)
--- a/tests/proxy_fixtures.py
+++ b/tests/proxy_fixtures.py
@@ -16,8 +16,8 @@
 from rampfront.membership.roster import RosterEntry
 from rampfront.membership.versions import ReplicaVersions
 from rampfront.net.event_log import EventLog
-from rampfront.node import bounds
-from rampfront.node.log import COUNTED
+from rampfront.node.limits import network_limits
+from rampfront.node.metrics import COUNTERS
 from rampfront.proxy.client_front import ClientFront
 from rampfront.proxy.environment import ProxyEnvironment
 from rampfront.proxy.request_proxy import RequestProxy
@@ -106,7 +106,7 @@
 
 class Silent(EventLog):
     def __init__(self):
-        super().__init__("n1", 10**10, COUNTED)
+        super().__init__("n1", 10**10, COUNTERS)
 
     def record(self, event, **more):
         pass
@@ -159,7 +159,7 @@
         self.log, self.quota, self.word = Silent(), quota or Quota(), word
         self.process_settings = process_settings_of.read(settings()).ok_value
         self.places, self.numbers = {}, 0
-        limits = bounds.fill(self.process_settings)
+        limits = network_limits(self.process_settings)
         environment = ProxyEnvironment(self, self.clock, self.process_settings, limits, random.Random(5), self.log)
         self.request_proxy = RequestProxy(environment, self.quota, lambda now: self.word)
         self.client_front = ClientFront(environment, self.request_proxy)
--- a/tests/test_dissemination.py
+++ b/tests/test_dissemination.py
@@ -11,7 +11,7 @@
 from rampfront.membership.peers import PEER_TIMEOUT_NS
 from rampfront.membership.roster import RosterEntry
 from rampfront.membership.versions import VERSIONS_PER_TERM
-from rampfront.node.endpoints import Directory
+from rampfront.node.directory_call import Directory
 
 
 def ages(n, *but):
@@ -317,16 +317,13 @@
         for k, ready in enumerate((True, True, False))
     ]
     disseminator = SimpleNamespace(roster=rows)
-    node_process = SimpleNamespace(
-        disseminator=disseminator,
-        draw=Nodes(1).draw,
-        process_settings=SimpleNamespace(zones=zones, terms=SimpleNamespace(ttl_max=5 * SEC)),
-    )
+    settings = SimpleNamespace(zones=zones, terms=SimpleNamespace(ttl_max=5 * SEC))
+    directory = Directory(disseminator, settings, Nodes(1).draw)
 
     spread = []
 
     def ask(zone, region="a"):
-        answer = Directory(node_process).lookup(SimpleNamespace(query={"Name": "h", "Zone": zone, "Region": region}))
+        answer = directory.lookup(SimpleNamespace(query={"Name": "h", "Zone": zone, "Region": region}))
         names = json.loads(answer.body).get("Addresses", ())
         assert len(names) <= 64
         spread[:] = [name[:2] == zone for name in names]
--- a/tests/test_hardening_calls.py
+++ b/tests/test_hardening_calls.py
@@ -24,10 +24,10 @@
 from rampfront.net.http_server import HttpServer
 from rampfront.net.http_server_connection import HttpServerConnection
 from rampfront.net.limits import HttpServerLimits
-from rampfront.node.endpoints import Control
-from rampfront.node.node import NodeProcess
-from rampfront.node.order_messages import LIFE_BITS, MalformedMessageError, OrderReply, OrderRequest
-from rampfront.node.order_table import KEPT, MOST_KEPT, MOST_UNDER_WAY
+from rampfront.node.assembly import build_node_process
+from rampfront.node.endpoints import control
+from rampfront.node.order_messages import INCARNATION_BITS, MalformedMessageError, OrderReply, OrderRequest
+from rampfront.node.order_table import MAX_ANSWERED, MAX_IN_FLIGHT, RETENTION_NS
 from rampfront.node.ports import Ports
 from rampfront.quota.counter import QuotaCounter
 from rampfront.quota.limiter import Limiter
@@ -88,29 +88,30 @@
     def __init__(self, leads=False, seed=3):
         self.loop = Quay()
         self.loop.add_signal_handler = self.loop.run_in_executor = None
-        self.node = NodeProcess(
+        self.node = build_node_process(
             self.loop,
             process_settings_of.read(settings(Grace="6s", RevokeWithin="5s")).ok_value,
             Silent(),
             seed,
             ports=Ports(clock=lambda: self.loop.clock, wire=Ears),
         )
-        self.wire, self.counts, self.orders = self.node.wire, self.node.counts, self.node.orders
-        self.core = self.node.core_member = Core() if leads else None
+        self.wire, self.counts = self.node.context.wire, self.node.context.counts
+        self.orders, self.table = self.node.orders, self.node.order_executor.table
+        self.core = self.node.core.member = Core() if leads else None
         self.ended = []
         if not leads:
             self.node.disseminator.leadership.leader = LEADER
         self.node.tick()
 
     def give(self, kind=OrderKind.EVACUATE, body="a1"):
-        self.orders.give(kind, body, lambda *verdict: self.ended.append(verdict))
+        self.orders.submit(kind, body, lambda *verdict: self.ended.append(verdict))
 
     def asked(self, ip, number, life=5, kind=OrderKind.EVACUATE, body="a1"):
-        self.node.heard(ip, OrderRequest(life, number, kind, body).encode())
+        self.node.frame_dispatcher.dispatch(ip, OrderRequest(life, number, kind, body).encode())
 
     def says(self, ip, number, verdict=Outcome.DONE, life=None, index=5):
-        life = self.orders.life if life is None else life
-        self.node.heard(
+        life = self.orders.incarnation if life is None else life
+        self.node.frame_dispatcher.dispatch(
             ip, OrderReply(life, number, verdict, state(index) if verdict == Outcome.DONE else None).encode()
         )
 
@@ -118,7 +119,7 @@
         """The core answers the order that it took so many ago."""
         told = self.core.taken[at]
         self.core.effects = [events.OrderEnded(told.ref, verdict, state() if verdict == Outcome.DONE else None)]
-        self.node.tell(None)
+        self.node.core.start()
 
     def replies(self):
         return [(ip, m["l"], m["r"], m["v"]) for ip, m in self.wire.take("said")]
@@ -137,7 +138,7 @@
     for at in (1, 2, 0):
         s.answer(at)
     assert s.replies() == [(OTHER, 5, 1, "done"), (OTHER, 6, 1, "done"), (CALLER, 5, 1, "done")]
-    assert not s.orders.table.under_way
+    assert not s.table.in_flight
 
 
 def test_an_order_that_comes_again_is_carried_out_once():
@@ -187,7 +188,7 @@
 def test_a_full_table_says_so():
     """No silence, for which the caller's operator would wait a second; with room again, it is taken."""
     s = Station(leads=True)
-    for number in range(1, MOST_UNDER_WAY + 1):
+    for number in range(1, MAX_IN_FLIGHT + 1):
         s.asked(CALLER, number)
     s.asked(OTHER, 1)
     assert s.replies() == [(OTHER, 5, 1, "busy")] and s.counts["orders_busy"] == 1
@@ -195,7 +196,7 @@
     assert s.ended == [("busy", None)]
     s.answer()
     s.asked(OTHER, 1)
-    assert len(s.core.taken) == MOST_UNDER_WAY + 1
+    assert len(s.core.taken) == MAX_IN_FLIGHT + 1
 
 
 def test_the_tables_are_emptied():
@@ -203,15 +204,15 @@
     s = Station(leads=True)
     s.asked(CALLER, 1)
     s.loop.wait(11000)
-    assert not s.orders.table.under_way and s.counts["orders_abandoned"] == 1
+    assert not s.table.in_flight and s.counts["orders_abandoned"] == 1
     s.answer()  # nobody is owed it any more
     assert not s.replies()
-    for number in range(2, MOST_KEPT + 4):
+    for number in range(2, MAX_ANSWERED + 4):
         s.asked(CALLER, number)
         s.answer(number - 1)
-    assert len(s.orders.table.answered) == MOST_KEPT
-    s.loop.wait(KEPT // MS + 200)
-    assert not s.orders.table.answered
+    assert len(s.table.answered) == MAX_ANSWERED
+    s.loop.wait(RETENTION_NS // MS + 200)
+    assert not s.table.answered
 
 
 def test_a_configuration_does_not_come_back_to_who_sent_it():
@@ -220,14 +221,14 @@
         leader, node = Station(leads=True), Station()
         node.give(OrderKind.CONFIGURE, (1, body))
         ((_, order),) = node.wire.take("order")
-        leader.node.heard(CALLER, order)
+        leader.node.frame_dispatcher.dispatch(CALLER, order)
         leader.answer()
         ((_, reply),) = leader.wire.take("said")
         assert (BODY in cbor2.dumps(reply)) == (body != BODY)
-        node.node.heard(LEADER, reply)
-        node.node.heard(LEADER, reply)  # once more
+        node.node.frame_dispatcher.dispatch(LEADER, reply)
+        node.node.frame_dispatcher.dispatch(LEADER, reply)  # once more
         ((verdict, held),) = node.ended
-        assert (verdict, held.body, held.index) == ("done", BODY, 5) and node.counts["replies_unasked"] == 1
+        assert (verdict, held.body, held.index) == ("done", BODY, 5) and node.counts["replies_unsolicited"] == 1
 
 
 # ---- at the node that asks
@@ -238,14 +239,14 @@
     s = Station()
     s.give()
     ((ip, sent),) = s.wire.take("order")
-    assert (ip, sent["r"], sent["l"]) == (LEADER, 1, s.orders.life)
+    assert (ip, sent["r"], sent["l"]) == (LEADER, 1, s.orders.incarnation)
     s.says(OTHER, 1)
-    s.says(LEADER, 1, life=s.orders.life ^ 1)
+    s.says(LEADER, 1, life=s.orders.incarnation ^ 1)
     s.says(LEADER, 2)
-    assert not s.ended and s.counts["replies_unasked"] == 3
+    assert not s.ended and s.counts["replies_unsolicited"] == 3
     s.says(LEADER, 1)
     s.says(LEADER, 1)
-    assert [verdict for verdict, _ in s.ended] == ["done"] and s.counts["replies_unasked"] == 4
+    assert [verdict for verdict, _ in s.ended] == ["done"] and s.counts["replies_unsolicited"] == 4
 
 
 def test_a_late_no_of_the_former_leader():
@@ -257,7 +258,7 @@
         s.loop.wait(350)
         assert [ip for ip, _ in s.wire.take("order")] == [LEADER, OTHER]
         s.says(LEADER, 1, verdict)
-        assert not s.ended and s.counts["replies_unasked"] == 1
+        assert not s.ended and s.counts["replies_unsolicited"] == 1
         s.says(LEADER, 1)
         assert [verdict for verdict, _ in s.ended] == ["done"]
 
@@ -275,7 +276,7 @@
 
 
 def test_a_restart_draws_another_life():
-    lives = {Station(seed=seed).orders.life for seed in range(5)}
+    lives = {Station(seed=seed).orders.incarnation for seed in range(5)}
     assert len(lives) == 5
 
 
@@ -287,7 +288,7 @@
     "odd",
     [
         {"l": -1},
-        {"l": 1 << LIFE_BITS},
+        {"l": 1 << INCARNATION_BITS},
         {"l": True},
         {"r": 0},
         {"r": "1"},
@@ -308,7 +309,7 @@
     """Checked at one place, and nothing of them reaches the core."""
     s = Station(leads=True)
     with pytest.raises(MalformedMessageError):
-        s.node.heard(CALLER, ORDER | odd)
+        s.node.frame_dispatcher.dispatch(CALLER, ORDER | odd)
     assert not s.core.taken and not s.wire.take("said")
 
 
@@ -317,7 +318,7 @@
     s = Station()
     s.give()
     with pytest.raises(ValueError):
-        s.node.heard(LEADER, REPLY | {"l": s.orders.life} | odd)
+        s.node.frame_dispatcher.dispatch(LEADER, REPLY | {"l": s.orders.incarnation} | odd)
     assert not s.ended
 
 
@@ -405,13 +406,13 @@
     s, seen = Station(), []
     s.node.request_proxy.apply_health_reports = seen.append
     s.node.disseminator.leadership.term = 3
-    s.node.heard(LEADER, {"k": "dim", "e": 2, "r": [["old", UNHEALTHY]]})
-    s.node.heard(OTHER, {"k": "dim", "e": 4, "r": [["elsewhere", UNHEALTHY]]})
+    s.node.frame_dispatcher.dispatch(LEADER, {"k": "dim", "e": 2, "r": [["old", UNHEALTHY]]})
+    s.node.frame_dispatcher.dispatch(OTHER, {"k": "dim", "e": 4, "r": [["elsewhere", UNHEALTHY]]})
     for odd in ({}, {"e": None}):
         with pytest.raises((KeyError, ValueError)):
-            s.node.heard(LEADER, {"k": "dim", "r": [["odd", UNHEALTHY]]} | odd)
+            s.node.frame_dispatcher.dispatch(LEADER, {"k": "dim", "r": [["odd", UNHEALTHY]]} | odd)
     assert not seen
-    s.node.heard(LEADER, {"k": "dim", "e": 3, "r": [["now", UNHEALTHY]]})
+    s.node.frame_dispatcher.dispatch(LEADER, {"k": "dim", "e": 3, "r": [["now", UNHEALTHY]]})
     assert seen == [[("now", UNHEALTHY)]]
 
 
@@ -419,8 +420,8 @@
     s = Station(leads=True)
     look = s.node.disseminator
     look.leadership.is_leader, look.leadership.term = True, 4
-    s.node.health_registry.add_reports = lambda *about: [["s1", 10]]
-    s.node.on_health_reports(CALLER, {"k": "sight", "r": []}, 0)
+    s.node.server_health.registry.add_reports = lambda *about: [["s1", 10]]
+    s.node.server_health.on_report(CALLER, {"k": "sight", "r": []}, 0)
     assert [message["e"] for _, message in s.wire.take("dim")] == [4]
 
 
@@ -559,7 +560,7 @@
 def test_bad_input_names_its_field(text, field):
     """A 4xx with a body of JSON; nothing of it is given to the core."""
     s = Station(leads=True)
-    caller = Desk(Control(s.node)).dial(text)
+    caller = Desk(control(s.node)).dial(text)
     ((status, head, body),) = Desk.answers(None, caller)
     assert 400 <= status < 500 and "application/json" in head and field in json.loads(body)["Message"]
     assert not s.core.taken
@@ -569,7 +570,7 @@
 def test_a_core_that_cannot_be_reached(name):
     """503 with when to come back, once, inside the second that callers wait; at once where the table is full."""
     s = Station()
-    d = Desk(Control(s.node))
+    d = Desk(control(s.node))
     text = rpc(name, orders(2) if b"replace" in name else b"")
     caller = d.dial(text)
     s.loop.wait(950)
@@ -638,8 +639,8 @@
         s, d, stopped = Station(), Desk(), []
         s.loop.stop = lambda stopped=stopped, s=s: stopped.append(s.loop.now)
         s.node.client_front.server = s.loop
-        s.node.calls = [d.calls]
-        s.node.end()
+        s.node.shutdown.listeners.add(d.calls)
+        s.node.shutdown.begin()
         s.loop.wait(2900)
         idle, caller = d.dial(), d.dial(LATER)
         s.loop.wait(300)
--- a/tests/test_hardening_isolation.py
+++ b/tests/test_hardening_isolation.py
@@ -13,9 +13,9 @@
 from rampfront.consensus.events import OrderEnded, OrderKind, Outcome
 from rampfront.consensus.leader import Leadership
 from rampfront.consensus.state import State
-from rampfront.node import endpoints, orders
-from rampfront.node.metrics import gauges
-from rampfront.node.status_views import Views
+from rampfront.node import control_calls, order_submitter
+from rampfront.node.metrics_page import gauges
+from rampfront.node.status_views import StatusViews
 from rampfront.settings import process_settings
 from rampfront.settings.configuration import LARGEST_REVISION
 from rampfront.simulation.checks import Broken
@@ -120,7 +120,7 @@
     lookup = one.directory.lookup(Asked({"Zone": "a1"}))
     assert lookup.status == 503 and dict(lookup.headers)[b"Retry-After"]
     assert not one.node_process.disseminator.ready
-    assert json.loads(Views(one.node_process).state(Asked({})).body)["OutOfTouchMs"] >= 5000
+    assert json.loads(StatusViews(one.node_process).state(Asked({})).body)["OutOfTouchMs"] >= 5000
     run.join(pairs)
     run.go(3 * SEC)
     run.agree()
@@ -152,9 +152,9 @@
     old.frozen, old.inbox = False, []
     node_process = old.node_process
     for machine in run.fleet.machines[4:]:
-        hail = heartbeat_frame(machine.node_process.disseminator, machine.node_process.clock())
+        hail = heartbeat_frame(machine.node_process.disseminator, machine.node_process.context.clock())
         assert not hail["r"]
-        node_process.heard(machine.ip, hail)
+        node_process.frame_dispatcher.dispatch(machine.ip, hail)
         assert len(node_process.disseminator.roster) == 11
     assert not node_process.disseminator.is_leader
 
@@ -168,7 +168,7 @@
     old.frozen, old.inbox = False, []
     node_process = old.node_process
     held = node_process.disseminator.endpoints_version
-    node_process.polled(
+    node_process.server_list.on_polled(
         replace(node_process.request_proxy.servers, endpoints=node_process.request_proxy.servers.endpoints[1:])
     )
     assert (
@@ -183,7 +183,7 @@
     run.fleet.freeze(old)
     run.go(3 * SEC)
     old.frozen, old.inbox = False, []
-    assert json.loads(Views(old.node_process).state(Asked({})).body)["Leads"] is False
+    assert json.loads(StatusViews(old.node_process).state(Asked({})).body)["Leads"] is False
 
 
 def test_views_and_metrics_say_that_a_node_is_out_of_touch_and_since_when():
@@ -191,7 +191,7 @@
     run.quiet = True
     run.go(SEC)
     for one in (run.leader(), run.fleet.machines[7]):
-        views, node_process = Views(one.node_process), one.node_process
+        views, node_process = StatusViews(one.node_process), one.node_process
         assert json.loads(views.state(Asked({})).body)["OutOfTouchMs"] is None
         assert dict(gauges(node_process))["out_of_touch_seconds"] == 0
         pairs = run.cut([one])
@@ -220,7 +220,7 @@
         answers = run.order("config", run.fleet.machines[7], body)
         run.go(SEC)
         assert answers[0].status == status and (status == 200 or b"Revision" in answers[0].body)
-    monkeypatch.setattr(endpoints, "MOST_PACKED", 4000)
+    monkeypatch.setattr(control_calls, "MAX_COMPRESSED_BYTES", 4000)
     body = json.dumps({**json.loads(run.body()), "Note": Random(1).randbytes(4000).hex()}).encode()
     answers = run.order("config", run.fleet.machines[7], body)
     assert answers[0].status == 413 and b"compressed" in answers[0].body
@@ -232,9 +232,11 @@
     machine = run.fleet.machines[7]
     node_process = machine.node_process
     assert run.order("empty", machine, of="c1")[0].status == 400
-    new = replace(node_process.process_settings, zones={**node_process.process_settings.zones, "c1": "c"})
+    new = replace(
+        node_process.context.process_settings, zones={**node_process.context.process_settings.zones, "c1": "c"}
+    )
     monkeypatch.setattr(process_settings, "load", lambda path: Ok(new))
-    node_process.reread("settings.json")
+    node_process.settings_reloader.reload("settings.json")
     answers = run.order("empty", machine, of="c1")
     run.go(SEC)
     assert answers[0].status == 200
@@ -271,6 +273,6 @@
 
 
 def test_an_answer_that_waits_for_the_beat_is_found(monkeypatch):
-    monkeypatch.setattr(orders, "WAIT", 980 * MS)
+    monkeypatch.setattr(order_submitter, "ANSWER_WITHIN_NS", 980 * MS)
     with pytest.raises(Broken, match="not answered within a second"):
         test_cut_off_for_twenty_seconds("diskless", "both")
--- a/tests/test_hardening_numbers.py
+++ b/tests/test_hardening_numbers.py
@@ -14,9 +14,9 @@
 from rampfront.consensus.errors import RemoteProtocolError
 from rampfront.consensus.events import OrderKind, Outcome
 from rampfront.consensus.state import State, digest
-from rampfront.node.endpoints import Control
+from rampfront.node.control_calls import Control
+from rampfront.node.open_order import OpenOrder
 from rampfront.node.order_messages import MalformedMessageError, OrderReply, OrderRequest
-from rampfront.node.orders import OpenOrder
 from rampfront.simulation.isolation import IsolationRun
 from rampfront.simulation.world import MS, SEC
 
@@ -477,7 +477,7 @@
     def __init__(self, body: bytes = b"", **query: str) -> None:
         self.body, self.query, self.said = body, query, None
 
-    def answer(self, status: int, body: bytes = b"", headers: tuple = (), kind: bytes = b"") -> bool:
+    def respond(self, status: int, body: bytes = b"", headers: tuple = (), kind: bytes = b"") -> bool:
         """Keeps the answer."""
         self.said = status, json.loads(body), dict(headers)
         return True
@@ -487,16 +487,11 @@
     """The calls of a node whose core gives these verdicts; and what it was asked."""
     orders, answers = [], list(verdicts)
 
-    def give(kind: str, body: object, ended: object) -> None:
+    def submit(kind: str, body: object, ended: object) -> None:
         orders.append((kind, body))
         ended(*answers.pop(0))
 
-    node_process = SimpleNamespace(
-        process_settings=SimpleNamespace(zones={"hall": "north"}),
-        orders=SimpleNamespace(give=give),
-        counts=Counter(),
-    )
-    return Control(node_process), orders
+    return Control(SimpleNamespace(submit=submit), {"hall": "north"}, Counter()), orders
 
 
 def held(number: int, word: str = "web") -> State:
@@ -508,11 +503,11 @@
 
 def test_a_conflict_from_the_leader_rests_on_a_state_that_is_no_older() -> None:
     order = OpenOrder(OrderRequest(1, 2, OrderKind.CONFIGURE, (5, packed(5))), 0, 9, lambda *words: None)
-    order.asked.add("10.0.0.1")
+    order.sent_to.add("10.0.0.1")
     reply = OrderReply(1, 2, Outcome.CONFLICT, held(5))  # of index 9
     assert OrderReply.decode(cbor2.loads(cbor2.dumps(reply.encode()))).state.revision == 5
     assert order.objection("10.0.0.1", reply) is None
-    order.index = 10
+    order.state_index = 10
     assert order.objection("10.0.0.1", reply) and order.objection("10.0.0.2", reply)
     with pytest.raises(MalformedMessageError):
         OrderReply.decode(OrderReply(1, 2, Outcome.CONFLICT).encode())
@@ -539,21 +534,26 @@
 
 def test_answers_to_a_configuration() -> None:
     asked = Asked(BODY)
-    control((Outcome.DONE, held(7)))[0].replace(asked)
+    control((Outcome.DONE, held(7)))[0].replace_configuration(asked)
     assert asked.said == (200, {"Revision": "r5", "Holds": "r7"}, {})
     calls, orders = control((Outcome.CONFLICT, held(5, "mail")))
-    calls.replace(asked := Asked(BODY))
+    calls.replace_configuration(asked := Asked(BODY))
     status, said, _ = asked.said
     assert (status, said["Field"]) == (409, "Revision") and "raise Revision above r5" in said["Message"]
     assert said["Holds"] == {"Revision": "r5", "Digest": v.content_digest(packed(5, "mail")).hex()}
     assert said["Sent"] == {"Revision": "r5", "Digest": v.content_digest(packed(5)).hex()} != said["Holds"]
-    assert calls.node_process.counts["orders_refused"] == 1
+    assert calls.counts["orders_refused"] == 1
     assert orders == [(OrderKind.CONFIGURE, (5, packed(5)))]
 
 
 @pytest.mark.parametrize("verdict", [None, Outcome.UNKNOWN, Outcome.REJECTED])
 def test_no_clear_answer_is_503_with_when_to_come_back(verdict: str | None) -> None:
-    for call, body in (("replace", BODY), ("read", b""), ("empty", b""), ("fill", b"")):
+    for call, body in (
+        ("replace_configuration", BODY),
+        ("read_configuration", b""),
+        ("start_evacuation", b""),
+        ("finish_evacuation", b""),
+    ):
         asked = Asked(body, of="hall")
         getattr(control((verdict, None))[0], call)(asked)
         status, said, headers = asked.said
@@ -570,7 +570,7 @@
 )
 def test_an_invalid_configuration_is_400_and_names_the_field(body: bytes, field: str) -> None:
     calls, orders = control()
-    answer = calls.replace(Asked(body))
+    answer = calls.replace_configuration(Asked(body))
     said = json.loads(answer.body)
     assert answer.status == 400 and said["Field"] == field and said["Message"] and not orders
 
@@ -581,9 +581,9 @@
     )
     told = []
     for call, state in (
-        ("empty", held(5).next_entry(evacuated_zones=frozenset({"hall"}))),
-        ("fill", shared),
-        ("fill", held(5)),
+        ("start_evacuation", held(5).next_entry(evacuated_zones=frozenset({"hall"}))),
+        ("finish_evacuation", shared),
+        ("finish_evacuation", held(5)),
     ):
         getattr(control((Outcome.DONE, state))[0], call)(asked := Asked(of="hall"))
         assert asked.said[0] == 200 and asked.said[1]["Zone"] == "hall"
@@ -593,5 +593,5 @@
 
 def test_an_unknown_zone_is_400_and_names_the_field() -> None:
     for asked in (Asked(of="cellar"), Asked()):
-        answer = control()[0].empty(asked)
+        answer = control()[0].start_evacuation(asked)
         assert (answer.status, json.loads(answer.body)["Field"]) == (400, "of")
--- a/tests/test_operator_cli.py
+++ b/tests/test_operator_cli.py
@@ -26,8 +26,8 @@
 from rampfront.net.http_client import HttpRequest, HttpResponse, RequestError
 from rampfront.net.http_routing import RoutingTable
 from rampfront.net.latency_histogram import LatencyHistogram
-from rampfront.node import metrics
-from rampfront.node.status_views import COUNTS, PAGE, Views
+from rampfront.node import metrics, metrics_page
+from rampfront.node.status_views import COUNTERS_SHOWN, PAGE_ROWS, StatusViews
 from rampfront.operator_cli import commands, difference, explain, local_system, snapshot, survey
 from rampfront.operator_cli import start as home
 from rampfront.settings import configuration as configurations
@@ -62,7 +62,7 @@
         "Servers": 1,
         "Roster": 1,
         "Spare": {"reads": 0.4},
-        "Counts": dict.fromkeys(COUNTS, 0),
+        "Counts": dict.fromkeys(COUNTERS_SHOWN, 0),
         **other,
     }
 
@@ -613,7 +613,7 @@
         [
             sys.executable,
             "-c",
-            "import sys, rampfront.node.node, rampfront.node.endpoints\n"
+            "import sys, rampfront.node.assembly, rampfront.node.endpoints\n"
             "dear = 'click', 'rampfront.operator_cli', 'rampfront.lab'\n"
             "print([m for m in sys.modules if m.startswith(dear)])",
         ],
@@ -654,7 +654,8 @@
 
 def test_views_answer_from_snapshots_and_in_pages():
     rows = tuple(
-        Endpoint(f"i-{k:04}", "s", "10.0.0.1", 80, "z1", 2, "ready", 7 * SEC if k == 0 else 0) for k in range(PAGE + 1)
+        Endpoint(f"i-{k:04}", "s", "10.0.0.1", 80, "z1", 2, "ready", 7 * SEC if k == 0 else 0)
+        for k in range(PAGE_ROWS + 1)
     )
     link = SimpleNamespace(uid="i-0000", links=3)
     request_proxy = SimpleNamespace(
@@ -680,21 +681,25 @@
     )
     own = SimpleNamespace(name="n1", ip="127.0.0.1", zone="z1", zones=ZONES, control=("127.0.0.1", 1))
     node_process = SimpleNamespace(
-        check_leadership=lambda now: None,
-        out_of_touch=lambda now: 4 * SEC,
+        core=SimpleNamespace(step_down_if_overdue=lambda now: None, strength=lambda now: None, member=None),
+        lease=SimpleNamespace(
+            age=lambda now: None,
+            duration=SEC,
+            is_valid=lambda now: False,
+            out_of_touch_for=lambda now: 4 * SEC,
+        ),
         request_proxy=request_proxy,
         disseminator=look,
-        process_settings=own,
-        core_member=None,
-        ending=False,
-        lease=SEC,
-        clock=lambda: 5 * SEC,
-        fresh=lambda now: False,
-        counts=dict.fromkeys(COUNTS, 0),
-        counter_placement=SimpleNamespace(counter_ip=None),
-        state=State(3, 1, 2, b"", frozenset(("z1",)), {"n1": ("127.0.0.1", 4)}),
+        shutdown=SimpleNamespace(in_progress=False),
+        context=SimpleNamespace(
+            process_settings=own,
+            clock=lambda: 5 * SEC,
+            counts=dict.fromkeys(COUNTERS_SHOWN.values(), 0),
+        ),
+        quota_exchange=SimpleNamespace(placement=SimpleNamespace(counter_ip=None)),
+        replicated_state=SimpleNamespace(state=State(3, 1, 2, b"", frozenset(("z1",)), {"n1": ("127.0.0.1", 4)})),
     )
-    routes = RoutingTable([Views(node_process)], 0)
+    routes = RoutingTable([StatusViews(node_process)], 0)
 
     def ask(name, **query):
         answer = routes.handler("POST", "/api/rpc", name)(SimpleNamespace(query=query))
@@ -703,14 +708,16 @@
         ).unwrap()
 
     first = json.loads(ask("servers.read").body)
-    assert len(first["Servers"]) == PAGE and first["Next"] == f"i-{PAGE - 1:04}" and first["ChangedMs"] == 2000
+    assert (
+        len(first["Servers"]) == PAGE_ROWS and first["Next"] == f"i-{PAGE_ROWS - 1:04}" and first["ChangedMs"] == 2000
+    )
     assert (first["Servers"][0]["ColdMs"], first["Servers"][0]["Links"], first["Servers"][0]["Emptied"]) == (
         2000,
         3,
         True,
     )
     rest = json.loads(ask("servers.read", after=first["Next"]).body)
-    assert [row["Id"] for row in rest["Servers"]] == [f"i-{PAGE:04}"] and rest["Next"] is None
+    assert [row["Id"] for row in rest["Servers"]] == [f"i-{PAGE_ROWS:04}"] and rest["Next"] is None
     assert json.loads(ask("servers.read", of="other").body)["Servers"] == []
     told = json.loads(ask("state.read").body)
     assert told["Spare"] == {"s": 2.2} and told["OutOfTouchMs"] == first["OutOfTouchMs"] == 4000
@@ -762,20 +769,20 @@
 
 
 def test_a_scraper_gets_counters_and_whole_histograms_of_a_fixed_number_of_lines():
-    spans = [LatencyHistogram() for _ in metrics.SPANS]
+    spans = {name: LatencyHistogram() for name in metrics.HISTOGRAMS}
     for ns in (0, MS, MS + 1, 60 * SEC):
-        spans[0].record(ns)
-    page = metrics.text({"taken": 4}, [("ready", True), ("lease_seconds", 4.4)], spans)
+        spans["request"].record(ns)
+    page = metrics_page.exposition({"taken": 4}, [("ready", True), ("lease_seconds", 4.4)], spans)
     told = scraped(page)
     assert (told["rampfront_taken_total"], told["rampfront_ready"], told["rampfront_lease_seconds"]) == (4, 1, 4.4)
     name = "rampfront_request_seconds"
     assert [told[name + "_bucket", edge] for edge in ("0.001", "0.0025", "10", "+Inf")] == [2, 3, 3, 4]
     assert told[name + "_count"] == 4 and told[name + "_sum"] == 60.002000001
     for _ in range(1000):
-        spans[1].record(7 * MS)
-    assert len(metrics.text({"taken": 10**9}, [("ready", True), ("lease_seconds", 4.4)], spans).splitlines()) == len(
-        page.splitlines()
-    )
+        spans["server_answer"].record(7 * MS)
+    assert len(
+        metrics_page.exposition({"taken": 10**9}, [("ready", True), ("lease_seconds", 4.4)], spans).splitlines()
+    ) == len(page.splitlines())
 
 
 # ---- the whole, once: slow by what it starts
@@ -820,12 +827,17 @@
             with urllib.request.urlopen(f"http://{told['Nodes'][3]['Control']}/metrics", timeout=30) as page:
                 assert page.headers["Content-Type"] == "text/plain; version=0.0.4; charset=utf-8"
                 found = scraped(page.read().decode())
-            if found["rampfront_adds_round_trip_seconds_count"] > 0:
+            if found["rampfront_quota_round_trip_seconds_count"] > 0:
                 break
             time.sleep(0.1)
         assert found["rampfront_request_seconds_count"] == found["rampfront_server_answer_seconds_count"] == 1
-        assert found["rampfront_ready"] == found["rampfront_in_touch"] == 1 and found["rampfront_servers_listed"] == 8
-        assert found["rampfront_word_age_seconds_count"] > 0 and found["rampfront_adds_round_trip_seconds_count"] > 0
+        assert (
+            found["rampfront_ready"] == found["rampfront_lease_valid"] == 1 and found["rampfront_servers_listed"] == 8
+        )
+        assert (
+            found["rampfront_lease_age_sampled_seconds_count"] > 0
+            and found["rampfront_quota_round_trip_seconds_count"] > 0
+        )
         assert json.loads(run("quotas", "--json"))["Quotas"][0]["Tenant"] == "acme"
         new = tmp_path / "r2.json"
         new.write_text(json.dumps(conf("r2")))
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -20,11 +20,12 @@
     read_slices,
     slices,
 )
-from rampfront.lab.system.hollow import CountsFrames, HollowNode
+from rampfront.lab.system.hollow import CountsFrames, HollowNode, build_hollow_node
 from rampfront.lab.system.request_cost import CASES, experiment
 from rampfront.lab.system.scale_fit import TooFewSizesError, fit
 from rampfront.lab.system.scale_plan import MOST_PROCESSES, Scale, ScaleError, check, configuration, server_entries
-from rampfront.node.node import NodeProcess
+from rampfront.node.assembly import build_node_process
+from rampfront.node.node_process import NodeProcess
 from rampfront.settings import configuration as configurations
 from rampfront.settings.errors import FieldError
 from rampfront.simulation import fleet as fleets
@@ -133,24 +134,24 @@
 class SeededFleet(fleets.Fleet):
     """Draws of links and of nodes stand apart, so that one more draw of a node moves nobody else's."""
 
-    def __init__(self, kind_of):
+    def __init__(self, builder_of):
         super().__init__(seed=7, nodes=NODES, disks=CORE)
         self.loss = self.repeat = 0
-        self.kind_of = kind_of
+        self.builder_of = builder_of
         self.watch = SimpleNamespace(join=lambda machine: None)
 
     def start(self, machine):
-        fleets.NodeProcess, kept = self.kind_of(machine), fleets.NodeProcess
+        fleets.build_node_process, kept = self.builder_of(machine), fleets.build_node_process
         try:
             super().start(machine)
         finally:
-            fleets.NodeProcess = kept
+            fleets.build_node_process = kept
 
 
-def play(monkeypatch, kind_of):
+def play(monkeypatch, builder_of):
     """Starts, a configuration, a list, a zone emptied, a node killed and back; frames by kind of each node."""
     monkeypatch.setattr(fleets, "Frames", CountedFrames)
-    fleet = SeededFleet(kind_of)
+    fleet = SeededFleet(builder_of)
     for number, zone in enumerate(fleets.ZONES):
         fleet.serve("service-000", zone, False, (f"10.9.0.{number + 1}", 8080))
     for machine in fleet.machines:
@@ -163,24 +164,24 @@
         getattr(core, call)(Asked(query, body, lambda status, body=b"", *more: answers.append(status) or True))
         fleet.run(fleet.now + 3 * SEC)
 
-    order("replace", {}, configuration(Scale(NODES, routes=4, tenants=4, services=2)))
-    order("empty", {"of": "b2"})
+    order("replace_configuration", {}, configuration(Scale(NODES, routes=4, tenants=4, services=2)))
+    order("start_evacuation", {"of": "b2"})
     fleet.run(fleet.now + 20 * SEC)
     assert answers == [200, 200]
     last = fleet.machines[-1]
-    counted = {machine.name: machine.node_process.wire.frame_counts for machine in fleet.machines}
+    counted = {machine.name: machine.node_process.context.wire.frame_counts for machine in fleet.machines}
     fleet.stop(last)
     fleet.run(fleet.now + 4 * SEC)
     fleet.start(last)
     fleet.run(fleet.now + 4 * SEC)
-    counted["again"] = last.node_process.wire.frame_counts
+    counted["again"] = last.node_process.context.wire.frame_counts
     states = {machine.name: machine.node_process for machine in fleet.machines}
     return counted, states
 
 
 def test_a_hollow_node_sends_a_real_ones_messages(monkeypatch):
-    real, real_nodes = play(monkeypatch, lambda machine: NodeProcess)
-    mixed, mixed_nodes = play(monkeypatch, lambda machine: NodeProcess if machine.disk else HollowNode)
+    real, real_nodes = play(monkeypatch, lambda machine: build_node_process)
+    mixed, mixed_nodes = play(monkeypatch, lambda machine: build_node_process if machine.disk else build_hollow_node)
     names = [f"n{number}" for number in range(CORE + 1, NODES + 1)]
 
     def sums(counted, names, side):
@@ -197,15 +198,19 @@
     for name in names:
         one, two = real_nodes[name], mixed_nodes[name]
         assert two.disseminator.ready and not two.request_proxy.service_pools
-        assert (one.state.revision, one.state.body, one.state.evacuated_zones) == (
-            two.state.revision,
-            two.state.body,
-            two.state.evacuated_zones,
+        assert (
+            one.replicated_state.state.revision,
+            one.replicated_state.state.body,
+            one.replicated_state.state.evacuated_zones,
+        ) == (
+            two.replicated_state.state.revision,
+            two.replicated_state.state.body,
+            two.replicated_state.state.evacuated_zones,
         )
         assert [row.id for row in one.request_proxy.servers.endpoints] == [
             row.id for row in two.request_proxy.servers.endpoints
         ]
-        assert two.limiter.tenants.keys() == one.limiter.tenants.keys()
+        assert two.quota_exchange.limiter.tenants.keys() == one.quota_exchange.limiter.tenants.keys()
 
 
 # ---- the trial of changes by rows
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -10,7 +10,7 @@
 from rampfront.consensus.events import OrderKind, Outcome
 from rampfront.consensus.leader import Leadership
 from rampfront.consensus.versions import VersionHistory
-from rampfront.node.node import NodeProcess
+from rampfront.node.lease import Lease
 from rampfront.simulation.checks import Broken
 from rampfront.simulation.linearizability import Kind, Verdict
 from rampfront.simulation.plan import Planner, Row
@@ -152,13 +152,13 @@
 
 def test_a_lease_holds_no_longer_than_it_may(monkeypatch: pytest.MonkeyPatch) -> None:
     play_plot("lease", 1)
-    init = NodeProcess.__init__
+    init = Lease.__init__
 
-    def longer(node_process: NodeProcess, *arguments: object, **more: object) -> None:
-        init(node_process, *arguments, **more)
-        node_process.lease += SEC
+    def longer(lease: Lease, *arguments: object) -> None:
+        init(lease, *arguments)
+        lease.duration += SEC
 
-    monkeypatch.setattr(NodeProcess, "__init__", longer)
+    monkeypatch.setattr(Lease, "__init__", longer)
     with pytest.raises(Broken, match="behind its revocation"):
         for seed in range(1, 13):
             play_plot("lease", seed)
