--- a/rampfront/consensus/body_history.py
+++ b/rampfront/consensus/body_history.py
@@ -1,114 +1,147 @@
-"""Bodies of the last entries by digest, and differences between them, so that members are sent what changed.
+"""Bodies of the last entries by digest, and deltas between them, so that members are sent what changed.
 
-A difference names the digest of the body that it rests on; the entry carries that of the body which must come out. A
-receiver that lacks the first, or comes out elsewhere, takes nothing. No I/O, no clock.
+A delta names the digest of the body that it rests on; the entry carries the digest of the body which must come out. A
+receiver that lacks the first, or comes out elsewhere, takes nothing. The form is our own: both bodies are cut at `{`
+(the configuration is JSON), and the new one is told as runs of the old one's pieces and new pieces between them.
+
+No I/O, no clock. `replication.py` makes deltas, `entry_receiver.py` applies them; `membership/deltas.py` uses
+`make_delta` and `apply_delta` by themselves.
 """
 
 import zlib
+from typing import NamedTuple, TypeAlias
 
 import cbor2
 
 from .errors import RemoteProtocolError
-from .state import MOST_BODY, State, digest
-
-DEPTH, BYTES = 64, 1 << 19  # bodies kept, and bytes of them, at most; the newest always
-MOST_UNPACKED = 4 * MOST_BODY  # bytes of a body once it is unpacked
-BODY = 3  # place of the body in a plain entry
-MARK = 4  # and of its digest
-
-
-def pieces(old: bytes, new: bytes) -> list:
-    """How `new` is made of pieces of `old`, both split at `{`: texts, and [first, how many] of the old pieces."""
-    olds, ops = old.split(b"{"), []
-    at = {piece: place for place, piece in reversed(list(enumerate(olds)))}
-    follows = -1  # the old piece behind the last one
-    for piece in new.split(b"{"):
-        if 0 <= follows < len(olds) and olds[follows] == piece:
-            ops[-1][1] += 1
-        elif (place := at.get(piece)) is not None:
-            ops.append([place, 1])
-            follows = place
-        else:
-            ops.append(piece)
-            follows = -2
-        follows += 1
-    return ops
-
-
-def patched(old: bytes, ops: list) -> bytes:
-    """Raises ValueError for what `pieces` does not make. Guards memory against pieces that are named over and over."""
-    olds, parts, size = old.split(b"{"), [], 0
-    for op in ops:
-        if type(op) is bytes:
-            parts.append(op)
+from .state import BODY_COLUMN, DIGEST_COLUMN, MAX_BODY_BYTES, State, digest
+
+MAX_BODIES = 64
+MAX_BYTES = 1 << 19  # of all bodies together; the newest is always kept
+MAX_UNPACKED_BYTES = 4 * MAX_BODY_BYTES  # of one body
+SEPARATOR = b"{"
+
+DeltaOperation: TypeAlias = bytes | list[int]  # a new piece, or [first, count] of the old pieces
+
+
+class BodyDelta(NamedTuple):
+    """What stands in an entry in place of its body, and about how many bytes that takes on the wire."""
+
+    encoded: list[object]
+    size: int
+
+
+def make_delta(old: bytes, new: bytes) -> list[DeltaOperation]:
+    """How `new` is made of pieces of `old`, both cut at `{`."""
+    old_pieces = old.split(SEPARATOR)
+    first_place = {piece: place for place, piece in reversed(list(enumerate(old_pieces)))}
+    operations: list[DeltaOperation] = []
+    run: list[int] = []  # the operation that copies, if the last one does
+    next_place = -1  # the old piece behind the run
+    for piece in new.split(SEPARATOR):
+        if run and next_place < len(old_pieces) and old_pieces[next_place] == piece:
+            run[1] += 1
+            next_place += 1
+        elif (place := first_place.get(piece)) is not None:
+            run = [place, 1]
+            operations.append(run)
+            next_place = place + 1
         else:
-            first, count = op
-            if type(first) is not int or type(count) is not int or not 0 <= first < first + count <= len(olds):
-                raise ValueError("pieces that are not there")
-            parts += olds[first : first + count]
-        size += len(parts[-1]) + 1 if type(op) is bytes else sum(map(len, olds[first : first + count])) + count
-        if size > MOST_UNPACKED:
+            run = []
+            operations.append(piece)
+    return operations
+
+
+def apply_delta(old: bytes, operations: list[object]) -> bytes:
+    """The body that `make_delta` told.
+
+    Raises ValueError for what `make_delta` does not make; guards memory against pieces that are named over and over.
+    """
+    old_pieces = old.split(SEPARATOR)
+    parts: list[bytes] = []
+    size = 0
+    for operation in operations:
+        added = [operation] if isinstance(operation, bytes) else _copied_pieces(old_pieces, operation)
+        parts += added
+        size += sum(map(len, added)) + len(added)
+        if size > MAX_UNPACKED_BYTES:
             raise ValueError("a body that grows too large")
-    return b"{".join(parts)
+    return SEPARATOR.join(parts)
+
+
+def _copied_pieces(old_pieces: list[bytes], operation: object) -> list[bytes]:
+    """The old pieces that an operation copies. Raises ValueError for pieces that are not there."""
+    match operation:
+        case [first, count] if type(first) is int and type(count) is int:
+            if 0 <= first < first + count <= len(old_pieces):
+                return old_pieces[first : first + count]
+    raise ValueError("pieces that are not there")
 
 
 class BodyHistory:
-    """Compressed bodies by digest, oldest first. Memory is bounded by DEPTH and BYTES."""
+    """Compressed bodies by digest, oldest first. Memory is bounded by `MAX_BODIES` and `MAX_BYTES`."""
 
     def __init__(self) -> None:
-        """Holds nothing yet."""
-        self.kept, self.size = {}, 0
-        self.made = {}  # differences to the newest entry's body, by the digest of what they rest on
-        self.made_for = None  # that body's digest
+        """An empty history."""
+        self.by_digest: dict[bytes, bytes] = {}
+        self._bytes = 0
+        self._deltas: dict[bytes, BodyDelta | None] = {}  # to the newest entry's body, by the digest of their base
+        self._deltas_lead_to: bytes | None = None  # that body's digest
 
-    def keep(self, entry: State) -> None:
+    def add(self, entry: State) -> None:
         """Remembers the body of an entry as the newest one."""
-        body = self.kept.pop(entry.body_digest, None)
+        body = self.by_digest.pop(entry.body_digest, None)
         if body is None:
-            self.size += len(entry.body)
-        self.kept[entry.body_digest] = entry.body
-        while len(self.kept) > 1 and (len(self.kept) > DEPTH or self.size > BYTES):
-            self.size -= len(self.kept.pop(next(iter(self.kept))))
-
-    def difference(self, base: bytes, entry: State) -> tuple[list, int] | None:
-        """What stands in place of the body for a member that holds the body of digest `base`, and about how many bytes
-        it takes; None where that body is not known here, or the whole is no longer."""
-        if self.made_for != entry.body_digest:
-            self.made, self.made_for = {}, entry.body_digest
-        if base not in self.made:
-            self.made[base] = self.make(base, entry)
-        return self.made[base]
-
-    def make(self, base: bytes, entry: State) -> tuple[list, int] | None:
-        """The difference, made anew."""
-        old = self.kept.get(base)
+            self._bytes += len(entry.body)
+        self.by_digest[entry.body_digest] = entry.body
+        while len(self.by_digest) > 1 and (len(self.by_digest) > MAX_BODIES or self._bytes > MAX_BYTES):
+            self._bytes -= len(self.by_digest.pop(next(iter(self.by_digest))))
+
+    def delta(self, base: bytes, entry: State) -> BodyDelta | None:
+        """What stands in place of an entry's body for a member that has the body of digest `base`.
+
+        None where that body is not known here, or where the body itself is no longer than the delta.
+        """
+        if self._deltas_lead_to != entry.body_digest:
+            self._deltas = {}
+            self._deltas_lead_to = entry.body_digest
+        if base not in self._deltas:
+            self._deltas[base] = self._make_delta(base, entry)
+        return self._deltas[base]
+
+    def _make_delta(self, base: bytes, entry: State) -> BodyDelta | None:
+        old = self.by_digest.get(base)
         if not old or not entry.body:
             return None
         try:
-            plain = [base, pieces(zlib.decompress(old), zlib.decompress(entry.body))]
+            encoded: list[object] = [base, make_delta(zlib.decompress(old), zlib.decompress(entry.body))]
         except zlib.error:
             return None
-        size = len(zlib.compress(cbor2.dumps(plain)))
-        return (plain, size) if size < len(entry.body) else None
+        size = len(zlib.compress(cbor2.dumps(encoded)))
+        return BodyDelta(encoded, size) if size < len(entry.body) else None
+
+    def with_body(self, row: list[object]) -> list[object] | None:
+        """An encoded entry with its body in place of a delta.
 
-    def filled(self, row: list) -> list | None:
-        """A plain entry with its body in place of a difference; None if that rests on what is not held here or comes
-        out as another body. Raises RemoteProtocolError for what is no difference."""
-        if len(row) <= MARK or type(row[BODY]) is not list:
+        Returns None if the delta rests on a body that is not known here, or comes out as another body.
+        Raises RemoteProtocolError for what is no delta.
+        """
+        if len(row) <= DIGEST_COLUMN or type(row[BODY_COLUMN]) is not list:
             return row
-        try:
-            base, ops = row[BODY]
-        except ValueError:
-            raise RemoteProtocolError("difference") from None
-        if type(base) is not bytes or type(ops) is not list:
-            raise RemoteProtocolError("difference")
-        old = self.kept.get(base)
+        match row[BODY_COLUMN]:
+            case [bytes() as base, list() as operations]:
+                body = self._apply(base, operations)
+            case _:
+                raise RemoteProtocolError("delta")
+        if body is None or digest(body) != row[DIGEST_COLUMN]:
+            return None
+        return [*row[:BODY_COLUMN], body, *row[DIGEST_COLUMN:]]
+
+    def _apply(self, base: bytes, operations: list[object]) -> bytes | None:
+        old = self.by_digest.get(base)
         if not old:
             return None
         try:
-            body = zlib.compress(patched(zlib.decompress(old), ops))
+            return zlib.compress(apply_delta(zlib.decompress(old), operations))
         except (TypeError, ValueError, zlib.error):
-            raise RemoteProtocolError("difference") from None
-        if digest(body) != row[MARK]:
-            return None
-        return [*row[:BODY], body, *row[MARK:]]
+            raise RemoteProtocolError("delta") from None
--- /dev/null
+++ b/rampfront/consensus/core_strength.py
@@ -0,0 +1,103 @@
+"""What a leader tells operators of its core: the condition of each member, and for how long nothing has been amiss.
+
+The core is at full strength while it has as many members as are wanted, all of them answer and stay, and no change of
+members is under way. Operators wait for that between two planned losses. Called by `Leader`; `node/` shows the result.
+"""
+
+from collections.abc import Collection, Mapping
+from dataclasses import dataclass
+from enum import StrEnum
+
+from .identifiers import DurationNs, MemberKey, TimeNs
+from .membership_change import MembershipChange, wanted_size
+from .replica_progress import ReplicaProgress
+from .state import State
+
+
+class MemberCondition(StrEnum):
+    """What an operator is told of a member. The values go out over the control address."""
+
+    VOTER = "voter"
+    LEARNER = "learner"
+    SILENT = "silent"
+    LEAVING = "leaving"
+    REPLACED = "being replaced"
+
+
+@dataclass(frozen=True, slots=True)
+class MemberStatus:
+    """One member or learner."""
+
+    name: str
+    ip: str
+    condition: MemberCondition
+
+
+@dataclass(frozen=True, slots=True)
+class CoreStrength:
+    """`wanted`: how many members there should be. `full_for`: ns for which the core has been at full strength in this
+    leader's term, or None if it is not."""
+
+    wanted: int
+    members: list[MemberStatus]
+    full_for: DurationNs | None
+
+
+class StrengthMonitor:
+    """Watches the strength of the core during one leader's term."""
+
+    def __init__(self, membership: MembershipChange, survive: int) -> None:
+        """Not at full strength, as far as is known."""
+        self._membership = membership
+        self._survive = survive
+        self.full_since: TimeNs | None = None
+
+    def watch(self, entry: State, replicas: Mapping[MemberKey, ReplicaProgress], is_quiet: bool, now: TimeNs) -> None:
+        """To be called with each tick. `is_quiet`: the entry is committed, and none of the members is silent."""
+        is_staying = is_quiet and not any(replica.is_shutting_down for replica in replicas.values())
+        is_changing = entry.previous_members is not None or bool(self._membership.learners)
+        has_enough = len(entry.members) >= wanted_size(entry, self._survive)
+        if not is_staying or is_changing or not has_enough:
+            self.full_since = None
+        elif self.full_since is None:
+            self.full_since = now
+
+    def strength(
+        self,
+        entry: State,
+        replicas: Mapping[MemberKey, ReplicaProgress],
+        silent: Collection[MemberKey],
+        now: TimeNs,
+    ) -> CoreStrength:
+        """The strength at this moment. `silent`: the members that do not answer."""
+        full_for = None if self.full_since is None else max(0, now - self.full_since)
+        members = self.member_statuses(entry, replicas, silent)
+        return CoreStrength(wanted_size(entry, self._survive), members, full_for)
+
+    def member_statuses(
+        self, entry: State, replicas: Mapping[MemberKey, ReplicaProgress], silent: Collection[MemberKey]
+    ) -> list[MemberStatus]:
+        """Each member and then each learner, by name."""
+        is_surplus = len(entry.members) > wanted_size(entry, self._survive)
+        statuses = []
+        for name, (ip, incarnation) in sorted(entry.members.items()):
+            key = MemberKey(name, incarnation)
+            condition = self._condition(key, replicas.get(key), key in silent, is_surplus)
+            statuses.append(MemberStatus(name, ip, condition))
+        for _, learner in sorted(self._membership.learners.items()):
+            if not entry.has_member(*learner.key):
+                statuses.append(MemberStatus(learner.name, learner.replica.ip, MemberCondition.LEARNER))
+        return statuses
+
+    def _condition(
+        self, key: MemberKey, replica: ReplicaProgress | None, is_silent: bool, is_surplus: bool
+    ) -> MemberCondition:
+        """Of one member. `is_surplus`: there are more members than wanted, so that one of them may go."""
+        learner = self._membership.learners.get(key.name)
+        if learner is not None and learner.incarnation != key.incarnation:
+            return MemberCondition.REPLACED
+        if replica is not None and replica.is_shutting_down:
+            return MemberCondition.REPLACED if is_surplus else MemberCondition.LEAVING
+        if is_silent:
+            return MemberCondition.REPLACED if is_surplus else MemberCondition.SILENT
+        return MemberCondition.VOTER
--- a/rampfront/consensus/evacuations.py
+++ b/rampfront/consensus/evacuations.py
@@ -1,128 +1,110 @@
-"""Who keeps a zone emptied, as far as that can be known: orders to empty a zone and to take it back bear no identity.
+"""How many operators keep a zone evacuated, as far as that can be known: orders on a zone name no operator.
 
-An order that comes again within the time for which callers repeat theirs, because an answer got lost, cannot be told
-from the order of a second operator. So that no lost answer leaves a zone empty for ever and none takes it back early:
+Callers repeat an order whose answer got lost. Within the time for which they do, a repeat cannot be told from the order
+of a second operator. So that no lost answer leaves a zone evacuated for ever, and none restores it early:
 
-- emptied again later than that: certainly another operator, who is counted, and takes it back himself;
-- emptied again sooner: perhaps another one. He is heeded, but for a bounded time: the last certain operator's return
-  opens the zone after one such time more (`Evacuation.operators` is 0 meanwhile);
-- taken back again sooner: held to be the same order, which changes nothing.
+- evacuated again later than that: certainly another operator, who is counted, and restores the zone himself;
+- evacuated again sooner: perhaps another one. He is heeded, but for a bounded time: the last certain operator's
+  restoration opens the zone after one such time more (`Evacuation.operators` is 0 meanwhile);
+- restored again sooner: taken as the same order, which changes nothing.
 
-Nothing here reads a clock: the leader says whether an order came `soon` behind the one before.
+The mechanism is our own. Nothing here reads a clock: the leader's `RepeatWindow` (`repeat_window.py`) says whether an
+order may be a repeat. `order_application.py` calls the three changes below.
 """
 
 from collections.abc import Mapping
 from dataclasses import dataclass, replace
+from typing import NamedTuple, TypeAlias
 
 from .errors import RemoteProtocolError
 
-SEC = 10**9
-ACK_WITHIN = 6 * SEC  # for which callers repeat an order, where the settings name nothing else
-ON_THE_WAY = SEC  # for which an order may be on its way to the leader
-MOST_OPERATORS = 8  # that are counted for one zone
-MOST_COUNTED = 512  # of all zones, in a record of before
+MAX_OPERATORS = 8  # that are counted for one zone
+MAX_ROWS = 512  # of all zones, in an older record
 
 
 @dataclass(frozen=True, slots=True)
 class Evacuation:
-    """`operators`: who have emptied the zone, for certain, and not taken it back; 0: it opens by itself. `repeated`:
-    there may be one more. `returned`: somebody has taken it back, and that may come again."""
+    """What is known of who keeps one zone evacuated.
+
+    `operators`: who certainly evacuated the zone and did not restore it; 0: it opens by itself. `repeated`: there may
+    be one more. `returned`: somebody has restored it, and that order may come again.
+    """
 
     operators: int = 1
     repeated: bool = False
     returned: bool = False
 
 
-PLAIN = Evacuation()
-Held = Mapping[str, Evacuation]  # of emptied zones, where it is not the plain `Evacuation()`
-
-
-class Recollection:
-    """When a leader took the last orders on each emptied zone. What it found at its beginning counts as of then."""
+SINGLE_OPERATOR = Evacuation()
+EvacuationTable: TypeAlias = Mapping[str, Evacuation]  # of evacuated zones, where it is not `SINGLE_OPERATOR`
 
-    def __init__(self, began: int, repeats_within: int) -> None:
-        """Times are ns of the leader's clock; `repeats_within`: for which callers repeat an order."""
-        self.began, self.window = began, repeats_within + ON_THE_WAY
-        self.emptied_at: dict[str, int] = {}
-        self.returned_at: dict[str, int] = {}
 
-    def soon(self, kind: str, zone: str, now: int) -> bool:
-        """Whether an order to empty a zone, or to take it back, may be a repeat of one before."""
-        times = self.emptied_at if kind == "empty" else self.returned_at
-        return now - times.get(zone, self.began) <= self.window
+class ZoneChange(NamedTuple):
+    """What is evacuated behind an order, and by whom."""
 
-    def note(self, kind: str, zone: str, now: int, zones: frozenset[str], changed: bool) -> None:
-        """An order is taken, behind which `zones` are emptied; `changed`: it changes the state."""
-        if zone not in zones:
-            self.emptied_at.pop(zone, None)
-            self.returned_at.pop(zone, None)
-        elif kind == "empty":
-            self.emptied_at[zone] = now
-        elif changed:
-            self.returned_at[zone] = now
+    zones: frozenset[str]
+    evacuations: EvacuationTable
 
-    def lapsed(self, held: Held, now: int) -> str | None:
-        """A zone that nobody certain keeps emptied any more, and that opens now."""
-        for zone, evacuation in held.items():
-            if not evacuation.operators and now - self.returned_at.get(zone, self.began) > self.window:
-                return zone
-        return None
 
-
-def emptied(zones: frozenset[str], held: Held, zone: str, soon: bool) -> tuple[frozenset[str], Held]:
-    """Behind an order to empty a zone; the same two if nothing changes. `soon`: the last such one is not long past."""
+def evacuate(zones: frozenset[str], evacuations: EvacuationTable, zone: str, may_be_repeat: bool) -> ZoneChange:
+    """Behind an order to evacuate a zone; the same two objects if nothing changes."""
     if zone not in zones:
-        return zones | {zone}, held
-    was = held.get(zone, PLAIN)
-    if not was.operators:
-        now = PLAIN
-    elif soon:
-        now = replace(was, repeated=True)
+        return ZoneChange(zones | {zone}, evacuations)
+    before = evacuations.get(zone, SINGLE_OPERATOR)
+    if not before.operators:
+        after = SINGLE_OPERATOR
+    elif may_be_repeat:
+        after = replace(before, repeated=True)
     else:
-        now = replace(was, operators=min(was.operators + 1, MOST_OPERATORS))
-    return (zones, held) if now == was else (zones, {**held, zone: now})
+        after = replace(before, operators=min(before.operators + 1, MAX_OPERATORS))
+    return ZoneChange(zones, evacuations if after == before else {**evacuations, zone: after})
 
 
-def taken_back(zones: frozenset[str], held: Held, zone: str, soon: bool) -> tuple[frozenset[str], Held]:
-    """Behind an order to take a zone back; the same two if nothing changes."""
+def restore(zones: frozenset[str], evacuations: EvacuationTable, zone: str, may_be_repeat: bool) -> ZoneChange:
+    """Behind an order to restore a zone; the same two objects if nothing changes."""
     if zone not in zones:
-        return zones, held
-    was = held.get(zone, PLAIN)
-    if was.returned and soon:
-        return zones, held
-    left = max(0, was.operators - 1)
-    if left or was.repeated and was.operators:
-        return zones, {**held, zone: Evacuation(left, was.repeated, True)}
-    return opened(zones, held, zone)
+        return ZoneChange(zones, evacuations)
+    before = evacuations.get(zone, SINGLE_OPERATOR)
+    if before.returned and may_be_repeat:
+        return ZoneChange(zones, evacuations)
+    left = max(0, before.operators - 1)
+    if left or (before.repeated and before.operators):
+        return ZoneChange(zones, {**evacuations, zone: Evacuation(left, before.repeated, True)})
+    return reopen(zones, evacuations, zone)
+
 
+def reopen(zones: frozenset[str], evacuations: EvacuationTable, zone: str) -> ZoneChange:
+    """Without the zone, whoever evacuated it."""
+    others = {other: evacuation for other, evacuation in evacuations.items() if other != zone}
+    return ZoneChange(zones - {zone}, others)
 
-def opened(zones: frozenset[str], held: Held, zone: str) -> tuple[frozenset[str], Held]:
-    """Without the zone."""
-    return zones - {zone}, {other: evacuation for other, evacuation in held.items() if other != zone}
 
+def encode_evacuations(evacuations: EvacuationTable) -> list[list[object]]:
+    """The table as cbor2 carries it."""
+    return [[zone, each.operators, each.repeated, each.returned] for zone, each in sorted(evacuations.items())]
 
-def plain(held: Held) -> list:
-    """As cbor2 carries it."""
-    return [[zone, each.operators, each.repeated, each.returned] for zone, each in sorted(held.items())]
 
+def decode_evacuations(rows: object, zones: frozenset[str]) -> EvacuationTable:
+    """The checked table. An older record has a zone's name once for each operator.
 
-def from_plain(rows: object, zones: frozenset[str]) -> Held:
-    """The checked table. Raises RemoteProtocolError. A record of before has a zone's name once for each operator."""
-    if not isinstance(rows, list) or len(rows) > MOST_COUNTED:
-        raise RemoteProtocolError("held")
+    Raises:
+        RemoteProtocolError: for what `encode_evacuations` does not make, or a zone that is not among `zones`.
+    """
+    if not isinstance(rows, list) or len(rows) > MAX_ROWS:
+        raise RemoteProtocolError("evacuations")
     if all(isinstance(row, str) for row in rows):
-        counted = {zone: Evacuation(min(rows.count(zone), MOST_OPERATORS)) for zone in rows}
+        table = {zone: Evacuation(min(rows.count(zone), MAX_OPERATORS)) for zone in rows}
     else:
-        counted = dict(map(row_from_plain, rows))
-    if len(counted) > len(zones) or any(zone not in zones for zone in counted):
-        raise RemoteProtocolError("held")
-    return {zone: evacuation for zone, evacuation in counted.items() if evacuation != PLAIN}
+        table = dict(map(_decode_row, rows))
+    if len(table) > len(zones) or any(zone not in zones for zone in table):
+        raise RemoteProtocolError("evacuations")
+    return {zone: evacuation for zone, evacuation in table.items() if evacuation != SINGLE_OPERATOR}
 
 
-def row_from_plain(row: object) -> tuple[str, Evacuation]:
+def _decode_row(row: object) -> tuple[str, Evacuation]:
     """One zone and its checked evacuation. Raises RemoteProtocolError."""
     match row:
         case [str() as zone, int() as operators, bool() as repeated, bool() as returned]:
-            if 0 <= operators <= MOST_OPERATORS and (operators or returned):
+            if 0 <= operators <= MAX_OPERATORS and (operators or returned):
                 return zone, Evacuation(operators, repeated, returned)
-    raise RemoteProtocolError("held")
+    raise RemoteProtocolError("evacuation")
--- a/rampfront/consensus/events.py
+++ b/rampfront/consensus/events.py
@@ -15,10 +15,10 @@
 class OrderKind(StrEnum):
     """What an operator wants of the core. The values go over the wire between nodes."""
 
-    CONFIGURE = "config"  # a new configuration is to be in force
-    EVACUATE = "empty"  # a zone is to be emptied
-    RESTORE = "fill"  # an emptied zone is to be taken back
-    READ = "read"  # the state in force is wanted
+    CONFIGURE = "config"  # a new configuration is to be committed
+    EVACUATE = "empty"  # a zone is to be evacuated
+    RESTORE = "fill"  # an evacuated zone is to be taken back
+    READ = "read"  # the committed state is wanted
 
 
 class Outcome(StrEnum):
@@ -38,7 +38,7 @@
 
 @slotted
 class MessageReceived:
-    """A frame came from the member or node at `ip`; `message` is unchecked."""
+    """A frame came from the member or node at `ip`; `message` is the map as it came, unchecked."""
 
     ip: str
     message: dict[str, Any]
--- a/rampfront/consensus/member.py
+++ b/rampfront/consensus/member.py
@@ -1,619 +1,432 @@
-"""One member of the core: it keeps a state on its disk, votes, and follows a leader or is one (`leader.py`).
+"""One member of the core, as its process sees it: `take(now, event)` returns the effects to be carried out in order.
 
-The agreement is Raft with a log of one entry: each entry is the whole state, so the newest one holds all before it.
-An entry's place is (term, index). What must not be forgotten (incarnation, term, vote, entry) goes to disk with
-every change, and no answer that rests on it leaves before it is there. `take(now, told)` returns the effects, to be
-carried out in order; nothing here reads a clock or does I/O. Times are ns of a steady clock.
-"""
+Nothing here reads a clock or does I/O; times are ns of a steady clock. This module only joins the parts and passes each
+input and each message on to the one that decides (`__init__.py` says which). It owns the changes of role that touch
+several parts: entering a newer term, becoming the leader and stepping down, and coming back as another incarnation.
 
-from dataclasses import replace
+Invariants:
 
-import cbor2
+- An input is handled whole before the next one, and before any is, a leader without a majority behind it steps down.
+- A message for another incarnation of this member is not answered: this one has promised nothing.
+- A message with a wrong field raises RemoteProtocolError and changes nothing; the caller counts it.
+"""
 
-from . import validation as door
-from .body_history import BodyHistory
+from collections.abc import Sequence
+from random import Random
+from typing import assert_never
+
+from . import codec
+from .context import MemberContext, MemberSettings
+from .core_strength import CoreStrength
+from .deferred_responses import DeferredResponses
+from .election import START_TIMEOUT, Election
+from .electorate import Electorate
+from .entry_receiver import received_entry
 from .errors import RemoteProtocolError
-from .evacuations import ACK_WITHIN
 from .events import (
+    Effect,
+    Input,
     MessageReceived,
     Order,
     OrderEnded,
     Outcome,
     RecordStored,
-    SendMessage,
     Shutdown,
     StateCommitted,
-    StoreRecord,
     Tick,
 )
-from .leader import Leadership
-from .state import MOST_NAMES, State, addresses, decode_state, digest
-from .versions import VersionHistory, content_digest, joined, unpacked
-
-MS, SEC = 10**6, 10**9
-
-SILENT = 650 * MS  # a leader heard from within this time is a live one: no votes against it
-PATIENCE = 700 * MS, 1250 * MS  # silence behind which a member asks for votes
-AGAIN = 400 * MS, 900 * MS  # until it asks anew
-START = 60 * MS, 360 * MS  # the same behind a start: where a leader is alive, nobody heeds it
-HANDED = 20 * MS, 300 * MS  # the same after a leader said that it stops
-NEXT_IN_LINE = 150 * MS, 450 * MS  # the same where it named another one to follow it
-YIELD = 3 * SEC  # between two times that one which asks gives way to another
-REPEAT = 140 * MS  # until an unanswered question is sent again
-KNOCK, SEEK = 280 * MS, 1400 * MS  # gaps of asking to be taken in, and of a diskless one's asking who leads
-OUTLIVED = 3 * KNOCK  # for which one that lost its disk must have knocked before the other of two goes on alone
-RETRY = 200 * MS  # until a failed store is tried again
-FORGET = 4 * SEC  # a leader that nothing was heard of for so long is unknown
-RECORD = 1  # form of the record
-LEARNER, FOLLOWER, ASKING, RUNNING, LEADER = "learner", "follower", "asking", "running", "leader"
+from .identifiers import Incarnation, LogIndex, Term, TimeNs
+from .leader import Leader
+from .leader_discovery import LeaderDiscovery
+from .messages import (
+    AppendAcknowledged,
+    AppendEntry,
+    DiscoveryMessage,
+    ElectionMessage,
+    Heartbeat,
+    JoinRequest,
+    LeaderHint,
+    LeaderQuery,
+    LeadershipEnded,
+    Message,
+    PreVoteGranted,
+    PreVoteRequest,
+    ReplicationMessage,
+    TermRejected,
+    VoteGranted,
+    VoteRequest,
+)
+from .persistent_state import PersistentState
+from .state import State
 
 
-def with_versions(state, versions):
-    """The same entry, with a history that holds its own number in any case."""
-    if state.revision and versions.digest_of(state.revision) is None:
-        versions = versions.with_version(state.revision, content_digest(state.body))
-    return replace(state, versions=versions)
+class Member:
+    """A member of the core, or a node without a disk that only finds the leader.
+
+    The parts are public for tests alone; callers use `take` and the properties.
+    """
+
+    def __init__(self, settings: MemberSettings, record: bytes | None, random: Random, now: TimeNs) -> None:
+        """`record`: what the disk held, or None.
+
+        `random` must be seeded by chance that a restart does not repeat: incarnations come from it.
+
+        Raises RecordError for a record that this member can't have stored.
+        """
+        self.context = MemberContext(settings, random, now)
+        first_deadline = now + self.context.draw(START_TIMEOUT)  # before an incarnation is drawn: recorded runs replay
+        self.persistent = PersistentState(self.context, record)
+        if record is None and self.persistent.entry is not None:
+            first_deadline = now  # the founder has nobody to wait for
+        counts_towards_size = settings.is_first_start and record is None
+        self.discovery = LeaderDiscovery(self.context, self.persistent, counts_towards_size)
+        self.electorate = Electorate(self.context, self.persistent)
+        self.responses = DeferredResponses(self.context, self.persistent)
+        self.election = Election(self.context, self.persistent, self.electorate, self.discovery, first_deadline)
+        self.leadership: Leader | None = None
 
+    # What the caller reads.
 
-class Safe:
-    """What is on disk for sure."""
+    @property
+    def name(self) -> str:
+        """As in the settings."""
+        return self.context.settings.name
 
-    __slots__ = "version", "term", "entry"
+    @property
+    def incarnation(self) -> Incarnation:
+        """Of this member's disk; 0 without one."""
+        return self.persistent.incarnation
 
-    def __init__(self, version, term, entry):
-        self.version, self.term, self.entry = version, term, entry
+    @property
+    def term(self) -> Term:
+        """The newest that this member knows."""
+        return self.persistent.term
 
+    @property
+    def entry(self) -> State | None:
+        """The newest one here; it may never be committed."""
+        return self.persistent.entry
 
-class Member:
-    """`seeds`: ips, may be set anew at any time. `record`: what the disk held. `draw` must be seeded by chance that
-    a restart does not repeat (incarnations come from it)."""
-
-    def __init__(self, me, ip, seeds, disk, first, record, draw, survive, now, ack_within=ACK_WITHIN):
-        self.me, self.ip, self.seeds, self.disk, self.draw, self.survive = me, ip, list(seeds), disk, draw, survive
-        self.ack_within = ack_within  # ns for which callers repeat an order
-        self.now, self.effects = now, []
-        self.incarnation = self.term = 0
-        self.vote = None  # (name, incarnation) voted for in `term`
-        self.entry = self.committed = None  # the newest entry; the newest one known to be in force
-        self.role, self.leadership, self.leader_ip = LEARNER, None, None
-        self.leader_at = self.heard_at = -FORGET  # last word of it; last beat of a live one in this term
-        self.due_at = now + self.between(*START)
-        self.asked_at = self.knocked_at = self.yielded_at = self.sought_at = -YIELD
-        self.votes = set()
-        self.password = 0  # what the leader wants to hear with a knock: no old knock has it
-        self.met = []  # ips of members, as one of them told
-        self.leaving = False
-        self.handed = False  # whether the leader that left told this one to follow it
-        self.widow, self.knocker, self.knocker_at = None, None, 0  # see `outlive`
-        self.first = first and record is None  # counts towards the wanted size of the core
-        self.version, self.under_way, self.retry_at = 0, None, 0
-        self.born = 1 if record is None else 0  # version with which the incarnation goes to disk
-        self.held = {}  # answers that wait for the disk: (ip, kind) to (version, message); emptied by `RecordStored`
-        self.safe = Safe(0, 0, None)
-        self.bodies = BodyHistory()  # that differences may rest on
-        if record is not None:
-            self.recall(record)
-        elif disk:
-            self.incarnation = draw.getrandbits(48) | 1
-            if first and seeds and seeds[0] == ip:
-                self.entry = State(1, 1, members={me: (ip, self.incarnation)}, body_digest=digest(b""), target_size=1)
-                self.term = 1
-                self.due_at = now
-            self.version = 1
-        if self.entry is not None:
-            self.bodies.keep(self.entry)
-            self.role = FOLLOWER
+    @property
+    def committed(self) -> State | None:
+        """The newest state that is known here to be committed."""
+        return self.persistent.committed
 
-    # What the caller reads.
+    @property
+    def leader_ip(self) -> str | None:
+        """Who leads as far as this member knows, itself included."""
+        return self.discovery.leader_ip
 
     @property
-    def is_leader(self):
+    def is_leader(self) -> bool:
+        """Whether this member leads."""
         return self.leadership is not None
 
     @property
-    def quorum_confirmed_at(self):
-        """ns: all that was acknowledged anywhere before then is contained in `ruled`. None unless this one leads."""
+    def quorum_confirmed_at(self) -> TimeNs | None:
+        """All that was acknowledged anywhere before this time is in `committed`. None unless this member leads."""
         return self.leadership.quorum_confirmed_at if self.leadership is not None else None
 
-    def is_leadership_expired(self, now):
-        """Whether it leads without a majority behind it: the next `take`, of whatever, makes it give way."""
-        return self.leadership is not None and self.leadership.lost(now)
+    @property
+    def seeds(self) -> list[str]:
+        """Ips to ask who leads."""
+        return self.context.seeds
+
+    @seeds.setter
+    def seeds(self, ips: Sequence[str]) -> None:
+        self.context.seeds = list(ips)
+
+    def is_leadership_expired(self, now: TimeNs) -> bool:
+        """Whether it leads without a majority behind it: the next `take`, of whatever, makes it step down."""
+        return self.leadership is not None and self.leadership.is_expired(now)
+
+    def core_strength(self, now: TimeNs) -> CoreStrength | None:
+        """What the leader knows of the core's members; None unless this member leads."""
+        return self.leadership.strength(now) if self.leadership is not None else None
 
     # Inputs.
 
-    def take(self, now, told):
-        self.now, self.effects = now, []
+    def take(self, now: TimeNs, event: Input | None) -> list[Effect]:
+        """Handles one input and returns what is to be done, in order. None comes first of all, at the start."""
+        self.context.begin(now)
         if self.is_leadership_expired(now):
-            self.step_down()
-        if told is None:
-            if self.committed is not None:
-                self.effects.append(StateCommitted(self.committed))
+            self._step_down()
+        if event is None:
+            self._announce_committed()
         else:
-            INPUTS[type(told)](self, told)
-        if self.leadership is not None and self.leadership.may_give_way:
-            self.step_down()
+            self._handle(event)
+        if self.leadership is not None and self.leadership.may_step_down:
+            self._step_down()
         elif self.leadership is not None and self.leadership.excludes_itself:
-            self.step_down()
-            self.turned_out(None)
-        if self.version > self.safe.version and self.under_way is None and now >= self.retry_at:
-            self.under_way = Safe(self.version, self.term, self.entry)
-            self.effects.append(StoreRecord(self.version, self.record()))
-        return self.effects
-
-    def on_tick(self, _):
-        if not self.disk:
-            known = self.leader_ip is not None and self.now - self.leader_at < FORGET
-            if not known:
-                self.leader_ip = None
-            if self.now - self.knocked_at >= (SEEK if known else KNOCK):
-                self.knocked_at = self.now
-                self.spread({"k": "seek"}, [self.leader_ip] if known else self.known())
+            self._step_down()
+            self._rejoin(None)
+        if (store := self.persistent.next_store()) is not None:
+            self.context.emit(store)
+        return self.context.effects
+
+    def _handle(self, event: Input) -> None:
+        match event:
+            case MessageReceived():
+                self._receive(event.ip, codec.decode(event.message))
+            case Tick():
+                self._tick()
+            case RecordStored():
+                self._record_stored(event)
+            case Order():
+                self._order(event)
+            case Shutdown():
+                self._shutdown()
+            case _:
+                assert_never(event)
+
+    def _announce_committed(self) -> None:
+        if self.persistent.committed is not None:
+            self.context.emit(StateCommitted(self.persistent.committed))
+
+    def _tick(self) -> None:
+        if not self.context.settings.has_disk:
+            self.discovery.tick_without_disk()
             return
         if self.leadership is not None:
-            return self.leadership.tick()
-        if self.leader_ip is not None and self.now - self.leader_at > FORGET:
-            self.leader_ip = None
-        if not self.belongs():
-            return self.knock()
-        if self.leaving:
-            return
-        if self.now >= self.due_at:
-            self.ask()
-        elif self.role in (ASKING, RUNNING) and self.now - self.asked_at >= REPEAT:
-            self.canvass()
-        self.seek()
-
-    def on_heard(self, told):
-        kind, message = door.check(told.message), told.message
-        if not self.disk:
-            if kind == "at":
-                self.on_at(told.ip, message)
-            return
-        if message.get("j", self.incarnation) != self.incarnation:
-            # Meant for one that lost its disk: this one has promised nothing. Yet it learns who leads.
-            if kind in ("beat", "full") and not self.belongs() and message["t"] >= self.term:
-                self.leader_ip, self.leader_at = told.ip, self.now
-            return
-        MESSAGES[kind](self, told.ip, message)
-
-    def on_stored(self, told):
-        done, self.under_way = self.under_way, None
-        if done is None or done.version != told.version:
-            self.under_way = done
+            self.leadership.tick()
             return
-        if not told.succeeded:
-            self.retry_at = self.now + RETRY
+        self.discovery.expire()
+        if not self.persistent.is_member():
+            self.discovery.request_to_join()
+        elif not self.context.is_shutting_down:
+            self.election.tick()
+            if self.election.is_campaigning:
+                self.discovery.query_if_lost()
+
+    def _record_stored(self, event: RecordStored) -> None:
+        durable = self.persistent.stored(event)
+        if durable is None:
             return
-        self.safe = done
-        for key, (version, message) in list(self.held.items()):
-            if version <= done.version:
-                del self.held[key]
-                self.answer(key[0], message)
-            elif message["k"] == "ack" and done.term >= message["t"]:
-                # Guards against a storm on a slow disk: each new entry would push back the word of all those stored. An
-                # ack names the entry that is on disk, so it is true of this one, and is said again of the next.
-                self.answer(key[0], message)
-        if self.role == RUNNING and done.term == self.term:
-            self.votes.add((self.me, self.incarnation))
-            self.asked_at = -SEC
-            self.canvass()
-            self.count()
+        self.responses.release(durable)
+        if durable.term == self.persistent.term and self.election.own_vote_stored():
+            self._lead()
         if self.leadership is not None:
             self.leadership.settle()
 
-    def on_order(self, told):
-        if self.leadership is not None and not self.leaving:
-            self.leadership.order(told)
+    def _order(self, order: Order) -> None:
+        if self.leadership is not None and not self.context.is_shutting_down:
+            self.leadership.submit(order)
         else:
-            self.effects.append(
-                OrderEnded(told.ref, Outcome.NOT_LEADER, None, self.leader_ip if self.leader_ip != self.ip else None)
-            )
+            redirect_ip = self.discovery.redirect_ip()
+            self.context.emit(OrderEnded(order.ref, Outcome.NOT_LEADER, leader_ip=redirect_ip))
 
-    def on_leave(self, _):
-        self.leaving = True
+    def _shutdown(self) -> None:
+        self.context.note_shutdown()
         if self.leadership is not None:
-            self.leadership.leave()
-
-    # Disk.
-
-    def record(self):
-        entry, ruled = self.entry, self.committed
-        return cbor2.dumps(
-            [
-                RECORD,
-                self.incarnation,
-                self.term,
-                list(self.vote) if self.vote else None,
-                list(ruled.position) if ruled else None,
-                entry.encode() if entry else None,
-                [] if entry and self.belongs() else self.met,
-                entry.versions.packed() if entry else b"",
-                self.me,
-            ]
-        )
-
-    def recall(self, record):
-        """A record that reads well by its checksum but not here is a fault to be seen, not a lost disk."""
-        try:
-            form, self.incarnation, self.term, vote, ruled, entry, self.met, *more = cbor2.loads(record)
-        except (cbor2.CBORDecodeError, EOFError, TypeError, ValueError):
-            raise RemoteProtocolError("record that does not read") from None
-        versions, owner = more[:1], more[1:]  # which records of before lack
-        if form != RECORD:
-            raise RemoteProtocolError("record of another form")
-        if owner and owner[0] != self.me:
-            raise RemoteProtocolError(
-                f"record of {str(owner[0])[:80]}"
-            )  # one memory for two members would be two votes
-        self.vote = tuple(vote) if vote else None
-        self.entry = decode_state(entry) if entry else None
-        if self.entry is not None:
-            self.entry = with_versions(self.entry, unpacked(versions[0]) if versions else VersionHistory())
-        if ruled and self.entry is not None and tuple(ruled) == self.entry.position:
-            self.committed = self.entry
-        self.safe = Safe(0, self.term, self.entry)
-
-    def hold(self, ip, message):
-        """Send it as soon as all that this member knows now is on disk."""
-        if self.version <= self.safe.version:
-            return self.answer(ip, message)
-        if len(self.held) < 4 * MOST_NAMES or (ip, message["k"]) in self.held:
-            self.held[ip, message["k"]] = self.version, message
-
-    def answer(self, ip, message):
-        if message["k"] == "ack":
-            entry = self.safe.entry
-            message = {
-                **message,
-                "e": tuple(entry.position) if entry else (0, 0),
-                "d": entry.body_digest if entry else b"",
-            }
-            if self.leaving:
-                message["z"] = 1
-        self.effects.append(SendMessage(ip, message))
-
-    # Standing.
-
-    def between(self, low, high):
-        return self.draw.randrange(low, high)
-
-    def known(self):
-        """All ips worth asking, without the own."""
-        ips = dict.fromkeys(self.seeds[:8])
-        ips.update(dict.fromkeys(addresses(self.entry) if self.entry is not None else ()))
-        ips.update(dict.fromkeys(self.met))
-        if self.leader_ip is not None:
-            ips[self.leader_ip] = None
-        ips.pop(self.ip, None)
-        return list(ips)
-
-    def spread(self, message, ips):
-        self.effects.extend(SendMessage(ip, message) for ip in ips if ip is not None and ip != self.ip)
-
-    def belongs(self):
-        return self.entry is not None and self.entry.has_member(self.me, self.incarnation)
-
-    def standing(self):
-        """The entry by whose members this one seeks a majority. The base is done with once it is in force: a majority
-        of the base and of the members hold it, so none can win any more by the base alone."""
-        entry, ruled = self.entry, self.committed
-        if self.widow == entry.position:
-            return entry.next_entry(members={self.me: entry.members[self.me]}, previous_members=None)
-        if entry.previous_members is None:
-            return entry
-        return (
-            entry.next_entry(previous_members=None) if ruled is not None and ruled.position == entry.position else entry
-        )
-
-    def signed(self, kind, incarnation, **fields):
-        return {"k": kind, "n": self.me, "i": self.incarnation, "j": incarnation, "t": self.term, **fields}
-
-    def recent(self):
-        """Whether there is a live leader as far as this one can tell."""
-        return self.leadership is not None or self.leader_ip is not None and self.now - self.heard_at < SILENT
-
-    def move(self, term):
-        """Into a newer term, as a follower."""
-        self.term, self.vote, self.leader_ip = term, None, None
-        self.version += 1
-        if self.leadership is not None:
-            self.step_down()
-        self.follow()
+            self.leadership.begin_transfer()
 
-    def follow(self):
-        self.role, self.handed = FOLLOWER, False
-        self.due_at = self.now + self.between(*PATIENCE)
+    # Messages.
 
-    def step_down(self):
-        """A leader that cannot lead says so: its followers need not wait until they miss it."""
-        leadership, self.leadership, self.leader_ip = self.leadership, None, None
-        self.heard_at = -FORGET
-        leadership.close()
-        self.follow()
-
-    def commit(self, entry):
-        if self.committed is None or entry.index > self.committed.index:
-            self.committed = entry
-            self.effects.append(StateCommitted(entry))
-
-    # Being taken in.
-
-    def knock(self):
-        # Guards against a member that is taken in before it can remember who it is.
-        if self.safe.version >= self.born and self.now - self.knocked_at >= KNOCK:
-            self.knocked_at = self.now
-            fresh = self.leader_ip is not None and self.now - self.leader_at < SEC
-            message = {"k": "knock", "n": self.me, "i": self.incarnation, "x": self.password}
-            if self.first:
-                message["f"] = 1
-            self.spread(message, [self.leader_ip] if fresh else self.known())
-
-    def seek(self):
-        """Guards a member that was away while all whom it knows as members were replaced: it asks the seeds too. If it is
-        no member any more, whoever leads says so."""
-        lost = self.now - self.heard_at > FORGET and self.leader_ip is None
-        if lost and self.role in (ASKING, RUNNING) and self.now - self.knocked_at >= SEEK:
-            self.knocked_at = self.now
-            self.spread({"k": "seek", "n": self.me, "i": self.incarnation}, self.known())
-
-    def on_knock(self, ip, message):
-        if self.leadership is not None:
-            self.leadership.knocked(ip, message)
-        elif self.entry is not None:
-            self.outlive(message)
-            self.hint(ip)
-
-    def outlive(self, message):
-        """Guards a core of two against one lost disk: neither could ever agree to anything without the other, so this one
-        holds all that was agreed, and the old incarnation agrees to nothing any more. It goes on by itself and takes the
-        new one in. Only behind several knocks, as a late one proves nothing, and where no leader is heard."""
-        entry, name, who = self.entry, message["n"], (message["n"], message["i"])
-        both = entry.all_members()
-        if (
-            self.recent()
-            or len(both) != 2
-            or name == self.me
-            or name not in both
-            or entry.has_member(*who)
-            or entry.members.get(self.me, (0, 0))[1] != self.incarnation
-        ):
-            self.knocker = None
-        elif self.knocker != who:
-            self.knocker, self.knocker_at = who, self.now
-        elif self.now - self.knocker_at >= OUTLIVED:
-            self.widow = entry.position
-
-    def on_seek(self, ip, message):
-        if self.entry is None:
-            return
-        who = message.get("n", ""), message.get("i", 0)
-        if who[0] and self.leadership is not None and self.leadership.excludes(*who):
-            self.hint(ip, out=who[1])
+    def _receive(self, ip: str, message: Message) -> None:
+        if not self.context.settings.has_disk:
+            if isinstance(message, LeaderHint):
+                self.discovery.receive_hint(ip, message)
+        elif message.receiver_incarnation not in (None, self.persistent.incarnation):
+            self._receive_for_another(ip, message)
         else:
-            self.hint(ip)
-
-    def hint(self, ip, out=0):
-        """Tells who leads. `out`: the incarnation of the receiver that the leader knows to be no member, or 0."""
-        leader = self.ip if self.leadership is not None else self.leader_ip if self.recent() else None
-        password = self.leadership.password if self.leadership is not None else 0
-        message = {"k": "at", "t": self.term, "l": leader or "", "m": addresses(self.entry), "x": password, "o": 0}
-        if out:
-            message.update(o=1, j=out)
-        self.effects.append(SendMessage(ip, message))
-
-    def on_at(self, ip, message):
-        """A hint of who leads: for those who are no members, and those whom the leader took out."""
-        if message["m"] and not self.belongs() and message["m"] != self.met:
-            self.met = message["m"]
-            # Guards against a member that was taken out, is killed before it is taken in, and then knows nobody.
-            self.version += self.disk
-        if message["o"] and message["t"] >= self.term and ip == message["l"] and self.disk and not self.belongs():
-            self.turned_out(ip)
-        elif message["l"] and message["t"] >= self.term and (not self.disk or not self.belongs()):
-            self.leader_ip, self.leader_at = message["l"], self.now
-            if not self.disk:
-                self.term = message["t"]
-            elif message["x"] and message["x"] != self.password and ip == message["l"]:
-                self.password, self.knocked_at = message["x"], -SEC
-                self.knock()
-        elif message["o"] and message["t"] >= self.term and self.disk and not self.recent():
-            self.turned_out(message["l"])
-        elif message["l"] not in ("", ip) and not self.recent() and self.now - self.sought_at >= REPEAT:
-            self.sought_at = self.now
-            self.spread({"k": "seek", "n": self.me, "i": self.incarnation}, [message["l"]])
-
-    def turned_out(self, leader):
-        """The leader says that this one is no member any more, as is agreed. It comes back as another: nothing that its
-        old incarnation promised is at stake, since that one never speaks again."""
-        self.incarnation, self.vote, self.first = self.draw.getrandbits(48) | 1, None, False
-        self.role, self.leader_ip, self.leader_at, self.knocked_at = LEARNER, leader, self.now, -SEC
-        self.held.clear()
-        self.version += 1
-        self.born = self.version
+            self._dispatch(ip, message)
+
+    def _receive_for_another(self, ip: str, message: Message) -> None:
+        """Meant for one that lost its disk: this one has promised nothing. Yet it learns who leads."""
+        if not isinstance(message, (Heartbeat, AppendEntry)):
+            return
+        if message.term >= self.persistent.term and not self.persistent.is_member():
+            self.discovery.note_leader(ip)
+
+    def _dispatch(self, ip: str, message: Message) -> None:
+        match message:
+            case Heartbeat() | AppendAcknowledged() | AppendEntry() | LeadershipEnded():
+                self._receive_replication(ip, message)
+            case PreVoteRequest() | PreVoteGranted() | VoteRequest() | VoteGranted() | TermRejected():
+                self._receive_election(ip, message)
+            case JoinRequest() | LeaderQuery() | LeaderHint():
+                self._receive_discovery(ip, message)
+            case _:
+                assert_never(message)
+
+    def _receive_replication(self, ip: str, message: ReplicationMessage) -> None:
+        match message:
+            case Heartbeat():
+                self._receive_heartbeat(ip, message)
+            case AppendAcknowledged():
+                self._receive_acknowledgement(message)
+            case AppendEntry():
+                self._receive_entry(ip, message)
+            case LeadershipEnded():
+                self._receive_leadership_ended(ip, message)
+            case _:
+                assert_never(message)
+
+    def _receive_election(self, ip: str, message: ElectionMessage) -> None:
+        match message:
+            case PreVoteRequest():
+                self._receive_pre_vote_request(ip, message)
+            case PreVoteGranted():
+                self.election.pre_vote_granted(message)
+            case VoteRequest():
+                self._receive_vote_request(ip, message)
+            case VoteGranted():
+                self._receive_vote(message)
+            case TermRejected():
+                self._learn_of_term(message.term)
+            case _:
+                assert_never(message)
+
+    def _receive_discovery(self, ip: str, message: DiscoveryMessage) -> None:
+        match message:
+            case JoinRequest():
+                self._receive_join_request(ip, message)
+            case LeaderQuery():
+                self._receive_leader_query(ip, message)
+            case LeaderHint():
+                self._receive_hint(ip, message)
+            case _:
+                assert_never(message)
+
+    # Terms and roles.
+
+    def _enter_term(self, term: Term) -> None:
+        """Into a newer term, as a follower."""
+        self.persistent.enter_term(term)
+        self.discovery.forget_leader()
+        if self.leadership is not None:
+            self._step_down()
+        self.election.follow()
+
+    def _learn_of_term(self, term: Term) -> None:
+        """Another member names its term."""
+        if term > self.persistent.term and self.persistent.is_member():
+            self._enter_term(term)
+
+    def _lead(self) -> None:
+        """This member has won the election of its term."""
+        password = self.context.draw_identifier()
+        self.discovery.became_leader(password)
+        self.leadership = Leader(self.context, self.persistent, self.electorate, self.discovery, password)
+        self.leadership.begin()
+
+    def _step_down(self) -> None:
+        """A leader that can't lead says so: its followers need not wait until they miss it."""
+        leadership, self.leadership = self.leadership, None
+        assert leadership is not None
+        self.discovery.leadership_ended()
+        leadership.close()
+        self.election.follow()
+
+    def _rejoin(self, leader_ip: str | None) -> None:
+        """It is committed that this incarnation is no member any more: it comes back as another."""
+        self.persistent.renew_incarnation()
+        self.election.learn()
+        self.discovery.restart(leader_ip)
+        self.responses.clear()
 
     # Elections.
 
-    def ask(self):
-        """Asks whether a vote could be won, before the term is touched: one that was cut off disturbs nobody."""
-        self.role, self.votes, self.handed = ASKING, {(self.me, self.incarnation)}, False
-        self.leader_ip = None
-        self.due_at = self.now + self.between(*AGAIN)
-        self.asked_at = -SEC
-        self.canvass()
-        self.count()
-
-    def canvass(self):
-        self.asked_at = self.now
-        if self.role == RUNNING and (self.me, self.incarnation) not in self.votes:
-            return  # its own vote is not on disk yet
-        kind, term = ("ask", self.term + 1) if self.role == ASKING else ("run", self.term)
-        for name, (ip, incarnation) in self.standing().all_members().items():
-            if name != self.me and (name, incarnation) not in self.votes:
-                message = self.signed(kind, incarnation, e=tuple(self.entry.position))
-                message["t"] = term
-                if self.handed:
-                    message["h"] = 1
-                self.effects.append(SendMessage(ip, message))
-
-    def count(self):
-        if not self.standing().has_quorum(self.votes):
-            return
-        if self.role == ASKING:
-            self.stand()
-        elif self.role == RUNNING and (self.me, self.incarnation) in self.votes:
-            self.role, self.leader_ip, self.leader_at = LEADER, self.ip, self.now
-            self.leadership = Leadership(self)
-            self.leadership.begin()
-
-    def stand(self):
-        """Into a newer term as a candidate. Others are asked for their votes once the own one is on disk."""
-        self.role, self.votes = RUNNING, set()
-        self.term, self.vote = self.term + 1, (self.me, self.incarnation)
-        self.version += 1
-        self.due_at = self.now + self.between(*AGAIN)
-
-    def on_ask(self, ip, message):
-        mine = self.entry.position if self.entry is not None else (0, 0)
-        if self.leadership is not None and self.leadership.excludes(message["n"], message["i"]):
-            self.hint(ip, out=message["i"])
-        elif not self.recent() and message["t"] > self.term and tuple(message["e"]) >= mine:
-            reply = self.signed("may", message["i"])
-            reply["t"] = message["t"]
-            self.effects.append(SendMessage(ip, reply))
-            self.give_way((tuple(message["e"]), message["n"]) > (mine, self.me))
-        elif message["t"] <= self.term:
-            self.effects.append(SendMessage(ip, {"k": "nay", "t": self.term}))
-
-    def give_way(self, better):
-        """Guards against two that ask at once, split the votes and lose a second. Now and then only: the other one may
-        be deaf."""
-        if better and self.role == ASKING and self.now - self.yielded_at > YIELD:
-            self.yielded_at = self.now
-            self.role, self.due_at = FOLLOWER, self.now + self.between(*AGAIN)
-
-    def on_may(self, ip, message):
-        if self.role == ASKING and message["t"] == self.term + 1:
-            self.votes.add((message["n"], message["i"]))
-            self.count()
-
-    def on_run(self, ip, message):
-        term, who = message["t"], (message["n"], message["i"])
-        if term < self.term:
-            self.effects.append(SendMessage(ip, {"k": "nay", "t": self.term}))
+    def _receive_pre_vote_request(self, ip: str, request: PreVoteRequest) -> None:
+        if self.leadership is not None and self.leadership.excludes(request.sender):
+            self.discovery.send_hint(ip, excluded=request.sender.incarnation)
+        else:
+            self.election.answer_pre_vote(ip, request)
+
+    def _receive_vote_request(self, ip: str, request: VoteRequest) -> None:
+        if request.term < self.persistent.term:
+            self.election.reject_term(ip)
             return
-        if self.recent() and not message.get("h"):
-            return  # guards against one that was cut off and would depose a leader that works
-        if term > self.term:
-            self.move(term)
-        mine = self.entry.position if self.entry is not None else (0, 0)
-        if self.vote is None and tuple(message["e"]) >= mine:
-            self.vote = who
-            self.version += 1
-        if self.vote == who:
-            self.follow()
-            self.hold(ip, self.signed("aye", message["i"]))
-
-    def on_aye(self, ip, message):
-        if self.role == RUNNING and message["t"] == self.term:
-            self.votes.add((message["n"], message["i"]))
-            self.count()
-
-    def on_nay(self, ip, message):
-        if message["t"] > self.term and self.belongs():
-            self.move(message["t"])
+        if self.discovery.has_live_leader() and not request.is_named_successor:
+            return  # one that was cut off would depose a leader that works
+        if request.term > self.persistent.term:
+            self._enter_term(request.term)
+        vote = self.election.grant_vote(request)
+        if vote is not None:
+            self.responses.send_when_durable(ip, vote)
+
+    def _receive_vote(self, vote: VoteGranted) -> None:
+        if self.election.vote_granted(vote):
+            self._lead()
+
+    def _receive_leadership_ended(self, ip: str, message: LeadershipEnded) -> None:
+        is_own_leader = message.term == self.persistent.term and self.discovery.leader_ip == ip
+        if is_own_leader and self.leadership is None:
+            self.discovery.leader_ended()
+            self.election.leader_ended(message.hands_over_to_receiver)
 
     # Following.
 
-    def led(self, ip, message):
+    def _accept_leader(self, ip: str, term: Term) -> bool:
         """Whether the sender leads now; a newer term is taken up."""
-        term = message["t"]
-        if term < self.term:
-            self.effects.append(SendMessage(ip, {"k": "nay", "t": self.term}))
+        if term < self.persistent.term:
+            self.election.reject_term(ip)
             return False
-        if self.leadership is not None and term == self.term:
+        if self.leadership is not None and term == self.persistent.term:
             raise RemoteProtocolError("two leaders of one term")
-        if term > self.term:
-            self.move(term)
-        self.follow()
-        self.widow = self.knocker = None
-        self.leader_ip, self.leader_at, self.heard_at = ip, self.now, self.now
+        if term > self.persistent.term:
+            self._enter_term(term)
+        self.election.follow()
+        self.electorate.leader_appeared()
+        self.discovery.heartbeat_received(ip)
         return True
 
-    def on_beat(self, ip, message):
-        if not self.led(ip, message):
+    def _receive_heartbeat(self, ip: str, message: Heartbeat) -> None:
+        if not self._accept_leader(ip, message.term):
             return
-        self.heed(message)
-        reply = self.signed("ack", message["i"], s=message["s"])
-        if self.safe.term >= self.term:
-            self.answer(ip, reply)
+        self._commit_up_to(message.commit_index)
+        acknowledgement = self._acknowledgement(message)
+        if self.persistent.durable.term >= self.persistent.term:
+            self.responses.send(ip, acknowledgement)
         else:
-            self.hold(ip, reply)
+            self.responses.send_when_durable(ip, acknowledgement)
 
-    def on_full(self, ip, message):
-        state = self.received(message)
-        if state is not None and state.term != message["t"]:
-            raise RemoteProtocolError("an entry of another term")
-        if not self.led(ip, message):
+    def _receive_entry(self, ip: str, message: AppendEntry) -> None:
+        entry = received_entry(self.persistent, message)
+        if not self._accept_leader(ip, message.term):
             return
-        if state is not None and (self.entry is None or state.position > self.entry.position):
-            self.entry = state
-            self.bodies.keep(state)
-            self.version += 1
-        self.heed(message)
-        self.hold(ip, self.signed("ack", message["i"], s=message["s"]))
-
-    def received(self, message):
-        """The checked entry of a message, or None if it rests on a body or versions that this one does not hold."""
-        held = [entry for entry in (self.entry, self.safe.entry) if entry is not None]
-        row = self.bodies.filled(message["x"])
-        state = decode_state(row, [entry.body for entry in held]) if row else None
-        if state is None:
-            return None
-        if "v" in message:
-            versions = joined(message["v"], {entry.position: entry.versions for entry in held})
-        else:  # from a leader of before, which keeps none
-            versions = held[0].versions if held else VersionHistory()
-        return None if versions is None else with_versions(state, versions)
-
-    def heed(self, message):
-        """What the leader says is in force."""
-        entry = self.entry
-        if entry is not None and entry.term == self.term and entry.index <= message["c"]:
-            self.commit(entry)
-
-    def on_ack(self, ip, message):
-        if self.leadership is not None and message["t"] == self.term:
-            self.leadership.acked(message)
-        elif message["t"] > self.term and self.belongs():
-            self.move(message["t"])
-
-    def on_quit(self, ip, message):
-        if message["t"] == self.term and self.leadership is None and self.leader_ip == ip:
-            self.leader_ip, self.heard_at = None, -FORGET
-            self.due_at = self.now + self.between(*(NEXT_IN_LINE if message.get("h") == 0 else HANDED))
-            if message.get("h") and self.belongs() and not self.leaving:
-                self.handed = True
-                self.stand()
-
-
-INPUTS = {
-    Tick: Member.on_tick,
-    MessageReceived: Member.on_heard,
-    RecordStored: Member.on_stored,
-    Order: Member.on_order,
-    Shutdown: Member.on_leave,
-}
-MESSAGES = {
-    "knock": Member.on_knock,
-    "seek": Member.on_seek,
-    "at": Member.on_at,
-    "ask": Member.on_ask,
-    "may": Member.on_may,
-    "run": Member.on_run,
-    "aye": Member.on_aye,
-    "nay": Member.on_nay,
-    "beat": Member.on_beat,
-    "full": Member.on_full,
-    "ack": Member.on_ack,
-    "quit": Member.on_quit,
-}
+        own = self.persistent.entry
+        if entry is not None and (own is None or entry.position > own.position):
+            self.persistent.append(entry)
+        self._commit_up_to(message.commit_index)
+        self.responses.send_when_durable(ip, self._acknowledgement(message))
+
+    def _acknowledgement(self, message: Heartbeat | AppendEntry) -> AppendAcknowledged:
+        """It says what is on disk as it leaves; see `DeferredResponses.send`."""
+        own, leader = self.persistent.key, message.sender
+        return AppendAcknowledged(own, leader.incarnation, self.persistent.term, message.round)
+
+    def _commit_up_to(self, index: LogIndex) -> None:
+        """The leader says that entries of this term are committed up to an index."""
+        entry = self.persistent.entry
+        if entry is not None and entry.term == self.persistent.term and entry.index <= index:
+            self.persistent.commit(entry)
+
+    def _receive_acknowledgement(self, message: AppendAcknowledged) -> None:
+        if self.leadership is not None and message.term == self.persistent.term:
+            self.leadership.acknowledged(message)
+        else:
+            self._learn_of_term(message.term)
+
+    # Joining, and who leads.
+
+    def _receive_join_request(self, ip: str, request: JoinRequest) -> None:
+        if self.leadership is not None:
+            self.leadership.receive_join_request(ip, request)
+        elif self.persistent.entry is not None:
+            self.electorate.observe_join_request(request.sender, self.discovery.has_live_leader())
+            self.discovery.send_hint(ip)
+
+    def _receive_leader_query(self, ip: str, query: LeaderQuery) -> None:
+        if self.persistent.entry is None:
+            return
+        sender, leadership = query.sender, self.leadership
+        if sender is not None and leadership is not None and leadership.excludes(sender):
+            self.discovery.send_hint(ip, excluded=sender.incarnation)
+        else:
+            self.discovery.send_hint(ip)
+
+    def _receive_hint(self, ip: str, hint: LeaderHint) -> None:
+        excluded_by = self.discovery.receive_hint(ip, hint)
+        if excluded_by is not None:
+            self._rejoin(excluded_by)
--- a/rampfront/consensus/membership_change.py
+++ b/rampfront/consensus/membership_change.py
@@ -1,99 +1,82 @@
 """How the list of the core's members changes: who is taken in, who is exchanged, who is taken out. No I/O, no clock.
 
 The method is joint consensus, one change at a time (D. Ongaro, J. Ousterhout, "In Search of an Understandable
-Consensus Algorithm", section 6; learners and transfer of leadership: Ongaro's dissertation, chapters 3 and 4). The
-leader proposes an entry with the new list in `members` and the old one in `base`. It is in force once a majority of
-each list has it on disk, and only then does the next entry drop the base. `Leadership` calls `next_step` while nothing
-else is under way and an entry of its own term is in force.
+Consensus Algorithm", section 6; learners: Ongaro's dissertation, section 4.2.1). The leader proposes an entry with the
+new list in `members` and the old one in `previous_members`. It is committed once a majority of each list has it on
+disk, and only then does the next entry drop the old list. `Leader` calls `next_step` while nothing else is under way
+and an entry of its own term is committed.
 
 Invariants:
 
-- A newcomer has no vote before its disk holds an entry of this leader's term. Until then it is a learner: it receives
+- A newcomer has no vote before its disk has an entry of this leader's term. Until then it is a learner: it receives
   entries and acknowledges them, and is counted nowhere.
 - A member is a name with an incarnation. A lost disk means another incarnation, which takes the place of the old one in
   one step. An incarnation that was taken out is never taken in again.
-- A member is taken out only while the others number at least `floor`, so never without a newcomer that has taken its
-  place before. It is one that says it is leaving, or one that has been silent while a majority answered for `SILENCE`.
+- A member is taken out only while the others number at least `wanted_size`, so never without a newcomer that has taken
+  its place before. It is one that is shutting down, or one that has been silent while a majority answered for
+  `SILENCE_NS`.
 - Whether it is gone or cut off need not be known: the change is agreed by majorities of both lists, what was
   acknowledged lies on a majority of the new one, and one that was cut off returns as another incarnation.
 
 Times are ns of the leader's steady clock.
 """
 
-from collections.abc import Collection, Mapping
+from collections.abc import Mapping
 from dataclasses import dataclass
-from typing import Protocol
+from typing import NamedTuple
 
-from .state import MOST_NAMES, State
+from .identifiers import MS, SEC, DurationNs, Incarnation, MemberAddress, MemberKey, MemberList, TimeNs
+from .replica_progress import ReplicaProgress
+from .state import MAX_NAMES, State
 
-MS, SEC = 10**6, 10**9
-
-SILENCE = 1500 * MS  # how long a majority must have answered without a member before that one may be taken out
-LONG_SILENCE = 4 * SEC  # behind which one that is silent goes before one that is leaving: that one may come back
-UNHEARD = 600 * MS  # about two rounds
-LEARNER_LIFE = SEC  # a learner that nothing was heard of for so long is dropped; it knocks each 0.28 s
-MOST_LEARNERS, MOST_RETIRED = 16, 4 * MOST_NAMES
-
-MemberKey = tuple[str, int]  # name and incarnation
-MemberList = dict[str, tuple[str, int]]  # name to (address, incarnation)
-
-# What an operator is told of a member.
-VOTER, LEARNER, SILENT, LEAVING, REPLACED = "voter", "learner", "silent", "leaving", "being replaced"
-
-
-class Replica(Protocol):
-    """What the leader knows of another member or learner."""
-
-    ip: str
-    have: tuple[int, int]
-    heard_at: int
-    leaving: bool
+SILENCE_NS = 1500 * MS  # a majority must have answered for so long without a member before it may be taken out
+LONG_SILENCE_NS = 4 * SEC  # behind which a silent one goes before one that shuts down: that one may come back
+UNANSWERED_NS = 600 * MS  # about two rounds
+LEARNER_TIMEOUT_NS = SEC  # a learner that is silent for so long is dropped; it asks to join each 0.28 s
+MAX_LEARNERS = 16
+MAX_RETIRED = 4 * MAX_NAMES
+MAX_MEMBERS = MAX_NAMES // 2
 
 
 @dataclass(slots=True)
 class Learner:
-    """A newcomer that catches up. `first`: it stands for a machine of the first start of the whole system."""
+    """A newcomer that catches up. `counts_towards_size`: it stands for a machine of the whole system's first start."""
 
     name: str
-    incarnation: int
-    first: bool
-    replica: Replica
+    incarnation: Incarnation
+    counts_towards_size: bool
+    replica: ReplicaProgress
 
     @property
     def key(self) -> MemberKey:
         """Its name and incarnation."""
-        return self.name, self.incarnation
+        return MemberKey(self.name, self.incarnation)
+
+    @property
+    def address(self) -> MemberAddress:
+        """As a list of members has it."""
+        return MemberAddress(self.replica.ip, self.incarnation)
 
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """The next entry's list of members. `base` is the list before it, or None where nobody is taken in or out."""
+    """The next entry's members. `previous_members`: the list before it; None where nobody is taken in or out."""
 
     members: MemberList
-    base: MemberList | None
-    target: int
+    previous_members: MemberList | None
+    target_size: int
 
 
-@dataclass(frozen=True, slots=True)
-class MemberStatus:
-    """One line of what an operator is told: `state` is one of the words above."""
+class RemovalCandidate(NamedTuple):
+    """A member that may be taken out. The greatest one goes first, so the order of the fields counts."""
 
+    is_long_silent: bool
+    is_shutting_down: bool
+    silence: DurationNs
     name: str
-    ip: str
-    state: str
-
-
-@dataclass(frozen=True, slots=True)
-class CoreStrength:
-    """What a leader knows of its core. `wanted`: how many members there should be; `full_for`: ns for which the core
-    has been at full strength in this leader's term, or None if it is not."""
 
-    wanted: int
-    members: list[MemberStatus]
-    full_for: int | None
 
-
-def floor(state: State, survive: int) -> int:
+def wanted_size(state: State, survive: int) -> int:
     """How many members must be left: as many as at the first start, and a majority of them behind `survive` losses."""
     return max(state.target_size, 2 * survive + 1)
 
@@ -103,131 +86,135 @@
 
     def __init__(self, own: MemberKey, term: int, survive: int) -> None:
         """`own`: the leader's key; `survive`: how many machines may be lost at once."""
-        self.own, self.term, self.survive = own, term, survive
+        self._own = own
+        self._term = term
+        self._survive = survive
         self.learners: dict[str, Learner] = {}  # by name; bounded, silent ones are dropped
-        self.retired: set[int] = set()  # incarnations taken out by this leader; bounded
+        self._retired: set[Incarnation] = set()  # taken out by this leader; bounded
 
     # Learners.
 
     def learner(self, key: MemberKey) -> Learner | None:
         """The learner that bears this key."""
-        found = self.learners.get(key[0])
+        found = self.learners.get(key.name)
         return found if found is not None and found.key == key else None
 
-    def replicas(self) -> dict[MemberKey, Replica]:
+    def replicas(self) -> dict[MemberKey, ReplicaProgress]:
         """What is known of each learner, by its key."""
         return {learner.key: learner.replica for learner in self.learners.values()}
 
-    def admits(self, name: str, incarnation: int) -> bool:
-        """Whether one that knocks may become a learner."""
-        known = name in self.learners or len(self.learners) < MOST_LEARNERS
-        return known and name != self.own[0] and incarnation not in self.retired
+    def admits(self, key: MemberKey) -> bool:
+        """Whether one that asks to join may become a learner."""
+        has_room = key.name in self.learners or len(self.learners) < MAX_LEARNERS
+        return has_room and key.name != self._own.name and not self.is_retired(key.incarnation)
+
+    def is_retired(self, incarnation: Incarnation) -> bool:
+        """Whether this leader has taken it out."""
+        return incarnation in self._retired
 
-    def enrol(self, learner: Learner) -> None:
-        """Takes in a learner; one of the same name but another incarnation is forgotten."""
-        self.learners[learner.name] = learner
+    def enrol(self, key: MemberKey, ip: str, counts_towards_size: bool) -> Learner:
+        """The learner of this key, taken in if it is none yet; one of the same name but another key is forgotten."""
+        learner = self.learner(key)
+        if learner is None:
+            learner = Learner(key.name, key.incarnation, counts_towards_size, ReplicaProgress(ip))
+            self.learners[key.name] = learner
+        return learner
 
-    def expire(self, now: int) -> None:
+    def expire(self, now: TimeNs) -> None:
         """Drops learners that fell silent."""
         for name, learner in list(self.learners.items()):
-            if now - learner.replica.heard_at > LEARNER_LIFE:
+            if now - learner.replica.last_contact_at > LEARNER_TIMEOUT_NS:
                 del self.learners[name]
 
-    def caught_up(self, learner: Learner) -> bool:
-        """Whether its disk holds an entry of this leader's term, which contains all that was acknowledged before it."""
-        return learner.replica.have[0] == self.term
+    def _is_caught_up(self, learner: Learner) -> bool:
+        """Whether its disk has an entry of this leader's term, which contains all that was acknowledged before it."""
+        return learner.replica.match_position.term == self._term
 
     # Changes.
 
     def next_step(
-        self, state: State, replicas: Mapping[MemberKey, Replica], confirmed_at: int, settled_at: int
+        self, state: State, replicas: Mapping[MemberKey, ReplicaProgress], confirmed_at: TimeNs, settled_at: TimeNs
     ) -> Step | None:
-        """The next change towards the list that is wanted, or None. Only called while `state` is in force, an entry of
-        this term. `confirmed_at`: when the newest round was sent that a majority answered; `settled_at`: when the first
-        entry of this term came into force."""
+        """The next change towards the list that is wanted, or None.
+
+        Parameters:
+            state: a committed entry of this term.
+            replicas: the other members.
+            confirmed_at: when the newest round was sent that a majority answered.
+            settled_at: when the first entry of this term was committed.
+        """
         removal = self.removal(state, replicas, confirmed_at, settled_at)
-        return removal or self.admission(state, replicas, confirmed_at)
+        return removal or self._admission(state, replicas, confirmed_at)
 
-    def admission(self, state: State, replicas: Mapping[MemberKey, Replica], confirmed_at: int) -> Step | None:
+    def _admission(
+        self, state: State, replicas: Mapping[MemberKey, ReplicaProgress], confirmed_at: TimeNs
+    ) -> Step | None:
         """Takes in one learner that has caught up, in place of its own former incarnation if there is one."""
         members = state.members
         # Guards a majority that is met barely: while one too many is in the list and some do not answer, another
         # newcomer would raise what a majority takes. It waits until the silent one is out, or heard again.
-        crowded = len(members) > floor(state, self.survive)
-        crowded = crowded and any(confirmed_at - replica.heard_at > UNHEARD for replica in replicas.values())
+        is_crowded = len(members) > wanted_size(state, self._survive) and any(
+            confirmed_at - replica.last_contact_at > UNANSWERED_NS for replica in replicas.values()
+        )
         for learner in list(self.learners.values()):
-            old = members.get(learner.name)
-            place = learner.replica.ip, learner.incarnation
-            if old == place:
+            former = members.get(learner.name)
+            with_learner = {**members, learner.name: learner.address}
+            if former == learner.address:
                 del self.learners[learner.name]
-            elif old is not None and old[1] == learner.incarnation:
-                return Step({**members, learner.name: place}, None, state.target_size)
-            elif self.caught_up(learner):
-                if old is not None:
-                    self.retire(old[1])
-                    return Step({**members, learner.name: place}, members, state.target_size)
-                if len(members) < MOST_NAMES // 2 and not crowded:
-                    return Step({**members, learner.name: place}, members, state.target_size + learner.first)
+            elif former is not None and former.incarnation == learner.incarnation:
+                return Step(with_learner, None, state.target_size)  # it has moved to another address
+            elif self._is_caught_up(learner):
+                if former is not None:
+                    self._retire(former.incarnation)
+                    return Step(with_learner, members, state.target_size)
+                if len(members) < MAX_MEMBERS and not is_crowded:
+                    return Step(with_learner, members, state.target_size + learner.counts_towards_size)
         return None
 
     def removal(
-        self, state: State, replicas: Mapping[MemberKey, Replica], confirmed_at: int, settled_at: int
+        self, state: State, replicas: Mapping[MemberKey, ReplicaProgress], confirmed_at: TimeNs, settled_at: TimeNs
     ) -> Step | None:
-        """Takes out one member, if enough are left: one silent for long, one that is leaving, or else a silent one."""
+        """Takes out one member, if enough are left: one silent for long, one that shuts down, or else a silent one."""
         members = state.members
-        if len(members) <= floor(state, self.survive):
+        if len(members) <= wanted_size(state, self._survive):
             return None
-        candidates = []
+        candidates: list[RemovalCandidate] = []
         for name, (_, incarnation) in members.items():
-            replica = replicas.get((name, incarnation))
+            replica = replicas.get(MemberKey(name, incarnation))
             if replica is None:
                 continue
-            silence = confirmed_at - max(replica.heard_at, settled_at)
-            leaves = replica.leaving and self.bears(members, name, replicas, confirmed_at)
-            if leaves or silence >= SILENCE:
-                candidates.append((silence >= LONG_SILENCE, leaves, silence, name))
+            silence = confirmed_at - max(replica.last_contact_at, settled_at)
+            may_leave = replica.is_shutting_down and self._bears_loss(members, name, replicas, confirmed_at)
+            if may_leave or silence >= SILENCE_NS:
+                candidates.append(RemovalCandidate(silence >= LONG_SILENCE_NS, may_leave, silence, name))
         if not candidates:
             return None
-        *_, gone = max(candidates)
-        self.retire(members[gone][1])
-        return Step({name: place for name, place in members.items() if name != gone}, members, state.target_size)
-
-    def bears(
-        self, members: MemberList, without: str, replicas: Mapping[MemberKey, Replica], confirmed_at: int
+        gone = max(candidates).name
+        self._retire(members[gone].incarnation)
+        remaining = {name: address for name, address in members.items() if name != gone}
+        return Step(remaining, members, state.target_size)
+
+    def _bears_loss(
+        self,
+        members: MemberList,
+        without: str,
+        replicas: Mapping[MemberKey, ReplicaProgress],
+        confirmed_at: TimeNs,
     ) -> bool:
         """Whether those that answer and stay are a majority of the list without one member, which still answers, and
         would be one if `survive` of them were lost at once."""
         staying = 0
         for name, (_, incarnation) in members.items():
-            replica = replicas.get((name, incarnation))
-            answers = replica is not None and confirmed_at - replica.heard_at <= UNHEARD and not replica.leaving
-            staying += name != without and (answers or name == self.own[0])
-        return 2 * (staying - self.survive) > len(members) - 1
-
-    def retire(self, incarnation: int) -> None:
-        """Guards against a late knock that would bring back an incarnation which was taken out."""
-        if len(self.retired) < MOST_RETIRED:
-            self.retired.add(incarnation)
-
-    # What an operator is told.
-
-    def report(
-        self, state: State, replicas: Mapping[MemberKey, Replica], silent: Collection[MemberKey]
-    ) -> list[MemberStatus]:
-        """A `MemberStatus` for each member and learner, members first. `silent`: those who do not answer."""
-        surplus = len(state.members) > floor(state, self.survive)
-        rows = []
-        for name, (ip, incarnation) in sorted(state.members.items()):
-            replica = replicas.get((name, incarnation))
-            word = VOTER
-            if name in self.learners and self.learners[name].incarnation != incarnation:
-                word = REPLACED
-            elif replica is not None and replica.leaving:
-                word = REPLACED if surplus else LEAVING
-            elif (name, incarnation) in silent:
-                word = REPLACED if surplus else SILENT
-            rows.append(MemberStatus(name, ip, word))
-        learners = [
-            self.learners[name] for name in sorted(self.learners) if not state.has_member(*self.learners[name].key)
-        ]
-        return rows + [MemberStatus(learner.name, learner.replica.ip, LEARNER) for learner in learners]
+            replica = replicas.get(MemberKey(name, incarnation))
+            answers = (
+                replica is not None
+                and confirmed_at - replica.last_contact_at <= UNANSWERED_NS
+                and not replica.is_shutting_down
+            )
+            staying += name != without and (answers or name == self._own.name)
+        return 2 * (staying - self._survive) > len(members) - 1
+
+    def _retire(self, incarnation: Incarnation) -> None:
+        """Guards against a late request to join that would bring back an incarnation which was taken out."""
+        if len(self._retired) < MAX_RETIRED:
+            self._retired.add(incarnation)
--- /dev/null
+++ b/rampfront/consensus/record.py
@@ -0,0 +1,86 @@
+"""The form of a member's record on disk: what it must not forget (Raft paper, figure 2, "persistent state").
+
+A record is a list of columns, as cbor2 carries it. Older records lack the last one or two. `PersistentState` encodes a
+record with every change, and decodes one at a start.
+"""
+
+from typing import NamedTuple
+
+import cbor2
+
+from .errors import RecordError, RemoteProtocolError
+from .identifiers import Incarnation, LogPosition, MemberKey, Term
+from .state import State, decode_state
+from .version_history import VersionHistory, decode_history
+
+FORM = 1
+MAX_OWNER_LETTERS = 80  # of a foreign record, in an error's text
+
+
+class Record(NamedTuple):
+    """What a member stores.
+
+    `vote`: who it voted for in `term`. `committed_position`: of the newest entry known to be committed, or None.
+    `member_ips`: where to ask, if it is no member by `entry`. `owner`: whose record it is.
+    """
+
+    incarnation: Incarnation
+    term: Term
+    vote: MemberKey | None
+    committed_position: LogPosition | None
+    entry: State | None
+    member_ips: list[str]
+    owner: str
+
+
+def encode_record(record: Record) -> bytes:
+    """The bytes for the disk."""
+    entry = record.entry
+    columns = [
+        FORM,
+        record.incarnation,
+        record.term,
+        list(record.vote) if record.vote else None,
+        list(record.committed_position) if record.committed_position else None,
+        entry.encode() if entry else None,
+        record.member_ips,
+        entry.versions.encode() if entry else b"",
+        record.owner,
+    ]
+    return cbor2.dumps(columns)
+
+
+def decode_record(data: bytes, owner: str) -> Record:
+    """The record that the member `owner` stored.
+
+    Raises RecordError for what is none, or is another member's: one memory for two members would be two votes.
+    """
+    try:
+        form, incarnation, term, vote, committed, row, member_ips, *optional = cbor2.loads(data)
+    except (cbor2.CBORDecodeError, EOFError, TypeError, ValueError):
+        raise RecordError("record that does not read") from None
+    if form != FORM:
+        raise RecordError("record of another form")
+    if len(optional) > 1 and optional[1] != owner:
+        raise RecordError(f"record of {str(optional[1])[:MAX_OWNER_LETTERS]}")
+    return Record(
+        incarnation,
+        term,
+        MemberKey(*vote) if vote else None,
+        LogPosition(*committed) if committed else None,
+        _decode_entry(row, optional[0] if optional else None),
+        member_ips,
+        owner,
+    )
+
+
+def _decode_entry(row: object, versions: object) -> State | None:
+    """The stored entry. `versions`: its encoded history; None in an older record. Raises RecordError."""
+    if not row:
+        return None
+    try:
+        entry = decode_state(row)
+        history = VersionHistory() if versions is None else decode_history(versions)
+    except RemoteProtocolError as error:
+        raise RecordError(str(error)) from error
+    return None if entry is None else entry.with_versions(history)
--- a/rampfront/consensus/state.py
+++ b/rampfront/consensus/state.py
@@ -1,151 +1,216 @@
-"""The one entry of the log: the whole state, which holds all that came before it."""
+"""The one entry of the log: the whole replicated state, and its form between members and on disk.
 
+The agreement is Raft with a log of one entry: each entry is the whole state, so the newest one contains all before it,
+and no log has to be compacted. The form is a list of columns, in the order of `State`'s fields, as cbor2 carries it.
+"""
+
+from collections.abc import Collection, Iterable
 from dataclasses import dataclass, field, replace
 from hashlib import blake2b
 from itertools import chain
-from typing import NamedTuple
+from typing import TypedDict, Unpack
 
 from .errors import RemoteProtocolError
-from .evacuations import Held
-from .evacuations import from_plain as decode_evacuations
-from .evacuations import plain as encode_evacuations
-from .versions import VersionHistory
-
-MOST_BODY, MOST_NAMES, MOST_ZONE = 16 << 20, 64, 200  # bytes of a body; zones, and members; letters of a zone: at most
-
-
-def digest(body):
-    return blake2b(body, digest_size=8).digest()
-
-
-class LogPosition(NamedTuple):
-    """Where an entry stands in the log. Entries are ordered by term, then by index (Raft paper, section 5.4.1)."""
-
-    term: int
-    index: int
+from .evacuations import EvacuationTable, decode_evacuations, encode_evacuations
+from .identifiers import LogIndex, LogPosition, MemberAddress, MemberList, Term
+from .version_history import VersionHistory, content_digest
+
+MAX_BODY_BYTES = 16 << 20  # of a compressed configuration
+MAX_NAMES = 64  # of zones, and of members
+MAX_ZONE_LETTERS = 200
+MAX_ADDRESS_LETTERS = 300  # of a member's name and ip together
+MAX_NUMBER = 1 << 53
+BODY_COLUMN = 3  # of an encoded state
+DIGEST_COLUMN = 4
+COLUMNS = (8, 9, 10)  # how many there are: an older state lacks the evacuations, and its target size
+MEMBER_COLUMNS = 3
+DIGEST_BYTES = 8
+
+
+def digest(body: bytes) -> bytes:
+    """8 bytes that stand for a compressed configuration, byte by byte."""
+    return blake2b(body, digest_size=DIGEST_BYTES).digest()
+
+
+class StateChanges(TypedDict, total=False):
+    """The fields of a `State` that the next entry may change."""
+
+    term: Term
+    revision: int
+    body: bytes
+    evacuated_zones: frozenset[str]
+    members: MemberList
+    previous_members: MemberList | None
+    body_digest: bytes
+    evacuations: EvacuationTable
+    target_size: int
+    versions: VersionHistory
 
 
 @dataclass(frozen=True, slots=True, eq=False)
 class State:
-    """The log's one entry: the whole replicated state, which contains all that came before it.
+    """One entry of the log, which is the whole replicated state.
 
-    `members`: name to (ip, incarnation). `previous_members`: the members before a change that is not yet known to be
-    committed; while it is there, a majority of both must agree (joint consensus, Raft paper, section 6). A member is a
-    name with an incarnation: one that lost its disk is another.
+    `previous_members`: the members before a change that is not yet known to be committed. While they are there, a
+    majority of both lists must agree (joint consensus, Raft paper, section 6): no change of the members can make two
+    majorities that do not meet.
     """
 
-    index: int
-    term: int
+    index: LogIndex
+    term: Term
     revision: int = 0  # number of the newest configuration; 0: none yet
-    body: bytes = b""  # as the operator sent it, compressed
-    evacuated_zones: frozenset = frozenset()
-    members: dict = None
-    previous_members: dict = None
+    body: bytes = b""  # the configuration as the operator sent it, compressed
+    evacuated_zones: frozenset[str] = frozenset()
+    members: MemberList = field(default_factory=dict)
+    previous_members: MemberList | None = None
     body_digest: bytes = b""
-    evacuations: Held = field(default_factory=dict)  # what is known of who keeps zones emptied
+    evacuations: EvacuationTable = field(default_factory=dict)  # what is known of who keeps zones evacuated
     target_size: int = 0  # members that are wanted: those admitted at the first start; 0: an older record
-    versions: VersionHistory = VersionHistory()  # of all that were confirmed; not in `encode`: only members need it
+    versions: VersionHistory = VersionHistory()  # of all numbers confirmed; not encoded: only members need them
 
     @property
-    def position(self):
-        """Order of entries: by term, then by index."""
+    def position(self) -> LogPosition:
+        """Where the entry stands in the log."""
         return LogPosition(self.term, self.index)
 
-    def next_entry(self, **changes):
+    def next_entry(self, **changes: Unpack[StateChanges]) -> "State":
         """The entry behind this one."""
         if "body" in changes:
             changes["body_digest"] = digest(changes["body"])
         return replace(self, index=self.index + 1, **changes)
 
-    def all_members(self):
-        """Name to (ip, incarnation) of all whose vote may count; those of `members` go first."""
+    def with_versions(self, versions: VersionHistory) -> "State":
+        """The same entry, with a history that has its own configuration's number in any case."""
+        if self.revision and versions.digest_of(self.revision) is None:
+            versions = versions.with_version(self.revision, content_digest(self.body))
+        return replace(self, versions=versions)
+
+    def all_members(self) -> MemberList:
+        """All whose votes may count; those of `members` go first."""
         return self.members if self.previous_members is None else {**self.previous_members, **self.members}
 
+    def addresses(self) -> list[str]:
+        """The ips of all whose votes may count, once each."""
+        listed = chain(self.members.values(), (self.previous_members or {}).values())
+        return list(dict.fromkeys(ip for ip, _ in listed))
+
     def has_member(self, name: str, incarnation: int) -> bool:
         """Whether this incarnation is a member by either list."""
         lists = (self.members, self.previous_members)
-        return any(members and members.get(name, (0, 0))[1] == incarnation for members in lists)
+        return any(members and _incarnation_of(members, name) == incarnation for members in lists)
 
-    def has_quorum(self, known):
-        """Whether `known`, a container of (name, incarnation), is a majority of each list of members."""
+    def has_quorum(self, keys: Collection[tuple[str, int]]) -> bool:
+        """Whether the members of `keys` are a majority of each list."""
         for members in (self.members, self.previous_members):
             if members is not None:
-                count = sum((name, member[1]) in known for name, member in members.items())
+                count = sum((name, incarnation) in keys for name, (_, incarnation) in members.items())
                 if 2 * count <= len(members):
                     return False
         return True
 
-    def encode(self, include_body=True):
-        """As cbor2 carries it; without its body where the receiver is known to hold the same."""
-        return [
+    def encode(self, include_body: bool = True) -> list[object]:
+        """As cbor2 carries it; without its body where the receiver is known to have the same."""
+        previous = None if self.previous_members is None else _encode_members(self.previous_members)
+        row: list[object] = [
             self.index,
             self.term,
             self.revision,
             self.body if include_body else None,
             self.body_digest,
             sorted(self.evacuated_zones),
-            flat(self.members),
-            None if self.previous_members is None else flat(self.previous_members),
-            *([encode_evacuations(self.evacuations)] if self.evacuations or self.target_size else []),
-            *([self.target_size] if self.target_size else []),
+            _encode_members(self.members),
+            previous,
         ]
+        if self.evacuations or self.target_size:
+            row.append(encode_evacuations(self.evacuations))
+        if self.target_size:
+            row.append(self.target_size)
+        return row
 
 
-def flat(members):
-    return [[name, ip, incarnation] for name, (ip, incarnation) in sorted(members.items())]
+def decode_state(row: object, bodies: Iterable[bytes] = ()) -> State | None:
+    """The checked state of its encoded form, with an empty history of versions.
 
+    Parameters:
+        row: as cbor2 carries it, unchecked.
+        bodies: those that the receiver has; one of them stands in where the state comes without its body.
 
-def table(rows):
-    if type(rows) is not list or not 0 < len(rows) <= MOST_NAMES:
-        raise RemoteProtocolError("members")
-    made = {}
-    for row in rows:
-        if type(row) is not list or len(row) != 3:
-            raise RemoteProtocolError("member")
-        name, ip, incarnation = row
-        if type(name) is not str or type(ip) is not str or type(incarnation) is not int or len(name) + len(ip) > 300:
-            raise RemoteProtocolError("member")
-        made[name] = (ip, incarnation)
-    return made
-
-
-def decode_state(row, bodies=()):
-    """The checked State, or None if it comes without its body and none of the `bodies` is the same."""
-    if type(row) is not list or len(row) not in (8, 9, 10):
+    Returns None if it comes without its body and none of `bodies` is the same.
+    Raises RemoteProtocolError for what `State.encode` does not make.
+    """
+    if type(row) is not list or len(row) not in COLUMNS:
         raise RemoteProtocolError("state")
-    index, term, rev, body, mark, zones, members, base, *more = row
-    held, target = more[0] if more else [], more[1] if len(more) > 1 else 0
-    if any(type(number) is not int or not 0 <= number < 1 << 53 for number in (index, term, rev, target)):
-        raise RemoteProtocolError("state's numbers")
-    if (
-        type(zones) is not list
-        or len(zones) > MOST_NAMES
-        or any(type(zone) is not str or len(zone) > MOST_ZONE for zone in zones)
-    ):
-        raise RemoteProtocolError("zones")
-    if type(mark) is not bytes or body is not None and (type(body) is not bytes or len(body) > MOST_BODY):
-        raise RemoteProtocolError("body")
-    members, base = table(members), None if base is None else table(base)
-    if body is None:
-        body = next((held for held in bodies if digest(held) == mark), None)
-        if body is None:
-            return None
-    elif digest(body) != mark:
-        raise RemoteProtocolError("body is not what its mark says")
+    index, term, revision, body, body_digest, zones, members, previous, *optional = row
+    evacuations = optional[0] if optional else []
+    target_size = optional[1] if len(optional) > 1 else 0
+    _check_numbers(index, term, revision, target_size)
+    _check_zones(zones)
+    if type(body_digest) is not bytes:
+        raise RemoteProtocolError("digest of the body")
+    member_list = _decode_members(members)
+    previous_list = None if previous is None else _decode_members(previous)
+    full_body = _full_body(body, body_digest, bodies)
+    if full_body is None:
+        return None
     return State(
         index,
         term,
-        rev,
-        body,
+        revision,
+        full_body,
         frozenset(zones),
-        members,
-        base,
-        mark,
-        decode_evacuations(held, frozenset(zones)),
-        target,
+        member_list,
+        previous_list,
+        body_digest,
+        decode_evacuations(evacuations, frozenset(zones)),
+        target_size,
     )
 
 
-def addresses(state):
-    """All ips that may count, once each."""
-    return list(dict.fromkeys(ip for ip, _ in chain(state.members.values(), (state.previous_members or {}).values())))
+def _incarnation_of(members: MemberList, name: str) -> int:
+    """Of the member of that name; 0 if there is none."""
+    address = members.get(name)
+    return address[1] if address is not None else 0
+
+
+def _check_numbers(*numbers: object) -> None:
+    if any(type(number) is not int or not 0 <= number < MAX_NUMBER for number in numbers):
+        raise RemoteProtocolError("state's numbers")
+
+
+def _check_zones(zones: object) -> None:
+    if type(zones) is not list or len(zones) > MAX_NAMES:
+        raise RemoteProtocolError("zones")
+    if any(type(zone) is not str or len(zone) > MAX_ZONE_LETTERS for zone in zones):
+        raise RemoteProtocolError("zones")
+
+
+def _full_body(body: object, body_digest: bytes, bodies: Iterable[bytes]) -> bytes | None:
+    """The body, or the one of `bodies` that it stands for; None if that is not among them."""
+    if body is None:
+        return next((known for known in bodies if digest(known) == body_digest), None)
+    if type(body) is not bytes or len(body) > MAX_BODY_BYTES:
+        raise RemoteProtocolError("body")
+    if digest(body) != body_digest:
+        raise RemoteProtocolError("body is not what its digest says")
+    return body
+
+
+def _encode_members(members: MemberList) -> list[list[object]]:
+    return [[name, ip, incarnation] for name, (ip, incarnation) in sorted(members.items())]
+
+
+def _decode_members(rows: object) -> MemberList:
+    if type(rows) is not list or not 0 < len(rows) <= MAX_NAMES:
+        raise RemoteProtocolError("members")
+    return dict(map(_decode_member, rows))
+
+
+def _decode_member(row: object) -> tuple[str, MemberAddress]:
+    if type(row) is not list or len(row) != MEMBER_COLUMNS:
+        raise RemoteProtocolError("member")
+    name, ip, incarnation = row
+    if type(name) is not str or type(ip) is not str or type(incarnation) is not int:
+        raise RemoteProtocolError("member")
+    if len(name) + len(ip) > MAX_ADDRESS_LETTERS:
+        raise RemoteProtocolError("member")
+    return name, MemberAddress(ip, incarnation)
--- a/rampfront/lab/system/configuration_cost.py
+++ b/rampfront/lab/system/configuration_cost.py
@@ -1,9 +1,9 @@
 """What a configuration costs a node by its size, and a trial of carrying changes: `python -m ...configuration_cost`.
 
 Measured are the steps that a change takes on a node today (`ReplicatedState.apply`, `membership.deltas`,
-`consensus.storage`), each by itself. The trial takes the same change as rows: only these are checked, and the rest is
-shared with the version before. A whole configuration is read in slices, between which a node could serve. The trial is
-no part of a node.
+`consensus.record_store`), each by itself. The trial takes the same change as rows: only these are checked, and the rest
+is shared with the version before. A whole configuration is read in slices, between which a node could serve. The trial
+is no part of a node.
 """
 
 import gc
@@ -19,9 +19,9 @@
 
 import click
 
-from ...consensus.body_history import patched, pieces
+from ...consensus.body_history import apply_delta, make_delta
+from ...consensus.record_store import RecordStore
 from ...consensus.state import State
-from ...consensus.storage import RecordStore
 from ...proxy.priorities import PriorityRanks
 from ...quota.limiter import Limiter
 from ...settings import configuration as configurations
@@ -176,10 +176,12 @@
     yield measure("a member takes the order: compress", lambda: zlib.compress(body))
     yield measure("read: json.loads alone", lambda: json.loads(body))
     yield measure("read: `configuration.read`", lambda: configurations.read(body).unwrap())
-    yield measure("leader: difference, `deltas.pieces`", lambda: pieces(zlib.decompress(packed), zlib.decompress(then)))
-    told = pieces(body, following)
     yield measure(
-        "node: take the difference, `States.read`", lambda: zlib.compress(patched(zlib.decompress(packed), told))
+        "leader: difference, `deltas.pieces`", lambda: make_delta(zlib.decompress(packed), zlib.decompress(then))
+    )
+    told = make_delta(body, following)
+    yield measure(
+        "node: take the difference, `States.read`", lambda: zlib.compress(apply_delta(zlib.decompress(packed), told))
     )
     limiter = Limiter("n", Random(1))
     limiter.set_quotas(customers, 0)
--- a/rampfront/lab/system/machine.py
+++ b/rampfront/lab/system/machine.py
@@ -14,7 +14,7 @@
 from functools import partial
 
 from ... import choice
-from ...consensus.storage import Files
+from ...consensus.record_store import Files
 from ...node.__main__ import main
 from ...node.assembly import build_node_process
 from ...node.endpoints import open_listeners
--- a/rampfront/membership/deltas.py
+++ b/rampfront/membership/deltas.py
@@ -13,7 +13,7 @@
 from hashlib import blake2b
 from typing import Any, Generic, NamedTuple, TypeVar
 
-from ..consensus.body_history import patched, pieces
+from ..consensus.body_history import apply_delta, make_delta
 from ..consensus.state import State, decode_state, digest
 
 Packed = Any  # a value as cbor2 gives it, of any type
@@ -172,7 +172,7 @@
         """What stands in place of the new body: the digest of the old one, and the pieces that differ."""
         delta = self._body_deltas.get(old.body_digest)
         if delta is None:
-            delta = [old.body_digest, pieces(zlib.decompress(old.body), zlib.decompress(new.body))]
+            delta = [old.body_digest, make_delta(zlib.decompress(old.body), zlib.decompress(new.body))]
             self._body_deltas[old.body_digest] = delta
         return delta
 
@@ -202,7 +202,7 @@
         newest = self.newest
         if newest is None or newest.body_digest != base_digest:
             raise DeltaMismatchError
-        body = zlib.compress(patched(zlib.decompress(newest.body), operations))
+        body = zlib.compress(apply_delta(zlib.decompress(newest.body), operations))
         if digest(body) != wanted_digest:
             raise DeltaMismatchError(corrupt=True)  # also where another compressor made the operator's body smaller
         return body
--- a/rampfront/node/control_calls.py
+++ b/rampfront/node/control_calls.py
@@ -12,8 +12,8 @@
 from result import Err
 
 from ..consensus.events import OrderKind, Outcome
-from ..consensus.state import MOST_BODY
-from ..consensus.versions import content_digest
+from ..consensus.state import MAX_BODY_BYTES
+from ..consensus.version_history import content_digest
 from ..net.http_messages import error_response, json_response
 from ..net.http_routing import endpoint
 from ..settings import configuration as configurations
@@ -27,7 +27,7 @@
     from .order_submitter import OrderSubmitter
 
 MAX_REQUEST_BYTES = 32 << 20
-MAX_COMPRESSED_BYTES = MOST_BODY - (64 << 10)  # of a configuration: a frame must hold what goes beside it too
+MAX_COMPRESSED_BYTES = MAX_BODY_BYTES - (64 << 10)  # of a configuration: a frame must hold what goes beside it too
 MAX_SHOWN_ZONE = 64  # characters of a zone that a refusal quotes
 NO_ANSWER = error_response(503, "the core gave no answer in time", ((b"Retry-After", b"0.3"),))
 
--- a/rampfront/node/core_driver.py
+++ b/rampfront/node/core_driver.py
@@ -11,6 +11,7 @@
 from typing import TYPE_CHECKING, Any, Protocol, assert_never, cast
 
 from ..consensus import events
+from ..consensus.context import MemberSettings
 from ..consensus.errors import RemoteProtocolError
 from ..consensus.member import Member
 from .log_events import LogEvent
@@ -18,9 +19,9 @@
 if TYPE_CHECKING:
     from asyncio import Future
 
-    from ..consensus.membership_change import CoreStrength
+    from ..consensus.core_strength import CoreStrength
+    from ..consensus.record_store import RecordStore
     from ..consensus.state import State
-    from ..consensus.storage import RecordStore
     from .context import NodeContext
     from .order_messages import OrderKey
 
@@ -76,18 +77,15 @@
         settings = self._context.process_settings
         self.record_store = record_store
         try:
-            self.member = Member(
+            member_settings = MemberSettings(
                 settings.name,
                 settings.ip,
                 [host for host, _ in settings.seeds],
-                True,
-                settings.first,
-                record_store.load(),
-                self._context.rng,
-                settings.survive[0],
-                self._context.clock(),
-                settings.terms.ack_within,
+                is_first_start=settings.first,
+                survive=settings.survive[0],
+                order_repeat_ns=settings.terms.ack_within,
             )
+            self.member = Member(member_settings, record_store.load(), self._context.rng, self._context.clock())
         except (OSError, ValueError) as error:
             self._context.log.record(LogEvent.RECORD_UNREADABLE, error=repr(error))
 
@@ -103,9 +101,7 @@
 
     def strength(self, now: int) -> CoreStrength | None:
         """Return what the leader knows of the core's members; None at all other nodes."""
-        if self.member is None or self.member.leadership is None:
-            return None
-        return self.member.leadership.strength(now)
+        return self.member.core_strength(now) if self.member is not None else None
 
     def change_seeds(self, seeds: list[str]) -> None:
         """Take over the addresses that are asked first."""
--- a/rampfront/node/metrics_page.py
+++ b/rampfront/node/metrics_page.py
@@ -9,7 +9,7 @@
 
 from typing import TYPE_CHECKING
 
-from ..consensus.membership_change import LEARNER, LEAVING, REPLACED, SILENT
+from ..consensus.core_strength import MemberCondition
 from ..net.http_messages import Response
 from ..net.http_routing import endpoint
 from ..net.latency_histogram import BUCKET_BOUNDS_NS
@@ -125,11 +125,14 @@
     strength = node.core.strength(now)
     if strength is None:
         return
-    states = [row.state for row in strength.members]
+    conditions = [row.condition for row in strength.members]
     yield "core_members_target", strength.wanted
-    yield "core_members_silent", sum(state in (SILENT, REPLACED) for state in states)
-    yield "core_members_leaving", states.count(LEAVING)
-    yield "core_learners", states.count(LEARNER)
+    yield (
+        "core_members_silent",
+        sum(condition in (MemberCondition.SILENT, MemberCondition.REPLACED) for condition in conditions),
+    )
+    yield "core_members_leaving", conditions.count(MemberCondition.LEAVING)
+    yield "core_learners", conditions.count(MemberCondition.LEARNER)
     yield "core_full_strength", strength.full_for is not None
     yield "core_full_strength_seconds", (strength.full_for or 0) / SEC
 
--- a/rampfront/node/order_messages.py
+++ b/rampfront/node/order_messages.py
@@ -13,7 +13,7 @@
 from typing import Any, NamedTuple, Self, TypeAlias
 
 from ..consensus.events import OrderKind, Outcome
-from ..consensus.state import MOST_BODY, MOST_ZONE, State, decode_state
+from ..consensus.state import MAX_BODY_BYTES, MAX_ZONE_LETTERS, State, decode_state
 
 # Keys of the frames, as they stand on the wire.
 FRAME_KIND = "k"
@@ -142,13 +142,13 @@
     revision, compressed = body
     if type(revision) is not int or not 0 < revision < LARGEST_NUMBER:
         raise MalformedMessageError("order: revision")
-    if type(compressed) is not bytes or len(compressed) > MOST_BODY:
+    if type(compressed) is not bytes or len(compressed) > MAX_BODY_BYTES:
         raise MalformedMessageError("order: bytes of the configuration")
     return revision, compressed
 
 
 def _check_zone(body: object) -> str:
-    if type(body) is not str or not 0 < len(body) <= MOST_ZONE:
+    if type(body) is not str or not 0 < len(body) <= MAX_ZONE_LETTERS:
         raise MalformedMessageError("order: zone")
     return body
 
--- a/rampfront/node/ports.py
+++ b/rampfront/node/ports.py
@@ -9,7 +9,7 @@
 from concurrent.futures import ThreadPoolExecutor
 from typing import Any, NamedTuple
 
-from ..consensus.storage import RecordStore
+from ..consensus.record_store import RecordStore
 from ..membership.endpoint_list_poller import Poller
 from ..net.desk import Clock
 from ..proxy.request_proxy import RequestProxy
--- a/rampfront/node/status_views.py
+++ b/rampfront/node/status_views.py
@@ -99,7 +99,7 @@
         return {
             "Wanted": strength.wanted,
             "FullMs": None if strength.full_for is None else strength.full_for // MS,
-            "Members": [{"Name": row.name, "Ip": row.ip, "State": row.state} for row in strength.members],
+            "Members": [{"Name": row.name, "Ip": row.ip, "State": row.condition} for row in strength.members],
         }
 
     def _lease_fields(self, now: int) -> dict[str, Any]:
--- a/rampfront/operator_cli/survey.py
+++ b/rampfront/operator_cli/survey.py
@@ -7,7 +7,7 @@
 
 from result import Ok
 
-from ..consensus.membership_change import VOTER
+from ..consensus.core_strength import MemberCondition
 from .control_client import RPC, place
 from .spelling import spell, table, yes
 
@@ -149,9 +149,9 @@
     lines = [
         f"{row['Name']} ({row['Ip']}) of the core is {row['State']}"
         for row in core["Members"]
-        if row["State"] != VOTER and row["Name"] not in lost
+        if row["State"] != MemberCondition.VOTER and row["Name"] not in lost
     ]
-    voters = sum(row["State"] == VOTER for row in core["Members"])
+    voters = sum(row["State"] == MemberCondition.VOTER for row in core["Members"])
     if core["FullMs"] is None:
         lines.append(f"the core is not at full strength: {voters} of {core['Wanted']} members that are wanted vote")
     return lines
--- a/rampfront/simulation/checks.py
+++ b/rampfront/simulation/checks.py
@@ -4,7 +4,7 @@
 import zlib
 from bisect import bisect_left
 
-from ..consensus.versions import MOST_VERSIONS
+from ..consensus.version_history import MAX_VERSIONS
 
 
 class Broken(AssertionError):
@@ -82,7 +82,7 @@
 
     def confirm(self, number, said, versions):
         """One content a number, but for what a full history has no room for."""
-        if len(versions.rows) >= MOST_VERSIONS and versions.digest_of(number) is None:
+        if len(versions.rows) >= MAX_VERSIONS and versions.digest_of(number) is None:
             return
         if self.confirmed.setdefault(number, said) != said:
             raise Broken(f"two bodies of r{number} acknowledged")
--- a/rampfront/simulation/rules.py
+++ b/rampfront/simulation/rules.py
@@ -85,7 +85,7 @@
         if revision < machine.revision:
             raise Broken(f"{machine.name} goes back from r{machine.revision} to r{revision}")
         machine.revision = revision
-        if machine.core_member and machine.core_member.leadership is not None and state.index not in self.founded:
+        if machine.core_member and machine.core_member.is_leader and state.index not in self.founded:
             self.founded.add(state.index)
             self.counted(machine, state)
 
@@ -99,14 +99,14 @@
         core_member = node_process.core.member
         if core_member is None:
             return
-        if core_member.leadership is not None:
+        if core_member.is_leader:
             if not machine.leads:
                 self.ledger.led(machine, core_member.term)
                 self.fleet.count("leaders")
             at = core_member.quorum_confirmed_at
             if at is not None:
                 self.ledger.backed(machine, at - machine.offset)
-        machine.leads = core_member.leadership is not None
+        machine.leads = core_member.is_leader
 
     def word(self):
         """The claim on which every lease rests: what was acknowledged before the word's time is held. Looked at often."""
--- a/rampfront/simulation/world.py
+++ b/rampfront/simulation/world.py
@@ -8,7 +8,8 @@
 
 import cbor2
 
-from rampfront.consensus import events
+from rampfront.consensus import codec, events
+from rampfront.consensus.context import MemberSettings
 from rampfront.consensus.events import OrderKind, Outcome
 from rampfront.consensus.member import Member
 from rampfront.transport.frames import MAX_DATAGRAM_BYTES
@@ -197,17 +198,10 @@
         node.offset = self.chance.randrange(SEC)
         draw = (Alike if self.alike else Random)(self.chance.getrandbits(64))
         draw.world = self
-        node.core_member = Member(
-            node.name,
-            node.ip,
-            node.seeds or self.seeds,
-            True,
-            first,
-            node.disk.record,
-            draw,
-            self.survive,
-            self.now + node.offset,
+        settings = MemberSettings(
+            node.name, node.ip, node.seeds or self.seeds, is_first_start=first, survive=self.survive
         )
+        node.core_member = Member(settings, node.disk.record, draw, self.now + node.offset)
         if first and node.core_member.entry is not None:
             self.ledger.founders.add(node.name)
             if len(self.ledger.founders) > 1:
@@ -308,7 +302,7 @@
                 self.told(node, effect)
                 if node.core_member is not core_member:
                     return  # an acknowledgement may be followed by a blow at once
-        if core_member.leadership is not None:
+        if core_member.is_leader:
             if not node.leads:
                 self.ledger.led(node, core_member.term)
                 self.count("leaders")
@@ -323,7 +317,7 @@
 
     def send(self, node, ip, message):
         chance = self.chance
-        if self.on_vote is not None and message["k"] == "aye":
+        if self.on_vote is not None and message[codec.KIND] == codec.VOTE_GRANTED:
             self.on_vote(node)
         peer = self.by_ip.get(ip)
         if peer is None or (node.ip, ip) in self.cuts or chance.random() < self.loss:
--- a/tests/pins/adapter.py
+++ b/tests/pins/adapter.py
@@ -15,9 +15,10 @@
 
 import cbor2
 
-from rampfront.consensus import validation
+from rampfront.consensus import codec
+from rampfront.consensus.context import MemberSettings
 from rampfront.consensus.member import Member
-from rampfront.consensus.storage import RecordStore
+from rampfront.consensus.record_store import RecordStore
 from rampfront.net.http_routing import RoutingTable
 from rampfront.node.endpoints import ReadyCheck, control, directory
 from rampfront.node.order_messages import OrderReply, OrderRequest
@@ -112,8 +113,7 @@
     plain = cbor2.loads(data)
     kind = plain["k"]
     if kind in CORE_KINDS:
-        validation.check(plain)
-        return cbor2.dumps(plain)
+        return cbor2.dumps(codec.encode(codec.decode(plain)))
     if kind == "order":
         return cbor2.dumps(OrderRequest.decode(plain).encode())
     if kind == "said":
@@ -127,7 +127,8 @@
 
 def record_again(record: bytes, name: str) -> bytes:
     """Reads a member's record as its process does at a start, and writes the record of what was read."""
-    return Member(name, "10.0.0.1", ["10.0.0.1"], True, False, record, Random(1), 1, 0).record()
+    settings = MemberSettings(name, "10.0.0.1", ["10.0.0.1"], survive=1)
+    return Member(settings, record, Random(1), 0).persistent.encode()
 
 
 def load_folder(folder: Path) -> bytes | None:
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -11,12 +11,13 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, rule
 
 from rampfront.consensus import events
+from rampfront.consensus.codec import decode
+from rampfront.consensus.context import MemberSettings
 from rampfront.consensus.errors import RemoteProtocolError
 from rampfront.consensus.events import OrderKind, Outcome
 from rampfront.consensus.member import Member
+from rampfront.consensus.record_store import Files, RecordStore
 from rampfront.consensus.state import State, decode_state, digest
-from rampfront.consensus.storage import Files, RecordStore
-from rampfront.consensus.validation import check
 from rampfront.simulation.schedule import Run
 from rampfront.simulation.world import MS, SEC, World
 
@@ -157,7 +158,7 @@
     core = Core()
     voter = core.others(core.leader)[0]
     voter.disk.full = True
-    voter.core_member.leader_ip = None
+    voter.core_member.discovery.forget_leader()
     entry = voter.core_member.entry
     told = events.MessageReceived(
         "10.0.0.9",
@@ -503,7 +504,7 @@
     knock = {"k": "knock", "n": leader.name, "i": 77, "x": 0}
     for _ in range(20):
         core.tell(other, events.MessageReceived(leader.ip, knock)), core.go(100 * MS)
-    assert other.core_member.widow is None and core.leader is leader
+    assert other.core_member.electorate.sole_survivor_of is None and core.leader is leader
     core.stop(leader)
     core.go(2 * SEC)
     core.tell(other, events.MessageReceived(leader.ip, knock))
@@ -515,7 +516,7 @@
     core.go(2 * SEC)
     core.start(lost)
     core.go(5 * SEC)
-    assert not core.leaders and left.core_member.widow is None
+    assert not core.leaders and left.core_member.electorate.sole_survivor_of is None
 
 
 def test_all_killed_at_once_one_of_them_without_its_disk():
@@ -548,7 +549,8 @@
 
 def test_one_without_a_disk_finds_the_leader_and_passes_on():
     core = Core()
-    core_member = Member("front-9", "10.0.0.9", core.seeds, False, True, None, random.Random(1), 1, 0)
+    settings = MemberSettings("front-9", "10.0.0.9", core.seeds, has_disk=False, is_first_start=True, survive=1)
+    core_member = Member(settings, None, random.Random(1), 0)
     seeks = [each for each in core_member.take(SEC, events.Tick()) if type(each) is events.SendMessage]
     assert {each.ip for each in seeks} == set(core.seeds)
     for each in seeks:
@@ -601,7 +603,7 @@
 )
 def test_odd_messages_stop_at_the_door(message):
     with pytest.raises(RemoteProtocolError):
-        check(message)
+        decode(message)
 
 
 def test_an_odd_entry_stops_at_the_door():
--- a/tests/test_deltas.py
+++ b/tests/test_deltas.py
@@ -12,7 +12,7 @@
 from hypothesis.stateful import rule as step
 from proxy_fixtures import SEC, Nodes, heartbeat_frame, orders, response_frame, rule
 
-from rampfront.consensus.body_history import patched, pieces
+from rampfront.consensus.body_history import apply_delta, make_delta
 from rampfront.consensus.state import State, digest
 from rampfront.membership import endpoint_codec
 from rampfront.membership.deltas import DeltaHistory, DeltaMismatchError, StateHistory
@@ -41,7 +41,7 @@
 @given(PARTS, PARTS)
 def test_pieces_make_the_text(old, new):
     old, new = b"{".join(old), b"{".join(new)
-    assert patched(old, pieces(old, new)) == new
+    assert apply_delta(old, make_delta(old, new)) == new
 
 
 def test_a_body_comes_out_byte_for_byte():
@@ -75,9 +75,9 @@
     assert gap.value.corrupt
     for odd in ([[0, 99]], [[-1, 1]], [["0", 1]], [[0, 0]], [5], [[True, 1]]):
         with pytest.raises((ValueError, TypeError)):
-            patched(b"a{b", odd)
+            apply_delta(b"a{b", odd)
     with pytest.raises(ValueError):
-        patched(b"a" * (1 << 20) + b"{b", [[0, 1]] * 100)
+        apply_delta(b"a" * (1 << 20) + b"{b", [[0, 1]] * 100)
 
 
 def server(k, port=80, cold=0):
--- a/tests/test_hardening_calls.py
+++ b/tests/test_hardening_calls.py
@@ -15,8 +15,8 @@
 from proxy_fixtures import EPOCH, MS, SEC, Nodes, Quay, Silent, orders, rule, settings
 
 from rampfront.consensus import events
+from rampfront.consensus.election import Role
 from rampfront.consensus.events import OrderKind, Outcome
-from rampfront.consensus.member import ASKING, RUNNING
 from rampfront.consensus.state import State, digest
 from rampfront.membership.leadership import CoreStatus
 from rampfront.membership.server_health import UNHEALTHY
@@ -603,34 +603,34 @@
     core = consensus.Core()
     leader = core.leader.core_member
     core.cut([core.leader], core.others(core.leader))
-    (key, peer), *_ = leader.leadership.peers.items()
-    odd, proper = odd_answers(leader, *key, k="ack", s=leader.leadership.round, e=[99, 99], d=b"")
+    (key, peer), *_ = leader.leadership.replication.replicas.items()
+    odd, proper = odd_answers(leader, *key, k="ack", s=leader.leadership.rounds.current, e=[99, 99], d=b"")
     odd["round"] = {**proper, "s": proper["s"] + 1}
-    held = peer.round, peer.have
+    held = peer.acknowledged_round, peer.match_position
     for what, message in odd.items():
-        leader.take(leader.now, events.MessageReceived(peer.ip, message))
-        assert (peer.round, peer.have) == held, what
-    leader.take(leader.now, events.MessageReceived(peer.ip, proper))
-    assert peer.have == (99, 99)
+        leader.take(leader.context.now, events.MessageReceived(peer.ip, message))
+        assert (peer.acknowledged_round, peer.match_position) == held, what
+    leader.take(leader.context.now, events.MessageReceived(peer.ip, proper))
+    assert peer.match_position == (99, 99)
 
 
-@pytest.mark.parametrize(("kind", "role", "ahead"), [("may", ASKING, 1), ("aye", RUNNING, 0)])
+@pytest.mark.parametrize(("kind", "role", "ahead"), [("may", Role.PRE_CANDIDATE, 1), ("aye", Role.CANDIDATE, 0)])
 def test_votes_count_for_their_term_and_candidate(kind, role, ahead):
     """One for another term, or for one that lost its disk, is none; one of a stranger makes no majority."""
     core = consensus.Core(members=6)
     member = core.others(core.leader)[0].core_member
-    others = [(name, inc) for name, (_, inc) in member.entry.members.items() if name != member.me]
-    member.role, member.votes = role, {(member.me, member.incarnation)}
+    others = [(name, inc) for name, (_, inc) in member.entry.members.items() if name != member.name]
+    member.election.role, member.election.votes = role, {(member.name, member.incarnation)}
     for name, incarnation in others:
         odd, proper = odd_answers(member, name, incarnation, k=kind)
         for message in odd.values():
-            member.take(member.now, events.MessageReceived("10.0.0.9", {**message, "t": message["t"] + ahead}))
-    assert member.role == role and not {(name, inc) for name, inc in member.votes} & set(others)
+            member.take(member.context.now, events.MessageReceived("10.0.0.9", {**message, "t": message["t"] + ahead}))
+    assert member.election.role == role and not {(name, inc) for name, inc in member.election.votes} & set(others)
     for name, incarnation in others[:3]:
-        assert member.role == role
+        assert member.election.role == role
         _, proper = odd_answers(member, name, incarnation, k=kind)
-        member.take(member.now, events.MessageReceived("10.0.0.9", {**proper, "t": proper["t"] + ahead}))
-    assert member.role != role
+        member.take(member.context.now, events.MessageReceived("10.0.0.9", {**proper, "t": proper["t"] + ahead}))
+    assert member.election.role != role
 
 
 def test_a_process_that_ends_answers_its_calls():
--- a/tests/test_hardening_catch_up.py
+++ b/tests/test_hardening_catch_up.py
@@ -10,9 +10,12 @@
 from proxy_fixtures import Nodes, heartbeat_frame
 
 from rampfront.consensus import events
-from rampfront.consensus.errors import RemoteProtocolError
+from rampfront.consensus.codec import encode
+from rampfront.consensus.context import MemberSettings
+from rampfront.consensus.errors import RecordError, RemoteProtocolError
 from rampfront.consensus.events import OrderKind
 from rampfront.consensus.member import Member
+from rampfront.consensus.messages import AppendEntry, VoteRequest
 from rampfront.membership.roster import RosterEntry
 from rampfront.membership.transfer_budget import FULL_TRANSFER_NS_PER_BYTE, FULL_TRANSFER_TIMEOUT_NS
 from rampfront.simulation.bandwidth import Bandwidth
@@ -157,13 +160,13 @@
     """A member that lost what the difference rests on, or comes out elsewhere, takes nothing, and gets the whole."""
     core = Storm(50)
     node = core.follower()
-    node.core_member.bodies.kept.clear()
-    node.core_member.entry = node.core_member.safe.entry
+    node.core_member.persistent.bodies.by_digest.clear()
+    node.core_member.persistent.entry = node.core_member.persistent.durable.entry
     core.change()
     core.go(SEC)
     assert core.held(node) == core.rev
     rev = core.rev
-    kept = node.core_member.bodies.kept
+    kept = node.core_member.persistent.bodies.by_digest
     for mark, held in list(kept.items()):
         kept[mark] = zlib.compress(zlib.decompress(held).replace(b"3000ms", b"9999ms"))
     core.change()
@@ -181,7 +184,8 @@
     member, entry = node.core_member, node.core_member.entry
     row = led.core_member.entry.next_entry(body=b"other").encode(include_body=False)
     row[3] = odd if odd is not None else [entry.body_digest, [[0, 10**6]]]
-    message = led.core_member.signed("full", member.incarnation, s=1, c=0, x=row)
+    leader = led.core_member
+    message = encode(AppendEntry(leader.persistent.key, member.incarnation, leader.term, 1, 0, row))
     with pytest.raises(RemoteProtocolError):
         member.take(core.now + node.offset, events.MessageReceived(led.ip, message))
     assert member.entry is entry
@@ -193,8 +197,10 @@
     node, led = core.follower(), core.leader
     node.disk.wait = 400 * MS
     core.storm(30)
-    peer = next(peer for (name, _), peer in led.core_member.leadership.peers.items() if name == node.name)
-    assert peer.have == node.core_member.safe.entry.position
+    peer = next(
+        peer for (name, _), peer in led.core_member.leadership.replication.replicas.items() if name == node.name
+    )
+    assert peer.match_position == node.core_member.persistent.durable.entry.position
     node.disk.wait = node.disk.usual
     core.go(SEC)
     assert core.held(node) == core.rev
@@ -210,11 +216,11 @@
     core.go(20 * MS)
     told = []
     core.send = lambda node, ip, message: told.append(message)
-    stamp = node.core_member.under_way.entry.position
-    core.stored(node, node.life, node.disk, node.core_member.under_way.version)
+    stamp = node.core_member.persistent.in_flight.entry.position
+    core.stored(node, node.life, node.disk, node.core_member.persistent.in_flight.version)
     assert [tuple(m["e"]) for m in told if m["k"] == "ack"] == []
     node.disk.hangs = False
-    core.stored(node, node.life, node.disk, node.core_member.under_way.version)
+    core.stored(node, node.life, node.disk, node.core_member.persistent.in_flight.version)
     assert [tuple(m["e"]) for m in told if m["k"] == "ack"] == [stamp] and node.core_member.entry.position > stamp
 
 
@@ -223,14 +229,14 @@
     core = Storm(400)
     node = core.follower()
     node.disk.full = True
-    before = node.core_member.safe.entry
+    before = node.core_member.persistent.durable.entry
     core.storm(50)
-    assert node.core_member.safe.entry is before
+    assert node.core_member.persistent.durable.entry is before
     node.disk.full = False
     core.storm(10)
     assert core.rev - core.held(node) <= 1
     core.go(SEC)
-    assert node.core_member.safe.entry.revision == core.rev
+    assert node.core_member.persistent.durable.entry.revision == core.rev
 
 
 @pytest.mark.parametrize("seed", range(3))
@@ -247,7 +253,7 @@
         assert held >= stamp
         core.change()
         core.go(core.chance.randrange(10, 400) * MS)
-        stamp = node.core_member.safe.entry.position
+        stamp = node.core_member.persistent.durable.entry.position
         core.stop(node)
         core.go(50 * MS)
     seconds, came = core.catch_up(node)
@@ -271,12 +277,13 @@
     send = core.send
     core.send = lambda sender, ip, message: (told.append((sender, message)), send(sender, ip, message))
     core.go(200 * MS)
-    node.core_member.ask()
+    node.core_member.election.start_pre_vote()
     for other in up:
-        message = node.core_member.signed(
-            "run", other.core_member.incarnation, e=tuple(node.core_member.entry.position)
+        member = node.core_member
+        request = VoteRequest(
+            member.persistent.key, other.core_member.incarnation, member.term + 50, member.entry.position
         )
-        core.tell(other, events.MessageReceived(node.ip, {**message, "t": node.core_member.term + 50}))
+        core.tell(other, events.MessageReceived(node.ip, encode(request)))
     core.go(3 * SEC)
     assert not [
         m for sender, m in told if m["k"] in ("may", "aye") and m["i"] and m["j"] == node.core_member.incarnation
@@ -305,21 +312,21 @@
         return [
             (
                 member.term,
-                member.vote,
+                member.persistent.vote,
                 member.leader_ip,
-                member.role,
+                member.election.role,
                 member.is_leader,
                 member.entry.position,
                 member.committed.position,
-                member.safe.entry.position,
+                member.persistent.durable.entry.position,
             )
             for member in (node.core_member for node in core.nodes)
         ]
 
-    before, confirmed = standing(), core.leader.core_member.leadership.confirmed
+    before, confirmed = standing(), core.leader.core_member.leadership.rounds.confirmed
     for src, dst, message in stale:
         core.tell(core.by_ip[dst], events.MessageReceived(src, message))
-    assert standing() == before and core.leader.core_member.leadership.confirmed == confirmed
+    assert standing() == before and core.leader.core_member.leadership.rounds.confirmed == confirmed
     core.go(2 * SEC)
     assert [row[:1] for row in standing()] == [row[:1] for row in before] and core.held(old) == core.rev
 
@@ -331,11 +338,12 @@
     record = other.disk.record
     core.stop(node)
     node.disk.record = record
-    with pytest.raises(RemoteProtocolError, match=other.name):
+    with pytest.raises(RecordError, match=other.name):
         core.start(node)
     assert node.disk.record == record
     rows = cbor2.loads(record)[:8]
-    member = Member(other.name, other.ip, core.seeds, True, False, cbor2.dumps(rows), Random(1), 1, 0)
+    settings = MemberSettings(other.name, other.ip, core.seeds, survive=1)
+    member = Member(settings, cbor2.dumps(rows), Random(1), 0)
     assert member.entry.position == other.core_member.entry.position
 
 
@@ -346,7 +354,7 @@
     node = core.follower()
     core.stop(node)
     node.disk.record = node.disk.record[:cut]
-    with pytest.raises(RemoteProtocolError):
+    with pytest.raises(RecordError):
         core.start(node)
 
 
--- a/tests/test_hardening_isolation.py
+++ b/tests/test_hardening_isolation.py
@@ -11,7 +11,7 @@
 from result import Ok
 
 from rampfront.consensus.events import OrderEnded, OrderKind, Outcome
-from rampfront.consensus.leader import Leadership
+from rampfront.consensus.leader import Leader
 from rampfront.consensus.state import State
 from rampfront.node import control_calls, order_submitter
 from rampfront.node.metrics_page import gauges
@@ -247,21 +247,21 @@
 
 def answered_at_once(leadership, order, told):
     """A read answered by what the leader holds, without a round behind it."""
-    if told.kind == OrderKind.READ and leadership.core_member.committed is not None:
-        leadership.core_member.effects.append(OrderEnded(told.ref, Outcome.DONE, leadership.core_member.committed))
+    if told.kind == OrderKind.READ and leadership.persistent.committed is not None:
+        leadership.context.emit(OrderEnded(told.ref, Outcome.DONE, leadership.persistent.committed))
     else:
         order(leadership, told)
 
 
 def test_a_read_without_a_round_is_found(monkeypatch):
-    order = Leadership.order
-    monkeypatch.setattr(Leadership, "order", lambda leadership, told: answered_at_once(leadership, order, told))
+    order = Leader.submit
+    monkeypatch.setattr(Leader, "submit", lambda leadership, told: answered_at_once(leadership, order, told))
     with pytest.raises(Broken, match="read is confirmed by n1, cut off|was acknowledged before it"):
         test_cut_off_for_twenty_seconds("leader", "both")
 
 
 def test_a_leader_that_never_steps_down_is_found(monkeypatch):
-    monkeypatch.setattr(Leadership, "lost", lambda leadership, now: False)
+    monkeypatch.setattr(Leader, "is_expired", lambda leadership, now: False)
     with pytest.raises(Broken, match=r"n1 knows \d fronts"):
         test_cut_off_for_twenty_seconds("leader", "both")
 
--- a/tests/test_hardening_numbers.py
+++ b/tests/test_hardening_numbers.py
@@ -10,9 +10,13 @@
 from test_consensus import Core, done
 
 from rampfront.consensus import evacuations as e
-from rampfront.consensus import versions as v
+from rampfront.consensus import version_history as v
+from rampfront.consensus.entry_receiver import received_entry
 from rampfront.consensus.errors import RemoteProtocolError
 from rampfront.consensus.events import OrderKind, Outcome
+from rampfront.consensus.identifiers import NO_POSITION, LogPosition, MemberKey
+from rampfront.consensus.messages import AppendEntry
+from rampfront.consensus.persistent_state import PersistentState
 from rampfront.consensus.state import State, digest
 from rampfront.node.control_calls import Control
 from rampfront.node.open_order import OpenOrder
@@ -133,7 +137,7 @@
     heir = core.others(lost)[0]
     core.cut([lost], [node for node in core.others(lost) if node is not heir])
     first = core.config(5, lost)
-    until(core, lambda: heir.core_member.safe.entry.revision == 5)  # on two disks of four
+    until(core, lambda: heir.core_member.persistent.durable.entry.revision == 5)  # on two disks of four
     core.stop(lost)
     core.heal()
     assert first.verdict is None
@@ -168,7 +172,7 @@
 
 def test_a_storm_of_numbers_stays_known_down_to_the_bound() -> None:
     core = Core()
-    newest = v.MOST_VERSIONS + 20
+    newest = v.MAX_VERSIONS + 20
     for number in range(1, newest + 1):
         core.config(number)
         core.go(40 * MS)
@@ -189,7 +193,7 @@
         Outcome.DONE,
         Outcome.DONE,
     ]
-    assert {node.core_member.committed.versions.mark() for node in core.nodes} == {history.mark()}
+    assert {node.core_member.committed.versions.checksum() for node in core.nodes} == {history.checksum()}
 
 
 # The history.
@@ -197,26 +201,26 @@
 
 def test_bounds_of_the_history() -> None:
     history = v.VersionHistory()
-    for number in range(2, 2 * v.MOST_VERSIONS + 2, 2):
+    for number in range(2, 2 * v.MAX_VERSIONS + 2, 2):
         history = history.with_version(number, bytes(8))
     assert history.with_version(1, bytes(8)) is history and history.with_version(4, b"another.") is history
     fuller = history.with_version(5, bytes(8))
-    assert fuller.digest_of(2) is None and fuller.digest_of(5) == bytes(8) and len(fuller.rows) == v.MOST_VERSIONS
+    assert fuller.digest_of(2) is None and fuller.digest_of(5) == bytes(8) and len(fuller.rows) == v.MAX_VERSIONS
     assert fuller.denies(4, b"another.") and not fuller.denies(4, bytes(8)) and not fuller.denies(3, bytes(8))
-    assert v.unpacked(fuller.packed()).rows == fuller.rows
+    assert v.decode_history(fuller.encode()).rows == fuller.rows
 
 
 def test_a_difference_holds_the_new_rows_alone_and_comes_out_alike() -> None:
     old = v.VersionHistory()
-    for number in range(1, v.MOST_VERSIONS + 1):
+    for number in range(1, v.MAX_VERSIONS + 1):
         old = old.with_version(number, bytes(8))
     new = old.with_version(900, bytes(8)).with_version(901, bytes(8))
-    told = cbor2.loads(cbor2.dumps(new.difference(old, (3, 7))))
+    told = cbor2.loads(cbor2.dumps(new.delta_from(old, LogPosition(3, 7)).encode()))
     assert len(told[1]) == 2 * v.ROW.size
-    assert v.joined(told, {(3, 7): old}).rows == new.rows
-    assert v.joined(told, {(3, 6): old}) is None  # rests on what is not held
-    assert v.joined(told, {(3, 7): v.VersionHistory()}) is None  # comes out as something else
-    assert v.joined(new.difference(v.VersionHistory(), v.NOTHING), {}).rows == new.rows
+    assert v.apply_delta(told, {(3, 7): old}).rows == new.rows
+    assert v.apply_delta(told, {(3, 6): old}) is None  # rests on what is not held
+    assert v.apply_delta(told, {(3, 7): v.VersionHistory()}) is None  # comes out as something else
+    assert v.apply_delta(new.delta_from(v.VersionHistory(), NO_POSITION).encode(), {}).rows == new.rows
 
 
 ROW = v.ROW.pack(5, bytes(8))
@@ -237,12 +241,12 @@
         [[0, 0], v.ROW.pack(6, bytes(8)) + ROW, b""],
         [[0, 0], v.ROW.pack(0, bytes(8)), b""],
         [[0, 0], v.ROW.pack(1 << 53, bytes(8)), b""],
-        [[0, 0], bytes(v.ROW.size * (v.MOST_VERSIONS + 1)), b""],
+        [[0, 0], bytes(v.ROW.size * (v.MAX_VERSIONS + 1)), b""],
     ],
 )
 def test_odd_differences_stop_at_the_door(odd: object) -> None:
     with pytest.raises(RemoteProtocolError):
-        v.joined(odd, {})
+        v.apply_delta(odd, {})
 
 
 def test_contents_that_are_no_json_differ_by_their_bytes() -> None:
@@ -280,7 +284,7 @@
     core.wipe(lost)
     core.start(lost)
     core.go(4 * SEC)
-    assert lost.core_member.committed.versions.mark() == core.leader.core_member.committed.versions.mark()
+    assert lost.core_member.committed.versions.checksum() == core.leader.core_member.committed.versions.checksum()
 
 
 # Evacuations.
@@ -391,7 +395,7 @@
     heir = core.others(lost)[0]
     core.cut([lost], [node for node in core.others(lost) if node is not heir])
     first = core.ask(lost, OrderKind.EVACUATE, "hall")
-    until(core, lambda: "hall" in heir.core_member.safe.entry.evacuated_zones)
+    until(core, lambda: "hall" in heir.core_member.persistent.durable.entry.evacuated_zones)
     core.stop(lost)
     core.heal()
     assert first.verdict is None
@@ -407,10 +411,10 @@
         {"hall": e.Evacuation(2)},
         {"hall": e.Evacuation(0, True, True), "cellar": e.Evacuation(1, True)},
     ):
-        assert e.from_plain(cbor2.loads(cbor2.dumps(e.plain(counted))), zones) == counted
+        assert e.decode_evacuations(cbor2.loads(cbor2.dumps(e.encode_evacuations(counted))), zones) == counted
     # A record of before: a zone once for each operator.
-    assert e.from_plain(["cellar", "hall", "hall"], zones) == {"hall": e.Evacuation(2)}
-    assert e.from_plain(["hall"] * 20, zones) == {"hall": e.Evacuation(e.MOST_OPERATORS)}
+    assert e.decode_evacuations(["cellar", "hall", "hall"], zones) == {"hall": e.Evacuation(2)}
+    assert e.decode_evacuations(["hall"] * 20, zones) == {"hall": e.Evacuation(e.MAX_OPERATORS)}
 
 
 @pytest.mark.parametrize(
@@ -431,16 +435,16 @@
 )
 def test_odd_evacuations_stop_at_the_door(odd: object) -> None:
     with pytest.raises(RemoteProtocolError):
-        e.from_plain(odd, frozenset({"hall"}))
+        e.decode_evacuations(odd, frozenset({"hall"}))
 
 
 def test_the_operators_that_are_counted_are_bounded() -> None:
     zones, known = frozenset(), {}
     for _ in range(20):
-        zones, known = e.emptied(zones, known, "hall", False)
-    assert known == {"hall": e.Evacuation(e.MOST_OPERATORS)}
-    for _ in range(e.MOST_OPERATORS):
-        zones, known = e.taken_back(zones, known, "hall", False)
+        zones, known = e.evacuate(zones, known, "hall", False)
+    assert known == {"hall": e.Evacuation(e.MAX_OPERATORS)}
+    for _ in range(e.MAX_OPERATORS):
+        zones, known = e.restore(zones, known, "hall", False)
     assert not zones and not known
 
 
@@ -452,11 +456,12 @@
     core = Core(1)
     core.config(5, body=packed(5)), core.go(SEC)
     (node,) = core.nodes
-    record = cbor2.loads(node.core_member.record())
+    record = cbor2.loads(node.core_member.persistent.encode())
     record[5] = [*record[5][:8], []][:width]
-    node.core_member.recall(cbor2.dumps(record[:7]))
-    assert node.core_member.entry.revision == 5 and node.core_member.entry.body == packed(5)
-    assert node.core_member.entry.versions.rows == ((5, v.content_digest(packed(5))),)
+    member = node.core_member
+    found = PersistentState(member.context, cbor2.dumps(record[:7])).entry
+    assert found.revision == 5 and found.body == packed(5)
+    assert found.versions.rows == ((5, v.content_digest(packed(5))),)
 
 
 def test_an_entry_of_a_leader_of_before_loses_no_history() -> None:
@@ -464,7 +469,8 @@
     core.config(5), core.go(SEC)
     member = core.others(core.leader)[0].core_member
     state = member.entry.next_entry(revision=9, body=b"nine")
-    received = member.received({"x": State.encode(state)})
+    message = AppendEntry(MemberKey("x", 1), member.incarnation, state.term, 1, 0, state.encode())
+    received = received_entry(member.persistent, message)
     assert [number for number, _ in received.versions.rows] == [5, 9]
 
 
--- a/tests/test_hardening_replacement.py
+++ b/tests/test_hardening_replacement.py
@@ -6,12 +6,14 @@
 from test_consensus import Core, done
 
 from rampfront.consensus import events
+from rampfront.consensus.codec import decode
+from rampfront.consensus.core_strength import MemberCondition
 from rampfront.consensus.errors import RemoteProtocolError
 from rampfront.consensus.events import OrderKind, Outcome
-from rampfront.consensus.leader import Peer
-from rampfront.consensus.membership_change import LEARNER, REPLACED, SILENT, UNHEARD, VOTER, MembershipChange
+from rampfront.consensus.identifiers import MemberAddress, MemberKey
+from rampfront.consensus.membership_change import UNANSWERED_NS, MembershipChange
+from rampfront.consensus.replica_progress import ReplicaProgress
 from rampfront.consensus.state import State, decode_state
-from rampfront.consensus.validation import check
 from rampfront.simulation.world import MS, SEC, Node
 
 CATCH_UP = 4 * SEC  # from the start of a successor, as the smaller deployments have it
@@ -49,7 +51,7 @@
     def strong(self) -> bool:
         """Whether the members are exactly those that run, all at full strength as the leader says."""
         leaders = self.leaders
-        if len(leaders) != 1 or leaders[0].core_member.leadership.full_since is None:
+        if len(leaders) != 1 or leaders[0].core_member.leadership.strength_monitor.full_since is None:
             return False
         return self.members() == {node.name: node.core_member.incarnation for node in self.running()}
 
@@ -201,8 +203,8 @@
     new.disk.hangs = True
     core.go(5 * SEC)
     assert new.name not in core.members() and core.leader.core_member.entry.previous_members is None
-    report = {row.name: row.state for row in core.leader.core_member.leadership.report()}
-    assert report.pop(new.name) == LEARNER and set(report.values()) == {VOTER}
+    report = {row.name: row.condition for row in core.leader.core_member.leadership.member_statuses()}
+    assert report.pop(new.name) == MemberCondition.LEARNER and set(report.values()) == {MemberCondition.VOTER}
     new.disk.hangs = False
     core.go(SEC)
     assert new.name in core.members() and new.core_member.entry.revision == 1
@@ -295,16 +297,18 @@
     """Found by schedules (100161 of 4 members, 200198 of 6): the one that leaves comes back with its disk, the silent
     one does not, and a newcomer lost its disk right behind."""
     now = 10 * SEC
-    members = {name: (f"10.0.0.{at}", at) for at, name in enumerate("abcde", 1)}
-    change = MembershipChange(("a", 1), term=3, survive=1)
-    replicas = {(name, place[1]): Peer(place[0]) for name, place in members.items() if name != "a"}
+    members = {name: MemberAddress(f"10.0.0.{at}", at) for at, name in enumerate("abcde", 1)}
+    change = MembershipChange(MemberKey("a", 1), term=3, survive=1)
+    replicas = {
+        MemberKey(name, place.incarnation): ReplicaProgress(place.ip) for name, place in members.items() if name != "a"
+    }
     for replica in replicas.values():
-        replica.heard_at = now
-    replicas["e", 5].leaving = True
+        replica.last_contact_at = now
+    replicas["e", 5].is_shutting_down = True
     state = State(7, 3, members=members, target_size=4)
-    replicas["d", 4].heard_at = now - UNHEARD - 1
+    replicas["d", 4].last_contact_at = now - UNANSWERED_NS - 1
     assert change.removal(state, replicas, now, 0) is None
-    replicas["d", 4].heard_at = now
+    replicas["d", 4].last_contact_at = now
     step = change.removal(state, replicas, now, 0)
     assert step is not None and step.members.keys() == set("abcd")
 
@@ -382,7 +386,7 @@
     voter.core_member.take(core.now + voter.offset, events.MessageReceived("10.0.0.9", run))
     assert voter.core_member.term == term
     voter.core_member.take(core.now + voter.offset, events.MessageReceived("10.0.0.9", {**run, "h": 1}))
-    assert voter.core_member.term == term + 1 and voter.core_member.vote == ("x", 5)
+    assert voter.core_member.term == term + 1 and voter.core_member.persistent.vote == ("x", 5)
 
 
 def test_a_leader_that_leaves_ends_what_it_began() -> None:
@@ -445,7 +449,7 @@
         core.go(MS)
     core.cut([new], core.others(new))
     core.go(4 * SEC)
-    assert new.name not in core.members() and not new.core_member.belongs()
+    assert new.name not in core.members() and not new.core_member.persistent.is_member()
     core.heal()
     assert core.until_strong() < 2500 * MS
     core.strike(survive, 2)
@@ -474,12 +478,15 @@
     old, out = core.leader, core.others(core.leader)[0]
     before = out.core_member.incarnation
     core.tell(out, events.Shutdown())
-    while out.name in out.core_member.entry.members or out.core_member.safe.entry is not out.core_member.entry:
+    while (
+        out.name in out.core_member.entry.members
+        or out.core_member.persistent.durable.entry is not out.core_member.entry
+    ):
         core.go(MS)
     for node in (old, out):
         core.stop(node)
     core.start(out)
-    out.core_member.stand()
+    out.core_member.election.stand()
     core.tell(out, events.Tick())
     core.go(3 * SEC)
     core.start(old)
@@ -575,22 +582,22 @@
 
 def test_the_leader_tells_the_state_of_each_member_and_since_when_all_is_well() -> None:
     core = site(4, 1)
-    report = core.leader.core_member.leadership.report
-    assert {row.state for row in report()} == {VOTER} and core.strong()
+    report = core.leader.core_member.leadership.member_statuses
+    assert {row.condition for row in report()} == {MemberCondition.VOTER} and core.strong()
     gone = core.others(core.leader)[0]
     core.lose(gone)
     core.go(2 * SEC)
-    assert {row.name: row.state for row in report()}[gone.name] == SILENT
-    assert core.leader.core_member.leadership.full_since is None
+    assert {row.name: row.condition for row in report()}[gone.name] == MemberCondition.SILENT
+    assert core.leader.core_member.leadership.strength_monitor.full_since is None
     core.start(core.newcomer())
     seen = set()
     while not core.strong():
         core.go(5 * MS)
-        seen |= {row.state for row in report() if row.name == gone.name}
-    assert REPLACED in seen
-    since = core.leader.core_member.leadership.full_since
+        seen |= {row.condition for row in report() if row.name == gone.name}
+    assert MemberCondition.REPLACED in seen
+    since = core.leader.core_member.leadership.strength_monitor.full_since
     core.go(SEC)
-    assert core.leader.core_member.leadership.full_since == since
+    assert core.leader.core_member.leadership.strength_monitor.full_since == since
 
 
 def test_the_wanted_size_is_kept_on_disk_and_on_the_wire() -> None:
@@ -606,7 +613,7 @@
 @pytest.mark.parametrize("field, odd", [("f", -1), ("f", "1"), ("z", None), ("h", [1]), ("j", True), ("i", "5")])
 def test_odd_fields_that_may_be_left_out_stop_at_the_door(field: str, odd: object) -> None:
     with pytest.raises(RemoteProtocolError):
-        check({"k": "nay", "t": 1, field: odd})
+        decode({"k": "nay", "t": 1, field: odd})
 
 
 def test_a_core_from_before_learns_its_wanted_size() -> None:
--- a/tests/test_lab_system.py
+++ b/tests/test_lab_system.py
@@ -10,7 +10,7 @@
 from typer.testing import CliRunner
 
 from rampfront.cli import app
-from rampfront.consensus.storage import RecordStore
+from rampfront.consensus.record_store import RecordStore
 from rampfront.lab.boxes import Make, Run, answer_of
 from rampfront.lab.client import DECLINED, ROW, SETTLED
 from rampfront.lab.plan import BadPlan
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -7,9 +7,11 @@
 from test_consensus import Core, done
 
 from rampfront.consensus import events
+from rampfront.consensus.election import Role
 from rampfront.consensus.events import OrderKind, Outcome
-from rampfront.consensus.leader import Leadership
-from rampfront.consensus.versions import VersionHistory
+from rampfront.consensus.leader import Leader
+from rampfront.consensus.order_queue import OrderQueue
+from rampfront.consensus.version_history import VersionHistory
 from rampfront.node.lease import Lease
 from rampfront.simulation.checks import Broken
 from rampfront.simulation.linearizability import Kind, Verdict
@@ -57,18 +59,16 @@
 
 def test_a_read_without_a_round_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
     """A leader that was deposed without hearing of it answers from what it holds."""
-    order = Leadership.order
+    order = Leader.submit
 
-    def at_once(leadership: Leadership, told: events.Order) -> None:
-        if told.kind == OrderKind.READ and leadership.core_member.committed is not None:
-            leadership.core_member.effects.append(
-                events.OrderEnded(told.ref, Outcome.DONE, leadership.core_member.committed)
-            )
+    def at_once(leadership: Leader, told: events.Order) -> None:
+        if told.kind == OrderKind.READ and leadership.persistent.committed is not None:
+            leadership.context.emit(events.OrderEnded(told.ref, Outcome.DONE, leadership.persistent.committed))
         else:
             order(leadership, told)
 
-    monkeypatch.setattr(Leadership, "order", at_once)
-    monkeypatch.setattr(Leadership, "lost", lambda *_: False)
+    monkeypatch.setattr(Leader, "submit", at_once)
+    monkeypatch.setattr(Leader, "is_expired", lambda *_: False)
     core = Core()
     old = core.leader
     core.config(1), core.go(SEC)
@@ -112,7 +112,11 @@
     core.cut([candidate], [old, voter])
     core.start(voter)
     order = None
-    while old.core_member.is_leader and candidate.core_member.role == "running" and not (order and done(order)):
+    while (
+        old.core_member.is_leader
+        and candidate.core_member.election.role is Role.CANDIDATE
+        and not (order and done(order))
+    ):
         core.go(MS)
         if order is None and old.core_member.committed.members[voter.name][1] == voter.incarnation:
             order = core.config(9, old)
@@ -139,12 +143,12 @@
 
 def test_orders_in_doubt_are_not_acknowledged(monkeypatch: pytest.MonkeyPatch) -> None:
     play_plot("doubt", 1)
-    tell = Leadership.tell
+    end = OrderQueue.end
 
-    def certain(leadership: Leadership, order: object, verdict: str) -> None:
-        tell(leadership, order, Outcome.DONE if verdict == Outcome.UNKNOWN else verdict)
+    def certain(queue: OrderQueue, order: object, outcome: Outcome) -> None:
+        end(queue, order, Outcome.DONE if outcome == Outcome.UNKNOWN else outcome)
 
-    monkeypatch.setattr(Leadership, "tell", certain)
+    monkeypatch.setattr(OrderQueue, "end", certain)
     with pytest.raises(Broken, match="acknowledged"):
         for seed in range(1, 4):
             play_plot("doubt", seed)
