--- a/rampfront/node/control_calls.py
+++ b/rampfront/node/control_calls.py
@@ -54,6 +54,7 @@
             return json_response({"Message": message, "Field": ""}, 413)
 
         def on_done(verdict: str | None, state: State | None) -> None:
+            """Answer the caller."""
             if verdict == Outcome.DONE and state is not None:
                 reply(request, json_response({"Revision": f"r{revision}", "Holds": f"r{state.revision}"}))
             elif verdict == Outcome.CONFLICT and state is not None:
@@ -70,6 +71,7 @@
         """Return the configuration in force, confirmed by a majority of the core."""
 
         def on_done(verdict: str | None, state: State | None) -> None:
+            """Answer the caller."""
             if verdict != Outcome.DONE or state is None:
                 reply(request, NO_ANSWER)
             elif not state.revision:
@@ -97,6 +99,7 @@
             return json_response({"Message": f"of: {zone[:MAX_SHOWN_ZONE]!r} is no zone", "Field": "of"}, 400)
 
         def on_done(verdict: str | None, state: State | None) -> None:
+            """Answer the caller."""
             if verdict == Outcome.DONE and state is not None:
                 reply(request, json_response(evacuation_view(zone, state)))
             else:
--- a/rampfront/node/dissemination_adapter.py
+++ b/rampfront/node/dissemination_adapter.py
@@ -9,11 +9,11 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from collections.abc import Iterable
+    from collections.abc import Sequence
 
     from ..membership.deltas import Packed
     from ..membership.dissemination import Disseminator
-    from ..membership.messages import Message
+    from ..transport.frames import Message
     from .context import NodeContext
     from .quota_exchange import QuotaExchange
     from .readiness import Readiness
@@ -66,7 +66,7 @@
         """Send a frame."""
         self._wire.send(ip, message)
 
-    def send_all(self, ips: Iterable[str], message: Message) -> None:
+    def send_all(self, ips: Sequence[str], message: Message) -> None:
         """Send one frame to many."""
         self._wire.send_all(ips, message)
 
--- a/rampfront/node/frame_dispatch.py
+++ b/rampfront/node/frame_dispatch.py
@@ -3,15 +3,15 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import TYPE_CHECKING, Any, TypeAlias
+from typing import TYPE_CHECKING, TypeAlias
 
 from ..membership.messages import KIND
+from ..transport.frames import Message
 
 if TYPE_CHECKING:
     from .core_driver import CoreDriver
 
-Frame: TypeAlias = dict[str, Any]  # a message as the transport carries it
-FrameHandler: TypeAlias = Callable[[str, Frame, int], object]  # (sender's address, frame, now in ns)
+FrameHandler: TypeAlias = Callable[[str, Message, int], object]  # (sender's address, frame, now in ns)
 
 
 class FrameDispatcher:
@@ -28,7 +28,7 @@
         self._core = core
         self._handlers = handlers
 
-    def dispatch(self, ip: str, frame: Frame) -> None:
+    def dispatch(self, ip: str, frame: Message) -> None:
         """Handle a frame of the node at `ip`. Raises ValueError and the like for a frame whose fields aren't valid:
         the wire counts and drops it."""
         now = self._clock()
--- a/rampfront/node/leadership.py
+++ b/rampfront/node/leadership.py
@@ -36,7 +36,9 @@
 
     def update(self, now: int) -> None:
         """Take over the member's role. A leader leads once a majority stands behind it for the first time."""
-        member, disseminator, state = self._core.member, self._disseminator, self._snapshots.state
+        member = self._core.member
+        disseminator = self._disseminator
+        state = self._snapshots.state
         assert member is not None  # who has no member is never told
         led = disseminator.is_leader
         leads = member.is_leader and member.quorum_confirmed_at is not None
--- a/rampfront/node/order_executor.py
+++ b/rampfront/node/order_executor.py
@@ -11,9 +11,9 @@
 
 if TYPE_CHECKING:
     from ..consensus.state import State
+    from ..transport.frames import Message
     from .context import NodeContext
     from .core_driver import CoreDriver
-    from .order_messages import Frame
 
 
 class ReplyReceiver(Protocol):
@@ -39,7 +39,7 @@
         """Name the part that gets replies to this node's own orders. It needs the executor, and so comes second."""
         self._local_replies = local_replies
 
-    def on_request_frame(self, ip: str, frame: Frame, now: int) -> None:
+    def on_request_frame(self, ip: str, frame: Message, now: int) -> None:
         """Take another node's order. Raises ValueError for one that is not valid."""
         self.execute(ip, OrderRequest.decode(frame))
 
--- a/rampfront/node/order_messages.py
+++ b/rampfront/node/order_messages.py
@@ -10,10 +10,11 @@
 """
 
 from collections.abc import Callable, Sequence
-from typing import Any, NamedTuple, Self, TypeAlias
+from typing import NamedTuple, Self, TypeAlias
 
 from ..consensus.events import OrderKind, Outcome
 from ..consensus.state import MAX_BODY_BYTES, MAX_ZONE_LETTERS, State, decode_state
+from ..transport.frames import Message
 
 # Keys of the frames, as they stand on the wire.
 FRAME_KIND = "k"
@@ -35,7 +36,6 @@
 INCARNATION_LIMIT = 1 << INCARNATION_BITS
 LARGEST_NUMBER = 1 << 53  # what JSON readers of other languages keep exactly
 
-Frame: TypeAlias = dict[str, Any]  # a message as the transport carries it
 OrderBody: TypeAlias = tuple[int, bytes] | str | None  # a revision and its compressed bytes, a zone, or nothing
 
 
@@ -59,7 +59,7 @@
     kind: str
     body: OrderBody
 
-    def encode(self) -> Frame:
+    def encode(self) -> Message:
         """Return the frame for the transport."""
         return {
             FRAME_KIND: REQUEST_FRAME,
@@ -70,12 +70,12 @@
         }
 
     @classmethod
-    def decode(cls, frame: Frame) -> Self:
+    def decode(cls, frame: Message) -> Self:
         """Check a frame and return its message. Raises MalformedMessageError."""
         kind = frame.get(ORDER_KIND)
-        check_body = BODY_CHECKS.get(kind) if type(kind) is str else None
-        if check_body is None:
+        if type(kind) is not str or kind not in BODY_CHECKS:
             raise MalformedMessageError("order: kind")
+        check_body = BODY_CHECKS[kind]
         incarnation, number = decode_identity(frame)
         return cls(incarnation, number, kind, check_body(frame.get(BODY)))
 
@@ -93,7 +93,7 @@
     state: State | None = None
     with_body: bool = True
 
-    def encode(self) -> Frame:
+    def encode(self) -> Message:
         """Return the frame for the transport."""
         frame = {
             FRAME_KIND: REPLY_FRAME,
@@ -106,7 +106,7 @@
         return frame
 
     @classmethod
-    def decode(cls, frame: Frame, bodies: Sequence[bytes] = ()) -> Self:
+    def decode(cls, frame: Message, bodies: Sequence[bytes] = ()) -> Self:
         """Check a frame and return its message.
 
         `bodies`: configuration bodies that the caller holds, for a state that comes without its own. Raises
@@ -126,7 +126,7 @@
         return cls(incarnation, number, verdict, state)
 
 
-def decode_identity(frame: Frame) -> tuple[int, int]:
+def decode_identity(frame: Message) -> tuple[int, int]:
     """Return the submitter's incarnation and the order's number there. Raises MalformedMessageError."""
     incarnation, number = frame.get(INCARNATION), frame.get(NUMBER)
     if type(incarnation) is not int or not 0 <= incarnation < INCARNATION_LIMIT:
--- a/rampfront/node/order_submitter.py
+++ b/rampfront/node/order_submitter.py
@@ -17,16 +17,17 @@
 
 if TYPE_CHECKING:
     from ..membership.dissemination import Disseminator
+    from ..transport.frames import Message
     from .context import NodeContext
     from .core_driver import CoreDriver
     from .open_order import OrderCallback
     from .order_executor import OrderExecutor
-    from .order_messages import Frame, OrderBody
+    from .order_messages import OrderBody
 
 MS = 10**6
 ANSWER_WITHIN_NS = 800 * MS  # a fifth of a caller's second is left for the way there and back
 RESEND_AFTER_NS = 300 * MS
-RESEND_AFTER_AWAY_NS = RESEND_AFTER_NS // 3  # the node asked has said that it does not lead
+RESEND_AFTER_NOT_LEADER_NS = RESEND_AFTER_NS // 3  # the node asked has said that it does not lead
 MAX_OPEN = 256  # orders of this node under way
 
 
@@ -102,7 +103,7 @@
 
     # ---- replies
 
-    def on_reply_frame(self, ip: str, frame: Frame, now: int) -> None:
+    def on_reply_frame(self, ip: str, frame: Message, now: int) -> None:
         """Take a reply of another node. Raises ValueError for one that is not valid."""
         _, number = decode_identity(frame)
         order = self.open.get(number)
@@ -123,7 +124,7 @@
         if objection:
             self._drop(ip, objection)
         elif reply.verdict == Outcome.NOT_LEADER:
-            order.resend_at = self._context.clock() + RESEND_AFTER_AWAY_NS
+            order.resend_at = self._context.clock() + RESEND_AFTER_NOT_LEADER_NS
         else:
             del self.open[reply.number]
             order.on_done(reply.verdict, reply.state)
--- a/rampfront/node/quota_exchange.py
+++ b/rampfront/node/quota_exchange.py
@@ -16,12 +16,13 @@
 
     from ..membership.dissemination import Disseminator
     from ..proxy.request_proxy import RequestProxy
+    from ..quota.codec import WireMap
     from ..quota.counter import QuotaCounter
     from ..quota.counter_placement import CounterPlacement
     from ..quota.limiter import Limiter
-    from ..quota.messages import HasQuota, Message
+    from ..quota.limits import QuotaSettings
+    from ..transport.frames import Message
     from .context import NodeContext
-    from .quota_frames import Frame
 
 MS = 10**6
 NEVER = 1 << 61  # ns: later than any time
@@ -59,7 +60,7 @@
 
     # ---- what the node holds
 
-    def apply_limits(self, tenants: Mapping[str, HasQuota]) -> None:
+    def apply_limits(self, tenants: Mapping[str, QuotaSettings]) -> None:
         """Take over the tenants' quotas of a configuration."""
         self.counter.set_quotas(tenants, self._clock())
         self.schedule_flush()
@@ -85,7 +86,7 @@
 
     # ---- frames
 
-    def on_add(self, ip: str, frame: Frame, now: int) -> None:
+    def on_add(self, ip: str, frame: Message, now: int) -> None:
         """Count what a proxy lets in, and answer with the totals.
 
         A node that starts knows no tenants, or those of a record of long ago: it does not answer, as its answer would
@@ -98,7 +99,7 @@
             self._wire.send(ip, quota_sum(answer))
         self._send_unsolicited()
 
-    def on_sum(self, ip: str, frame: Frame, now: int) -> None:
+    def on_sum(self, ip: str, frame: Message, now: int) -> None:
         """Take a counter's totals."""
         pending = self.limiter.link.pending
         self._send_adds(self.placement.receive(now, ip, frame[MESSAGE]))
@@ -106,7 +107,7 @@
             self.round_trips.record(now - pending.first_sent_at)
         self.schedule_flush()  # what came due meanwhile need not wait for the timer that sends again
 
-    def _send_adds(self, messages: Iterable[tuple[str, Message]]) -> None:
+    def _send_adds(self, messages: Iterable[tuple[str, WireMap]]) -> None:
         for ip, message in messages:
             self._wire.send(ip, quota_add(message))
 
--- a/rampfront/node/quota_frames.py
+++ b/rampfront/node/quota_frames.py
@@ -4,10 +4,8 @@
 wire's short keys stand here alone.
 """
 
-from collections.abc import Mapping
-from typing import Any, TypeAlias
-
-Frame: TypeAlias = Mapping[str, Any]  # a message as the transport carries it
+from ..quota.codec import WireMap
+from ..transport.frames import Message
 
 # Keys and kinds of the frames, as they stand on the wire.
 KIND = "k"
@@ -16,11 +14,11 @@
 QUOTA_SUM = "sum"  # the counter's totals, to a proxy
 
 
-def quota_add(message: Mapping[str, Any]) -> Frame:
+def quota_add(message: WireMap) -> Message:
     """Return the frame with a proxy's counts."""
     return {KIND: QUOTA_ADD, MESSAGE: message}
 
 
-def quota_sum(message: Mapping[str, Any]) -> Frame:
+def quota_sum(message: WireMap) -> Message:
     """Return the frame with a counter's totals."""
     return {KIND: QUOTA_SUM, MESSAGE: message}
--- a/rampfront/node/snapshots.py
+++ b/rampfront/node/snapshots.py
@@ -39,14 +39,14 @@
 
     # ---- to other nodes
 
-    def encode_state(self, index: int) -> Packed:
-        """Return the state, packed for a node that holds the one of `index`."""
-        return self._states.encode_since(index)
+    def encode_state(self, since: int) -> Packed:
+        """Return the state, packed for a node that holds the one of index `since`."""
+        return self._states.encode_since(since)
 
-    def encode_endpoints(self, now: int, version: int) -> Packed:
-        """Return the list, packed for a node that holds `version`; `now` in ns."""
+    def encode_endpoints(self, now: int, since: int) -> Packed:
+        """Return the list, packed for a node that holds version `since`; `now` in ns."""
         assert self.servers is not None  # nobody holds less than nothing
-        return endpoint_codec.encode_since(self.servers, now, self._lists, version)
+        return endpoint_codec.encode_since(self.servers, now, self._lists, since)
 
     def can_diff_state_from(self, index: int) -> bool:
         """Return whether a node that holds the state of `index` needs less than the complete one."""
--- a/rampfront/node/status_views.py
+++ b/rampfront/node/status_views.py
@@ -25,7 +25,8 @@
     from ..membership.endpoint_list import Endpoint
     from ..net.http_messages import IncomingRequest, Response
     from ..proxy.request_proxy import RequestProxy
-    from ..quota.limiter import Limiter, TenantCounts
+    from ..quota.limiter import Limiter
+    from ..quota.tenant_counts import TenantCounts
     from .node_process import NodeProcess
 
     T = TypeVar("T")
@@ -62,7 +63,9 @@
     @endpoint("POST", "/api/rpc", operation="state.read")
     def state(self, _: IncomingRequest) -> Response:
         """Who the node is, what it holds, and how old its lease is."""
-        node, settings, state = self._node, self._node.context.process_settings, self._node.replicated_state.state
+        node = self._node
+        settings = node.context.process_settings
+        state = node.replicated_state.state
         now = node.context.clock()
         node.core.step_down_if_overdue(now)
         disseminator = node.disseminator
--- a/rampfront/simulation/fleet_growth.py
+++ b/rampfront/simulation/fleet_growth.py
@@ -17,13 +17,13 @@
 import click
 
 from ..consensus.state import State, digest
-from ..membership import endpoint_codec, messages
-from ..membership.deltas import StateHistory
+from ..membership import messages
 from ..membership.dissemination import Disseminator
 from ..membership.endpoint_list import Endpoint, EndpointList
 from ..membership.leadership import CoreStatus
 from ..membership.roster import RosterEntry
 from ..membership.versions import first_version
+from ..node.snapshots import Snapshots
 from ..transport.frames import MAX_DATAGRAM_BYTES, decode_frame, encode_frame
 from ..transport.wire import MAX_OUTGOING_CONNECTIONS
 from .link_bytes import link_bytes
@@ -91,19 +91,14 @@
     }, rule
 
 
-class Ship:
-    """A node: its lookout, and what the station holds beside it."""
+class Ship(Snapshots):
+    """A node: its disseminator, and the snapshots that it holds as the process does."""
 
     def __init__(self, sea, k, life=0):
+        super().__init__()
         self.sea, self.k, self.ip, self.zone, self.region = sea, k, sea.ip(k), k % sea.zones, k % sea.zones % 2
         self.disk, self.up, self.life = k <= sea.disks, True, life
         self.offset = k * 7_777_777_777
-        self.state, self.servers, self.states, self.lists = (
-            None,
-            None,
-            StateHistory(),
-            endpoint_codec.endpoint_history(),
-        )
         own = RosterEntry(f"front-hall-{self.zone}-{k}", self.ip, f"north-hall-{self.zone}", f"{self.ip}:8388", False)
         seeds = [sea.ip(j) for j in range(1, min(sea.disks, 4) + 1)]
         self.look = Disseminator(own, seeds, sea.draw, self)
@@ -119,42 +114,25 @@
     def send_all(self, ips, message):
         self.sea.spread(self, ips, message)
 
-    def encode_state(self, since):
-        return self.states.encode_since(since)
-
-    def can_diff_state_from(self, index):
-        return self.states.can_diff_from(index)
-
-    def can_diff_endpoints_from(self, version):
-        return self.lists.can_diff_from(version)
-
-    def state_size_bytes(self):
-        return len(self.state.body) if self.state is not None else 0
-
     def on_state(self, plain, now):
-        state = self.states.decode_since(plain, self.look.state_index)
+        state = self.decode_state(plain, self.look.state_index)
         if state is not None:
             self.apply(state)
 
     def apply(self, state):
-        self.state = state
+        self.put_state(state)
         self.look.state_changed(state.index)
-        self.states.add(state)
         self.look.ready = self.servers is not None
         if self.look.is_leader:
             self.look.push_updates(self.clock())
 
-    def encode_endpoints(self, now, since):
-        return endpoint_codec.encode_since(self.servers, now, self.lists, since)
-
     def on_endpoints(self, plain, now):
-        servers = endpoint_codec.decode_since(plain, now, self.lists, self.look.endpoints_version)
+        servers = self.decode_endpoints(plain, now, self.look.endpoints_version)
         if not self.look.is_leader and servers is not None:
             self.serve(servers)
 
     def serve(self, servers):
-        self.lists.add(servers.version, servers.endpoints)
-        self.servers = servers
+        self.put_endpoints(servers)
         self.look.endpoints_changed(servers.version)
         self.look.ready = self.state is not None
 
