--- a/tests/node/test_second_operator.py
+++ b/tests/node/test_second_operator.py
@@ -126,7 +126,7 @@
             return SimpleNamespace(sockets=[address], close=lambda: None)
 
         machine.loop.create_server = create_server
-        machine.node_process.calls = asyncio.run(endpoints.listen(machine.node_process))
+        asyncio.run(endpoints.open_call_listeners(machine.node_process))
 
     def later(self, delay: int, machine: Machine, act: Callable[..., object], *args: object) -> None:
         """Something reaches a node, in the life that it has now."""
