--- a/tests/test_lab_system.py
+++ b/tests/test_lab_system.py
@@ -18,7 +18,6 @@
 from rampfront.lab.system import plan as plans
 from rampfront.lab.system.judge import Ordered, Seen, Server, Try, broken, digest, judge
 from rampfront.lab.system.relay import Relay
-from rampfront.quota.limiter import Limiter
 
 MS, SEC = 10**6, 10**9
 PLAN = {
@@ -333,7 +332,7 @@
 
 @pytest.mark.parametrize("part, let", [(1.0, 10), (0.25, 2)])
 def test_pilots_apart_keep_their_part_of_a_quota(part, let):
-    limiter = machine.Apart(Limiter("n1", Random(1)), part)
+    limiter = machine.Apart(part, "n1", Random(1))
     limiter.set_quotas({"acme": SimpleNamespace(per_s=10.0, burst=10.0)}, 0)
     assert [limiter.take("acme", 0) for _ in range(20)].count(None) == let
     assert 0 < limiter.take("acme", 0) <= machine.LONGEST and limiter.due_update(SEC) is None
