--- a/rampfront/quota/codec.py
+++ b/rampfront/quota/codec.py
@@ -1,11 +1,14 @@
 """Checks, decodes and encodes the messages of `messages.py`. Wire keys stand here and nowhere else.
 
-On the wire a message is a map with keys of one letter and rows are lists without keys, as each byte between regions is
-priced. Old and new nodes run side by side: keys, their order, and which of them are absent stay as they are. A map that
-is not valid raises `InvalidMessageError`; what is not named in the checks below is only compared, or taken as a flag.
+On the wire a message is a map with keys of one letter and rows are arrays without keys, as each byte between regions is
+priced. A row's named tuple is encoded as such an array, its fields in order; what is decoded has lists. Old and new
+nodes run side by side: keys, their order, and which of them are absent stay as they are.
+
+A map that is not valid raises `InvalidMessageError`. What the checks below do not name is only compared, or a flag.
 """
 
-from collections.abc import Mapping
+from collections.abc import Callable, Mapping
+from functools import partial
 from typing import Any, NoReturn
 
 from .messages import (
@@ -46,6 +49,15 @@
 COUNT_WIDTH = len(CountDelta._fields)
 TOTAL_WIDTH = len(TenantTotal._fields)
 
+BAD_NAME = "a name is missing or too long"
+BAD_FIGURE = "a figure is missing or out of bounds"
+BAD_ROWS = "rows are missing or out of bounds"
+
+# Named tuples from rows; in a third of the time of their own constructors, which run Python code.
+_new_count_delta = partial(tuple.__new__, CountDelta)
+_new_full_count = partial(tuple.__new__, FullCount)
+_new_tenant_total = partial(tuple.__new__, TenantTotal)
+
 
 class InvalidMessageError(ValueError):
     """A message from another machine that is not taken in."""
@@ -56,7 +68,7 @@
     wire_map: dict[str, Any] = {
         INCARNATION: update.incarnation,
         SEQUENCE: update.sequence,
-        COUNTS: list(map(list, update.rows)),
+        COUNTS: update.rows,
     }
     if update.counter_incarnation is not None:
         wire_map[COUNTER_INCARNATION] = update.counter_incarnation
@@ -75,7 +87,7 @@
         COUNTER_INCARNATION: totals.counter_incarnation,
         SEQUENCE: totals.sequence,
         COUNTER_TIME_MS: totals.counter_time_ms,
-        TOTALS: list(map(list, totals.rows)),
+        TOTALS: totals.rows,
     }
     if totals.lists_all:
         wire_map[LISTS_ALL] = 1
@@ -103,18 +115,19 @@
     """Decodes what a proxy sent to the counter. Raises `InvalidMessageError`."""
     fields = _check_map(wire_map)
     if PROBE_NUMBER in fields:
-        return Probe(_check_whole(fields[PROBE_NUMBER]))
+        return Probe(_check_integer(fields[PROBE_NUMBER]))
     if fields.get(FAREWELL):
-        return Farewell(_check_whole(fields.get(INCARNATION)))
-    lived_ms = _check_whole(fields.get(LIVED_MS, 0))
+        return Farewell(_check_integer(fields.get(INCARNATION)))
+    lived_ms = _check_integer(fields.get(LIVED_MS, 0))
+    counts = fields.get(COUNTS)
     return CounterUpdate(
-        incarnation=_check_whole(fields.get(INCARNATION)),
-        sequence=_check_whole(fields.get(SEQUENCE), 1),
-        rows=_decode_counts(fields.get(COUNTS), FullCount if lived_ms else CountDelta),
-        counter_incarnation=fields.get(COUNTER_INCARNATION),
-        lived_ms=lived_ms,
-        wants_all=bool(fields.get(WANTS_ALL)),
-        idle=bool(fields.get(IDLE)),
+        _check_integer(fields.get(INCARNATION)),
+        _check_integer(fields.get(SEQUENCE), 1),
+        _decode_counts(counts, _new_full_count if lived_ms else _new_count_delta),
+        fields.get(COUNTER_INCARNATION),
+        lived_ms,
+        bool(fields.get(WANTS_ALL)),
+        bool(fields.get(IDLE)),
     )
 
 
@@ -122,12 +135,12 @@
     """Decodes what a counter sent to a proxy, other than a probe's answer. Raises `InvalidMessageError`."""
     fields = _check_map(wire_map)
     return CounterTotals(
-        counter_incarnation=_check_whole(fields.get(COUNTER_INCARNATION)),
-        sequence=_check_whole(fields.get(SEQUENCE)),
-        counter_time_ms=_check_whole(fields.get(COUNTER_TIME_MS), 0, MOST_TIME_MS),
-        rows=_decode_totals_rows(fields.get(TOTALS)),
-        lists_all=bool(fields.get(LISTS_ALL)),
-        unsolicited=bool(fields.get(UNSOLICITED)),
+        _check_integer(fields.get(COUNTER_INCARNATION)),
+        _check_integer(fields.get(SEQUENCE)),
+        _check_integer(fields.get(COUNTER_TIME_MS), 0, MOST_TIME_MS),
+        _decode_totals_rows(fields.get(TOTALS)),
+        bool(fields.get(LISTS_ALL)),
+        bool(fields.get(UNSOLICITED)),
     )
 
 
@@ -140,64 +153,69 @@
 def check_name(value: object) -> str:
     """Returns `value` if it can name a tenant or a proxy. Raises `InvalidMessageError`."""
     if type(value) is not str or not 0 < len(value) <= LONGEST_NAME:
-        raise InvalidMessageError("a name is missing or too long")
+        _refuse(BAD_NAME)
     return value
 
 
+def _refuse(why: str) -> NoReturn:
+    raise InvalidMessageError(why)
+
+
 def _check_map(value: object) -> WireMap:
     if type(value) is not dict:
-        raise InvalidMessageError("no message")
+        _refuse("no message")
     return value
 
 
-def _check_whole(value: object, least: int = 0, most: int = MOST) -> int:
-    """`value`, if it is a whole number within the bounds, both included."""
+def _check_integer(value: object, least: int = 0, most: int = MOST) -> int:
+    """`value`, if it is an integer within the bounds, both included."""
     if type(value) is not int or not least <= value <= most:
-        _refuse_figure()
+        _refuse(BAD_FIGURE)
     return value
 
 
-def _refuse_figure() -> NoReturn:
-    raise InvalidMessageError("a figure is missing or out of bounds")
-
-
 def _check_rows(value: object, width: int) -> list[list[Any]]:
     """`value`, if it is a list of lists of that width, not too many; what they hold is not looked at."""
     if type(value) is not list or len(value) > MOST_ROWS:
-        raise InvalidMessageError("rows are missing or out of bounds")
+        _refuse(BAD_ROWS)
     for row in value:
         if type(row) is not list or len(row) != width:
-            raise InvalidMessageError("rows are missing or out of bounds")
+            _refuse(BAD_ROWS)
     return value
 
 
-def _decode_counts(value: object, row_type: type[CountDelta] | type[FullCount]) -> list[CountRow]:
-    """Rows of a proxy's update. The checks stand in line: there are up to 40 rows to a message."""
-    decoded: list[CountRow] = []
-    for row in _check_rows(value, COUNT_WIDTH):
-        tenant, window, *figures = row
-        check_name(tenant)
-        if type(window) is not int or not -1 <= window <= MOST_WINDOWS:
-            _refuse_figure()
-        for figure in figures:
-            if type(figure) is not int or not 0 <= figure <= MOST:
-                _refuse_figure()
-        decoded.append(row_type._make(row))
-    return decoded
+def _decode_counts(value: object, new_row: Callable[[list[Any]], CountRow]) -> list[CountRow]:
+    """Rows of a proxy's update. The checks stand in line, as there are up to 40 rows to a message."""
+    rows = _check_rows(value, COUNT_WIDTH)
+    for tenant, window, current, previous, last in rows:
+        if type(tenant) is not str or not 0 < len(tenant) <= LONGEST_NAME:
+            _refuse(BAD_NAME)
+        if not (
+            type(window) is type(current) is type(previous) is type(last) is int
+            and -1 <= window <= MOST_WINDOWS
+            and 0 <= current <= MOST
+            and 0 <= previous <= MOST
+            and 0 <= last <= MOST
+        ):
+            _refuse(BAD_FIGURE)
+    return list(map(new_row, rows))
 
 
 def _decode_totals_rows(value: object) -> list[TenantTotal]:
     """Rows of a counter's totals, checked in line as those of an update are."""
-    decoded = []
-    for row in _check_rows(value, TOTAL_WIDTH):
-        total = TenantTotal._make(row)
-        check_name(total.tenant)
-        if type(total.window) is not int or not 0 <= total.window <= MOST_WINDOWS:
-            _refuse_figure()
-        if type(total.remaining) is not int or not -MOST <= total.remaining <= MOST:
-            _refuse_figure()
-        for figure in (total.current, total.previous, total.proxies, total.requested_per_s):
-            if type(figure) is not int or not 0 <= figure <= MOST:
-                _refuse_figure()
-        decoded.append(total)
-    return decoded
+    rows = _check_rows(value, TOTAL_WIDTH)
+    for tenant, window, current, previous, remaining, proxies, requested_per_s in rows:
+        if type(tenant) is not str or not 0 < len(tenant) <= LONGEST_NAME:
+            _refuse(BAD_NAME)
+        if not (
+            type(window) is type(current) is type(previous) is type(remaining) is int
+            and type(proxies) is type(requested_per_s) is int
+            and 0 <= window <= MOST_WINDOWS
+            and 0 <= current <= MOST
+            and 0 <= previous <= MOST
+            and -MOST <= remaining <= MOST
+            and 0 <= proxies <= MOST
+            and 0 <= requested_per_s <= MOST
+        ):
+            _refuse(BAD_FIGURE)
+    return list(map(_new_tenant_total, rows))
--- a/rampfront/quota/counter.py
+++ b/rampfront/quota/counter.py
@@ -126,7 +126,7 @@
         rows = self._apply_rows(now, proxy, update, fresh)
         if update.wants_all:
             rows += self._others_in_use(now, rows)
-        return CounterTotals(self.incarnation, update.sequence, now // MS, rows, lists_all=update.wants_all)
+        return CounterTotals(self.incarnation, update.sequence, now // MS, rows, update.wants_all)
 
     def _apply_rows(self, now: int, proxy: str, update: CounterUpdate, fresh: bool) -> list[TenantTotal]:
         """Counts the rows if the update is `fresh`; returns the totals of their tenants."""
--- a/rampfront/quota/counter_clock.py
+++ b/rampfront/quota/counter_clock.py
@@ -18,7 +18,8 @@
 
     def time(self, now: int) -> int:
         """The counter's time at the proxy's time `now`; never before one that was returned earlier."""
-        self.latest = max(self.latest, now + self.offset)
+        counter_time = now + self.offset
+        self.latest = max(self.latest, counter_time)
         return self.latest
 
     def peek(self, now: int) -> int:
--- a/rampfront/quota/counter_link.py
+++ b/rampfront/quota/counter_link.py
@@ -20,7 +20,7 @@
 IDLE_GAP_NS = 5 * SEC // 4  # sends that seldom,
 SILENT_AFTER_NS = 15 * SEC  # and after so long no more
 FIRST_READING_NS = 50 * MS  # a first reading is asked for within so long
-LATE_ANSWER_NS = 100 * MS  # an answer is late
+OVERDUE_NS = 100 * MS  # an answer is overdue
 PATIENCE_NS = 200 * MS  # without an answer for so long the counter is taken to be silent,
 STALE_NS = 2 * SEC  # or with nothing heard from it for so long
 MOST_FIRST_SEQUENCE = (1 << 15) - 1  # updates are numbered from somewhere up to here on: three bytes on the wire
@@ -70,10 +70,10 @@
             return now - max(self.pending.first_sent_at, self.last_contact_at) > PATIENCE_NS
         return now - self.last_contact_at > STALE_NS
 
-    def answer_is_late(self, now: int) -> bool:
+    def answer_is_overdue(self, now: int) -> bool:
         """Whether the update under way should have been answered, ahead of `is_silent`."""
         pending = self.pending
-        return pending is not None and now - max(pending.first_sent_at, self.last_contact_at) > LATE_ANSWER_NS
+        return pending is not None and now - max(pending.first_sent_at, self.last_contact_at) > OVERDUE_NS
 
     @property
     def attempts(self) -> int:
@@ -110,7 +110,7 @@
         if self.pending:
             self.pending.sent_at = now
             self.pending.attempts += 1
-            self.schedule.sent(now, self.pending.attempts)
+            self.schedule.sent_again(now, self.pending.attempts)
             return self.pending.wire_map
         return self.compose_update(now)
 
@@ -120,24 +120,17 @@
         idle = unused_ns > IDLE_AFTER_NS
         report = self.table.report(now, self.sends_full)
         self.sequence += 1
+        lived_ms = min(MOST, max(1, (now - self.started_at) // MS)) if self.sends_full else 0
         update = CounterUpdate(
-            incarnation=self.incarnation,
-            sequence=self.sequence,
-            rows=report.rows,
-            counter_incarnation=self.counter_incarnation,
-            lived_ms=min(MOST, max(1, (now - self.started_at) // MS)) if self.sends_full else 0,
-            wants_all=self.wants_all,
-            idle=idle,
+            self.incarnation, self.sequence, report.rows, self.counter_incarnation, lived_ms, self.wants_all, idle
         )
         wire_map = encode_update(update)
         self.pending = PendingUpdate(self.sequence, wire_map, report.windows, now, now, self.wants_all)
         self.sends_full = self.sends_full and report.more
         self.wants_all = False
         # Guards against a proxy whose next request comes after a while, and that cannot tell then if it is cut off.
-        self.schedule.restart(now if report.more else NEVER)
-        if unused_ns <= SILENT_AFTER_NS:
-            self.schedule.tick_after(now, IDLE_GAP_NS if idle else TICK_NS)
-        self.schedule.sent(now, attempts=1)
+        gap_ns = None if unused_ns > SILENT_AFTER_NS else IDLE_GAP_NS if idle else TICK_NS
+        self.schedule.sent_new(now, now if report.more else NEVER, gap_ns)
         return wire_map
 
     def switch_counter(self, now: int) -> None:
--- a/rampfront/quota/limiter.py
+++ b/rampfront/quota/limiter.py
@@ -3,7 +3,7 @@
 `Limiter.take` decides on the request path and asks nobody. The design's test: requests admitted here and by others in a
 sliding window, the past fixed window counted by the weight that it has left, against the limit. Guards around it: the
 bucket that the counter keeps (`available`), fewer admitted as it runs low (`_admit_at_rate`), and an even
-share for a proxy that nobody answers (`_is_isolated_for`).
+share for a proxy that nobody answers (`TenantCounts.update_even_share`).
 
 Off the request path `due_update` has the messages to the counter, `receive` takes in its answers (`counter_link.py`).
 No I/O, no clock; times in ns.
@@ -12,7 +12,7 @@
 from collections.abc import Mapping
 from random import Random
 
-from ..epoch import weigh
+from ..epoch import roll, weigh
 from .codec import WireMap
 from .counter_clock import CounterClock
 from .counter_link import CounterLink
@@ -85,12 +85,13 @@
         tenant.used_at = now
         self.table.unreported[name] = tenant
         self.link.note_request(now)
-        own, others = weigh(tenant, self.table.roll(tenant, now))
+        own, others = weigh(tenant, roll(tenant, self.clock.time(now)))
         quota = tenant.quota
-        isolated = self._is_isolated_for(tenant, now)
-        age_ns = tenant.reading_age(now, self.link.last_contact_at)
+        link = self.link
+        isolated = link.is_silent(now) or tenant.read_at < 0 or self._reading_is_doubtful(tenant, now)
+        age_ns = tenant.reading_age(now, link.last_contact_at)
         if isolated:
-            available = tenant.update_even_share(now, self.link.last_contact_at, self.proxy_count)
+            available = tenant.update_even_share(now, link.last_contact_at, self.proxy_count)
         else:
             available = tenant.available(age_ns)
         # The design's test. The bucket admits what a window rejects that remembers a burst longer than it does.
@@ -113,16 +114,13 @@
             self.table.roll(tenant, now)
             tenant.refund()
 
-    def _is_isolated_for(self, tenant: TenantCounts, now: int) -> bool:
-        """Whether the tenant goes by an even share: the counter is silent, its totals were never read, or an answer is
-        late and requests have been admitted meanwhile.
+    def _reading_is_doubtful(self, tenant: TenantCounts, now: int) -> bool:
+        """Whether an answer is late and requests of the tenant have been admitted meanwhile.
 
-        The last guards against a surge at all proxies as some are cut off: each would use up the same full reading
-        until it finds out. The first request of a tenant goes by the reading still, so that a slow link rejects nobody
-        who seldom asks."""
-        if self.link.is_silent(now) or tenant.read_at < 0:
-            return True
-        return self.link.answer_is_late(now) and tenant.unacknowledged() >= 1
+        Guards against a surge at all proxies as some are cut off: each would use up the same full reading until it
+        finds out. The first request of a tenant goes by the reading still, so that a slow link rejects nobody who
+        seldom asks."""
+        return self.link.answer_is_overdue(now) and tenant.unacknowledged() >= 1
 
     def _admit_at_rate(self, tenant: TenantCounts, available: float, age_ns: int) -> bool:
         """Guards against proxies that all find the last of a quota free: of what all are asked for, such a fraction is
@@ -148,7 +146,7 @@
     def _reject(self, tenant: TenantCounts, available: float, now: int) -> int:
         """Counts a rejected request; returns in how many ns to come back, later the more is asked for."""
         tenant.rejected += 1
-        if tenant.read_at < self.table.stale_before(tenant, now):
+        if tenant.read_at < now - tenant.reading_lasts_ns:
             self.link.read_soon(now)
         per_s = tenant.quota.per_s
         refilled_s = (1 - available) / per_s
--- a/rampfront/quota/tenant_counts.py
+++ b/rampfront/quota/tenant_counts.py
@@ -9,17 +9,24 @@
 from ..epoch import settle, weigh
 from ..state import Window
 from ..terms import slotted
-from .limits import SEC, Quota
+from .limits import MS, SEC, Quota
 from .messages import SILENCE_NS, CountDelta, CountRow, FullCount, TenantTotal
+from .update_schedule import TICK_NS
 
 NEVER_READ = -(10**18)  # ns: long ago
 NEVER_USED = -(1 << 62)  # ns
 NOT_GRANTED = -1
 # While a quota runs low the counter announces it more often than this: silence means that nobody uses it.
 QUIET_NS = SEC // 4
+QUIET_S = QUIET_NS / SEC
 # Of its even share of the rate, for an isolated proxy: what many of them draw by chance scatters.
 ISOLATED_RATE_SHARE = 0.85
 ISOLATED_DEPTH_S = 0.25  # of the rate, for an isolated proxy of a tenant without burst
+READING_WITHOUT_BURST_NS = 100 * MS  # such a count falls by leaps, and is read anew sooner
+
+
+def _reading_lasts_ns(quota: Quota) -> int:
+    return READING_WITHOUT_BURST_NS if quota.without_burst else TICK_NS
 
 
 @slotted
@@ -33,6 +40,7 @@
     used_at: int  # when a request came last
     remaining: float  # requests that the quota had left, as the counter said; below 0 a debt
     remaining_at: int  # when it said so
+    reading_lasts_ns: int  # how old a reading may be before it is read anew
     read_at: int = NEVER_READ  # when totals came last
     requested_per_s: float = 0.0  # by requests to all proxies, rejected ones too, as the counter said
     rejected: int = 0  # requests rejected here since the last update
@@ -43,7 +51,9 @@
     def new(cls, name: str, quota: Quota, now: int, counter_time: int) -> "TenantCounts":
         """A tenant without counts. Its quota is taken to be full, but to an isolated proxy, until totals come."""
         number = counter_time // quota.window
-        return cls(name, quota, Window(number), Window(number - 1), NEVER_USED, quota.depth, now)
+        return cls(
+            name, quota, Window(number), Window(number - 1), NEVER_USED, quota.depth, now, _reading_lasts_ns(quota)
+        )
 
     def change_quota(self, quota: Quota, weight: float, counter_time: int) -> None:
         """Goes on under another quota; the windows are rolled, and the past one counts by `weight`."""
@@ -55,6 +65,7 @@
             self.past = Window(number - 1)
             self.now.held = others
         self.remaining = min(quota.depth, self.remaining + max(0.0, quota.depth - self.quota.depth))
+        self.reading_lasts_ns = _reading_lasts_ns(quota)
         self.quota = quota
 
     def unacknowledged(self) -> float:
@@ -63,7 +74,10 @@
 
     def unsent(self) -> float:
         """Requests admitted here that are not in the update under way either."""
-        return self.unacknowledged() - (self.now.flying or 0) - (self.past.flying or 0)
+        present = self.now
+        past = self.past
+        unacknowledged = present.own - present.sent + past.own - past.sent
+        return unacknowledged - (present.flying or 0) - (past.flying or 0)
 
     def refund(self) -> None:
         """One admitted request reached no server. Where it is acknowledged already, it nets against later growth."""
@@ -79,13 +93,16 @@
 
         Only a message from the counter shows that it had no more to announce of this tenant. Guards against a proxy
         that was just cut off, to which a full quota would seem to refill."""
-        return max(0, min(now, last_contact_at + QUIET_NS) - self.remaining_at)
+        known_until = last_contact_at + QUIET_NS
+        known_until = min(known_until, now)
+        age_ns = known_until - self.remaining_at
+        return age_ns if age_ns > 0 else 0
 
     def available(self, reading_age_ns: int) -> float:
         """What the quota has left in requests: as last read, what refilled since, less what was admitted here and is
         not acknowledged."""
         age_s = reading_age_ns / SEC
-        known_s = min(age_s, QUIET_NS / SEC)
+        known_s = min(age_s, QUIET_S)
         refill = self.quota.per_s * age_s - min(self.quota.per_s, self.requested_per_s) * known_s
         return min(self.quota.depth, self.remaining + refill) - self.unacknowledged()
 
@@ -113,19 +130,21 @@
 
     # ---- exchange with the counter
 
-    def report(self, full: bool, weight: float, stale_before: int) -> CountRow | None:
+    def report(self, full: bool, weight: float, now: int) -> CountRow | None:
         """What is to be sent of the tenant, which is under way from now on; None if there is nothing.
 
         Args:
             full: all counts are sent, not what grew; none are acknowledged then.
             weight: of the past window.
-            stale_before: a reading of before then (ns) is read anew.
+            now: ns.
         """
         present = self.now
         past = self.past
-        current = max(0, round(present.own - present.sent))
-        previous = max(0, round(past.own - past.sent))
-        if not (current or previous or self.rejected or self.read_at < stale_before):
+        growth = present.own - present.sent
+        current = round(growth) if growth > 0 else 0
+        growth = past.own - past.sent
+        previous = round(growth) if growth > 0 else 0
+        if not (current or previous or self.rejected or self.read_at < now - self.reading_lasts_ns):
             return None
         present.flying = current
         past.flying = previous
--- a/rampfront/quota/tenant_table.py
+++ b/rampfront/quota/tenant_table.py
@@ -10,13 +10,9 @@
 from ..epoch import roll
 from ..state import Window
 from .counter_clock import CounterClock
-from .limits import MS, QuotaRule, QuotaSettings, quota_of
+from .limits import QuotaRule, QuotaSettings, quota_of
 from .messages import MOST_ROWS, CountRow, TenantTotal
 from .tenant_counts import TenantCounts
-from .update_schedule import TICK_NS
-
-# A reading older than this is read anew where there is no burst, as that count falls by leaps.
-READING_WITHOUT_BURST_NS = 100 * MS
 
 
 class Report(NamedTuple):
@@ -77,21 +73,16 @@
         counter_time = self.clock.time(now)
         for name, tenant in list(self.unreported.items()):
             if len(rows) == MOST_ROWS:
-                return Report(rows, windows, more=True)
-            stale_before = self.stale_before(tenant, now)
+                return Report(rows, windows, True)
             # One without burst stays for as long as its window: its count falls without a request.
             if not tenant.quota.without_burst or now - tenant.used_at > tenant.quota.window:
                 del self.unreported[name]
             weight = roll(tenant, counter_time)
-            row = tenant.report(full, weight, stale_before)
+            row = tenant.report(full, weight, now)
             if row is not None:
                 rows.append(row)
                 windows += (tenant.now, tenant.past)
-        return Report(rows, windows, more=False)
-
-    def stale_before(self, tenant: TenantCounts, now: int) -> int:
-        """A reading of before then is to be read anew."""
-        return now - (READING_WITHOUT_BURST_NS if tenant.quota.without_burst else TICK_NS)
+        return Report(rows, windows, False)
 
     def read(self, totals: Sequence[TenantTotal], now: int, acknowledges: bool) -> None:
         """Takes in the totals of those tenants that have a quota here. `acknowledges`: no update is under way, so that
--- a/rampfront/quota/tenant_totals.py
+++ b/rampfront/quota/tenant_totals.py
@@ -21,12 +21,10 @@
 
 
 def usable_share(quota: Quota, missing_share: float) -> float:
-    """The part of a quota that the proxies in touch may use.
+    """The part of a quota that the proxies in touch may use, while some are missing; else it is all of it.
 
     The even shares of the missing ones are left to them. Two counters that each miss the other's proxies add up to one:
     the part of the slack that is added is nothing at half, and cancels out between the two."""
-    if not missing_share:
-        return 1.0
     spread = SPLIT_SLACK_SHARE * quota.slack / quota.allowance
     return max(LEAST_SHARE, min(1.0, 1.0 + spread * (1.0 - 2.0 * missing_share) - missing_share))
 
@@ -200,7 +198,7 @@
         """Works out and returns what the quota has left: the bucket's level; without burst, the limit less the last
         window's count."""
         quota = self.quota
-        share = usable_share(quota, missing_share)
+        share = usable_share(quota, missing_share) if missing_share else 1.0
         if self.slots is None:
             refill = quota.per_s * (now - self.remaining_at) / SEC
             self.remaining = min(quota.depth * share, self.remaining + refill * share)
@@ -222,8 +220,9 @@
         """The tenant as a message has it."""
         remaining = self.update_remaining(now, missing_share)
         # The missing proxies' part of the slack is left to them too.
-        remaining -= self.quota.connected_slack * (1.0 - usable_share(self.quota, missing_share))
-        proxies = max(1, len(self.current.by_proxy))
+        if missing_share:
+            remaining -= self.quota.connected_slack * (1.0 - usable_share(self.quota, missing_share))
+        proxies = len(self.current.by_proxy) or 1
         requested_per_s = round(self.requested_per_s(now))
         return TenantTotal(
             self.name,
--- a/rampfront/quota/update_schedule.py
+++ b/rampfront/quota/update_schedule.py
@@ -35,25 +35,33 @@
 
     def tick_after(self, now: int, gap_ns: int) -> None:
         """An update goes out after about `gap_ns`, whatever grew."""
-        self.tick_at = now + int(self.random.uniform(1 - JITTER, 1 + JITTER) * gap_ns)
+        self.tick_at = self._jittered(now, gap_ns)
         self._update()
 
-    def sent(self, now: int, attempts: int) -> None:
-        """An update was sent for the nth time: it is sent again if it gets no answer."""
+    def sent_new(self, now: int, flush_at: int, gap_ns: int | None) -> None:
+        """A new update was sent.
+
+        Args:
+            now: ns.
+            flush_at: when the next one goes out, because of what is known to be reported already; else NEVER.
+            gap_ns: after about which the next one goes out, whatever grew; None: not before something grew.
+        """
+        self.flush_at = flush_at
+        self.tick_at = NEVER if gap_ns is None else self._jittered(now, gap_ns)
+        self.retry_at = self.next_at = now + RETRY_NS
+
+    def sent_again(self, now: int, attempts: int) -> None:
+        """The update under way was sent for the nth time."""
         backoff = min(MOST_BACKOFF, 1 << max(0, attempts - 2))
-        self.retry_at = now + RETRY_NS * backoff
-        self._update()
+        self.retry_at = self.next_at = now + RETRY_NS * backoff
 
     def end_retry(self) -> None:
         """No update is under way any more."""
         self.retry_at = None
         self._update()
 
-    def restart(self, flush_at: int) -> None:
-        """Ticks end; the next update goes out at `flush_at`."""
-        self.flush_at = flush_at
-        self.tick_at = NEVER
-        self._update()
+    def _jittered(self, now: int, gap_ns: int) -> int:
+        return now + int(self.random.uniform(1 - JITTER, 1 + JITTER) * gap_ns)
 
     def _update(self) -> None:
         if self.retry_at is not None:
--- a/rampfront/simulation/quota_runs.py
+++ b/rampfront/simulation/quota_runs.py
@@ -202,8 +202,8 @@
         heappush(self.events, (when, next(self.order), what, about))
 
     def post(self, now, a, b, what, message):
+        data = dumps(message)
         if a != b:
-            data = dumps(message)
             self.sent, self.bytes = self.sent + 1, self.bytes + len(data) + HEAD
             self.load_of[a] += 1
             self.load_of[b] += 1
@@ -212,7 +212,7 @@
                 if self.random.random() >= self.loss:
                     self.at(now + self.delay(a, b), what, a, b, loads(data))
         else:
-            self.at(now, what, a, b, message)
+            self.at(now, what, a, b, loads(data))
 
     def wake(self, i, now):
         at = self.tides[i].next_update_at - self.clock(i, 0)
--- a/tests/test_hardening_calls.py
+++ b/tests/test_hardening_calls.py
@@ -336,6 +336,11 @@
 # ---- other pairs of request and answer
 
 
+def carried(message):
+    """A message of counts as it comes over the wire."""
+    return cbor2.loads(cbor2.dumps(message))
+
+
 def test_an_answer_to_the_life_before_is_no_answer():
     """A node starts again at once; the holder's answer to its former life must not pass for one to the first counts of
     the new one, which would then never be told."""
@@ -348,7 +353,7 @@
         limiter.take("ann", 0)
         lives.append((limiter, limiter.due_update(SEC)))
     before, message = lives[0]
-    late = counter.receive(SEC, CALLER, message)
+    late = carried(counter.receive(SEC, CALLER, carried(message)))
     before.receive(SEC, late)
     assert before.link.pending is None
     for limiter, message in lives[1:]:
--- a/tests/test_node_process.py
+++ b/tests/test_node_process.py
@@ -192,7 +192,7 @@
     word(node_process, 5, tenants=[{"Name": "ann", "ApiKeys": ["k"], "PerS": 5, "Burst": 5}])
     node_process.frame_dispatcher.dispatch("10.1.0.4", add)
     told = [message for ip, message in node_process.context.wire.said if ip == "10.1.0.4" and message["k"] == "sum"][-1]
-    assert [row[:3:2] for row in told["m"]["t"]] == [["ann", 9]]
+    assert [[*row[:3:2]] for row in told["m"]["t"]] == [["ann", 9]]
 
 
 def test_odd_words_at_the_station(node_process):
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -4,6 +4,7 @@
 from types import SimpleNamespace
 
 import pytest
+from cbor2 import dumps, loads
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
@@ -43,6 +44,11 @@
     return {name: SimpleNamespace(per_s=per_s, burst=burst) for name, (per_s, burst) in tenants.items()}
 
 
+def carried(message):
+    """The message as it comes over the wire."""
+    return loads(dumps(message))
+
+
 class SharedCounts:
     """Some pilots and one holder that answers at once, all on one clock."""
 
@@ -65,11 +71,15 @@
 
     def carry(self, limiter, answered=True):
         if message := limiter.due_update(self.now):
-            answer = self.quota_counter.receive(self.now, limiter.proxy_name, message)
+            answer = self.deliver(limiter.proxy_name, message)
             if answered:
                 limiter.receive(self.now, answer)
             return message, answer
 
+    def deliver(self, name, message):
+        """The counter's answer to a proxy's message, both as they come over the wire."""
+        return carried(self.quota_counter.receive(self.now, name, carried(message)))
+
     def settle(self, seconds=3.0):
         """All that is due is said, until quotas are full."""
         until = self.now + int(seconds * SEC)
@@ -186,7 +196,7 @@
     def send(self, name, messages):
         self.sent += len(messages)
         self.moves += sum("b" in m for _, m in messages)
-        self.post += [(self.now + 10 * MS, name, ip, m) for ip, m in messages]
+        self.post += [(self.now + 10 * MS, name, ip, carried(m)) for ip, m in messages]
 
     def run(self, seconds, each=lambda now: None):
         until = self.now + int(seconds * SEC)
@@ -202,7 +212,7 @@
             for _, name, ip, message in due:
                 if ip not in self.deaf and not ("q" not in message and ip in self.mute):
                     if answer := self.counters[ip].receive(self.now, name, message):
-                        self.send(name, self.placements[name].receive(self.now, ip, answer))
+                        self.send(name, self.placements[name].receive(self.now, ip, carried(answer)))
 
     def at(self):
         return [counter_placement.counter_ip for counter_placement in self.placements.values()]
@@ -311,13 +321,10 @@
     shared.take(a, 4)
     shared.now += 60 * MS
     late, _ = shared.carry(a)
-    shared.quota_counter.receive(shared.now, "a", {"l": a.link.incarnation + 1, "b": 1})  # of another life: nothing
+    shared.deliver("a", {"l": a.link.incarnation + 1, "b": 1})  # of another life: nothing
     assert shared.quota_counter.missing_share == 0
-    assert (
-        shared.quota_counter.receive(shared.now, "a", {"l": a.link.incarnation, "b": 1}) is None
-        and shared.quota_counter.missing_share == 0.5
-    )
-    shared.quota_counter.receive(shared.now, "a", late)
+    assert shared.deliver("a", {"l": a.link.incarnation, "b": 1}) is None and shared.quota_counter.missing_share == 0.5
+    shared.deliver("a", late)
     assert shared.total() == 4
 
 
@@ -350,7 +357,7 @@
     shared.carry(again)
     assert not again.is_isolated(shared.now)
     with pytest.raises(ValueError):
-        shared.quota_counter.receive(shared.now, "a", stray)
+        shared.deliver("a", stray)
     assert shared.total() == 3
 
 
@@ -382,7 +389,7 @@
     shared.take(a, 30), a.link.update_by(shared.now)
     shared.now += MS
     shared.carry(a)
-    row, told = b.tenants["acme"], dict(shared.quota_counter.announcements(shared.now))["b"]
+    row, told = b.tenants["acme"], carried(dict(shared.quota_counter.announcements(shared.now)))["b"]
     b.receive(shared.now, told)
     low = b.available(row, shared.now)
     assert low <= 0 and b.available(row, shared.now + 5 * SEC) < low + 20 * 0.25 + 1
@@ -400,19 +407,17 @@
     shared.now += SEC
     a.receive(
         shared.now + far,
-        shared.quota_counter.receive(
-            shared.now, "far", a.due_update(shared.now + far) or a.link.compose_update(shared.now + far)
-        ),
+        shared.deliver("far", a.due_update(shared.now + far) or a.link.compose_update(shared.now + far)),
     )
     a.take("acme", shared.now + far), a.link.update_by(shared.now + far)
-    a.receive(shared.now + far, shared.quota_counter.receive(shared.now, "far", a.due_update(shared.now + far)))
+    a.receive(shared.now + far, shared.deliver("far", a.due_update(shared.now + far)))
     assert a.tenants["acme"].past.held == 3
     for limiter, shift in ((b, 0), (a, far)) * 4:
         shared.now += 300 * MS
         limiter.take("acme", shared.now + shift), limiter.link.update_by(shared.now + shift)
         limiter.receive(
             shared.now + shift,
-            shared.quota_counter.receive(shared.now, limiter.proxy_name, limiter.due_update(shared.now + shift)),
+            shared.deliver(limiter.proxy_name, limiter.due_update(shared.now + shift)),
         )
     cell, row = shared.quota_counter.tenants["acme"], a.tenants["acme"]
     assert (row.now.number, row.past.number) == (cell.window, cell.window - 1)
@@ -492,7 +497,7 @@
     a.link.update_by(shared.now), c.link.update_by(shared.now)
     shared.carry(c)
     shared.carry(a)
-    told = dict(shared.quota_counter.announcements(shared.now))
+    told = carried(dict(shared.quota_counter.announcements(shared.now)))
     assert set(told) == {"a", "b", "c"} and shared.quota_counter.announcements(shared.now) == []
     before = b.available(b.tenants["acme"], shared.now)
     b.receive(shared.now, told["b"])
@@ -673,7 +678,7 @@
     def say(self, i, wait):
         self.shared.now += wait * MS
         if message := self.shared.limiters[i].due_update(self.shared.now):
-            self.post.append((i, self.shared.limiters[i], message))
+            self.post.append((i, self.shared.limiters[i], carried(message)))
 
     @rule(pick=st.integers(0, 50), keep=st.booleans(), answered=st.booleans())
     def arrive(self, pick, keep, answered):
@@ -682,7 +687,7 @@
             if not keep:
                 self.post.remove((i, limiter, message))
             try:
-                answer = self.shared.quota_counter.receive(self.shared.now, limiter.proxy_name, message)
+                answer = self.shared.deliver(limiter.proxy_name, message)
             except ValueError:
                 return
             if answered:
@@ -698,7 +703,7 @@
     @rule(i=st.integers(0, 1))
     def return_to_it(self, i):
         limiter = self.shared.limiters[i]
-        self.shared.quota_counter.receive(self.shared.now, limiter.proxy_name, {"l": limiter.link.incarnation, "b": 1})
+        self.shared.deliver(limiter.proxy_name, {"l": limiter.link.incarnation, "b": 1})
         limiter.link.switch_counter(self.shared.now)
 
     @rule()
