--- a/rampfront/lab/system/configuration_cost.py
+++ b/rampfront/lab/system/configuration_cost.py
@@ -24,7 +24,9 @@
 from ...consensus.state import State
 from ...proxy.priorities import PriorityRanks
 from ...quota.limiter import Limiter
-from ...settings import configuration as configurations
+from ...settings import configuration_reader
+from ...settings.configuration import Configuration
+from ...settings.customer_reader import read_customers
 from ...settings.errors import FieldError
 from .scale_plan import Scale
 from .scale_plan import configuration as body_of
@@ -118,11 +120,11 @@
 
 def read_change(held: SharedTenants, change: bytes) -> SharedTenants:
     """The version that a change of tenants' rows makes of `held`. Raises FieldError, as reading the whole would."""
-    by_key, by_name = configurations._read_customers(json.loads(change))
+    by_key, by_name = read_customers(json.loads(change))
     gone = []
     for name, customer in by_name.items():
         old = held.by_name.get(name)
-        gone += [key for key in (old.keys if old else ()) if key not in customer.keys]
+        gone += [key for key in (old.api_keys if old else ()) if key not in customer.api_keys]
     for key, customer in by_key.items():
         other = held.by_key.get(key)
         if other is not None and other.name != customer.name:
@@ -139,7 +141,7 @@
 def read_slices(parts: list[bytes], into: SharedTenants) -> Iterator[None]:
     """Reads parts one after another `into` empty tables, and yields between them."""
     for part in parts:
-        keys, names = configurations._read_customers(json.loads(part))
+        keys, names = read_customers(json.loads(part))
         into.by_key.fill(keys)
         into.by_name.fill(names)
         yield
@@ -171,11 +173,11 @@
 def today(body: bytes, following: bytes) -> Iterator[Cost]:
     """The steps of a change as a node takes them now."""
     packed, then = zlib.compress(body), zlib.compress(following)
-    read = configurations.read(body).unwrap()
-    customers = read.named
+    read = configuration_reader.read(body).unwrap()
+    customers = read.customers_by_name
     yield measure("a member takes the order: compress", lambda: zlib.compress(body))
     yield measure("read: json.loads alone", lambda: json.loads(body))
-    yield measure("read: `configuration.read`", lambda: configurations.read(body).unwrap())
+    yield measure("read: `configuration.read`", lambda: configuration_reader.read(body).unwrap())
     yield measure(
         "leader: difference, `deltas.pieces`", lambda: make_delta(zlib.decompress(packed), zlib.decompress(then))
     )
@@ -188,7 +190,7 @@
     yield measure("node: `limiter.set_quotas`", lambda: limiter.set_quotas(customers, 0))
     yield measure("node: `PriorityRanks`", lambda: PriorityRanks(read))
     found = [(host, prefix + b"x/1") for host, book in read.hosts.items() for prefix in book.routes]
-    asked, keys = (found * LOOKED_UP)[:LOOKED_UP], (list(read.customers) * LOOKED_UP)[:LOOKED_UP]
+    asked, keys = (found * LOOKED_UP)[:LOOKED_UP], (list(read.customers_by_key) * LOOKED_UP)[:LOOKED_UP]
     yield measure(f"{LOOKED_UP} requests: routes found", lambda: [read.route(*one) for one in asked])
     yield measure(f"{LOOKED_UP} requests: tenants found", lambda: [read.customer(key) for key in keys])
     entry = State(1, 1, 1, packed, members={"n": ("127.0.0.1", 1)})
@@ -203,11 +205,11 @@
     return sum(entry.stat().st_size for entry in os.scandir(folder))
 
 
-def read_uncollected(body: bytes) -> configurations.Configuration:
+def read_uncollected(body: bytes) -> Configuration:
     """A whole reading without the garbage collector, which looks through every new row several times."""
     gc.disable()
     try:
-        return configurations.read(body).unwrap()
+        return configuration_reader.read(body).unwrap()
     finally:
         gc.enable()
 
@@ -215,17 +217,19 @@
 def trial(body: bytes) -> Iterator[Cost]:
     """One tenant's new key as rows, and a whole reading in other ways."""
     yield measure("TRIAL: `configuration.read`, collector off", lambda: read_uncollected(body))
-    read = configurations.read(body).unwrap()
-    held = SharedTenants(SharedTable.of(read.customers), SharedTable.of(read.named))
+    read = configuration_reader.read(body).unwrap()
+    held = SharedTenants(SharedTable.of(read.customers_by_key), SharedTable.of(read.customers_by_name))
     row = dict(json.loads(body)["Customers"][0])
     row["ApiKeys"] = ["a-key-that-is-new"]
     change = json.dumps([row]).encode()
     after = read_change(held, change)
-    if after.by_key.get(b"a-key-that-is-new") is None or after.by_key.get(read.named[row["Name"]].keys[0]) is not None:
+    old_key = read.customers_by_name[row["Name"]].api_keys[0]
+    if after.by_key.get(b"a-key-that-is-new") is None or after.by_key.get(old_key) is not None:
         raise AssertionError("the change was not taken")
     yield measure("TRIAL: one tenant's row, the rest shared", lambda: read_change(held, change))
-    yield measure("TRIAL: the same with plain copies", lambda: (dict(read.customers), dict(read.named)))
-    yield measure("TRIAL: first sharing out of the tables", lambda: SharedTable.of(read.customers))
+    plain = (read.customers_by_key, read.customers_by_name)
+    yield measure("TRIAL: the same with plain copies", lambda: [dict(rows) for rows in plain])
+    yield measure("TRIAL: first sharing out of the tables", lambda: SharedTable.of(read.customers_by_key))
     yield longest_slice(slices(body))
 
 
--- a/rampfront/lab/system/fleet_cost.py
+++ b/rampfront/lab/system/fleet_cost.py
@@ -25,8 +25,8 @@
 from ...proxy.environment import ProxyEnvironment
 from ...proxy.request_proxy import RequestProxy
 from ...quota.limiter import Limiter
-from ...settings import configuration as configurations
-from ...settings import process_settings as process_settings_of
+from ...settings import configuration_reader, settings_reader
+from ...settings.process_settings import ProcessSettings
 from ...simulation.link_bytes import link_bytes
 from .counts_cost import cost
 from .scale_fit import fit
@@ -64,7 +64,7 @@
     roster = tuple(
         RosterEntry(f"node-{n:04}", f"10.0.{n >> 8}.{n & 255}", zones[n % 23], f"10.0.0.1:{n}", True) for n in names
     )
-    settings = SimpleNamespace(zones=ZONES, terms=SimpleNamespace(ttl_max=5 * SEC))
+    settings = SimpleNamespace(zones=ZONES, guarantees=SimpleNamespace(ttl_max=5 * SEC))
     asked = SimpleNamespace(query={"Zone": zones[0], "Region": ZONES[zones[0]]})
     serving = Directory(SimpleNamespace(roster=roster), settings, Random(1))
     return {
@@ -73,10 +73,10 @@
     }
 
 
-def settings() -> process_settings_of.ProcessSettings:
+def settings() -> ProcessSettings:
     """Of one node."""
     zone = next(iter(ZONES))
-    return process_settings_of.read(
+    return settings_reader.read(
         {
             "Self": {"NodeName": "n", "Zone": zone, "Ip": "127.0.0.1"},
             "Network": {"ListenOn": {}, "PortRange": [1, 1], "Zones": ZONES},
@@ -104,7 +104,7 @@
     loop, mine = uvloop.new_event_loop(), settings()
     environment = ProxyEnvironment(loop, lambda: now, mine, network_limits(mine), Random(1), Silent())
     proxy = RequestProxy(environment, Limiter("n", Random(1)), lambda at: True)
-    proxy.configuration = configurations.read(configuration(scale)).unwrap()
+    proxy.configuration = configuration_reader.read(configuration(scale)).unwrap()
     turn = iter(range(1 << 30))
     told = endpoint_codec.encode_since(two, now, lists, 1)
     held = endpoint_codec.endpoint_history()
--- a/rampfront/lab/system/judge.py
+++ b/rampfront/lab/system/judge.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from hashlib import blake2b
 
-from ...settings import configuration as configurations
+from ...settings import configuration_reader
 from ..boxes import answer_of
 from ..station import SEC
 
@@ -100,7 +100,7 @@
         self.all, self.sent, self.acked = {}, {}, {}
         for order in orders:
             if order.call == "config.replace" and order.valid:
-                self.all[order.revision] = configurations.read(order.body).unwrap()
+                self.all[order.revision] = configuration_reader.read(order.body).unwrap()
                 self.sent[order.revision] = order.sent
                 if order.acked:
                     self.acked[order.revision] = order.acked
@@ -121,9 +121,14 @@
 def services(configuration, one):
     """The services that a version lets a try go to; empty for none."""
     route = configuration.route(one.host.encode(), one.path.encode())
-    if route is None or not route.public and configuration.keyed and configuration.customer(one.key.encode()) is None:
+    if (
+        route is None
+        or not route.public
+        and configuration.requires_key
+        and configuration.customer(one.key.encode()) is None
+    ):
         return frozenset()
-    return frozenset(name for name, weight in route.shares if weight > 0)
+    return frozenset(name for name, weight in route.service_weights if weight > 0)
 
 
 class Judge:
@@ -241,7 +246,7 @@
         for configuration in self.configurations.since(
             self.configurations.bound(at - terms.apply_within - terms.quota_window)
         ):
-            tenant = configuration.named.get(name)
+            tenant = configuration.customers_by_name.get(name)
             if tenant is None or not tenant.per_s:
                 return 0.0
             most = max(most, (tenant.per_s * terms.quota_window / SEC + tenant.burst) * (1 + terms.quota_excess))
--- a/rampfront/lab/system/plan.py
+++ b/rampfront/lab/system/plan.py
@@ -13,8 +13,7 @@
 from msgspec import Meta, field
 
 from ...config import Count, Least0, Part, Positive, placed
-from ...settings import configuration as configurations
-from ...settings import process_settings as process_settings_of
+from ...settings import configuration_reader, settings_reader
 from ..boxes import SPOILS
 from ..plan import BadPlan, Fault, Latency, Name, Retries, Shape, Share, clash, read_table
 
@@ -257,7 +256,7 @@
         ip(plan.base)
     except ValueError as trouble:
         raise BadPlan(f"base: {trouble}") from None
-    read = configurations.read(json.dumps(configuration(plan, 1)).encode())
+    read = configuration_reader.read(json.dumps(configuration(plan, 1)).encode())
     if read.is_err():
         raise BadPlan(f"its configuration is not valid: {read.err_value}")
     terms(plan)
@@ -283,7 +282,7 @@
 def terms(plan):
     """The figures of the rules, as pilots read them."""
     zone = next(iter(plan.zones))
-    read = process_settings_of.read(
+    read = settings_reader.read(
         {
             "Self": {"NodeName": "n", "Zone": zone, "Ip": "127.0.0.1"},
             "Network": {"ListenOn": {}, "PortRange": [1, 1], "Zones": plan.zones},
@@ -292,7 +291,7 @@
     )
     if read.is_err():
         raise BadPlan(f"guarantees: {read.err_value}")
-    return read.ok_value.terms
+    return read.ok_value.guarantees
 
 
 def keys(tenant):
--- a/rampfront/lab/system/report.py
+++ b/rampfront/lab/system/report.py
@@ -6,7 +6,7 @@
 
 import numpy as np
 
-from ...settings import configuration as configurations
+from ...settings import configuration_reader
 from .. import report as those
 from ..client import DECLINED, LOST, SETTLED
 from ..tally import Bucket
@@ -46,12 +46,12 @@
         (o for o in orders if o.call == "config.replace" and o.acked and o.valid), key=lambda o: o.acked
     ):
         if order.revision > newest:
-            newest, configuration = order.revision, configurations.read(order.body).unwrap()
+            newest, configuration = order.revision, configuration_reader.read(order.body).unwrap()
             found.append(
                 (
                     order.acked,
-                    {name: (row.per_s, row.burst) for name, row in configuration.named.items()},
-                    frozenset(configuration.customers),
+                    {name: (row.per_s, row.burst) for name, row in configuration.customers_by_name.items()},
+                    frozenset(configuration.customers_by_key),
                 )
             )
     return found
--- a/rampfront/lab/system/scale_host.py
+++ b/rampfront/lab/system/scale_host.py
@@ -20,8 +20,8 @@
 
 from ...node.log import Log
 from ...node.ports import Ports
-from ...settings import configuration as configurations
-from ...settings import process_settings as process_settings_of
+from ...settings import configuration_reader, settings_reader
+from ...settings.process_settings import ProcessSettings
 from .hollow import CountedWire, Measured, build_hollow_node, build_measured_node
 
 PORTS = Ports(wire=CountedWire)
@@ -65,12 +65,12 @@
             self.paths[self.read(path).name] = path
         if spec.hollow:
             # One reading serves all nodes of the process: its cost is a real node's figure, not that of this host.
-            configurations.read = lru_cache(maxsize=4)(configurations.read)
+            configuration_reader.read = lru_cache(maxsize=4)(configuration_reader.read)
 
     @staticmethod
-    def read(path: str) -> process_settings_of.ProcessSettings:
+    def read(path: str) -> ProcessSettings:
         """The settings at `path`."""
-        return process_settings_of.load(path).unwrap()
+        return settings_reader.load(path).unwrap()
 
     def note(self, name: str, what: str, value: int) -> None:
         """One change at a node, by the clock that all processes of the machine share."""
--- a/rampfront/node/__main__.py
+++ b/rampfront/node/__main__.py
@@ -39,12 +39,12 @@
     import uvloop
     from result import Err
 
-    from ..settings import process_settings
+    from ..settings import settings_reader
     from . import assembly, endpoints
     from .log import Log
 
     path = os.environ.get("RAMPFRONT_SETTINGS", DEFAULT_SETTINGS_PATH)
-    found = process_settings.load(path)
+    found = settings_reader.load(path)
     if isinstance(found, Err):
         print(f"rampfront: {found.err_value}", file=sys.stderr)
         return EXIT_FAULTY_SETTINGS
--- a/rampfront/node/assembly.py
+++ b/rampfront/node/assembly.py
@@ -67,7 +67,7 @@
     """
     clock = ports.clock()
     dispatcher = FrameDispatcher(clock)
-    address = (process_settings.ip, process_settings.ports[0])
+    address = (process_settings.ip, process_settings.port_range[0])
     wire = ports.wire(loop, clock, address, log, dispatcher.dispatch)
     context = NodeContext(loop, clock, Scheduler(loop, clock), Random(seed), process_settings, log, wire, Snapshots())
     assembly = _Assembly(context, ports, dispatcher)
@@ -96,7 +96,7 @@
         self.adapter = DisseminationAdapter(self.context)
         front = "{}:{}".format(*settings.front) if settings.front else ""
         own_entry = RosterEntry(settings.name, settings.ip, settings.zone, front, False)
-        seeds = [host for host, _ in settings.seeds]
+        seeds = [host for host, _ in settings.seed_nodes]
         self.disseminator = Disseminator(own_entry, seeds, self.context.rng, self.adapter)
         self.lease = Lease(self.context, self.disseminator)
 
@@ -112,7 +112,7 @@
         self.readiness = Readiness(context, self.disseminator, self.client_front)
 
     def _build_quota_exchange(self) -> QuotaExchange:
-        context, terms = self.context, self.settings.terms
+        context, terms = self.context, self.settings.guarantees
         rule = QuotaRule(terms.quota_window, terms.quota_excess, terms.quota_slack)
         now = context.clock()
         limiter = self.ports.limiter(self.settings.name, context.rng, now, rule)
@@ -164,11 +164,11 @@
     def open_disk_and_platform(self) -> None:
         """Read the core's record, where there is a disk, and name the platform's address, where there is one."""
         context, settings = self.context, self.settings
-        if settings.folder:
+        if settings.data_folder:
             context.scheduler.use_disk_executor(self.ports.disk_executor(DISK_THREADS))
-            self.core.recover(self.ports.record_store(settings.folder))
-        if settings.platform:
-            polling = PollSettings(settings.platform, settings.platform_per_s, POLL_INTERVAL_NS)
+            self.core.recover(self.ports.record_store(settings.data_folder))
+        if settings.platform_address:
+            polling = PollSettings(settings.platform_address, settings.platform_calls_per_s, POLL_INTERVAL_NS)
             callbacks = PollCallbacks(self.server_list.on_polled, self.server_list.on_poll_failed)
             self.server_list.use_poller(self.ports.poller(context.loop, context.clock, polling, callbacks))
 
--- a/rampfront/node/control_calls.py
+++ b/rampfront/node/control_calls.py
@@ -16,7 +16,7 @@
 from ..consensus.version_history import content_digest
 from ..net.http_messages import error_response, json_response
 from ..net.http_routing import endpoint
-from ..settings import configuration as configurations
+from ..settings import configuration_reader
 from .evacuation_view import evacuation_view
 
 if TYPE_CHECKING:
@@ -44,7 +44,7 @@
     @endpoint("POST", "/api/rpc", operation="config.replace", max_body_bytes=MAX_REQUEST_BYTES)
     def replace_configuration(self, request: IncomingRequest) -> Response | None:
         """Put a configuration into force. One that is not valid, or too large, is refused here."""
-        found = configurations.read(request.body)
+        found = configuration_reader.read(request.body)
         if isinstance(found, Err):
             self.counts["orders_refused"] += 1
             return json_response({"Message": str(found.err_value), "Field": found.err_value.field}, 400)
--- a/rampfront/node/core_driver.py
+++ b/rampfront/node/core_driver.py
@@ -80,10 +80,10 @@
             member_settings = MemberSettings(
                 settings.name,
                 settings.ip,
-                [host for host, _ in settings.seeds],
-                is_first_start=settings.first,
-                survive=settings.survive[0],
-                order_repeat_ns=settings.terms.ack_within,
+                [host for host, _ in settings.seed_nodes],
+                is_first_start=settings.first_boot,
+                survive=settings.tolerated_losses.machines,
+                order_repeat_ns=settings.guarantees.ack_within,
             )
             self.member = Member(member_settings, record_store.load(), self._context.rng, self._context.clock())
         except (OSError, ValueError) as error:
--- a/rampfront/node/directory_call.py
+++ b/rampfront/node/directory_call.py
@@ -31,7 +31,7 @@
         self._disseminator = disseminator
         self._zones = process_settings.zones
         self._rng = rng
-        self._ttl = min(TTL_NS, process_settings.terms.ttl_max)
+        self._ttl = min(TTL_NS, process_settings.guarantees.ttl_max)
 
     @endpoint("GET", "/api/lookup")
     def lookup(self, request: IncomingRequest) -> Response:
--- a/rampfront/node/endpoints.py
+++ b/rampfront/node/endpoints.py
@@ -75,7 +75,7 @@
     settings = context.process_settings
     handlers_at: dict[tuple[str, int], list[object]] = {}
     for address, handler in (
-        (settings.ready, ReadyCheck(node.readiness)),
+        (settings.ready_check, ReadyCheck(node.readiness)),
         (settings.directory, directory(node)),
         (settings.control, control(node)),
         (settings.control, StatusViews(node)),
--- a/rampfront/node/lease.py
+++ b/rampfront/node/lease.py
@@ -27,7 +27,7 @@
 
     def __init__(self, context: NodeContext, disseminator: Disseminator) -> None:
         """`disseminator` knows when a majority last stood behind what this node holds."""
-        terms = context.process_settings.terms
+        terms = context.process_settings.guarantees
         self._disseminator = disseminator
         self._started_at = context.clock()
         self.duration = terms.revoke_within - MARGIN_NS if terms.revoke_everywhere else UNBOUNDED_NS  # ns
--- a/rampfront/node/node_process.py
+++ b/rampfront/node/node_process.py
@@ -63,7 +63,7 @@
         """Start the parts and the timers; to be called once, when the listeners are open."""
         settings = self.context.process_settings
         has_disk = self.core.member is not None
-        self.context.log.record(LogEvent.STARTED, zone=settings.zone, disk=has_disk, first_boot=settings.first)
+        self.context.log.record(LogEvent.STARTED, zone=settings.zone, disk=has_disk, first_boot=settings.first_boot)
         self.core.start()
         self.tick()
         self.sweep()
--- a/rampfront/node/replicated_state.py
+++ b/rampfront/node/replicated_state.py
@@ -7,7 +7,7 @@
 
 from result import Err
 
-from ..settings import configuration as configurations
+from ..settings import configuration_reader
 from .log_events import LogEvent
 
 if TYPE_CHECKING:
@@ -70,7 +70,7 @@
             self._disseminator.push_updates(self._clock())
 
     def _apply_configuration(self, state: State) -> None:
-        found = configurations.read(zlib.decompress(state.body))
+        found = configuration_reader.read(zlib.decompress(state.body))
         if isinstance(found, Err):
             self._log.record(LogEvent.CONFIGURATION_UNREADABLE, revision=state.revision, error=found.err_value)
             return
@@ -78,4 +78,4 @@
         self._log.record(LogEvent.CONFIGURATION_APPLIED, revision=state.revision)
         self._client_front.apply_caps(configuration.caps)
         self._request_proxy.apply_configuration(configuration)
-        self._quota_exchange.apply_limits(configuration.named)
+        self._quota_exchange.apply_limits(configuration.customers_by_name)
--- a/rampfront/node/settings_reload.py
+++ b/rampfront/node/settings_reload.py
@@ -7,7 +7,7 @@
 
 from result import Err
 
-from ..settings import process_settings as process_settings_of
+from ..settings import settings_reader
 from .log_events import LogEvent
 
 if TYPE_CHECKING:
@@ -51,16 +51,16 @@
 
     def reload(self, path: str) -> None:
         """Read the file at `path`. A faulty one is named in the log and changes nothing."""
-        found = process_settings_of.load(path)
+        found = settings_reader.load(path)
         if isinstance(found, Err):
             self._context.log.record(LogEvent.SETTINGS_REJECTED, error=found.err_value)
             return
         new = found.ok_value
-        seeds = [host for host, _ in new.seeds]
+        seeds = [host for host, _ in new.seed_nodes]
         self._disseminator.set_seeds(seeds)
         self._core.change_seeds(seeds)
-        if new.platform:
-            self._server_list.move_platform(new.platform)
+        if new.platform_address:
+            self._server_list.move_platform(new.platform_address)
         # Only added to: other nodes may know a new zone by now, and one that is gone may yet be taken back.
         self._context.process_settings.zones.update(new.zones)
         self._context.log.record(LogEvent.SETTINGS_RELOADED)
--- a/rampfront/node/shutdown.py
+++ b/rampfront/node/shutdown.py
@@ -56,7 +56,7 @@
         self._client_front.drain()
         self._readiness.update(self._context.clock())
         self._disseminator.tick(self._context.clock())
-        grace = self._context.process_settings.terms.grace
+        grace = self._context.process_settings.guarantees.grace
         scheduler = self._context.scheduler
         scheduler.call_after(max(MIN_SERVE_ON_NS, grace // 2), self._stop_accepting)
         scheduler.call_after(max(MIN_GRACE_NS, grace - GRACE_MARGIN_NS), self._context.loop.stop)
--- a/rampfront/operator_cli/commands.py
+++ b/rampfront/operator_cli/commands.py
@@ -11,7 +11,7 @@
 
 import click
 
-from ..settings import configuration as configurations
+from ..settings import configuration_reader
 from . import difference, survey
 from . import explain as why
 from .control_client import Refusal, place
@@ -43,7 +43,7 @@
         "Hosts": len(configuration.hosts),
         "Services": len(configuration.services),
         "Routes": sum(len(book.routes) for book in configuration.hosts.values()),
-        "Tenants": len(configuration.named),
+        "Tenants": len(configuration.customers_by_name),
         "Unused": difference.unused(data),
     }
     if as_json:
@@ -270,7 +270,7 @@
         why.split(url)
     except Misused as trouble:
         raise Ended(str(trouble), WRONG) from None
-    configuration = configurations.read(bridge.needed()).unwrap()
+    configuration = configuration_reader.read(bridge.needed()).unwrap()
     state = bridge.call("state.read").said
     rows, _ = bridge.all("servers.read", "Servers")
     shares, _ = bridge.all("quotas.read", "Quotas")
--- a/rampfront/operator_cli/difference.py
+++ b/rampfront/operator_cli/difference.py
@@ -21,7 +21,7 @@
         found["tenant", row["Name"]] = row
     for host in data.get("Sockets") or ():
         for rule in host.get("Rulebook") or ():
-            name = configuration.bare(host["Hostname"].encode()).decode() + rule["MatchesWhen"]["PathStart"]
+            name = configuration.normalize_host(host["Hostname"].encode()).decode() + rule["MatchesWhen"]["PathStart"]
             found["route", name] = rule
     return found
 
--- a/rampfront/operator_cli/explain.py
+++ b/rampfront/operator_cli/explain.py
@@ -6,7 +6,7 @@
 
 from urllib.parse import urlsplit
 
-from ..settings.configuration import bare
+from ..settings.configuration import normalize_host
 from .spelling import Misused, spell
 
 REPEATS = {
@@ -32,7 +32,7 @@
     """`state`, `servers`, `quotas`: as `node/status_views.py` gives them (the rows); `quotas` None: not known."""
     host, path = split(url)
     told = {
-        "Host": bare(host).decode("ascii"),
+        "Host": normalize_host(host).decode("ascii"),
         "Path": path.decode(),
         "Node": state["Node"],
         "Revision": f"r{configuration.revision}",
@@ -59,19 +59,19 @@
     told["Route"] = {
         "Name": route.name,
         "PathStart": route.prefix.decode(),
-        "Type": route.kind,
-        "Means": REPEATS[route.kind],
+        "Type": route.request_type,
+        "Means": REPEATS[route.request_type],
         "Priority": route.priority,
         "Public": route.public,
-        "TargetMs": route.target // 10**6,
-        "GiveUpMs": route.give_up // 10**6,
-        "Tries": route.tries,
-        "HomeRegions": sorted(route.homes),
+        "TargetMs": route.latency_target_ns // 10**6,
+        "GiveUpMs": route.timeout_ns // 10**6,
+        "Tries": route.max_attempts,
+        "HomeRegions": sorted(route.home_regions),
     }
-    tenant = configuration.customer(key.encode()) if key and configuration.keyed else None
+    tenant = configuration.customer(key.encode()) if key and configuration.requires_key else None
     if tenant:
-        told["Tenant"] = {"Name": tenant.name, "Priority": tenant.priority, "HomeRegions": sorted(tenant.homes)}
-    elif configuration.keyed and not route.public:
+        told["Tenant"] = {"Name": tenant.name, "Priority": tenant.priority, "HomeRegions": sorted(tenant.home_regions)}
+    elif configuration.requires_key and not route.public:
         end(
             told,
             401,
@@ -80,10 +80,10 @@
             if not key
             else "show lists the tenants; a newer version may have taken the key away",
         )
-    zones = allowed(state["Zones"], route.homes, tenant.homes if tenant else ())
+    zones = allowed(state["Zones"], route.home_regions, tenant.home_regions if tenant else ())
     told["Zones"] = sorted(zones)
-    total = sum(weight for _, weight in route.shares)
-    for name, weight in route.shares:
+    total = sum(weight for _, weight in route.service_weights)
+    for name, weight in route.service_weights:
         rows = [
             {
                 "Id": row["Id"],
@@ -146,10 +146,10 @@
 
 
 def unrouted(configuration, host):
-    book = configuration.hosts.get(bare(host))
+    book = configuration.hosts.get(normalize_host(host))
     if book is None:
         names = sorted(name.decode() for name in configuration.hosts)
-        return f"no host {bare(host).decode()}", "hosts there are: " + few(names)
+        return f"no host {normalize_host(host).decode()}", "hosts there are: " + few(names)
     return "no route of this host begins the path", "prefixes there are: " + few(
         sorted(prefix.decode() for prefix in book.routes)
     )
--- a/rampfront/operator_cli/frame.py
+++ b/rampfront/operator_cli/frame.py
@@ -8,7 +8,7 @@
 
 import click
 
-from ..settings import configuration as configurations
+from ..settings import configuration_reader
 from ..settings.errors import FieldError
 from ..settings.scalars import parse_address
 from .control_client import Channel, Refusal
@@ -40,7 +40,7 @@
         try:
             return [parse_address(part) for part in value.split(",") if part] if isinstance(value, str) else value
         except FieldError as odd:
-            self.fail(f"{odd.why}; write 127.0.0.1:8381, as in ListenOn.Control", parameter, context)
+            self.fail(f"{odd.reason}; write 127.0.0.1:8381, as in ListenOn.Control", parameter, context)
 
 
 def talks(command):
@@ -122,7 +122,7 @@
         command where another version holds, or another body."""
         revision = int(data["Revision"][1:])
         told, held = self.call("config.replace", body), self.needed()
-        holds = configurations.read(held).map(lambda other: other.revision).unwrap_or(revision)
+        holds = configuration_reader.read(held).map(lambda other: other.revision).unwrap_or(revision)
         if holds < revision:
             raise Ended(
                 f"r{revision} was acknowledged, and r{holds} is read back: this must not be; keep the logs", REFUSED
@@ -143,7 +143,7 @@
 def checked(path):
     """(body, tables, chart) of a configuration's file; `-`: standard input."""
     body = sys.stdin.buffer.read() if str(path) == "-" else Path(path).read_bytes()
-    found = configurations.read(body)
+    found = configuration_reader.read(body)
     if found.is_err():
         fault = found.err_value
         way = "; docs/system/reference.md tells what it may hold" if fault.field else ""
--- a/rampfront/operator_cli/local_system.py
+++ b/rampfront/operator_cli/local_system.py
@@ -22,7 +22,7 @@
 from ..lab.boxes import Fleet, Make, Work
 from ..lab.platform import Platform, open_platform
 from ..net.http_client import HttpRequest, send_request
-from ..settings import configuration as configurations
+from ..settings import configuration_reader
 from .control_client import Channel, place
 from .spelling import table
 
@@ -188,7 +188,7 @@
         """`servers` of each service; `body`: the first configuration as bytes; `folder`: kept at the end, if given."""
         self.loop, self.servers, self.work = loop, servers, Work(work_ms, "exponential")
         self.body = json.dumps(configuration(), indent=1).encode() if body is None else body
-        self.configuration = configurations.read(self.body).unwrap()
+        self.configuration = configuration_reader.read(self.body).unwrap()
         self.kept = folder is not None
         self.folder = Path(folder) if folder else Path(tempfile.mkdtemp(prefix="rampfront-"))
         self.count, self.base, self.nodes, self.children = count, base, [], {}
@@ -314,14 +314,14 @@
     def sample(self):
         """(host, path, key or an empty text) of a request that a route takes; reads go first."""
         routes = [
-            (route.kind != "read_only", host, route)
+            (route.request_type != "read_only", host, route)
             for host, book in self.configuration.hosts.items()
             for route in book.routes.values()
         ]
         if not routes:
             return "", "/", ""
         _, host, route = min(routes, key=lambda row: row[0])
-        key = next(iter(self.configuration.customers), b"") if not route.public else b""
+        key = next(iter(self.configuration.customers_by_key), b"") if not route.public else b""
         return host.decode(), route.prefix.decode() + "1", key.decode()
 
     def curl(self):
--- a/rampfront/operator_cli/snapshot.py
+++ b/rampfront/operator_cli/snapshot.py
@@ -17,7 +17,7 @@
 import click
 from result import Err, Ok
 
-from ..settings import configuration as configurations
+from ..settings import configuration_reader
 from . import difference, survey
 from .control_client import place
 from .frame import FILE, REFUSED, WRONG, Ended, talks
@@ -71,7 +71,7 @@
     for zone in head["Emptied"]:
         if zone not in head["Zones"]:
             return Err(f"Emptied: no such zone: {zone!r}")
-    found = configurations.read(body)
+    found = configuration_reader.read(body)
     if found.is_err():
         return Err(f"its configuration: {found.err_value}; docs/system/reference.md tells what it may hold")
     if head["Revision"] != f"r{found.ok_value.revision}":
@@ -147,7 +147,9 @@
             raise Ended(
                 "no node that answers leads the core, so what holds is not known: ask others with --at", REFUSED
             )
-        revision = configurations.read(body).map(lambda configuration: f"r{configuration.revision}").unwrap_or(None)
+        revision = (
+            configuration_reader.read(body).map(lambda configuration: f"r{configuration.revision}").unwrap_or(None)
+        )
         if revision is not None and told["Revision"] == revision:
             break
     else:
@@ -203,7 +205,7 @@
     """
     kept = loaded(file)
     body = bridge.held()
-    configuration = configurations.read(body).unwrap() if body is not None else None
+    configuration = configuration_reader.read(body).unwrap() if body is not None else None
     state = bridge.run(survey.look(bridge.channel), "state.read")
     told = steps(kept, configuration and (json.loads(body), configuration.revision), state["Emptied"])
     if only == "zones":
--- a/rampfront/proxy/admission.py
+++ b/rampfront/proxy/admission.py
@@ -37,7 +37,7 @@
 def authenticate(configuration: Configuration, route: Route, header: dict[bytes, bytes]) -> Customer | None:
     """The customer whose key the request shows; None where the configuration has no customers, or the route is public
     and the request shows no valid key. Raises `RequestRejectedError` (401)."""
-    if not configuration.keyed:
+    if not configuration.requires_key:
         return None
     scheme, _, key = header.get(b"authorization", b"").partition(b" ")
     customer = configuration.customer(key.strip()) if scheme.lower() == b"bearer" else None
@@ -51,6 +51,6 @@
     for the way back. 0 or less: it is too late."""
     text = header.get(b"time-left-ms", b"")
     left = int(text) * MS if text.isdigit() and len(text) <= _MOST_TIME_DIGITS else _DEFAULT_TIME_LEFT_NS
-    if route.give_up:
-        left = min(left, route.give_up)
+    if route.timeout_ns:
+        left = min(left, route.timeout_ns)
     return left - margin_ns
--- a/rampfront/proxy/attempt_policy.py
+++ b/rampfront/proxy/attempt_policy.py
@@ -16,7 +16,7 @@
 from .slow_start import DEFAULT_WARM_UP_NS
 
 if TYPE_CHECKING:
-    from ..settings.process_settings import Guarantees
+    from ..settings.settings_file import Guarantees
 
 READ_ONLY = "read_only"  # a route's kind whose requests may run more than once
 _KINDS = {READ_ONLY: t.INQUIRY, "changing": t.ONCE_ONLY, "upload": t.ONCE_ONLY}
--- a/rampfront/proxy/budget_shares.py
+++ b/rampfront/proxy/budget_shares.py
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from ..choice import Node
     from ..settings.configuration import Service
-    from ..settings.process_settings import Guarantees
+    from ..settings.settings_file import Guarantees
 
 # Parts of the fleet's budgets that are used; the rest is margin.
 _RETRY_RATIO_PART = 0.85
--- a/rampfront/proxy/priorities.py
+++ b/rampfront/proxy/priorities.py
@@ -19,7 +19,7 @@
 
     def __init__(self, configuration: Configuration) -> None:
         """Ranks every pair of priorities that the configuration has."""
-        customer_priorities = _in_order(customer.priority for customer in configuration.named.values())
+        customer_priorities = _in_order(customer.priority for customer in configuration.customers_by_name.values())
         route_priorities = _in_order(
             route.priority for rulebook in configuration.hosts.values() for route in rulebook.routes.values()
         )
--- a/rampfront/proxy/request_proxy.py
+++ b/rampfront/proxy/request_proxy.py
@@ -87,7 +87,7 @@
         self.configuration = configuration
         self._home_zones.clear()
         self._priority_ranks = PriorityRanks(configuration)
-        self.limiter.set_quotas(configuration.named, self.clock())
+        self.limiter.set_quotas(configuration.customers_by_name, self.clock())
         self.update_endpoints()
 
     def apply_server_list(self, servers: EndpointList) -> None:
@@ -144,7 +144,7 @@
         """Sets this proxy's parts of the fleet's budgets."""
         if self.configuration is None:
             return
-        guarantees = self.environment.process_settings.terms
+        guarantees = self.environment.process_settings.guarantees
         for name, service_pool in self.service_pools.items():
             if service := self.configuration.services.get(name):
                 set_budgets(service_pool.desk.node, guarantees, service, self.proxy_count)
@@ -177,7 +177,7 @@
             return
         head = build_request_head(received, customer)
         request = ProxiedRequest(client, try_id, head, received.body, service_pool.product_index(route))
-        request.admit(service_pool.desk, customer, now, now + time_left_ns, once_only=route.kind != READ_ONLY)
+        request.admit(service_pool.desk, customer, now, now + time_left_ns, once_only=route.request_type != READ_ONLY)
         self._check_not_open(request, now)
         client.taken(request)
         self._begin(request, route, time_left_ns)
@@ -193,7 +193,7 @@
         return self.configuration
 
     def _pick_service_pool(self, route: Route, time_left_ns: int) -> ServicePool:
-        service_pool = self.service_pools.get(pick_service(route.shares, self.environment.draw))
+        service_pool = self.service_pools.get(pick_service(route.service_weights, self.environment.draw))
         if time_left_ns <= 0 or service_pool is None or not service_pool.has_server_up():
             raise RequestRejectedError(outcomes.NO_SERVER)
         return service_pool
@@ -231,7 +231,7 @@
             time_left_ns,
             _ONE_NODE,
             self._home_zones.allowed(route, customer),
-            route.tries,
+            route.max_attempts,
             distance_exponent(len(request.body)),
             self._priority_ranks.rank(route.priority, customer.priority if customer else None),
         )
--- a/rampfront/proxy/routing.py
+++ b/rampfront/proxy/routing.py
@@ -34,7 +34,7 @@
 
     def allowed(self, route: Route, customer: Customer | None) -> frozenset[int] | None:
         """The zones' indices, or None for all. Where route and customer both have home regions, each binds."""
-        homes = route.homes, customer.homes if customer else frozenset()
+        homes = route.home_regions, customer.home_regions if customer else frozenset()
         if not homes[0] and not homes[1]:
             return None
         found = self._found.get(homes)
--- a/rampfront/proxy/service_pool.py
+++ b/rampfront/proxy/service_pool.py
@@ -69,11 +69,11 @@
 
     def product_index(self, route: Route) -> int:
         """The index of the node's product for requests of a route."""
-        key = route.kind, route.target
+        key = route.request_type, route.latency_target_ns
         index = self._product_indices.get(key)
         if index is None:
             index = self._product_indices[key] = len(self.desk.node.lines)
-            self.desk.node.lines.append(Line(product_of(route.kind, route.target)))
+            self.desk.node.lines.append(Line(product_of(route.request_type, route.latency_target_ns)))
             self.desk.once_only.append(False)
         return index
 
@@ -113,7 +113,7 @@
     return Desk(
         environment.loop,
         environment.clock,
-        node_terms(environment.process_settings.terms, proxy_count),
+        node_terms(environment.process_settings.guarantees, proxy_count),
         environment.draw.getrandbits(_SEED_BITS),
         (limits.reminder_slack_ns, limits.reminder_slack_divisor),
         environment.log,
--- a/rampfront/settings/__main__.py
+++ b/rampfront/settings/__main__.py
@@ -5,7 +5,7 @@
 
 import click
 
-from . import configuration, process_settings, reference
+from . import configuration_reader, reference, settings_reader
 from .errors import Fault
 
 
@@ -22,7 +22,7 @@
 @click.option("--settings", is_flag=True, help="The file holds a process's settings, not a configuration.")
 def check(path: str, settings: bool) -> None:
     """Says whether a file can be read, or which field is at fault (exit code 1)."""
-    fault = process_settings.load(path).err() if settings else _configuration_fault(path)
+    fault = settings_reader.load(path).err() if settings else _configuration_fault(path)
     if fault:
         click.echo(f"{path}: {fault}", err=True)
         sys.exit(1)
@@ -30,7 +30,7 @@
 
 
 def _configuration_fault(path: str) -> Fault | None:
-    return configuration.read(Path(path).read_bytes()).err()
+    return configuration_reader.read(Path(path).read_bytes()).err()
 
 
 if __name__ == "__main__":
--- a/rampfront/settings/field_types.py
+++ b/rampfront/settings/field_types.py
@@ -1,7 +1,8 @@
-"""Kinds of fields as dacite reads them, for the small tables of settings and configurations.
+"""Types of fields for dacite, which reads the small tables of settings and configurations.
 
-`read_table(data_class, data)` reads one. A field `cpu_share` is `CpuShare` in the file. Fields that are not known are
-ignored; null counts as absent."""
+`read_table(data_class, data)` reads one table. A field `cpu_share` is `CpuShare` in the file. Fields that are not known
+are ignored; null counts as absent.
+"""
 
 from collections.abc import Callable
 from dataclasses import MISSING, dataclass, field, fields
@@ -21,11 +22,11 @@
 
 
 class Duration(int):
-    """A time, in ns."""
+    """A duration, in ns."""
 
 
-class Whole(int):
-    """A whole number; a fraction is cut, as an allowance that is too low keeps its rule."""
+class Integer(int):
+    """An integer; a fraction is cut off, as an allowance that is too low still keeps its rule."""
 
 
 class Real(float):
@@ -40,7 +41,7 @@
     """A path that is sent in a request line."""
 
 
-PLAIN: dict[type, Callable[[Any], Any]] = {Duration: int, Whole: int, Real: float, Address: tuple, UrlPath: bytes}
+PLAIN: dict[type, Callable[[Any], Any]] = {Duration: int, Integer: int, Real: float, Address: tuple, UrlPath: bytes}
 
 
 def described(
@@ -51,9 +52,9 @@
     default: FieldValue = MISSING,
     default_factory: FieldValue = MISSING,
 ) -> FieldValue:
-    """A field with its meaning, for the reference page; without a default the file must hold it.
+    """Declares a dataclass field with its meaning, for the reference page; without a default the file must contain it.
 
-    `key` and `shape` tell how it is written where its name and type do not."""
+    `key` and `shape` say how it is written in the file where its name and type do not."""
     metadata = {"meaning": meaning, "key": key, "shape": shape}
     return field(metadata=metadata, default=default, default_factory=default_factory)
 
@@ -68,26 +69,27 @@
 
 
 def key_of(name: str) -> str:
-    """A field's key in the file: `cpu_share` is `CpuShare`."""
+    """Returns a field's key in the file: `CpuShare` for `cpu_share`."""
     return KEYS.get(name) or "".join(part.capitalize() for part in name.split("_"))
 
 
-class _RefusedValueError(WrongTypeError):
+class _RejectedValueError(WrongTypeError):
     """A `FieldError` as dacite needs it, which adds the field's path."""
 
-    def __init__(self, kind: type, value: object, why: str) -> None:
+    def __init__(self, kind: type, value: object, reason: str) -> None:
         super().__init__(kind, value)
-        self.why = why
+        self.reason = reason
 
 
 def _hook(check: Callable[[Any], Any], kind: type) -> Callable[[object], Any]:
-    """`check` as dacite calls it for fields of type `kind`."""
+    """Returns `check` as dacite calls it for fields of type `kind`."""
 
     def hook(value: object) -> FieldValue:
+        """Checks one value."""
         try:
             return kind(check(value))
         except FieldError as error:
-            raise _RefusedValueError(kind, value, error.why) from None
+            raise _RejectedValueError(kind, value, error.reason) from None
 
     return hook
 
@@ -105,20 +107,20 @@
         Address: _hook(parse_address, Address),
         UrlPath: _hook(_check_path, UrlPath),
         Real: _hook(check_number, Real),
-        Whole: _hook(lambda value: floor(check_number(value)), Whole),
+        Integer: _hook(lambda value: floor(check_number(value)), Integer),
     },
 )
 
 
 def without_nulls(data: Json) -> Json:
-    """`data` without what is null, which counts as absent."""
+    """Returns `data` without its null values, which count as absent."""
     if type(data) is not dict:
         return data
     return {key: without_nulls(value) for key, value in data.items() if value is not None}
 
 
 def to_plain(row: Table) -> Table:
-    """`row` with its fields as the plain types that their kinds stand for."""
+    """Returns `row` with plain ints, floats, tuples and bytes in place of the types above, which are slower to use."""
     plain = {}
     for row_field in fields(row):  # type: ignore[arg-type]  # any class made by `frozen`
         value = getattr(row, row_field.name)
@@ -128,7 +130,7 @@
 
 
 def read_table(data_class: type[Table], data: object) -> Table:
-    """`data` as a `data_class`. Raises `FieldError` with the path of what is not valid, in the file's keys."""
+    """Returns `data` as a `data_class`. Raises `FieldError` with the path of what is invalid, in the file's keys."""
     if type(data) is not dict:
         raise FieldError(f"not a table: {quoted(data)}")
     try:
@@ -141,6 +143,6 @@
 def _reason(error: DaciteFieldError) -> str:
     if isinstance(error, MissingValueError):
         return "missing"
-    if isinstance(error, _RefusedValueError):
-        return error.why
+    if isinstance(error, _RejectedValueError):
+        return error.reason
     return f"not what it should be: {quoted(getattr(error, 'value', None))}"
--- a/rampfront/settings/reference.py
+++ b/rampfront/settings/reference.py
@@ -4,15 +4,15 @@
 from dataclasses import MISSING, Field, fields, is_dataclass
 from typing import Any, get_args, get_type_hints
 
-from . import configuration, process_settings
-from .field_types import Address, Duration, Real, UrlPath, Whole, key_of
+from . import configuration, settings_file
+from .field_types import Address, Duration, Integer, Real, UrlPath, key_of
 from .scalars import MS, SEC
 
 Annotation = Any  # a field's annotation: a type, a union or a generic alias
 
 SHAPES: dict[Annotation, str] = {
     Duration: "time",
-    Whole: "whole number",
+    Integer: "whole number",
     int: "whole number",
     Real: "number",
     Address: "address",
@@ -26,7 +26,7 @@
 address `10.1.0.13:8381`. Fields that are not known are ignored; null counts as absent. What cannot be read is refused
 with the path of the field and the reason; `check FILE` (`--settings`) behind the command says so beforehand.
 """
-ROWS = (  # tables of a configuration: where they stand, and what reads them
+CONFIGURATION_TABLES = (  # tables of a configuration: where they stand, and what reads them
     ("Caps", configuration.Caps),
     ("Customers[] (tenants; absent or empty: no route asks for a key)", configuration.Customer),
     (
@@ -61,7 +61,7 @@
 
 
 def _shape_text(kind: Annotation) -> str:
-    """A type in the page's words."""
+    """How the page names a type."""
     inner = [part for part in get_args(kind) if part is not type(None)]
     origin = getattr(kind, "__origin__", None)
     if origin is list:
@@ -99,15 +99,15 @@
 
 
 def page() -> str:
-    """The whole page, as Markdown."""
+    """Returns the complete page, as Markdown."""
     top = "| field | what | default | meaning |\n|---|---|---|---|"
     parts = [
         HEAD,
         "## Settings file\n",
         top,
-        *_settings_rows(process_settings.SettingsFile, ""),
+        *_settings_rows(settings_file.SettingsFile, ""),
         "\n## Configuration\n\n`Revision` is `r` and a number; `Caps`, `Sockets` and `Groups` must be there.\n",
     ]
-    for title, table in ROWS:
+    for title, table in CONFIGURATION_TABLES:
         parts += [f"### {title}\n", top, *_configuration_rows(table), ""]
     return "\n".join(parts).rstrip() + "\n"
--- a/rampfront/settings/scalars.py
+++ b/rampfront/settings/scalars.py
@@ -1,4 +1,4 @@
-"""Times, addresses and numbers as settings files, configurations and the platform write them.
+"""Durations, addresses and numbers as settings files, configurations and the platform write them (PROTOCOL.md).
 
 Every function raises `FieldError` for what it cannot read."""
 
@@ -8,65 +8,67 @@
 
 from .errors import FieldError, quoted
 
-MS, SEC = 10**6, 10**9  # ns
-LONGEST = 2**62  # ns; a longer time cannot be meant, and would not fit where times are sent on
-LARGEST = 2**62  # a larger number cannot be meant, and would not fit where numbers are sent on
-UNITS = (("ms", MS), ("s", SEC))  # in the order in which they are tried
-LONGEST_TIME_TEXT = 40  # characters
-MOST_TIME_DIGITS = 19  # of a whole number of units
-MOST_PORT_DIGITS = 5
+MS = 10**6  # ns
+SEC = 10**9  # ns
+MAX_DURATION_NS = 2**62  # a longer one cannot be meant, and would not fit into 64 bits where it is sent on
+MAX_NUMBER = 2**62  # a larger one cannot be meant, and would not fit into 64 bits where it is sent on
+UNITS_NS = (("ms", MS), ("s", SEC))  # in the order in which they are tried: "ms" ends with "s" too
+MAX_DURATION_CHARS = 40
+MAX_DURATION_DIGITS = 19  # of an integral number of units
+MAX_PORT_DIGITS = 5
 PORTS = range(1, 65536)
-TIMES_REMEMBERED = 256  # the rules of a configuration have few different times
+CACHED_DURATIONS = 256  # the routes of a configuration have few different ones
 
 Json = Any  # a value as the JSON parser gives it, of any type
 
 
 def parse_duration(text: object) -> int:
-    """`1500ms` or `2.5s` in whole ns."""
-    if type(text) is not str or len(text) > LONGEST_TIME_TEXT or not text.isascii():
+    """Returns `1500ms` or `2.5s` in ns."""
+    if type(text) is not str or len(text) > MAX_DURATION_CHARS or not text.isascii():
         raise FieldError(f"not a time such as 1500ms or 2.5s: {quoted(text)}")
     return _parse_duration(text)
 
 
-@lru_cache(TIMES_REMEMBERED)
+@lru_cache(CACHED_DURATIONS)
 def _parse_duration(text: str) -> int:
-    for unit, ns in UNITS:
+    for unit, unit_ns in UNITS_NS:
         if text.endswith(unit):
-            duration = _units_to_ns(text[: -len(unit)], ns)
+            duration = _units_to_ns(text[: -len(unit)], unit_ns)
             if duration is None:
                 break
-            if duration >= LONGEST:
+            if duration >= MAX_DURATION_NS:
                 raise FieldError(f"too long a time: {quoted(text)}")
             return duration
     raise FieldError(f"not a time such as 1500ms or 2.5s: {quoted(text)}")
 
 
-def _units_to_ns(digits: str, unit: int) -> int | None:
-    """A count of units in ns; None if it is no number."""
-    if digits.isdecimal() and len(digits) <= MOST_TIME_DIGITS:
-        return int(digits) * unit
+def _units_to_ns(digits: str, unit_ns: int) -> int | None:
+    """Returns a count of units in ns, or None if it is no number."""
+    if digits.isdecimal() and len(digits) <= MAX_DURATION_DIGITS:
+        return int(digits) * unit_ns
     if not digits[:1].isdigit() or not digits[-1:].isdigit() or "_" in digits:
         return None
     try:
         count = float(digits)
     except ValueError:
         return None
-    return round(count * unit) if isfinite(count) else LONGEST
+    return round(count * unit_ns) if isfinite(count) else MAX_DURATION_NS
 
 
 def parse_address(text: object) -> tuple[str, int]:
-    """`10.1.0.13:8381` as (host, port)."""
+    """Returns `10.1.0.13:8381` as (host, port)."""
     if type(text) is str:
-        host, _, port = text.rpartition(":")
-        is_number = port.isdecimal() and port.isascii() and len(port) <= MOST_PORT_DIGITS
-        if host and is_number and int(port) in PORTS:
-            return host, int(port)
+        colon = text.rfind(":")
+        port = text[colon + 1 :]
+        is_number = port.isdecimal() and port.isascii() and len(port) <= MAX_PORT_DIGITS
+        if colon > 0 and is_number and int(port) in PORTS:
+            return text[:colon], int(port)
     raise FieldError(f"not an address such as 10.1.0.13:8381: {quoted(text)}")
 
 
 def check_number(value: Json) -> int | float:
-    """`value`, if it is a finite number and not below 0."""
-    if type(value) not in (int, float) or not -LARGEST < value < LARGEST:  # nan too
+    """Returns a value that must be a finite number and not below 0."""
+    if type(value) not in (int, float) or not -MAX_NUMBER < value < MAX_NUMBER:  # nan too
         raise FieldError(f"not a number: {quoted(value)}")
     if value < 0:
         raise FieldError(f"below 0: {quoted(value)}")
--- a/rampfront/simulation/fleet.py
+++ b/rampfront/simulation/fleet.py
@@ -12,7 +12,7 @@
 from ..node.endpoints import control, directory
 from ..node.metrics import COUNTERS
 from ..node.ports import Ports
-from ..settings import process_settings as process_settings_of
+from ..settings import settings_reader
 from ..transport.frames import MAX_DATAGRAM_BYTES
 from ..transport.transfer_scheduler import Transfer
 from ..transport.wire import Wire
@@ -426,7 +426,7 @@
 
     def process_settings(self, machine):
         ip, own = machine.ip, f"{machine.ip}:"
-        found = process_settings_of.read(
+        found = settings_reader.read(
             {
                 "Self": {
                     "NodeName": machine.name,
--- a/tests/pins/adapter.py
+++ b/tests/pins/adapter.py
@@ -24,7 +24,7 @@
 from rampfront.node.order_messages import OrderReply, OrderRequest
 from rampfront.node.status_views import StatusViews
 from rampfront.operator_cli import explain, snapshot, survey
-from rampfront.settings import configuration as configurations
+from rampfront.settings import configuration_reader
 from rampfront.simulation.schedule import Run
 from rampfront.simulation.system_run import SystemRun
 
@@ -218,6 +218,6 @@
 
 def explain_of(configuration: bytes, told: dict[str, Any], url: str, key: str) -> dict[str, Any]:
     """`rampfront explain URL --key KEY --json`. `told`: what a node said, by call."""
-    held = configurations.read(configuration).ok_value
+    held = configuration_reader.read(configuration).ok_value
     rows, quotas = told["servers.read"]["Servers"], told["quotas.read"]["Quotas"]
     return explain.explain(held, told["state.read"], rows, quotas, url, key)
--- a/tests/proxy_fixtures.py
+++ b/tests/proxy_fixtures.py
@@ -21,8 +21,7 @@
 from rampfront.proxy.client_front import ClientFront
 from rampfront.proxy.environment import ProxyEnvironment
 from rampfront.proxy.request_proxy import RequestProxy
-from rampfront.settings import configuration as configurations
-from rampfront.settings import process_settings as process_settings_of
+from rampfront.settings import configuration_reader, settings_reader
 
 MS, SEC = 10**6, 10**9
 ZONES = {"a1": "a", "a2": "a", "b1": "b"}
@@ -157,7 +156,7 @@
         self.saved = True  # further tries are saved up to the most
         self.opened = []  # connections to servers, ever
         self.log, self.quota, self.word = Silent(), quota or Quota(), word
-        self.process_settings = process_settings_of.read(settings()).ok_value
+        self.process_settings = settings_reader.read(settings()).ok_value
         self.places, self.numbers = {}, 0
         limits = network_limits(self.process_settings)
         environment = ProxyEnvironment(self, self.clock, self.process_settings, limits, random.Random(5), self.log)
@@ -177,7 +176,7 @@
         return pipe
 
     def order(self, revision=1, **other):
-        configuration = configurations.read(orders(revision, **other)).ok_value
+        configuration = configuration_reader.read(orders(revision, **other)).ok_value
         self.client_front.apply_caps(configuration.caps)
         self.request_proxy.apply_configuration(configuration)
         self.settle()
--- a/tests/test_dissemination.py
+++ b/tests/test_dissemination.py
@@ -317,7 +317,7 @@
         for k, ready in enumerate((True, True, False))
     ]
     disseminator = SimpleNamespace(roster=rows)
-    settings = SimpleNamespace(zones=zones, terms=SimpleNamespace(ttl_max=5 * SEC))
+    settings = SimpleNamespace(zones=zones, guarantees=SimpleNamespace(ttl_max=5 * SEC))
     directory = Directory(disseminator, settings, Nodes(1).draw)
 
     spread = []
--- a/tests/test_hardening_calls.py
+++ b/tests/test_hardening_calls.py
@@ -31,7 +31,7 @@
 from rampfront.node.ports import Ports
 from rampfront.quota.counter import QuotaCounter
 from rampfront.quota.limiter import Limiter
-from rampfront.settings import process_settings as process_settings_of
+from rampfront.settings import settings_reader
 
 HERE, LEADER, CALLER, OTHER = "10.1.0.1", "10.1.0.9", "10.1.0.7", "10.1.0.8"
 BODY = zlib.compress(orders(1))
@@ -90,7 +90,7 @@
         self.loop.add_signal_handler = self.loop.run_in_executor = None
         self.node = build_node_process(
             self.loop,
-            process_settings_of.read(settings(Grace="6s", RevokeWithin="5s")).ok_value,
+            settings_reader.read(settings(Grace="6s", RevokeWithin="5s")).ok_value,
             Silent(),
             seed,
             ports=Ports(clock=lambda: self.loop.clock, wire=Ears),
--- a/tests/test_hardening_isolation.py
+++ b/tests/test_hardening_isolation.py
@@ -16,8 +16,8 @@
 from rampfront.node import control_calls, order_submitter
 from rampfront.node.metrics_page import gauges
 from rampfront.node.status_views import StatusViews
-from rampfront.settings import process_settings
-from rampfront.settings.configuration import LARGEST_REVISION
+from rampfront.settings import settings_reader
+from rampfront.settings.limits import MAX_REVISION
 from rampfront.simulation.checks import Broken
 from rampfront.simulation.fleet import Asked
 from rampfront.simulation.isolation import IsolationRun
@@ -214,8 +214,8 @@
     """A caller that is told to come back must have a chance: what the leader refuses for good is a 4xx at the door."""
     run = IsolationRun()
     run.quiet = True
-    largest = b"r%d" % LARGEST_REVISION
-    for text, status in ((b"r0", 400), (b"r%d" % (LARGEST_REVISION + 1), 400), (largest, 200)):
+    largest = b"r%d" % MAX_REVISION
+    for text, status in ((b"r0", 400), (b"r%d" % (MAX_REVISION + 1), 400), (largest, 200)):
         body = run.body().replace(b'"r%d"' % run.numbers, b'"%s"' % text, 1)
         answers = run.order("config", run.fleet.machines[7], body)
         run.go(SEC)
@@ -235,7 +235,7 @@
     new = replace(
         node_process.context.process_settings, zones={**node_process.context.process_settings.zones, "c1": "c"}
     )
-    monkeypatch.setattr(process_settings, "load", lambda path: Ok(new))
+    monkeypatch.setattr(settings_reader, "load", lambda path: Ok(new))
     node_process.settings_reloader.reload("settings.json")
     answers = run.order("empty", machine, of="c1")
     run.go(SEC)
--- a/tests/test_node_process.py
+++ b/tests/test_node_process.py
@@ -14,7 +14,7 @@
 from rampfront.membership.leadership import CoreStatus
 from rampfront.node.assembly import build_node_process
 from rampfront.node.ports import Ports
-from rampfront.settings import process_settings as process_settings_of
+from rampfront.settings import settings_reader
 
 
 class Ears:
@@ -42,7 +42,7 @@
     q.stop = lambda: q.stopped.append(q.now)
     made = build_node_process(
         q,
-        process_settings_of.read(settings(Grace="6s", RevokeWithin="5s")).ok_value,
+        settings_reader.read(settings(Grace="6s", RevokeWithin="5s")).ok_value,
         Silent(),
         3,
         ports=Ports(clock=lambda: q.clock, wire=Ears),
@@ -80,7 +80,9 @@
 def test_what_operators_count_on_is_counted(node_process):
     """Rounds of the platform's list that bring none; ages of the word, of ten looks a second; requests and answers."""
     q = node_process.context.loop
-    made = build_node_process(q, replace(node_process.context.process_settings, platform=("10.9.9.9", 80)), Silent(), 3)
+    made = build_node_process(
+        q, replace(node_process.context.process_settings, platform_address=("10.9.9.9", 80)), Silent(), 3
+    )
     made.server_list.poller.callbacks.on_failure("status 429")
     assert made.context.counts["server_lists_failed"] == 1 and not sum(made.lease.sampled_ages.counts)
     word(node_process, 1, servers=(1, ["s1"]))
--- a/tests/test_operator_cli.py
+++ b/tests/test_operator_cli.py
@@ -30,8 +30,7 @@
 from rampfront.node.status_views import COUNTERS_SHOWN, PAGE_ROWS, StatusViews
 from rampfront.operator_cli import commands, difference, explain, local_system, snapshot, survey
 from rampfront.operator_cli import start as home
-from rampfront.settings import configuration as configurations
-from rampfront.settings import process_settings
+from rampfront.settings import configuration_reader, settings_reader
 
 MS, SEC = 10**6, 10**9
 A, B, C = "127.0.0.1:1", "127.0.0.2:1", "127.0.0.3:1"
@@ -588,7 +587,7 @@
         {"Service": "reads", "Weight": 3},
         {"Service": "orders", "Weight": 1},
     ]
-    configuration = configurations.read(json.dumps(data).encode()).unwrap()
+    configuration = configuration_reader.read(json.dumps(data).encode()).unwrap()
     told = explain.explain(configuration, state(), [server("i-1")], [], "shop.example/read/1", local_system.KEY)
     shares = [(one["Service"], one["Share"], one["May"]) for one in told["Services"]]
     assert shares == [("reads", 0.75, 1), ("orders", 0.25, 0)]
@@ -628,9 +627,9 @@
     nodes = local_system.layout(6, "127.0.0.250", 20000)
     assert [n.ip for n in nodes][-1] == "127.0.0.255" and [n.disk for n in nodes] == [True] * 4 + [False] * 2
     for one in nodes:
-        read = process_settings.read(local_system.settings(one, nodes, "127.0.0.1:9", tmp_path, first=False)).unwrap()
-        assert read.ip == one.ip and bool(read.folder) == one.disk and not read.first
-        assert len({read.front, read.ready, read.control, read.directory}) == 4
+        read = settings_reader.read(local_system.settings(one, nodes, "127.0.0.1:9", tmp_path, first=False)).unwrap()
+        assert read.ip == one.ip and bool(read.data_folder) == one.disk and not read.first_boot
+        assert len({read.front, read.ready_check, read.control, read.directory}) == 4
     assert difference.unused(local_system.configuration()) == []
 
 
--- a/tests/test_proxy_attempts.py
+++ b/tests/test_proxy_attempts.py
@@ -100,7 +100,7 @@
         while q.out():
             reset(q)
         q.wait(20)
-    terms, again = q.process_settings.terms, q.log.counts["resent"] + q.log.counts["copies"]
+    terms, again = q.process_settings.guarantees, q.log.counts["resent"] + q.log.counts["copies"]
     assert 10 < again <= terms.retry_ratio * 100 + terms.extra_tries / 8
 
 
--- a/tests/test_proxy_servers.py
+++ b/tests/test_proxy_servers.py
@@ -5,7 +5,7 @@
 import pytest
 from proxy_fixtures import READ, SEC, TWO, WRITE, Quay, Quota, orders, reset
 
-from rampfront.settings import configuration as configurations
+from rampfront.settings import configuration_reader
 
 
 def test_homes():
@@ -158,7 +158,7 @@
 
 def test_a_server_is_cold_for_as_long_as_its_service_says():
     q = Quay()
-    configuration = configurations.read(orders().replace(b'"3s"', b'"6s"')).ok_value
+    configuration = configuration_reader.read(orders().replace(b'"3s"', b'"6s"')).ok_value
     q.client_front.apply_caps(configuration.caps)
     q.request_proxy.apply_configuration(configuration)
     q.list({"s1": ("one", "a1")}, cold={"s1": 6000})
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -26,7 +26,7 @@
 from rampfront.lab.system.scale_plan import MOST_PROCESSES, Scale, ScaleError, check, configuration, server_entries
 from rampfront.node.assembly import build_node_process
 from rampfront.node.node_process import NodeProcess
-from rampfront.settings import configuration as configurations
+from rampfront.settings import configuration_reader
 from rampfront.settings.errors import FieldError
 from rampfront.simulation import fleet as fleets
 from rampfront.simulation.fleet import Asked
@@ -116,9 +116,9 @@
 
 def test_configuration_and_list_have_the_sizes_told():
     scale = Scale(30, routes=270, tenants=320, servers=260, services=13)
-    read = configurations.read(configuration(scale, 3)).unwrap()
+    read = configuration_reader.read(configuration(scale, 3)).unwrap()
     assert sum(len(book.routes) for book in read.hosts.values()) == 270
-    assert (len(read.named), len(read.services), read.revision) == (320, 13, 3)
+    assert (len(read.customers_by_name), len(read.services), read.revision) == (320, 13, 3)
     assert len(server_entries(scale)) == 260
     one, two = (json.loads(configuration(scale, revision)) for revision in (1, 2))
     assert one["Customers"] == two["Customers"] and one["Sockets"] != two["Sockets"]
@@ -218,7 +218,9 @@
 
 def told(rows):
     """Tenants by key or name, so that they compare."""
-    return {key: (row.name, row.keys, row.priority, row.per_s, row.burst, row.homes) for key, row in rows.items()}
+    return {
+        key: (row.name, row.api_keys, row.priority, row.per_s, row.burst, row.home_regions) for key, row in rows.items()
+    }
 
 
 def all_of(table):
@@ -228,14 +230,14 @@
 def test_a_change_by_rows_gives_what_the_whole_gives():
     scale = Scale(30, routes=4, tenants=60, services=2)
     said = json.loads(configuration(scale))
-    read = configurations.read(json.dumps(said).encode()).unwrap()
-    held = SharedTenants(SharedTable.of(read.customers), SharedTable.of(read.named))
+    read = configuration_reader.read(json.dumps(said).encode()).unwrap()
+    held = SharedTenants(SharedTable.of(read.customers_by_key), SharedTable.of(read.customers_by_name))
     said["Customers"][7]["ApiKeys"] = ["new-key", said["Customers"][7]["ApiKeys"][1]]
-    whole = configurations.read(json.dumps(said).encode()).unwrap()
+    whole = configuration_reader.read(json.dumps(said).encode()).unwrap()
     after = read_change(held, json.dumps([said["Customers"][7]]).encode())
     for shared, plain, old in (
-        (after.by_key, whole.customers, held.by_key),
-        (after.by_name, whole.named, held.by_name),
+        (after.by_key, whole.customers_by_key, held.by_key),
+        (after.by_name, whole.customers_by_name, held.by_name),
     ):
         assert all_of(shared) == told(plain)
         assert (
@@ -251,8 +253,8 @@
     body = configuration(Scale(30, routes=4, tenants=3 * ROWS + 1, services=2))
     tables = SharedTenants(SharedTable.of({}), SharedTable.of({}))
     assert sum(1 for _ in read_slices(slices(body), tables)) == 4
-    read = configurations.read(body).unwrap()
-    assert all_of(tables.by_key) == told(read.customers)
+    read = configuration_reader.read(body).unwrap()
+    assert all_of(tables.by_key) == told(read.customers_by_key)
 
 
 @pytest.mark.parametrize("case", CASES[:1] + CASES[3:5], ids=lambda case: case.name)
