--- a/rampfront/membership/dissemination.py
+++ b/rampfront/membership/dissemination.py
@@ -28,7 +28,7 @@
 from .peers import Peer, PeerTable
 from .responder import Responder
 from .roster import Roster, RosterEntry, someone_stopped_serving
-from .versions import ReplicaVersions, first_version
+from .versions import NO_VERSIONS, ReplicaVersions, first_version
 
 MS = 10**6  # ns
 SEC = 10**9
@@ -78,6 +78,7 @@
         self.schedule = HeartbeatSchedule(own.ip, seeds, random)
         self.responder = Responder(host, self.leadership, self.roster_replica)
         self._roster_made_at_ns = 0  # when this leader made its last roster
+        self._versions = NO_VERSIONS
         self._corrupt_parts: set[str] = set()  # keys of parts of which a difference came out wrong
 
     # ---- what others read
@@ -114,8 +115,16 @@
 
     @property
     def versions(self) -> ReplicaVersions:
-        """What this node holds."""
-        return ReplicaVersions(self.state_index, self.endpoints_version, self.roster_replica.version)
+        """What this node holds. Made anew only where it has changed: each heartbeat needs it."""
+        versions = self._versions
+        if (
+            versions.state_index != self.state_index
+            or versions.endpoints_version != self.endpoints_version
+            or versions.roster_version != self.roster_replica.version
+        ):
+            versions = ReplicaVersions(self.state_index, self.endpoints_version, self.roster_replica.version)
+            self._versions = versions
+        return versions
 
     # ---- what the host reports
 
@@ -187,7 +196,8 @@
                 0 if messages.ENDPOINTS in self._corrupt_parts else versions.endpoints_version,
                 0 if messages.ROSTER in self._corrupt_parts else versions.roster_version,
             )
-        return Heartbeat(versions, now, self.incarnation, self._own._replace(ready=self.ready))
+        own = self._own
+        return Heartbeat(versions, now, self.incarnation, own.name, own.zone, own.front, self.ready)
 
     # ---- responses
 
@@ -197,8 +207,9 @@
         Raises:
             ValueError, LookupError: it is no heartbeat.
         """
-        heartbeat = messages.decode_heartbeat(message, ip if self.is_leader else None)
-        if self.is_leader:
+        is_leader = self.leadership.is_leader
+        heartbeat = messages.decode_heartbeat(message, is_leader)
+        if is_leader:
             peer = self.peer_table.get_or_add(ip, heartbeat)
             if peer is None:
                 return
@@ -215,7 +226,8 @@
         """
         was_ready = peer.entry.ready
         peer.record(heartbeat, now)
-        self._renumber_above(heartbeat.versions, now)
+        if heartbeat.versions != self.versions:
+            self._renumber_above(heartbeat.versions, now)
         if was_ready and not peer.entry.ready:
             self._refresh_roster(now)
 
@@ -252,27 +264,30 @@
         state_is_current = self._apply_parts(response, now)
         # Guards revocation against an age that comes beside a state which was not applied: it would vouch for the older
         # one.
-        if self.is_leader or not state_is_current:
+        leadership = self.leadership
+        if leadership.is_leader or not state_is_current:
             return
-        if self._proves_age(response, now) and response.age_ns is not None:
-            self.leadership.confirm(ip, response.leader, response.requested_at_ns, response.age_ns)
-        if self.leadership.follow(response.leader, response.term, now):
+        if response.age_ns is not None and self._is_own_answer(response, now):
+            leadership.confirm(ip, response.leader, response.requested_at_ns, response.age_ns)
+        if leadership.follow(response.leader, response.term, now):
             self.schedule.expedite()
 
     def _apply_parts(self, response: StateResponse, now: int) -> bool:
         """Takes over the parts of a response. Returns whether the state is as new as the response claims."""
-        state_is_current = self._apply(messages.STATE, self._host.on_state, response.state, now)
+        state_is_current = True
+        if response.state is not None:
+            state_is_current = self._apply(messages.STATE, self._host.on_state, response.state, now)
         # Guards lists and rosters against what a leader numbered that had been deposed without knowing. A committed
         # state is one, whoever sends it.
-        if response.term >= self.term:
-            self._apply(messages.ENDPOINTS, self._host.on_endpoints, response.endpoints, now)
-            self._apply(messages.ROSTER, self._on_roster, response.roster, now)
+        if response.term >= self.leadership.term:
+            if response.endpoints is not None:
+                self._apply(messages.ENDPOINTS, self._host.on_endpoints, response.endpoints, now)
+            if response.roster is not None:
+                self._apply(messages.ROSTER, self._on_roster, response.roster, now)
         return state_is_current
 
-    def _apply(self, part: str, take_over: Callable[[Packed, int], None], packed: Packed | None, now: int) -> bool:
+    def _apply(self, part: str, take_over: Callable[[Packed, int], None], packed: Packed, now: int) -> bool:
         """Takes over one part. Returns False if it is a difference that does not fit; then it is asked for again."""
-        if packed is None:
-            return True
         try:
             take_over(packed, now)
         except DeltaMismatchError as mismatch:
@@ -289,7 +304,7 @@
             self.roster_replica.apply(update)
             self._host.on_roster()
 
-    def _proves_age(self, response: StateResponse, now: int) -> bool:
+    def _is_own_answer(self, response: StateResponse, now: int) -> bool:
         """Whether a response answers a question of this process.
 
         Guards against an answer to the process before, which held more: it says nothing of what this one lacks.
--- a/rampfront/membership/messages.py
+++ b/rampfront/membership/messages.py
@@ -59,6 +59,10 @@
 MAX_ROSTER_ENTRIES = 10_000
 MAX_SERVER_ID_CHARACTERS = 200
 
+# Makes the messages that every node sends and receives all the time: a named tuple's own constructor costs as much as
+# all checks of its fields.
+new_tuple = tuple.__new__
+
 
 class Heartbeat(NamedTuple):
     """A node tells what it holds, and asks for what it lacks.
@@ -67,13 +71,16 @@
         versions: what it holds, by number.
         sent_at_ns: when it was sent, by the sender's clock.
         incarnation: drawn at the start of the sending process; None: an older version, which sends none.
-        sender: the node as it is to stand in the roster; None where it is not read (`decode_heartbeat`).
+        name, zone, front, ready: the node as it is to stand in the roster (`RosterEntry`).
     """
 
     versions: ReplicaVersions
     sent_at_ns: int
     incarnation: int | None
-    sender: RosterEntry | None
+    name: str = ""
+    zone: str = ""
+    front: str = ""
+    ready: bool = False
 
 
 class StateResponse(NamedTuple):
@@ -113,29 +120,27 @@
     verdicts: Sequence[ServerReport]
 
 
-def _integer(value: object) -> int:
-    if type(value) is not int or not 0 <= value < INTEGER_LIMIT:
-        raise ValueError("not an integer in range")
-    return value
+def _check_integers(*values: object) -> None:
+    for value in values:
+        if type(value) is not int or not 0 <= value < INTEGER_LIMIT:
+            raise ValueError("not an integer in range")
 
 
-def _text(value: object) -> str:
-    if type(value) is not str or len(value) > MAX_TEXT_CHARACTERS:
-        raise ValueError("not a short text")
-    return value
+def _check_texts(*values: object) -> None:
+    for value in values:
+        if type(value) is not str or len(value) > MAX_TEXT_CHARACTERS:
+            raise ValueError("not a short text")
 
 
 def encode_heartbeat(heartbeat: Heartbeat) -> dict[str, Packed]:
-    """The frame of a heartbeat that has a sender."""
-    sender = heartbeat.sender
-    assert sender is not None  # only a received one may lack it
+    """The frame of a heartbeat."""
     versions = heartbeat.versions
     return {
         KIND: HEARTBEAT,
-        NODE_NAME: sender.name,
-        NODE_ZONE: sender.zone,
-        NODE_FRONT: sender.front,
-        NODE_READY: sender.ready,
+        NODE_NAME: heartbeat.name,
+        NODE_ZONE: heartbeat.zone,
+        NODE_FRONT: heartbeat.front,
+        NODE_READY: heartbeat.ready,
         STATE_INDEX: versions.state_index,
         ENDPOINTS_VERSION: versions.endpoints_version,
         ROSTER_VERSION: versions.roster_version,
@@ -144,28 +149,33 @@
     }
 
 
-def decode_heartbeat(message: Message, sender_ip: str | None) -> Heartbeat:
+def decode_heartbeat(message: Message, with_sender: bool) -> Heartbeat:
     """The heartbeat in a frame.
 
     Args:
         message: the frame.
-        sender_ip: where it came from; None where no roster is made, since there the sender's description is not read.
+        with_sender: whether a roster is made here; else the sender's description is not read.
 
     Raises:
         ValueError, LookupError: see the module's text.
     """
-    versions = ReplicaVersions(
-        _integer(message[STATE_INDEX]), _integer(message[ENDPOINTS_VERSION]), _integer(message[ROSTER_VERSION])
-    )
-    sent_at_ns = _integer(message[SENT_AT])
-    incarnation = _integer(message[INCARNATION]) if INCARNATION in message else None
-    if sender_ip is None:
-        return Heartbeat(versions, sent_at_ns, incarnation, None)
-    name = _text(message[NODE_NAME])
-    zone = _text(message[NODE_ZONE])
-    front = _text(message[NODE_FRONT])
-    sender = RosterEntry(name, sender_ip, zone, front, bool(message[NODE_READY]))
-    return Heartbeat(versions, sent_at_ns, incarnation, sender)
+    state_index = message[STATE_INDEX]
+    endpoints_version = message[ENDPOINTS_VERSION]
+    roster_version = message[ROSTER_VERSION]
+    sent_at_ns = message[SENT_AT]
+    incarnation = message.get(INCARNATION, 0)
+    _check_integers(state_index, endpoints_version, roster_version, sent_at_ns, incarnation)
+    versions = new_tuple(ReplicaVersions, (state_index, endpoints_version, roster_version))
+    if INCARNATION not in message:
+        incarnation = None  # an older version sends none
+    if not with_sender:
+        return Heartbeat(versions, sent_at_ns, incarnation)
+    name = message[NODE_NAME]
+    zone = message[NODE_ZONE]
+    front = message[NODE_FRONT]
+    ready = bool(message[NODE_READY])
+    _check_texts(name, zone, front)
+    return new_tuple(Heartbeat, (versions, sent_at_ns, incarnation, name, zone, front, ready))
 
 
 def encode_state_response(response: StateResponse) -> dict[str, Packed]:
@@ -195,18 +205,18 @@
     Raises:
         ValueError, LookupError: see the module's text.
     """
+    leader = message[LEADER]
+    term = message[LEADER_TERM]
+    requested_at_ns = message[SENT_AT]
+    get = message.get
+    age_ns = get(AGE)
+    incarnation = get(INCARNATION)
+    _check_texts(leader)
+    _check_integers(term, requested_at_ns, age_ns or 0, incarnation or 0)
     if None in message.values():
         raise ValueError("a key without a value")
-    return StateResponse(
-        _text(message[LEADER]),
-        _integer(message[LEADER_TERM]),
-        _integer(message[SENT_AT]),
-        _integer(message[AGE]) if AGE in message else None,
-        message.get(STATE),
-        message.get(ENDPOINTS),
-        message.get(ROSTER),
-        _integer(message[INCARNATION]) if INCARNATION in message else None,
-    )
+    parts = (get(STATE), get(ENDPOINTS), get(ROSTER))
+    return new_tuple(StateResponse, (leader, term, requested_at_ns, age_ns, *parts, incarnation))
 
 
 def encode_roster_update(update: RosterUpdate) -> list[Packed]:
@@ -224,7 +234,8 @@
         ValueError, TypeError: see the module's text.
     """
     version, *parts = plain
-    if _integer(version) <= current_version:
+    _check_integers(version)
+    if version <= current_version:
         return None
     packed_entries, *packed_delta = parts
     entries = _decode_roster_entries(packed_entries)
@@ -236,10 +247,11 @@
 def _decode_roster_entries(packed: Packed) -> tuple[RosterEntry, ...]:
     if type(packed) is not list or len(packed) > MAX_ROSTER_ENTRIES:
         raise ValueError("the roster is no list")
-    return tuple(
-        RosterEntry(_text(name), _text(ip), _text(zone), _text(front), bool(ready))
-        for name, ip, zone, front, ready in packed
-    )
+    entries = []
+    for name, ip, zone, front, ready in packed:
+        _check_texts(name, ip, zone, front)
+        entries.append(RosterEntry(name, ip, zone, front, bool(ready)))
+    return tuple(entries)
 
 
 def encode_health_reports(message: HealthReports) -> dict[str, Packed]:
@@ -263,7 +275,9 @@
 
 def decode_health_verdicts(message: Message) -> HealthVerdicts:
     """The verdicts in a frame. Raises ValueError, LookupError."""
-    return HealthVerdicts(_integer(message[TERM]), _decode_server_reports(message[REPORTS], VERDICTS))
+    term = message[TERM]
+    _check_integers(term)
+    return HealthVerdicts(term, _decode_server_reports(message[REPORTS], VERDICTS))
 
 
 def _decode_server_reports(packed: Packed, statuses: Container[int]) -> list[ServerReport]:
--- a/rampfront/membership/peers.py
+++ b/rampfront/membership/peers.py
@@ -42,8 +42,8 @@
 
     def record(self, heartbeat: Heartbeat, now: int) -> None:
         """Takes over a heartbeat, unless it is an old one."""
-        if heartbeat.sender is not None and self._is_newer(heartbeat.incarnation or 0, heartbeat.sent_at_ns, now):
-            self.entry = heartbeat.sender
+        if self._is_newer(heartbeat.incarnation or 0, heartbeat.sent_at_ns, now):
+            self.entry = _updated_entry(self.entry, heartbeat)
             self.versions = heartbeat.versions
             self.received_at_ns = now
             self.sent_at_ns = heartbeat.sent_at_ns
@@ -84,8 +84,9 @@
     def get_or_add(self, ip: str, heartbeat: Heartbeat) -> Peer | None:
         """The peer at that address; None: it is not known, and there are too many."""
         peer = self.by_ip.get(ip)
-        if peer is None and heartbeat.sender is not None and len(self.by_ip) < MAX_PEERS:
-            peer = self.by_ip[ip] = Peer(heartbeat.sender, heartbeat.versions, 0)
+        if peer is None and len(self.by_ip) < MAX_PEERS:
+            entry = RosterEntry(heartbeat.name, ip, heartbeat.zone, heartbeat.front, heartbeat.ready)
+            peer = self.by_ip[ip] = Peer(entry, heartbeat.versions, 0)
         return peer
 
     def drop_silent(self, now: int) -> None:
@@ -106,3 +107,11 @@
             lacks_endpoints = peer.versions.endpoints_version < versions.endpoints_version
             if lacks_state or lacks_endpoints or peer.versions.roster_version < versions.roster_version:
                 yield ip, peer
+
+
+def _updated_entry(entry: RosterEntry, heartbeat: Heartbeat) -> RosterEntry:
+    """The entry that a node's heartbeat asks for; the same object where nothing has changed, as is usual."""
+    same_place = entry.name == heartbeat.name and entry.zone == heartbeat.zone and entry.front == heartbeat.front
+    if same_place and entry.ready == heartbeat.ready:
+        return entry
+    return RosterEntry(heartbeat.name, entry.ip, heartbeat.zone, heartbeat.front, heartbeat.ready)
--- a/rampfront/membership/responder.py
+++ b/rampfront/membership/responder.py
@@ -2,7 +2,7 @@
 
 from .dissemination_host import DisseminationHost
 from .leadership import Leadership
-from .messages import Heartbeat, StateResponse, encode_roster_update
+from .messages import Heartbeat, StateResponse, encode_roster_update, new_tuple
 from .roster import Roster
 from .transfer_budget import MAX_FULL_TRANSFERS_OF_OTHERS, TransferBudget, leader_limit
 from .versions import ReplicaVersions
@@ -44,13 +44,14 @@
 
     def update(self, own: ReplicaVersions, receiver: ReplicaVersions, now: int) -> StateResponse:
         """A push to a node that holds `receiver`. It proves no age, since nobody asked."""
-        return self.response(own, Heartbeat(receiver, 0, None, None), now)
+        return self.response(own, Heartbeat(receiver, 0, None), now)
 
     def response(self, own: ReplicaVersions, heartbeat: Heartbeat, now: int) -> StateResponse:
         """The answer to a heartbeat: what its sender lacks of `own`, and how old that is at most."""
-        leader = self._leadership.leader or ""
-        term = self._leadership.term
-        age_ns = self._leadership.age_ns(now)
+        leadership = self._leadership
+        leader = leadership.leader or ""
+        term = leadership.term
+        age_ns = leadership.age_ns(now)
         if age_ns is None:
             # What an earlier process left on the disk may be hundreds of versions old: it is not handed on.
             return StateResponse(leader, term, heartbeat.sent_at_ns, incarnation=heartbeat.incarnation)
@@ -64,6 +65,5 @@
             roster = encode_roster_update(self._roster.update_since(versions.roster_version))
         if not own.state_index:
             age_ns = None  # without a state, nothing has an age
-        return StateResponse(
-            leader, term, heartbeat.sent_at_ns, age_ns, state, endpoints, roster, heartbeat.incarnation
-        )
+        parts = (state, endpoints, roster)
+        return new_tuple(StateResponse, (leader, term, heartbeat.sent_at_ns, age_ns, *parts, heartbeat.incarnation))
--- a/tests/proxy_fixtures.py
+++ b/tests/proxy_fixtures.py
@@ -286,7 +286,7 @@
 
 def response_frame(disseminator, now, state_index, endpoints_version, roster_version, requested_at_ns):
     """The frame of its answer to a node that holds these."""
-    heartbeat = Heartbeat(ReplicaVersions(state_index, endpoints_version, roster_version), requested_at_ns, None, None)
+    heartbeat = Heartbeat(ReplicaVersions(state_index, endpoints_version, roster_version), requested_at_ns, None)
     response = disseminator.responder.response(disseminator.versions, heartbeat, now)
     return messages.encode_state_response(response)
 
