--- a/rampfront/cli/__init__.py
+++ b/rampfront/cli/__init__.py
@@ -1,8 +1,8 @@
-"""The command line. `python -m rampfront` without words starts an edge node as ever; with words it comes here.
+"""The command line. `python -m rampfront` without arguments starts an edge node; with arguments it comes here.
 
 Exit codes: 0 done; 1 it failed while running; 2 wrong arguments, or a file that does not hold what it should; 3 a run
-that may not be reported (the load tool fell behind). The edge node never imports the laboratory: commands do, each when
-it is called.
+that may not be reported (the load tool fell behind). The edge node never imports the laboratory: each command imports
+what it needs when it is called.
 """
 
 from collections.abc import Sequence
--- a/rampfront/cli/common.py
+++ b/rampfront/cli/common.py
@@ -1,10 +1,10 @@
-"""What the commands share: exit codes, kinds of arguments, and how a command ends that cannot go on."""
+"""What the commands share: exit codes, types of arguments, and how a command ends that cannot go on."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from pathlib import Path
-from typing import TYPE_CHECKING, Annotated, NoReturn, ParamSpec, TypeVar
+from typing import TYPE_CHECKING, Annotated, Any, NoReturn, ParamSpec, TypeVar
 
 import typer
 
@@ -14,36 +14,52 @@
 P = ParamSpec("P")
 T = TypeVar("T")
 
-FAILED, WRONG, REFUSED = 1, 2, 3  # exit codes, see `cli/__init__.py`
+# Exit codes; `cli/__init__.py` says when.
+EXIT_FAILED = 1
+EXIT_INVALID = 2
+EXIT_NOT_REPORTABLE = 3
+
 PlanFile = Annotated[Path, typer.Argument(help="The experiment file (TOML).", show_default=False)]
-OutFolder = Annotated[Path, typer.Option("--out", "-o", help="Folder for what the run leaves.")]
+OutFolder = Annotated[Path, typer.Option("--out", "-o", help="Folder for the results.")]
 RunFolder = Annotated[Path, typer.Argument(help="The folder of a run.", show_default=False)]
 
 
 def fail(reason: object, code: int) -> NoReturn:
-    """Says why on standard error, and ends with the exit code."""
+    """Prints the reason to standard error and ends the command with the exit code."""
     typer.echo(f"rampfront: {reason}", err=True)
     raise typer.Exit(code)
 
 
-def plan_of(path: Path) -> Experiment:
-    """The experiment in a file; a faulty one ends the command."""
+def load_experiment(path: Path) -> Experiment:
+    """The experiment in a file; an invalid one ends the command."""
     from ..lab.plan import BadPlan, read_plan
 
     try:
         return read_plan(path)
     except BadPlan as error:
-        fail(error, WRONG)
+        fail(error, EXIT_INVALID)
 
 
-def guarded(what: Callable[P, T], *about: P.args, **more: P.kwargs) -> T:
-    """Calls `what`, and turns what a run may fail with into an exit code."""
+def run_or_exit(run: Callable[P, T], *args: P.args, **kwargs: P.kwargs) -> T:
+    """Calls `run` with the arguments; an error that a run may raise ends the command with its exit code."""
     from ..lab.nodes import RunFailed
     from ..lab.report import RunRefused
 
     try:
-        return what(*about, **more)
+        return run(*args, **kwargs)
     except RunRefused as error:
-        fail(error, REFUSED)
+        fail(error, EXIT_NOT_REPORTABLE)
     except (RunFailed, OSError) as error:
-        fail(error, FAILED)
+        fail(error, EXIT_FAILED)
+
+
+def draw_latency(report: dict[str, Any], rows: dict[str, Any], folder: Path) -> None:
+    """Draws the timeline of a report and, where something was answered, the latency percentiles of its rows.
+
+    `rows`: those of the report that have a latency each, by name."""
+    from ..lab import plots
+
+    plots.timeline(report, folder / "timeline.png")
+    if report["latency_ms"]["count"]:
+        histograms = {name: row["latency_ms"]["hdr"] for name, row in rows.items() if row["latency_ms"]["count"]}
+        plots.percentiles(histograms, folder / "latency.png", report["name"])
--- a/rampfront/cli/journal.py
+++ b/rampfront/cli/journal.py
@@ -1,4 +1,4 @@
-"""The commands of the journal of once-only txns."""
+"""The commands of the journal of once-only transactions."""
 
 from datetime import UTC, datetime
 from pathlib import Path
@@ -7,30 +7,31 @@
 
 import typer
 
-from .common import FAILED, WRONG, fail
+from .common import EXIT_FAILED, EXIT_INVALID, fail
 
 if TYPE_CHECKING:
     from ..journal.reader import Journal
 
 app = typer.Typer(
-    help="The journal of once-only txns: what was sent, where and when, and what became of it.", no_args_is_help=True
+    help="The journal of once-only transactions: what was sent, where and when, and how it ended.", no_args_is_help=True
 )
+_NS_PER_S = 1e9
 JournalFolder = Annotated[Path, typer.Argument(help="The journal's folder.", show_default=False)]
 
 
-def journal_of(folder: Path) -> tuple[ModuleType, "Journal"]:
-    """The reader's module, and what it read; a folder without a journal ends the command."""
+def read_journal(folder: Path) -> tuple[ModuleType, "Journal"]:
+    """The reader's module and the journal; a folder without a journal ends the command."""
     from ..journal import reader
 
     if not reader.segments(folder):
-        fail(f"{folder} holds no journal", WRONG)
+        fail(f"{folder} holds no journal", EXIT_INVALID)
     return reader, reader.read(folder)
 
 
 @app.command("show")
 def journal_show(folder: JournalFolder) -> None:
     """Every submission in order, the starts of the node, and what is damaged."""
-    reader, found = journal_of(folder)
+    reader, found = read_journal(folder)
     for at, node in found.starts:
         typer.echo(f"{reader.stamp(at)} start of {node}")
     for entry in found.entries.values():
@@ -41,29 +42,35 @@
 
 
 @app.command("query")
-def journal_query(
+def journal_query(  # noqa: PLR0913  # each parameter is an option of the command
     folder: JournalFolder,
     txn: Annotated[str, typer.Option("--id", help="X-Request-Id.")] = "",
     account: Annotated[str, typer.Option(help="An account's key.")] = "",
-    box: Annotated[str, typer.Option(help="A box's uid.")] = "",
-    doubt: Annotated[bool, typer.Option("--doubt", help="Only what may or may not have run.")] = False,
-    since: Annotated[datetime | None, typer.Option(help="UTC.")] = None,
-    until: Annotated[datetime | None, typer.Option(help="UTC.")] = None,
+    server: Annotated[str, typer.Option("--server", "--box", help="An app server's id.")] = "",
+    may_have_run: Annotated[
+        bool, typer.Option("--may-have-run", "--doubt", help="Only submissions that may or may not have run.")
+    ] = False,
+    since: Annotated[datetime | None, typer.Option(help="From this time on, in UTC.")] = None,
+    until: Annotated[datetime | None, typer.Option(help="Up to this time, in UTC.")] = None,
 ) -> None:
-    """The submissions that fit all that is told. Exit 1 where there is none."""
-    reader, found = journal_of(folder)
-    since, until = (at and int(at.replace(tzinfo=UTC).timestamp() * 1e9) for at in (since, until))
-    rows = reader.chosen(found, txn, account, box, doubt, since, until)
+    """The submissions that match every option. Exit 1 if there is none."""
+    reader, found = read_journal(folder)
+    rows = reader.chosen(found, txn, account, server, may_have_run, _unix_ns(since), _unix_ns(until))
     for entry in rows:
         typer.echo(entry.line())
-    raise typer.Exit(0 if rows else FAILED)
+    raise typer.Exit(0 if rows else EXIT_FAILED)
+
+
+def _unix_ns(moment: datetime | None) -> int | None:
+    """A time without a zone, taken as UTC, in ns since the epoch; None for none."""
+    return int(moment.replace(tzinfo=UTC).timestamp() * _NS_PER_S) if moment else None
 
 
 @app.command("verify")
 def journal_verify(folder: JournalFolder) -> None:
-    """Checks every record. Exit 1 where one is damaged; what is torn or flipped is named with file and offset."""
-    reader, found = journal_of(folder)
+    """Check every record. Exit 1 if one is damaged; torn or corrupt ones are named with file and offset."""
+    reader, found = read_journal(folder)
     for line in reader.damages(found):
         typer.echo(line)
     typer.echo(reader.summary(found))
-    raise typer.Exit(FAILED if found.damage else 0)
+    raise typer.Exit(EXIT_FAILED if found.damage else 0)
--- a/rampfront/cli/node.py
+++ b/rampfront/cli/node.py
@@ -5,7 +5,7 @@
 
 import typer
 
-from .common import WRONG, fail
+from .common import EXIT_INVALID, fail
 
 app = typer.Typer()
 
@@ -13,43 +13,43 @@
 @app.command("serve")
 def serve(
     config: Annotated[
-        Path | None, typer.Option("--config", "-c", envvar="RELAY_CONFIG", help="TOML, or the platform's JSON.")
+        Path | None, typer.Option("--config", "-c", envvar="RELAY_CONFIG", help="TOML, or JSON in the platform's form.")
     ] = None,
 ) -> None:
     """Run one edge node. SIGHUP reads the configuration again, SIGTERM drains and ends with 0.
 
-    Exit 2: a faulty configuration, named on standard error; 1: it cannot listen.
+    Exit 2: the configuration is invalid, with the reason on standard error; 1: it cannot listen.
     """
     import os
 
-    from ..edge.node import serve as run
+    from ..edge.node import serve as run_node
 
     if config is None:
-        fail("serve: --config, or RELAY_CONFIG, should name the configuration", WRONG)
+        fail("serve: --config, or RELAY_CONFIG, should name the configuration", EXIT_INVALID)
     os.environ["RELAY_CONFIG"] = str(config)
-    raise typer.Exit(run())
+    raise typer.Exit(run_node())
 
 
 @app.command("check-config")
 def check_config(
-    file: Annotated[Path | None, typer.Argument(help="TOML, or the platform's JSON.")] = None,
+    file: Annotated[Path | None, typer.Argument(help="TOML, or JSON in the platform's form.")] = None,
     reference: Annotated[bool, typer.Option("--reference", help="Print the reference page instead.")] = False,
 ) -> None:
-    """Check a configuration: exit 0, or 2 and the line, the key and the reason."""
+    """Check a configuration: exit 0, or 2 with the line, the key and the reason."""
     import os
 
-    from ..config import reference as page
+    from ..config import reference as reference_page
     from ..edge.launch import Faulty, load
 
     if reference:
-        typer.echo(page(), nl=False)
+        typer.echo(reference_page(), nl=False)
     elif file is None:
-        fail("check-config: name a file", WRONG)
+        fail("check-config: name a file", EXIT_INVALID)
     else:
         try:
             launch = load({**os.environ, "RELAY_CONFIG": str(file)})
         except Faulty as error:
-            fail(error, WRONG)
+            fail(error, EXIT_INVALID)
         typer.echo(
             f"{file}: {launch.name} listens on {launch.listen[0]}:{launch.listen[1]}, "
             f"{len(launch.terms.products)} products, {len(launch.terms.plans)} plans"
--- a/rampfront/cli/report.py
+++ b/rampfront/cli/report.py
@@ -6,7 +6,7 @@
 
 import typer
 
-from .common import RunFolder, guarded
+from .common import RunFolder, run_or_exit
 from .lab import report_all
 
 app = typer.Typer(help="Reports of experiments: percentiles, outcomes, quota overshoot, plots.", no_args_is_help=True)
@@ -14,57 +14,57 @@
 
 @app.command("show")
 def report_show(run: RunFolder) -> None:
-    """Report a run anew: JSON, plots and some lines of text for each of its repeats."""
+    """Report a run again: JSON, plots and a summary for each of its repeats."""
     from ..lab import report as reports
 
-    guarded(lambda: report_all(reports.repeats(run)))
+    run_or_exit(lambda: report_all(reports.repeats(run)))
 
 
 @app.command("compare")
 def report_compare(
-    a: RunFolder,
-    b: RunFolder,
+    first_run: Annotated[Path, typer.Argument(metavar="A", help="The folder of a run.", show_default=False)],
+    second_run: Annotated[Path, typer.Argument(metavar="B", help="The folder of a run.", show_default=False)],
     confidence: Annotated[float, typer.Option(min=0.5, max=0.999)] = 0.95,
     plot: Annotated[Path | None, typer.Option(help="Where to draw the differences.")] = None,
     as_json: Annotated[bool, typer.Option("--json", help="JSON instead of text.")] = False,
 ) -> None:
-    """Two runs side by side, paired by seed, with confidence intervals."""
+    """Compare two runs, paired by seed, with confidence intervals."""
     import json
 
     from ..lab import compare as comparisons
     from ..lab import plots
 
-    said, _ = guarded(comparisons.compare, a, b, confidence)
-    typer.echo(json.dumps(said, indent=1) if as_json else comparisons.text(said))
+    comparison, _ = run_or_exit(comparisons.compare, first_run, second_run, confidence)
+    typer.echo(json.dumps(comparison, indent=1) if as_json else comparisons.text(comparison))
     if plot:
-        plots.comparison(said, plot)
+        plots.comparison(comparison, plot)
 
 
-def sides_of(runs: Iterable[Path]) -> dict[str, dict[str, Any]]:
+def first_repeats(runs: Iterable[Path]) -> dict[str, dict[str, Any]]:
     """The first repeat of each run, by the name of its folder."""
     from ..lab import report as reports
 
-    return guarded(lambda: {run.name: reports.summarize(reports.repeats(run)[0]) for run in runs})
+    return run_or_exit(lambda: {run.name: reports.summarize(reports.repeats(run)[0]) for run in runs})
 
 
 @app.command("quota")
 def report_quota(
     account: Annotated[str, typer.Argument(help="The account, as reports name it.")],
-    runs: Annotated[list[Path], typer.Argument(help="Folders of runs; their first repeats are drawn.")],
+    runs: Annotated[list[Path], typer.Argument(help="Folders of runs; the first repeat of each is drawn.")],
     plot: Annotated[Path, typer.Option(help="Where to draw it.")],
 ) -> None:
     """Draw an account's overshoot over time, several runs in one plot."""
     from ..lab import plots
 
-    plots.quotas(sides_of(runs), plot, account)
+    plots.quotas(first_repeats(runs), plot, account)
 
 
 @app.command("recovery")
 def report_recovery(
-    runs: Annotated[list[Path], typer.Argument(help="Folders of runs; their first repeats are drawn.")],
+    runs: Annotated[list[Path], typer.Argument(help="Folders of runs; the first repeat of each is drawn.")],
     plot: Annotated[Path, typer.Option(help="Where to draw it.")],
 ) -> None:
-    """Draw the share of txns settled in time over time, several runs in one plot."""
+    """Draw the share of transactions answered within their target over time, several runs in one plot."""
     from ..lab import plots
 
-    plots.recovery(sides_of(runs), plot)
+    plots.recovery(first_repeats(runs), plot)
