--- /dev/null
+++ b/tests/consensus/test_answer_checks.py
@@ -0,0 +1,52 @@
+"""Answers count only for what they answer: their term, round, sender and receiver, each by its incarnation."""
+
+import pytest
+import test_consensus as consensus
+
+from rampfront.consensus import events
+from rampfront.consensus.election import Role
+
+MISMATCHES = {"receiver's incarnation": {"j": 1}, "sender's incarnation": {"i": 1}, "sender": {"n": "x"}}
+
+
+def answers_to(member, name, incarnation, **more):
+    """Answers to `member` that bear all that fits but one thing, by what that is; and the one that fits."""
+    matching = {"n": name, "i": incarnation, "j": member.incarnation, "t": member.term, **more}
+    mismatched = {what: {**matching, **change} for what, change in MISMATCHES.items()}
+    mismatched["term"] = {**matching, "t": member.term - 1}
+    return mismatched, matching
+
+
+def test_acknowledgements_count_for_their_round_term_and_incarnation():
+    """None of another term, of or for another incarnation, or of a round that has not begun counts as a member's."""
+    core = consensus.Core()
+    leader = core.leader.core_member
+    core.cut([core.leader], core.others(core.leader))
+    (key, peer), *_ = leader.leadership.replication.replicas.items()
+    mismatched, matching = answers_to(leader, *key, k="ack", s=leader.leadership.rounds.current, e=[99, 99], d=b"")
+    mismatched["round"] = {**matching, "s": matching["s"] + 1}
+    held = peer.acknowledged_round, peer.match_position
+    for what, message in mismatched.items():
+        leader.take(leader.context.now, events.MessageReceived(peer.ip, message))
+        assert (peer.acknowledged_round, peer.match_position) == held, what
+    leader.take(leader.context.now, events.MessageReceived(peer.ip, matching))
+    assert peer.match_position == (99, 99)
+
+
+@pytest.mark.parametrize(("kind", "role", "ahead"), [("may", Role.PRE_CANDIDATE, 1), ("aye", Role.CANDIDATE, 0)])
+def test_votes_count_for_their_term_and_candidate(kind, role, ahead):
+    """One for another term, or for one that lost its disk, is none; one of a stranger makes no majority."""
+    core = consensus.Core(members=6)
+    member = core.others(core.leader)[0].core_member
+    others = [(name, inc) for name, (_, inc) in member.entry.members.items() if name != member.name]
+    member.election.role, member.election.votes = role, {(member.name, member.incarnation)}
+    for name, incarnation in others:
+        mismatched, matching = answers_to(member, name, incarnation, k=kind)
+        for message in mismatched.values():
+            member.take(member.context.now, events.MessageReceived("10.0.0.9", {**message, "t": message["t"] + ahead}))
+    assert member.election.role == role and not {(name, inc) for name, inc in member.election.votes} & set(others)
+    for name, incarnation in others[:3]:
+        assert member.election.role == role
+        _, matching = answers_to(member, name, incarnation, k=kind)
+        member.take(member.context.now, events.MessageReceived("10.0.0.9", {**matching, "t": matching["t"] + ahead}))
+    assert member.election.role != role
--- /dev/null
+++ b/tests/net/test_http_server_responses.py
@@ -0,0 +1,60 @@
+"""Responses of the HTTP server: each goes to the request that it belongs to, once, and no request ends without one."""
+
+from http_server_fixtures import LATER, HttpCalls
+
+SEC = 10**9  # ns
+
+
+def test_what_follows_a_pending_request_is_not_read():
+    """The one in front is answered, once, and says that the connection ends; what came behind it reaches nobody."""
+    for text in (LATER + LATER, LATER + b"odd"):
+        calls = HttpCalls()
+        caller = calls.connect(text)
+        (request,) = calls.pending
+        caller.data_received(LATER)
+        assert request.respond(200, b"{}") and not request.respond(200, b"{}")
+        ((status, head, _),) = calls.responses(caller)
+        assert status == 200 and "connection: close" in head and caller.transport.closed and len(calls.pending) == 1
+
+
+def test_each_response_goes_to_its_own_request_once():
+    """In order on each connection; a second answer, and one for a caller that went, go nowhere."""
+    calls = HttpCalls()
+    one, other = calls.connect(LATER), calls.connect(LATER)
+    first, others = calls.pending
+    first.respond(200, b"1")
+    one.data_received(LATER)
+    assert not first.respond(200, b"again") and len(calls.responses(one)) == 1  # the second call still waits
+    calls.pending[2].respond(200, b"2")
+    assert [body for _, _, body in calls.responses(one)] == [b"1", b"2"]
+    other.connection_lost(None)
+    assert not others.respond(200, b"late") and not other.transport.written and calls.server.counts["abandoned"] == 1
+
+
+def test_a_full_server_rejects_the_newest_connection():
+    """Where all are pending an answer the newest caller is told to come back, and no answer that is pending is lost."""
+    calls = HttpCalls(max_connections=3)
+    pending = [calls.connect(LATER) for _ in range(3)]
+    newest = calls.connect()
+    newest.data_received(LATER)
+    ((status, head, body),) = calls.responses(newest)
+    assert status == 503 and "retry-after: " in head and b"callers" in body and len(calls.pending) == 3
+    for request, caller in zip(calls.pending, pending, strict=True):
+        assert request.respond(200, b"{}") and len(calls.responses(caller)) == 1
+
+
+def test_an_incomplete_request_is_answered_408():
+    """Neither a head nor a body that never becomes whole ends without a word."""
+    for text in (b"GET /la", b"GET /later HTTP/1.1\r\nContent-Length: 5\r\n\r\nab"):
+        calls = HttpCalls()
+        caller = calls.connect(text)
+        calls.now += 11 * SEC
+        calls.server.sweep()
+        ((status, _, body),) = calls.responses(caller)
+        assert status == 408 and b"never became whole" in body
+
+
+def test_bodies_beyond_the_budget_are_told_to_come_back():
+    calls = HttpCalls(max_buffered_body_bytes=1)
+    ((status, head, _),) = calls.responses(calls.connect(b"GET /later HTTP/1.1\r\nContent-Length: 5\r\n\r\n"))
+    assert status == 503 and "retry-after: " in head
--- a/tests/test_hardening_isolation.py
+++ b/tests/node/test_core_isolation.py
@@ -1,4 +1,4 @@
-"""Control machines that are cut off or frozen for 20 s, on whole processes and a fake clock: what each way out says.
+"""Members of the core that are partitioned or frozen for 20 s, in whole processes on a fake clock: what operators see.
 
 Operators ask both sides all the while; `simulation/isolation.py` says what they may see."""
 
@@ -28,7 +28,7 @@
 
 @pytest.mark.parametrize("ways", ["both", "in", "out"])
 @pytest.mark.parametrize("who", ["leader", "follower", "diskless"])
-def test_cut_off_for_twenty_seconds(who, ways):
+def test_a_node_cut_off_for_20_s_confirms_no_order(who, ways):
     run = IsolationRun()
     run.go(SEC)
     one = run.pick(who)
@@ -45,7 +45,7 @@
     run.agree()
 
 
-def test_a_leader_cut_off_from_the_core_alone():
+def test_a_leader_cut_off_from_the_core_alone_confirms_no_order():
     """Nodes without a disk reach both sides all the while."""
     run = IsolationRun(2)
     run.go(SEC)
@@ -61,7 +61,7 @@
     run.agree()
 
 
-def test_no_side_has_a_majority():
+def test_without_a_majority_on_any_side_no_order_is_confirmed():
     run = IsolationRun()
     pairs = run.cut([m for m in run.fleet.machines if m.zone[0] == "a"])  # two of four with a disk
     run.cut_since = dict.fromkeys(run.fleet.machines, run.fleet.now)
@@ -74,7 +74,7 @@
     run.agree()
 
 
-def test_one_number_on_both_sides_of_a_cut():
+def test_one_revision_on_both_sides_of_a_partition_is_confirmed_once():
     """What a leader that is cut off has entered confirms nothing, and denies nothing either."""
     run = IsolationRun()
     run.quiet = True
@@ -101,7 +101,7 @@
 
 
 @pytest.mark.parametrize("who", ["leader", "diskless"])
-def test_started_anew_while_cut_off(who):
+def test_a_node_restarted_while_cut_off_answers_503(who):
     """What its disk holds is old, and it says nothing of it but that."""
     run = IsolationRun()
     run.go(SEC)
@@ -127,7 +127,7 @@
 
 
 @pytest.mark.parametrize("span", [900, 1600, 3000, 20000])
-def test_a_frozen_leader_thaws(span):
+def test_a_leader_that_was_frozen_gives_way(span):
     run = IsolationRun(span)
     run.go(SEC)
     old = run.leader()
@@ -139,7 +139,7 @@
     run.agree()
 
 
-def test_a_thawed_leader_looks_at_the_clock_before_it_heeds_what_waited():
+def test_a_thawed_leader_steps_down_before_it_handles_frames_that_waited():
     """Nobody leads meanwhile, and hails are read before its timers go. It must not call those gone whom it did not
     hear."""
     run = IsolationRun()
@@ -159,7 +159,7 @@
     assert not node_process.disseminator.is_leader
 
 
-def test_a_thawed_leader_numbers_no_list_that_it_asked_for_before():
+def test_a_thawed_leader_numbers_no_list_that_it_polled_before():
     run = IsolationRun()
     run.go(SEC)
     old = run.leader()
@@ -176,7 +176,7 @@
     )
 
 
-def test_a_thawed_leader_does_not_say_that_it_leads():
+def test_a_thawed_leader_does_not_report_that_it_leads():
     run = IsolationRun()
     run.go(SEC)
     old = run.leader()
@@ -186,7 +186,7 @@
     assert json.loads(StatusViews(old.node_process).state(Asked({})).body)["Leads"] is False
 
 
-def test_views_and_metrics_say_that_a_node_is_out_of_touch_and_since_when():
+def test_views_and_metrics_report_for_how_long_a_node_is_out_of_touch():
     run = IsolationRun()
     run.quiet = True
     run.go(SEC)
@@ -210,7 +210,7 @@
         assert json.loads(views.state(Asked({})).body)["OutOfTouchMs"] is None
 
 
-def test_what_no_core_would_ever_take_is_no_503(monkeypatch):
+def test_what_the_core_would_never_take_is_rejected_with_4xx(monkeypatch):
     """A caller that is told to come back must have a chance: what the leader refuses for good is a 4xx at the door."""
     run = IsolationRun()
     run.quiet = True
@@ -226,7 +226,7 @@
     assert answers[0].status == 413 and b"compressed" in answers[0].body
 
 
-def test_a_zone_that_the_settings_name_when_read_again_is_no_400(monkeypatch):
+def test_a_zone_of_reloaded_settings_can_be_evacuated(monkeypatch):
     run = IsolationRun()
     run.quiet = True
     machine = run.fleet.machines[7]
@@ -253,26 +253,26 @@
         order(leadership, told)
 
 
-def test_a_read_without_a_round_is_found(monkeypatch):
+def test_a_read_without_a_round_would_be_found(monkeypatch):
     order = Leader.submit
     monkeypatch.setattr(Leader, "submit", lambda leadership, told: answered_at_once(leadership, order, told))
     with pytest.raises(Broken, match="read is confirmed by n1, cut off|was acknowledged before it"):
-        test_cut_off_for_twenty_seconds("leader", "both")
+        test_a_node_cut_off_for_20_s_confirms_no_order("leader", "both")
 
 
-def test_a_leader_that_never_steps_down_is_found(monkeypatch):
+def test_a_leader_that_never_steps_down_would_be_found(monkeypatch):
     monkeypatch.setattr(Leader, "is_expired", lambda leadership, now: False)
     with pytest.raises(Broken, match=r"n1 knows \d fronts"):
-        test_cut_off_for_twenty_seconds("leader", "both")
+        test_a_node_cut_off_for_20_s_confirms_no_order("leader", "both")
 
 
-def test_an_order_confirmed_by_less_than_a_majority_is_found(monkeypatch):
+def test_an_order_confirmed_by_less_than_a_majority_would_be_found(monkeypatch):
     monkeypatch.setattr(State, "has_quorum", lambda state, known: True)
     with pytest.raises(Broken):
-        test_no_side_has_a_majority()
+        test_without_a_majority_on_any_side_no_order_is_confirmed()
 
 
-def test_an_answer_that_waits_for_the_beat_is_found(monkeypatch):
+def test_an_answer_that_waits_for_the_tick_would_be_found(monkeypatch):
     monkeypatch.setattr(order_submitter, "ANSWER_WITHIN_NS", 980 * MS)
     with pytest.raises(Broken, match="not answered within a second"):
-        test_cut_off_for_twenty_seconds("diskless", "both")
+        test_a_node_cut_off_for_20_s_confirms_no_order("diskless", "both")
--- /dev/null
+++ b/tests/node/test_order_messages.py
@@ -0,0 +1,72 @@
+"""The messages of orders: what is malformed is found at one place, and goes no further."""
+
+import pytest
+from node_fixtures import CALLER, LEADER, NodeHarness, committed_state
+
+from rampfront.consensus.events import OrderKind, Outcome
+from rampfront.node.order_messages import INCARNATION_BITS, MalformedMessageError, OrderReply, OrderRequest
+
+ORDER = {"k": "order", "l": 5, "r": 1, "o": "empty", "b": "a1"}
+REPLY = {"k": "said", "l": 5, "r": 1, "v": "away"}
+
+
+@pytest.mark.parametrize(
+    "change",
+    [
+        {"l": -1},
+        {"l": 1 << INCARNATION_BITS},
+        {"l": True},
+        {"r": 0},
+        {"r": "1"},
+        {"r": 1 << 53},
+        {"o": "rm"},
+        {"o": ["empty"]},
+        {"b": ""},
+        {"b": "z" * 201},
+        {"b": None},
+        {"o": "config"},
+        {"o": "config", "b": [0, b""]},
+        {"o": "config", "b": [1, "text"]},
+        {"o": "config", "b": [1, b"", 3]},
+        {"o": "read"},
+    ],
+)
+def test_a_malformed_order_reaches_no_core(change):
+    """Checked at one place, and nothing of them reaches the core."""
+    node = NodeHarness(leads=True)
+    with pytest.raises(MalformedMessageError):
+        node.receive(CALLER, ORDER | change)
+    assert not node.core.orders and not node.wire.take("said")
+
+
+@pytest.mark.parametrize("change", [{"l": None}, {"r": None}, {"v": "yes"}, {"v": ["done"]}, {"v": "done"}, {"S": 5}])
+def test_a_malformed_reply_ends_no_order(change):
+    node = NodeHarness()
+    node.submit()
+    with pytest.raises(ValueError):
+        node.receive(LEADER, REPLY | {"l": node.orders.incarnation} | change)
+    assert not node.ended
+
+
+def test_order_messages_decode_to_what_was_encoded():
+    for request in (
+        OrderRequest(5, 1, OrderKind.EVACUATE, "a1"),
+        OrderRequest(0, 9, OrderKind.CONFIGURE, (3, b"x")),
+        OrderRequest(5, 2, OrderKind.READ, None),
+    ):
+        assert OrderRequest.decode(request.encode()) == request
+    assert OrderReply.decode(OrderReply(5, 1, Outcome.UNKNOWN).encode()) == OrderReply(5, 1, Outcome.UNKNOWN)
+    assert OrderReply.decode(OrderReply(5, 1, Outcome.DONE, committed_state(7)).encode()).state.index == 7
+
+
+def test_a_follower_answers_away_and_rejects_malformed_orders(node_process):
+    """Who does not lead says so at once, and takes no order on; odd ones are refused at the door."""
+    order = {"k": "order", "l": 5, "r": 77, "o": "empty", "b": "a1"}
+    node_process.frame_dispatcher.dispatch("10.1.0.7", order)
+    assert (
+        node_process.context.wire.sent[-1] == ("10.1.0.7", {"k": "said", "l": 5, "r": 77, "v": "away"})
+        and not node_process.order_executor.table.in_flight
+    )
+    for odd in ({"o": "rm"}, {"r": "7"}, {"l": None}, {"b": 5}, {"o": "config"}, {"o": "read"}):
+        with pytest.raises(ValueError):
+            node_process.frame_dispatcher.dispatch("10.1.0.7", order | odd)
--- /dev/null
+++ b/tests/node/test_order_submitter.py
@@ -0,0 +1,87 @@
+"""Orders at the node where an operator submits them: sent to the leader, answered once and in time."""
+
+from node_fixtures import LEADER, OTHER, NodeHarness, receive_update
+
+from rampfront.consensus.events import OrderKind, Outcome
+
+
+def test_an_order_is_resent_until_the_leader_answers(node_process):
+    """Told again while nothing is heard, at once to the next leader, answered once and always within what operators
+    wait."""
+    loop, wire, done = node_process.context.loop, node_process.context.wire, []
+
+    def sent():
+        return [(ip, m["r"]) for ip, m in wire.sent if m["k"] == "order"]
+
+    def says(ip, number, verdict, state=None):
+        node_process.frame_dispatcher.dispatch(
+            ip, {"k": "said", "l": node_process.orders.incarnation, "r": number, "v": verdict, "S": state}
+        )
+
+    receive_update(node_process, 5)
+    node_process.orders.submit("empty", "a1", lambda *verdict: done.append(verdict))
+    ((first, number),) = sent()
+    assert first == LEADER
+    says(LEADER, number, "away")
+    loop.wait(10)
+    node_process.frame_dispatcher.dispatch(
+        "10.1.0.8", {"k": "word", "l": "10.1.0.8", "e": 2, "t": node_process.context.clock(), "a": 0}
+    )
+    loop.wait(250)
+    assert sent()[1:] == [("10.1.0.8", number)]
+    says("10.1.0.8", number, "done", node_process.replicated_state.state.encode())
+    says("10.1.0.8", number, "done", node_process.replicated_state.state.encode())
+    assert len(done) == 1 and done[0][0] == "done" and done[0][1].index == 5
+    assert node_process.context.counts["replies_unsolicited"] == 1
+    node_process.orders.submit("empty", "a1", lambda *verdict: done.append(verdict))
+    loop.wait(1000)
+    assert done[1] == (None, None) and 3 <= len(sent()) - 2 <= 4 and not node_process.orders.open
+    for _ in range(300):  # nothing grows without bound
+        node_process.orders.submit("empty", "a1", lambda *verdict: done.append(verdict))
+    assert len(node_process.orders.open) == 256 and done[2:] == 44 * [("busy", None)]
+
+
+def test_only_a_node_that_was_asked_can_answer():
+    """In this life, for an order that waits, from a node that it was sent to; a late one of another ends nothing."""
+    node = NodeHarness()
+    node.submit()
+    ((ip, sent),) = node.wire.take("order")
+    assert (ip, sent["r"], sent["l"]) == (LEADER, 1, node.orders.incarnation)
+    node.receive_reply(OTHER, 1)
+    node.receive_reply(LEADER, 1, incarnation=node.orders.incarnation ^ 1)
+    node.receive_reply(LEADER, 2)
+    assert not node.ended and node.counts["replies_unsolicited"] == 3
+    node.receive_reply(LEADER, 1)
+    node.receive_reply(LEADER, 1)
+    assert [verdict for verdict, _ in node.ended] == ["done"] and node.counts["replies_unsolicited"] == 4
+
+
+def test_a_late_refusal_of_the_former_leader_does_not_count():
+    """Another one was asked since, and is at it: only that one may say no. A yes of the former one stands."""
+    for verdict in (Outcome.REJECTED, Outcome.UNKNOWN, "busy", Outcome.NOT_LEADER):
+        node = NodeHarness()
+        node.submit()
+        node.process.disseminator.leadership.leader = OTHER
+        node.loop.wait(350)
+        assert [ip for ip, _ in node.wire.take("order")] == [LEADER, OTHER]
+        node.receive_reply(LEADER, 1, verdict)
+        assert not node.ended and node.counts["replies_unsolicited"] == 1
+        node.receive_reply(LEADER, 1)
+        assert [verdict for verdict, _ in node.ended] == ["done"]
+
+
+def test_an_answer_older_than_the_state_held_does_not_count():
+    """A leader that is behind what this node held when it asked has not been one for long."""
+    node = NodeHarness()
+    node.process.disseminator.state_index = 7
+    node.submit(OrderKind.READ, None)
+    node.receive_reply(LEADER, 1, index=6)
+    assert not node.ended
+    node.process.disseminator.state_index = 9  # what came meanwhile may be newer than the answer
+    node.receive_reply(LEADER, 1, index=7)
+    assert node.ended[0][1].index == 7
+
+
+def test_each_start_draws_an_incarnation_of_its_own():
+    incarnations = {NodeHarness(seed=seed).orders.incarnation for seed in range(5)}
+    assert len(incarnations) == 5
--- /dev/null
+++ b/tests/node/test_replicated_state.py
@@ -0,0 +1,49 @@
+"""Updates of the core's state and of the list of servers come into force at a node, and never go back."""
+
+import zlib
+
+import pytest
+from node_fixtures import LEADER, receive_update
+from proxy_fixtures import orders
+
+from rampfront.consensus.state import State, digest
+
+
+def test_late_and_repeated_updates_change_nothing(node_process):
+    """Late and repeated words change nothing: not a route, not a key, not an evacuation, not a server."""
+    loop = node_process.context.loop
+    receive_update(
+        node_process,
+        5,
+        revision=3,
+        servers=(7, ["s1", "s2"]),
+        tenants=[{"Name": "ann", "ApiKeys": ["new"]}],
+        zones=["b1"],
+    )
+    for index in (4, 5):
+        receive_update(node_process, index, revision=2, servers=(index, ["s3"]))
+    loop.ask(key="ann-key")
+    assert (
+        loop.got().status == 401
+        and node_process.replicated_state.state.revision == 3
+        and node_process.request_proxy.evacuated_zones == {"b1"}
+    )
+    loop.ask(key="new")
+    assert loop.where() != "s3"
+    receive_update(node_process, 6, revision=3, zones=["a1"])  # the same configuration, another evacuation
+    loop.ask(key="new", client="d", tag="t2")
+    assert loop.got("d").status == 503
+
+
+def test_a_malformed_update_is_not_applied(node_process):
+    """A state whose body is not what its mark says, or a list that cannot be read: nothing of it comes into force."""
+    loop = node_process.context.loop
+    receive_update(node_process, 5, servers=(7, ["s1"]))
+    body = zlib.compress(orders(9))
+    state = State(9, 1, 9, body, frozenset(), {"x": (LEADER, 1)}, None, digest(b"other")).encode()
+    for more in ({"S": state}, {"S": state[:-1]}, {"S": 5}, {"V": 5}, {"V": [99, [["s1"]]]}, {"V": None}):
+        with pytest.raises((ValueError, TypeError, KeyError, IndexError, AttributeError)):
+            node_process.frame_dispatcher.dispatch(LEADER, {"k": "word", "l": LEADER, "e": 1, "t": 0} | more)
+    assert node_process.replicated_state.state.revision == 1 and node_process.disseminator.endpoints_version == 7
+    loop.ask()
+    assert loop.where() == "s1"
--- /dev/null
+++ b/tests/node/test_settings_reload.py
@@ -0,0 +1,27 @@
+"""The settings file is read again while the process runs."""
+
+import json
+from types import SimpleNamespace
+
+from node_fixtures import receive_update
+from proxy_fixtures import settings
+
+
+def test_new_seeds_are_taken_over_and_a_faulty_file_changes_nothing(node_process, tmp_path):
+    """SIGHUP: new seeds are taken over; a faulty file changes nothing; nothing is cut."""
+    loop = node_process.context.loop
+    receive_update(node_process, 5, servers=(7, ["s1"]))
+    loop.ask()
+    path = tmp_path / "local.json"
+    path.write_text("{")
+    node_process.core.member = SimpleNamespace(seeds=[])
+    node_process.settings_reloader.reload(str(path))
+    assert node_process.disseminator.schedule.seeds == ["10.1.0.1", "10.1.0.2"]
+    new = settings()
+    new["Network"]["SeedNodes"] = ["10.1.0.5:82"]
+    path.write_text(json.dumps(new))
+    node_process.settings_reloader.reload(str(path))
+    core_member, node_process.core.member = node_process.core.member, None
+    assert node_process.disseminator.schedule.seeds == core_member.seeds == ["10.1.0.5"]
+    loop.answer("t1")
+    assert loop.got().status == 200
--- /dev/null
+++ b/tests/node/test_shutdown.py
@@ -0,0 +1,50 @@
+"""Graceful shutdown: nothing that was accepted goes without its answer, and the process ends in time."""
+
+from http_server_fixtures import LATER, HttpCalls
+from node_fixtures import LEADER, NodeHarness, receive_update
+from proxy_fixtures import SEC
+
+
+def test_a_node_serves_on_until_its_clients_are_answered(node_process):
+    """SIGTERM: out of the roster at once, serves on while clients still come, with `Connection: close`, ends within
+    Grace."""
+    loop = node_process.context.loop
+    receive_update(node_process, 5, servers=(7, ["s1"]))
+    assert node_process.disseminator.ready and node_process.client_front.ready()
+    loop.ask(client="running", tag="t0")
+    loop.ask(client="idle")
+    node_process.context.wire.sent.clear()
+    node_process.shutdown.begin()
+    assert not node_process.client_front.ready()
+    assert [m["r"] for ip, m in node_process.context.wire.sent if ip == LEADER and m["k"] == "hail"] == [False]
+    began = loop.now
+    loop.ask(client="late", tag="t2")
+    for name, tag in (("running", "t0"), ("idle", "t1"), ("late", "t2")):
+        loop.answer(tag)
+        got = loop.got(name)
+        assert got.status == 200 and got["connection"] == "close" and loop.pipes[name].closed
+    node_process.shutdown.begin()  # a second one changes nothing
+    loop.wait(20000)
+    assert loop.stopped and loop.stopped[0] - began < 6 * SEC
+
+
+def test_operators_calls_are_answered_before_the_process_ends():
+    """An order that is under way as the last client goes is answered before the process ends, within Grace anyway."""
+    for answers in (True, False):
+        node, calls, stopped = NodeHarness(), HttpCalls(), []
+        node.loop.stop = lambda stopped=stopped, node=node: stopped.append(node.loop.now)
+        node.process.client_front.server = node.loop
+        node.process.shutdown.listeners.add(calls.server)
+        node.process.shutdown.begin()
+        node.loop.wait(2900)
+        idle, caller = calls.connect(), calls.connect(LATER)
+        node.loop.wait(300)
+        assert idle.transport.closed and not caller.transport.closed and not stopped
+        if answers:
+            calls.pending[0].respond(200, b"{}")
+            ((_, head, _),) = calls.responses(caller)
+            assert "connection: close" in head
+        node.loop.wait(100)
+        assert bool(stopped) == answers
+        node.loop.wait(2500)
+        assert stopped and stopped[0] <= 6 * SEC
--- /dev/null
+++ b/tests/node_fixtures.py
@@ -0,0 +1,131 @@
+"""A whole node's process on the fake loop of `proxy_fixtures`, with a wire that keeps what is sent.
+Where it leads, it has a member of the core that answers orders when the test says so."""
+
+import zlib
+from dataclasses import replace
+
+from proxy_fixtures import Quay, Silent, orders, settings
+
+from rampfront.consensus import events
+from rampfront.consensus.events import OrderKind, Outcome
+from rampfront.consensus.state import State, digest
+from rampfront.membership import endpoint_codec
+from rampfront.membership.endpoint_list import Endpoint, EndpointList
+from rampfront.node.assembly import build_node_process
+from rampfront.node.order_messages import OrderReply, OrderRequest
+from rampfront.node.ports import Ports
+from rampfront.settings import settings_reader
+
+OWN_IP, LEADER, CALLER, OTHER = "10.1.0.1", "10.1.0.9", "10.1.0.7", "10.1.0.8"
+BODY = zlib.compress(orders(1))
+
+
+def committed_state(index=5, zones=()):
+    """A state that is in force."""
+    return State(index, 1, 1, BODY, frozenset(zones), {"x": (LEADER, 1)}, None, digest(BODY))
+
+
+class FakeWire:
+    """The node's wire: keeps what is sent to other nodes."""
+
+    def __init__(self, *about):
+        self.sent = []
+
+    def send(self, ip, message):
+        self.sent.append((ip, message))
+
+    def send_all(self, ips, message):
+        self.sent += [(ip, message) for ip in ips]
+
+    def sweep(self):
+        pass
+
+    def take(self, kind):
+        """What was sent of this kind since it was last asked for."""
+        found = [row for row in self.sent if row[1]["k"] == kind]
+        self.sent = [row for row in self.sent if row[1]["k"] != kind]
+        return found
+
+
+class FakeCoreMember:
+    """The member of the core: keeps the orders that it gets, and answers none by itself."""
+
+    def __init__(self):
+        self.is_leader, self.quorum_confirmed_at, self.leader_ip = True, None, OWN_IP
+        self.orders, self.committed, self.effects = [], committed_state(), []
+
+    def is_leadership_expired(self, now):
+        return False
+
+    def take(self, now, event):
+        if type(event) is events.Order:
+            self.orders.append(event)
+        effects, self.effects = self.effects, []
+        return effects
+
+
+def build_node(loop, seed=3, **changes):
+    """A node without a disk, on a `Quay`. `changes`: fields of its settings."""
+    loop.add_signal_handler = loop.run_in_executor = None
+    process_settings = settings_reader.read(settings(Grace="6s", RevokeWithin="5s")).ok_value
+    process_settings = replace(process_settings, **changes)
+    ports = Ports(clock=lambda: loop.clock, wire=FakeWire)
+    return build_node_process(loop, process_settings, Silent(), seed, ports)
+
+
+class NodeHarness:
+    """One process whose orders are followed. `leads`: with a member of the core that leads."""
+
+    def __init__(self, leads=False, seed=3):
+        self.loop = Quay()
+        self.process = build_node(self.loop, seed)
+        self.wire, self.counts = self.process.context.wire, self.process.context.counts
+        self.orders, self.table = self.process.orders, self.process.order_executor.table
+        self.core = self.process.core.member = FakeCoreMember() if leads else None
+        self.ended = []
+        if not leads:
+            self.process.disseminator.leadership.leader = LEADER
+        self.process.tick()
+
+    def receive(self, ip, frame):
+        self.process.frame_dispatcher.dispatch(ip, frame)
+
+    def submit(self, kind=OrderKind.EVACUATE, body="a1"):
+        """An operator's order at this node."""
+        self.orders.submit(kind, body, lambda *ended: self.ended.append(ended))
+
+    def receive_order(self, ip, number, incarnation=5, kind=OrderKind.EVACUATE, body="a1"):
+        """An order of the node at `ip`."""
+        self.receive(ip, OrderRequest(incarnation, number, kind, body).encode())
+
+    def receive_reply(self, ip, number, verdict=Outcome.DONE, incarnation=None, index=5):
+        """A reply of the node at `ip` to an order of this one."""
+        incarnation = self.orders.incarnation if incarnation is None else incarnation
+        state = committed_state(index) if verdict == Outcome.DONE else None
+        self.receive(ip, OrderReply(incarnation, number, verdict, state).encode())
+
+    def core_answers(self, at=0, outcome=Outcome.DONE):
+        """The core answers the order that it got as number `at`, counted from 0."""
+        state = committed_state() if outcome == Outcome.DONE else None
+        self.core.effects = [events.OrderEnded(self.core.orders[at].ref, outcome, state)]
+        self.process.core.start()
+
+    def sent_replies(self):
+        return [(ip, frame["l"], frame["r"], frame["v"]) for ip, frame in self.wire.take("said")]
+
+
+def receive_update(node_process, index=None, revision=1, servers=None, zones=(), **configuration):
+    """An update from the leader, as an answer to a heartbeat of now; `servers`: version of the list and ids on it."""
+    loop = node_process.context.loop
+    frame = {"k": "word", "l": LEADER, "e": 1, "t": node_process.context.clock(), "a": 0}
+    if index:
+        body = zlib.compress(orders(revision, **configuration))
+        state = State(index, 1, revision, body, frozenset(zones), {"x": (LEADER, 1)}, None, digest(body))
+        frame["S"] = state.encode()
+    if servers:
+        rows = [
+            Endpoint(uid, "one", f"10.9.0.{uid[1:]}", 9000 + int(uid[1:]), "a1", 4, "ready", 0) for uid in servers[1]
+        ]
+        loop.places.update({(row.host, row.port): row.id for row in rows})
+        frame["V"] = endpoint_codec.encode(EndpointList(servers[0], tuple(rows)), loop.clock())
+    node_process.frame_dispatcher.dispatch(LEADER, frame)
--- /dev/null
+++ b/tests/quota/test_quota_incarnations.py
@@ -0,0 +1,54 @@
+"""Messages of a proxy's former incarnation, at the proxy and at the counter of quotas."""
+
+import random
+from types import SimpleNamespace
+
+import cbor2
+import pytest
+
+from rampfront.quota.counter import QuotaCounter
+from rampfront.quota.limiter import Limiter
+
+SEC = 10**9  # ns
+PROXY = "10.1.0.7"
+
+
+def carried(message):
+    """A message of counts as it comes over the wire."""
+    return cbor2.loads(cbor2.dumps(message))
+
+
+def test_an_answer_to_the_former_incarnation_acknowledges_nothing():
+    """A node starts again at once; the counter's answer to its former incarnation must not pass for one to the first
+    counts of the new one, which would then never be sent."""
+    tenants = {"ann": SimpleNamespace(per_s=5.0, burst=5.0)}
+    limiters, counter = [], QuotaCounter(9, 0)
+    counter.set_quotas(tenants, 0)
+    for seed in range(40):
+        limiter = Limiter("n1", random.Random(seed))
+        limiter.set_quotas(tenants, 0)
+        limiter.take("ann", 0)
+        limiters.append((limiter, limiter.due_update(SEC)))
+    before, message = limiters[0]
+    late = carried(counter.receive(SEC, PROXY, carried(message)))
+    before.receive(SEC, late)
+    assert before.link.pending is None
+    for limiter, message in limiters[1:]:
+        limiter.receive(SEC, late)
+        assert limiter.link.pending is not None and limiter.due_update(2 * SEC) == message  # it is sent again
+
+
+def test_a_late_update_locks_out_the_current_incarnation_only_for_a_while():
+    """An update of the former incarnation, the first that this counter gets of it, comes behind one of the new one. The
+    new one is dropped for as long as a frame may be late, and not for ever."""
+    counter = QuotaCounter(9, 0)
+
+    def add(incarnation, number, now):
+        return counter.receive(now, PROXY, {"l": incarnation, "s": number, "a": []})
+
+    assert add(2, 1, 0) and add(1, 7, 0)
+    with pytest.raises(ValueError, match="over"):
+        add(2, 2, 2 * SEC)
+    assert add(2, 3, 4 * SEC)
+    with pytest.raises(ValueError, match="over"):
+        add(1, 8, 5 * SEC)
