--- a/rampfront/node/log_events.py
+++ b/rampfront/node/log_events.py
@@ -65,7 +65,16 @@
     )
 
     # Between nodes, and towards servers and the platform.
-    FRAME_INVALID = "invalid frame", "warning", "party error", "a frame of the node `party` is not valid: dropped"
+    FRAME_INVALID = (
+        "invalid frame",
+        "warning",
+        "party error kind",
+        "a frame of the node `party` is not valid: dropped; `kind` of the frame is left out where it is the core's",
+    )
+    ANSWER_INVALID = "odd answer", "warning", "party why", "a server's answer is not valid (`party`: its id)"
+    CHECK_STATUS_UNKNOWN = "odd status", "warning", "party status", "a server answers a health check with an odd status"
+    CHECK_REPORT_INVALID = "odd report", "warning", "party", "a server's answer to a health check can't be read"
+    REQUEST_FAULT = "fault", "error", "party trouble at", "a defect in the handling of a request"
     SERVER_LIST_POLL_FAILED = (
         "server list poll failed",
         "warning",
--- a/rampfront/transport/wire.py
+++ b/rampfront/transport/wire.py
@@ -108,7 +108,7 @@
         except MALFORMED_MESSAGE_ERRORS as error:
             # Guards against a peer of another version, or a faulty one: its message is dropped, and counted.
             self.counts["frames_invalid"] += 1
-            self.log.record_limited("invalid frame", ip, why=repr(error), kind=message[KIND_KEY][:LOGGED_KIND_CHARS])
+            self.log.record_limited("invalid frame", ip, error=repr(error), kind=message[KIND_KEY][:LOGGED_KIND_CHARS])
 
     def sweep(self) -> None:
         """Closes the connections whose deadline has passed; to be called a few times a second."""
