--- a/rampfront/quota/tenant_table.py
+++ b/rampfront/quota/tenant_table.py
@@ -70,6 +70,8 @@
         """Takes the rows of an update, which is under way from now on. `full`: with all counts, not what grew."""
         rows: list[CountRow] = []
         windows: list[Window] = []
+        if not self.unreported:
+            return Report(rows, windows, False)
         counter_time = self.clock.time(now)
         for name, tenant in list(self.unreported.items()):
             if len(rows) == MOST_ROWS:
@@ -87,10 +89,9 @@
     def read(self, totals: Sequence[TenantTotal], now: int, acknowledges: bool) -> None:
         """Takes in the totals of those tenants that have a quota here. `acknowledges`: no update is under way, so that
         what was in the last one is in the totals."""
-        counter_time = self.clock.time(now)
         for total in totals:
             if tenant := self.tenants.get(total.tenant):
-                roll(tenant, counter_time)
+                self.roll(tenant, now)
                 tenant.read(total, now, acknowledges)
 
     def forget_acknowledged(self, now: int) -> None:
