--- a/rampfront/consensus/codec.py
+++ b/rampfront/consensus/codec.py
@@ -117,6 +117,11 @@
     return MemberKey(frame[SENDER_NAME], frame[SENDER_INCARNATION])
 
 
+def _position(frame: Frame) -> LogPosition:
+    position = frame[POSITION]
+    return LogPosition(position[0], position[1])
+
+
 def _join_request(frame: Frame) -> JoinRequest:
     founding = bool(frame.get(COUNTS_TOWARDS_SIZE))
     return JoinRequest(_sender(frame), frame[PASSWORD], founding, frame.get(RECEIVER_INCARNATION))
@@ -139,7 +144,7 @@
 
 
 def _pre_vote_request(frame: Frame) -> PreVoteRequest:
-    position = LogPosition(*frame[POSITION])
+    position = _position(frame)
     return PreVoteRequest(_sender(frame), frame[RECEIVER_INCARNATION], frame[TERM], position)
 
 
@@ -148,7 +153,7 @@
 
 
 def _vote_request(frame: Frame) -> VoteRequest:
-    position = LogPosition(*frame[POSITION])
+    position = _position(frame)
     is_successor = bool(frame.get(SUCCESSOR))
     return VoteRequest(_sender(frame), frame[RECEIVER_INCARNATION], frame[TERM], position, is_successor)
 
@@ -183,7 +188,7 @@
         frame[RECEIVER_INCARNATION],
         frame[TERM],
         frame[ROUND],
-        LogPosition(*frame[POSITION]),
+        _position(frame),
         frame[BODY_DIGEST],
         bool(frame.get(IS_SHUTTING_DOWN)),
     )
@@ -196,41 +201,30 @@
 
 
 class _Form(NamedTuple):
-    """The fields that a kind must have, with their checks, and what builds its message."""
+    """The fields that a kind must have, and what builds its message. Most are numbers, which are checked in one go."""
 
-    required: dict[str, FieldCheck]
+    numbers: tuple[str, ...]
+    others: dict[str, FieldCheck]
     build: Callable[[Frame], Message]
 
 
-_SENDER: dict[str, FieldCheck] = {SENDER_NAME: _is_name, SENDER_INCARNATION: _is_number}
-_BOUND: dict[str, FieldCheck] = {**_SENDER, RECEIVER_INCARNATION: _is_number, TERM: _is_number}
-_BEAT: dict[str, FieldCheck] = {**_BOUND, ROUND: _is_number, COMMIT_INDEX: _is_number}
-_HINT: dict[str, FieldCheck] = {
-    TERM: _is_number,
-    LEADER_IP: _is_ip,
-    MEMBER_IPS: _is_ip_list,
-    PASSWORD: _is_number,
-    IS_EXCLUDED: _is_number,
-}
-_ACKNOWLEDGEMENT: dict[str, FieldCheck] = {
-    **_BOUND,
-    ROUND: _is_number,
-    POSITION: _is_position,
-    BODY_DIGEST: _is_digest,
-}
+_NAMED: dict[str, FieldCheck] = {SENDER_NAME: _is_name}
+_BOUND = (SENDER_INCARNATION, RECEIVER_INCARNATION, TERM)
+_ROUND = (*_BOUND, ROUND, COMMIT_INDEX)
+_ACKNOWLEDGEMENT: dict[str, FieldCheck] = {**_NAMED, POSITION: _is_position, BODY_DIGEST: _is_digest}
 _FORMS: dict[str, _Form] = {
-    JOIN_REQUEST: _Form({**_SENDER, PASSWORD: _is_number}, _join_request),
-    LEADER_QUERY: _Form({}, _leader_query),
-    LEADER_HINT: _Form(_HINT, _leader_hint),
-    PRE_VOTE_REQUEST: _Form({**_BOUND, POSITION: _is_position}, _pre_vote_request),
-    PRE_VOTE_GRANTED: _Form(_BOUND, _pre_vote_granted),
-    VOTE_REQUEST: _Form({**_BOUND, POSITION: _is_position}, _vote_request),
-    VOTE_GRANTED: _Form(_BOUND, _vote_granted),
-    TERM_REJECTED: _Form({TERM: _is_number}, _term_rejected),
-    HEARTBEAT: _Form(_BEAT, _heartbeat),
-    APPEND_ENTRY: _Form({**_BEAT, ENTRY: _is_list}, _append_entry),
-    APPEND_ACKNOWLEDGED: _Form(_ACKNOWLEDGEMENT, _append_acknowledged),
-    LEADERSHIP_ENDED: _Form(_BOUND, _leadership_ended),
+    JOIN_REQUEST: _Form((SENDER_INCARNATION, PASSWORD), _NAMED, _join_request),
+    LEADER_QUERY: _Form((), {}, _leader_query),
+    LEADER_HINT: _Form((TERM, PASSWORD, IS_EXCLUDED), {LEADER_IP: _is_ip, MEMBER_IPS: _is_ip_list}, _leader_hint),
+    PRE_VOTE_REQUEST: _Form(_BOUND, {**_NAMED, POSITION: _is_position}, _pre_vote_request),
+    PRE_VOTE_GRANTED: _Form(_BOUND, _NAMED, _pre_vote_granted),
+    VOTE_REQUEST: _Form(_BOUND, {**_NAMED, POSITION: _is_position}, _vote_request),
+    VOTE_GRANTED: _Form(_BOUND, _NAMED, _vote_granted),
+    TERM_REJECTED: _Form((TERM,), {}, _term_rejected),
+    HEARTBEAT: _Form(_ROUND, _NAMED, _heartbeat),
+    APPEND_ENTRY: _Form(_ROUND, {**_NAMED, ENTRY: _is_list}, _append_entry),
+    APPEND_ACKNOWLEDGED: _Form((*_BOUND, ROUND), _ACKNOWLEDGEMENT, _append_acknowledged),
+    LEADERSHIP_ENDED: _Form(_BOUND, _NAMED, _leadership_ended),
 }
 # May be left out of any kind, but must be right where they are.
 _OPTIONAL: dict[str, FieldCheck] = {
@@ -255,10 +249,14 @@
     form = _FORMS.get(kind) if type(kind) is str else None
     if form is None:
         raise RemoteProtocolError("kind")
-    for key, is_valid in form.required.items():
+    for key in form.numbers:
+        value = frame.get(key)
+        if type(value) is not int or not 0 <= value < MAX_NUMBER:
+            raise RemoteProtocolError(f"{kind}: {key}")
+    for key, is_valid in form.others.items():
         if not is_valid(frame.get(key)):
             raise RemoteProtocolError(f"{kind}: {key}")
-    if len(frame) > len(form.required) + 1:  # there is more than the kind and what it must have
+    if len(frame) > len(form.numbers) + len(form.others) + 1:  # more than the kind and what it must have
         for key, is_valid in _OPTIONAL.items():
             if key in frame and not is_valid(frame[key]):
                 raise RemoteProtocolError(f"{kind}: {key}")
@@ -284,7 +282,7 @@
 def _replication_frame(message: ReplicationMessage) -> Frame:
     match message:
         case Heartbeat():
-            return _beat_frame(HEARTBEAT, message)
+            return _round_frame(HEARTBEAT, message)
         case AppendAcknowledged():
             return _append_acknowledged_frame(message)
         case AppendEntry():
@@ -346,15 +344,22 @@
     }
 
 
-def _beat_frame(kind: str, message: Heartbeat | AppendEntry) -> Frame:
-    frame = _bound_frame(kind, message)
-    frame[ROUND] = message.round
-    frame[COMMIT_INDEX] = message.commit_index
-    return frame
+def _round_frame(kind: str, message: Heartbeat | AppendEntry) -> Frame:
+    """Of a message with which a leader counts a round."""
+    sender = message.sender
+    return {
+        KIND: kind,
+        SENDER_NAME: sender.name,
+        SENDER_INCARNATION: sender.incarnation,
+        RECEIVER_INCARNATION: message.receiver_incarnation,
+        TERM: message.term,
+        ROUND: message.round,
+        COMMIT_INDEX: message.commit_index,
+    }
 
 
 def _append_entry_frame(message: AppendEntry) -> Frame:
-    frame = _beat_frame(APPEND_ENTRY, message)
+    frame = _round_frame(APPEND_ENTRY, message)
     frame[ENTRY] = message.entry
     if message.versions is not None:
         frame[VERSIONS] = message.versions
--- a/rampfront/consensus/context.py
+++ b/rampfront/consensus/context.py
@@ -5,7 +5,6 @@
 """
 
 from collections.abc import Sequence
-from dataclasses import dataclass
 from random import Random
 from typing import NamedTuple
 
@@ -17,8 +16,7 @@
 from .state import State
 
 
-@dataclass(frozen=True, slots=True)
-class MemberSettings:
+class MemberSettings(NamedTuple):
     """What a member is started with.
 
     `seeds`: ips to ask who leads; the first of them founds the core. `has_disk`: without one it never votes, and only
--- a/rampfront/consensus/core_strength.py
+++ b/rampfront/consensus/core_strength.py
@@ -5,8 +5,8 @@
 """
 
 from collections.abc import Collection, Mapping
-from dataclasses import dataclass
 from enum import StrEnum
+from typing import NamedTuple
 
 from .identifiers import DurationNs, MemberKey, TimeNs
 from .membership_change import MembershipChange, wanted_size
@@ -24,8 +24,7 @@
     REPLACED = "being replaced"
 
 
-@dataclass(frozen=True, slots=True)
-class MemberStatus:
+class MemberStatus(NamedTuple):
     """One member or learner."""
 
     name: str
@@ -33,8 +32,7 @@
     condition: MemberCondition
 
 
-@dataclass(frozen=True, slots=True)
-class CoreStrength:
+class CoreStrength(NamedTuple):
     """`wanted`: how many members there should be. `full_for`: ns for which the core has been at full strength in this
     leader's term, or None if it is not."""
 
--- a/rampfront/consensus/evacuations.py
+++ b/rampfront/consensus/evacuations.py
@@ -13,7 +13,6 @@
 """
 
 from collections.abc import Mapping
-from dataclasses import dataclass, replace
 from typing import NamedTuple, TypeAlias
 
 from .errors import RemoteProtocolError
@@ -22,8 +21,7 @@
 MAX_ROWS = 512  # of all zones, in an older record
 
 
-@dataclass(frozen=True, slots=True)
-class Evacuation:
+class Evacuation(NamedTuple):
     """What is known of who keeps one zone evacuated.
 
     `operators`: who certainly evacuated the zone and did not restore it; 0: it opens by itself. `repeated`: there may
@@ -54,9 +52,9 @@
     if not before.operators:
         after = SINGLE_OPERATOR
     elif may_be_repeat:
-        after = replace(before, repeated=True)
+        after = before._replace(repeated=True)
     else:
-        after = replace(before, operators=min(before.operators + 1, MAX_OPERATORS))
+        after = before._replace(operators=min(before.operators + 1, MAX_OPERATORS))
     return ZoneChange(zones, evacuations if after == before else {**evacuations, zone: after})
 
 
--- a/rampfront/consensus/membership_change.py
+++ b/rampfront/consensus/membership_change.py
@@ -22,7 +22,6 @@
 """
 
 from collections.abc import Mapping
-from dataclasses import dataclass
 from typing import NamedTuple
 
 from .identifiers import MS, SEC, DurationNs, Incarnation, MemberAddress, MemberKey, MemberList, TimeNs
@@ -38,8 +37,7 @@
 MAX_MEMBERS = MAX_NAMES // 2
 
 
-@dataclass(slots=True)
-class Learner:
+class Learner(NamedTuple):
     """A newcomer that catches up. `counts_towards_size`: it stands for a machine of the whole system's first start."""
 
     name: str
@@ -58,8 +56,7 @@
         return MemberAddress(self.replica.ip, self.incarnation)
 
 
-@dataclass(frozen=True, slots=True)
-class Step:
+class Step(NamedTuple):
     """The next entry's members. `previous_members`: the list before it; None where nobody is taken in or out."""
 
     members: MemberList
--- a/rampfront/consensus/order_application.py
+++ b/rampfront/consensus/order_application.py
@@ -8,9 +8,10 @@
 Called by `Leader` and its `OrderQueue`.
 """
 
-from dataclasses import dataclass
 from typing import NamedTuple
 
+from rampfront.terms import slotted
+
 from .evacuations import ZoneChange, evacuate, reopen, restore
 from .events import Order, OrderKind, Outcome
 from .identifiers import LogIndex, RoundNumber, TimeNs
@@ -29,7 +30,7 @@
     content: bytes  # its digest
 
 
-@dataclass(slots=True, eq=False)
+@slotted
 class PendingOrder:
     """An order that the leader has not answered yet.
 
--- a/rampfront/consensus/persistent_state.py
+++ b/rampfront/consensus/persistent_state.py
@@ -40,7 +40,7 @@
         An empty disk makes a new incarnation. The first seed founds the core on it, with itself as the only member.
         """
         self._context = context
-        self.incarnation: Incarnation = 0
+        self.key = MemberKey(context.settings.name, 0)  # this member, as others count it; 0: no disk
         self.term: Term = 0
         self.vote: MemberKey | None = None  # in `term`
         self.entry: State | None = None  # the newest one
@@ -62,13 +62,13 @@
     # Who this is.
 
     @property
-    def key(self) -> MemberKey:
-        """This member, as others count it."""
-        return MemberKey(self._context.settings.name, self.incarnation)
+    def incarnation(self) -> Incarnation:
+        """Of this member's disk."""
+        return self.key.incarnation
 
     def is_member(self) -> bool:
         """Whether this incarnation is a member by the newest entry."""
-        return self.entry is not None and self.entry.has_member(*self.key)
+        return self.entry is not None and self.entry.has_member(self.key.name, self.key.incarnation)
 
     def identity_is_durable(self) -> bool:
         """Whether this incarnation survives a restart."""
@@ -76,11 +76,14 @@
 
     def renew_incarnation(self) -> None:
         """Comes back as another: nothing that the old incarnation promised is at stake, as it never speaks again."""
-        self.incarnation = self._context.draw_identifier()
+        self._set_incarnation(self._context.draw_identifier())
         self.vote = None
         self.version += 1
         self._identity_version = self.version
 
+    def _set_incarnation(self, incarnation: Incarnation) -> None:
+        self.key = MemberKey(self._context.settings.name, incarnation)
+
     # Changes.
 
     def enter_term(self, term: Term) -> None:
@@ -158,7 +161,7 @@
 
     def _load(self, data: bytes) -> None:
         record = decode_record(data, self._context.settings.name)
-        self.incarnation = record.incarnation
+        self._set_incarnation(record.incarnation)
         self.term = record.term
         self.vote = record.vote
         self.entry = record.entry
@@ -169,7 +172,7 @@
 
     def _start_empty(self) -> None:
         settings = self._context.settings
-        self.incarnation = self._context.draw_identifier()
+        self._set_incarnation(self._context.draw_identifier())
         self.version = 1
         if settings.is_first_start and settings.seeds and settings.seeds[0] == settings.ip:
             members = {settings.name: MemberAddress(settings.ip, self.incarnation)}
--- a/rampfront/consensus/replica_progress.py
+++ b/rampfront/consensus/replica_progress.py
@@ -1,6 +1,6 @@
 """What a leader knows of one other member or learner (Raft paper, figure 2, nextIndex and matchIndex)."""
 
-from dataclasses import dataclass
+from rampfront.terms import slotted
 
 from .identifiers import MS, NO_POSITION, SEC, DurationNs, LogPosition, RoundNumber, TimeNs
 
@@ -11,7 +11,7 @@
 TRANSFER_BYTES = 1000  # from which on an entry goes as a transfer of its own: one is under way to a member at a time
 
 
-@dataclass(slots=True, eq=False)
+@slotted
 class ReplicaProgress:
     """How far a replica has come.
 
--- a/rampfront/consensus/state.py
+++ b/rampfront/consensus/state.py
@@ -96,8 +96,10 @@
 
     def has_member(self, name: str, incarnation: int) -> bool:
         """Whether this incarnation is a member by either list."""
-        lists = (self.members, self.previous_members)
-        return any(members and _incarnation_of(members, name) == incarnation for members in lists)
+        if self.members and _incarnation_of(self.members, name) == incarnation:
+            return True
+        previous = self.previous_members
+        return previous is not None and bool(previous) and _incarnation_of(previous, name) == incarnation
 
     def has_quorum(self, keys: Collection[tuple[str, int]]) -> bool:
         """Whether the members of `keys` are a majority of each list."""
--- a/rampfront/consensus/version_history.py
+++ b/rampfront/consensus/version_history.py
@@ -13,7 +13,6 @@
 import zlib
 from bisect import bisect_left
 from collections.abc import Mapping
-from dataclasses import dataclass
 from hashlib import blake2b
 from typing import NamedTuple
 
@@ -47,8 +46,7 @@
     digest: bytes
 
 
-@dataclass(frozen=True, slots=True, eq=False)
-class VersionHistory:
+class VersionHistory(NamedTuple):
     """`rows`: sorted, each number once, at most `MAX_VERSIONS`."""
 
     rows: tuple[VersionRow, ...] = ()
