--- a/rampfront/node/context.py
+++ b/rampfront/node/context.py
@@ -2,9 +2,7 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
-
-from ..terms import slotted
+from typing import TYPE_CHECKING, NamedTuple
 
 if TYPE_CHECKING:
     from asyncio import AbstractEventLoop
@@ -18,9 +16,8 @@
     from .snapshots import Snapshots
 
 
-@slotted
-class NodeContext:
-    """Handed to each part when it is built. No part replaces a field."""
+class NodeContext(NamedTuple):
+    """Handed to each part when it is built."""
 
     loop: AbstractEventLoop
     clock: Callable[[], int]  # ns of a steady clock
--- a/rampfront/node/core_driver.py
+++ b/rampfront/node/core_driver.py
@@ -14,7 +14,7 @@
 from ..consensus.context import MemberSettings
 from ..consensus.errors import RemoteProtocolError
 from ..consensus.member import Member
-from .log_events import LogEvent
+from . import log_events
 
 if TYPE_CHECKING:
     from asyncio import Future
@@ -87,7 +87,7 @@
             )
             self.member = Member(member_settings, record_store.load(), self._context.rng, self._context.clock())
         except (OSError, ValueError) as error:
-            self._context.log.record(LogEvent.RECORD_UNREADABLE, error=repr(error))
+            self._context.log.record(log_events.RECORD_UNREADABLE, error=repr(error))
 
     @property
     def leads(self) -> bool:
@@ -134,7 +134,7 @@
             self.handle(events.MessageReceived(ip, frame))
         except RemoteProtocolError as error:
             self._context.counts["frames_invalid"] += 1
-            self._context.log.record_limited(LogEvent.FRAME_INVALID, ip, error=str(error))
+            self._context.log.record_limited(log_events.FRAME_INVALID, ip, error=str(error))
 
     def step_down_if_overdue(self, now: int) -> None:
         """Let a leader without a majority behind it give way. To be called before anything that asks who leads.
@@ -178,5 +178,5 @@
         error = save.exception()
         if error is not None:
             self._context.counts["stores_failed"] += 1
-            self._context.log.record_limited(LogEvent.STORE_FAILED, "disk", error=repr(error))
+            self._context.log.record_limited(log_events.STORE_FAILED, "disk", error=repr(error))
         self.handle(events.RecordStored(version, error is None))
--- a/rampfront/node/endpoints.py
+++ b/rampfront/node/endpoints.py
@@ -11,9 +11,9 @@
 from ..net.http_messages import Response, error_response
 from ..net.http_routing import endpoint
 from ..net.http_server import HttpServer
+from . import log_events
 from .control_calls import Control
 from .directory_call import Directory
-from .log_events import LogEvent
 from .metrics_page import MetricsPage
 from .status_views import StatusViews
 
@@ -47,7 +47,7 @@
     def note(self, request: IncomingRequest, error: BaseException) -> None:
         """Note the exception of a handler."""
         self._context.counts["faults"] += 1
-        self._context.log.record_limited(LogEvent.INTERNAL_ERROR, request.path, error=repr(error))
+        self._context.log.record_limited(log_events.INTERNAL_ERROR, request.path, error=repr(error))
 
 
 def control(node: NodeProcess) -> Control:
--- a/rampfront/node/leadership.py
+++ b/rampfront/node/leadership.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from ..membership.leadership import CoreStatus
-from .log_events import LogEvent
+from . import log_events
 
 if TYPE_CHECKING:
     from ..membership.dissemination import Disseminator
@@ -46,7 +46,7 @@
         status = CoreStatus(leads, member.leader_ip, term, member.quorum_confirmed_at)
         disseminator.set_leadership(status, now)
         if leads != led:
-            event = LogEvent.LEADERSHIP_GAINED if leads else LogEvent.LEADERSHIP_LOST
+            event = log_events.LEADERSHIP_GAINED if leads else log_events.LEADERSHIP_LOST
             self._log.record(event, term=disseminator.term)
         self._server_list.poll_while(leads)
         self._readiness.update(now)
--- a/rampfront/node/log_events.py
+++ b/rampfront/node/log_events.py
@@ -7,11 +7,9 @@
 
 from __future__ import annotations
 
-from enum import StrEnum
 
-
-class LogEvent(StrEnum):
-    """An event's value is its name in the log; `level`, `fields` and `meaning` describe it."""
+class LogEvent(str):
+    """The name of an event in the log, with its description. A plain class: an enumeration would cost at each start."""
 
     level: str
     fields: tuple[str, ...]
@@ -19,65 +17,72 @@
 
     def __new__(cls, name: str, level: str, fields: str, meaning: str) -> LogEvent:
         """`fields`: names with blanks between them."""
-        event = str.__new__(cls, name)
-        event._value_ = name
+        event = super().__new__(cls, name)
         event.level = level
         event.fields = tuple(fields.split())
         event.meaning = meaning
         return event
 
-    # The process.
-    STARTED = "started", "info", "zone disk first_boot", "the process serves; `disk`: it is a member of the core"
-    READY = "ready", "info", "", "the node asks for clients"
-    NOT_READY = "not ready", "warning", "", "the node asks for no more clients: no lease, no server, or it ends"
-    SHUTDOWN_STARTED = "shutting down", "info", "", "SIGTERM came: clients are served on, then the process ends"
-    TOTALS = "totals", "info", "why", "every counter, on SIGUSR1 and at the end"
-    INTERNAL_ERROR = "internal error", "error", "party error", "a defect in an operator's call (`party`: its path)"
 
-    # Settings and state.
-    SETTINGS_RELOADED = "settings reloaded", "info", "", "the settings file was read again and taken over"
-    SETTINGS_REJECTED = "settings rejected", "error", "error", "the settings file is faulty: nothing has changed"
-    CONFIGURATION_APPLIED = "configuration applied", "info", "revision", "a revision is in force at this node"
-    CONFIGURATION_UNREADABLE = (
-        "configuration unreadable",
-        "error",
-        "revision error",
-        "this program can't read a revision that the core took: it is older than the configuration",
-    )
-    EVACUATIONS_CHANGED = "evacuations changed", "info", "zones", "the zones that are evacuated from now on"
+# The process.
+STARTED = LogEvent("started", "info", "zone disk first_boot", "the process serves; `disk`: it is a member of the core")
+READY = LogEvent("ready", "info", "", "the node asks for clients")
+NOT_READY = LogEvent("not ready", "warning", "", "the node asks for no more clients: no lease, no server, or it ends")
+SHUTDOWN_STARTED = LogEvent("shutting down", "info", "", "SIGTERM came: clients are served on, then the process ends")
+TOTALS = LogEvent("totals", "info", "why", "every counter, on SIGUSR1 and at the end")
+INTERNAL_ERROR = LogEvent(
+    "internal error", "error", "party error", "a defect in an operator's call (`party`: its path)"
+)
+
+# Settings and state.
+SETTINGS_RELOADED = LogEvent("settings reloaded", "info", "", "the settings file was read again and taken over")
+SETTINGS_REJECTED = LogEvent("settings rejected", "error", "error", "the settings file is faulty: nothing changed")
+CONFIGURATION_APPLIED = LogEvent("configuration applied", "info", "revision", "a revision is in force at this node")
+CONFIGURATION_UNREADABLE = LogEvent(
+    "configuration unreadable",
+    "error",
+    "revision error",
+    "this program can't read a revision that the core took: it is older than the configuration",
+)
+EVACUATIONS_CHANGED = LogEvent("evacuations changed", "info", "zones", "the zones that are evacuated from now on")
+
+# The core.
+LEADERSHIP_GAINED = LogEvent("leadership gained", "info", "term", "this node leads the core")
+LEADERSHIP_LOST = LogEvent("leadership lost", "info", "term", "this node no longer leads the core")
+CORE_MEMBERS_CHANGED = LogEvent("core members changed", "info", "members", "the members of the core from now on")
+RECORD_UNREADABLE = LogEvent(
+    "record unreadable",
+    "error",
+    "error",
+    "the core's record on disk can't be read: the node serves clients, but is no member until it starts anew",
+)
+STORE_FAILED = LogEvent("store failed", "error", "party error", "the disk refused the core's record: tried again")
+ORDER_REPLY_DROPPED = LogEvent(
+    "order reply dropped",
+    "info",
+    "party reason",
+    "a reply to an operator's order came late, or from a node (`party`) that was not asked",
+)
+
+# Between nodes, and towards servers and the platform.
+FRAME_INVALID = LogEvent(
+    "invalid frame",
+    "warning",
+    "party error kind",
+    "a frame of the node `party` is not valid: dropped; `kind` of the frame is left out where it is the core's",
+)
+ANSWER_INVALID = LogEvent("odd answer", "warning", "party why", "a server's answer is not valid (`party`: its id)")
+CHECK_STATUS_UNKNOWN = LogEvent("odd status", "warning", "party status", "the status of a health check is unknown")
+CHECK_REPORT_INVALID = LogEvent("odd report", "warning", "party", "a server's answer to a health check can't be read")
+REQUEST_FAULT = LogEvent("fault", "error", "party trouble at", "a defect in the handling of a request")
+SERVER_LIST_POLL_FAILED = LogEvent(
+    "server list poll failed",
+    "warning",
+    "party error",
+    "a round of the platform's list failed",
+)
 
-    # The core.
-    LEADERSHIP_GAINED = "leadership gained", "info", "term", "this node leads the core"
-    LEADERSHIP_LOST = "leadership lost", "info", "term", "this node no longer leads the core"
-    CORE_MEMBERS_CHANGED = "core members changed", "info", "members", "the members of the core from now on"
-    RECORD_UNREADABLE = (
-        "record unreadable",
-        "error",
-        "error",
-        "the core's record on disk can't be read: the node serves clients, but is no member until it starts anew",
-    )
-    STORE_FAILED = "store failed", "error", "party error", "the disk refused the core's record; it is tried again"
-    ORDER_REPLY_DROPPED = (
-        "order reply dropped",
-        "info",
-        "party reason",
-        "a reply to an operator's order came late, or from a node (`party`) that was not asked",
-    )
 
-    # Between nodes, and towards servers and the platform.
-    FRAME_INVALID = (
-        "invalid frame",
-        "warning",
-        "party error kind",
-        "a frame of the node `party` is not valid: dropped; `kind` of the frame is left out where it is the core's",
-    )
-    ANSWER_INVALID = "odd answer", "warning", "party why", "a server's answer is not valid (`party`: its id)"
-    CHECK_STATUS_UNKNOWN = "odd status", "warning", "party status", "a server answers a health check with an odd status"
-    CHECK_REPORT_INVALID = "odd report", "warning", "party", "a server's answer to a health check can't be read"
-    REQUEST_FAULT = "fault", "error", "party trouble at", "a defect in the handling of a request"
-    SERVER_LIST_POLL_FAILED = (
-        "server list poll failed",
-        "warning",
-        "party error",
-        "a round of the platform's list failed",
-    )
+def all_events() -> dict[str, LogEvent]:
+    """Return every event by the name of its constant, for the docs' table and for tests."""
+    return {name: value for name, value in globals().items() if isinstance(value, LogEvent)}
--- a/rampfront/node/metrics.py
+++ b/rampfront/node/metrics.py
@@ -2,12 +2,9 @@
 
 Counters are kept under the names of `COUNTERS` by the log (`log.py`), and the parts that count add to them. What the
 node holds at a moment (`GAUGES`) and how long things took (`HISTOGRAMS`) is read when a scraper asks
-(`metrics_page.py`). `docs/` prints these tables; a test holds both together.
+(`metrics_page.py`). `metrics_catalogue.py` lists all of them, for the docs and for tests.
 """
 
-from collections.abc import Iterator
-from typing import NamedTuple
-
 PREFIX = "rampfront_"
 
 # In the order of print. The first part is counted by the packages shared with the edge node (`net.notes.COUNTED`).
@@ -105,14 +102,6 @@
 }
 
 
-class Metric(NamedTuple):
-    """A metric as a scraper sees it."""
-
-    name: str
-    kind: str
-    help: str
-
-
 def counter_name(name: str) -> str:
     """Return the full name of a counter."""
     return f"{PREFIX}{name}_total"
@@ -126,13 +115,3 @@
 def histogram_name(name: str) -> str:
     """Return the full name of a histogram."""
     return f"{PREFIX}{name}_seconds"
-
-
-def all_metrics() -> Iterator[Metric]:
-    """Every metric, in the order of print."""
-    for name, text in COUNTERS.items():
-        yield Metric(counter_name(name), "counter", text)
-    for name, text in GAUGES.items():
-        yield Metric(gauge_name(name), "gauge", text)
-    for name, text in HISTOGRAMS.items():
-        yield Metric(histogram_name(name), "histogram", text)
--- a/rampfront/node/node_process.py
+++ b/rampfront/node/node_process.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING
 
 from ..terms import slotted
-from .log_events import LogEvent
+from . import log_events
 
 if TYPE_CHECKING:
     from ..membership.dissemination import Disseminator
@@ -63,7 +63,7 @@
         """Start the parts and the timers; to be called once, when the listeners are open."""
         settings = self.context.process_settings
         has_disk = self.core.member is not None
-        self.context.log.record(LogEvent.STARTED, zone=settings.zone, disk=has_disk, first_boot=settings.first_boot)
+        self.context.log.record(log_events.STARTED, zone=settings.zone, disk=has_disk, first_boot=settings.first_boot)
         self.core.start()
         self.tick()
         self.sweep()
--- a/rampfront/node/order_submitter.py
+++ b/rampfront/node/order_submitter.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING
 
 from ..consensus.events import Outcome
-from .log_events import LogEvent
+from . import log_events
 from .open_order import OpenOrder
 from .order_messages import BUSY, INCARNATION_BITS, OrderReply, OrderRequest, decode_identity
 
@@ -131,4 +131,4 @@
 
     def _drop(self, ip: str, reason: str) -> None:
         self._context.counts["replies_unsolicited"] += 1
-        self._context.log.record_limited(LogEvent.ORDER_REPLY_DROPPED, ip, reason=reason)
+        self._context.log.record_limited(log_events.ORDER_REPLY_DROPPED, ip, reason=reason)
--- a/rampfront/node/order_table.py
+++ b/rampfront/node/order_table.py
@@ -9,7 +9,6 @@
 """
 
 from enum import Enum
-from typing import NamedTuple
 
 from ..consensus.events import OrderKind, Outcome
 from .order_messages import OrderKey
@@ -29,19 +28,27 @@
     FULL = "full"
 
 
-class InFlightOrder(NamedTuple):
+class InFlightOrder:
     """An order that the core has not answered yet."""
 
-    kind: str
-    admitted_at: int
-    body_digest: bytes
+    __slots__ = ("kind", "admitted_at", "body_digest")
 
+    def __init__(self, kind: str, admitted_at: int, body_digest: bytes) -> None:
+        """`admitted_at` in ns; `body_digest`: of the configuration that it brought, else empty."""
+        self.kind = kind
+        self.admitted_at = admitted_at
+        self.body_digest = body_digest
 
-class AnsweredOrder(NamedTuple):
+
+class AnsweredOrder:
     """An order that the core has answered."""
 
-    verdict: str
-    answered_at: int
+    __slots__ = ("verdict", "answered_at")
+
+    def __init__(self, verdict: str, answered_at: int) -> None:
+        """`answered_at` in ns."""
+        self.verdict = verdict
+        self.answered_at = answered_at
 
 
 class OrderTable:
--- a/rampfront/node/readiness.py
+++ b/rampfront/node/readiness.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from .log_events import LogEvent
+from . import log_events
 
 if TYPE_CHECKING:
     from ..membership.dissemination import Disseminator
@@ -41,4 +41,4 @@
         if ready == self._disseminator.ready:
             return
         self._disseminator.set_ready(ready)
-        self._log.record(LogEvent.READY if ready else LogEvent.NOT_READY)
+        self._log.record(log_events.READY if ready else log_events.NOT_READY)
--- a/rampfront/node/replicated_state.py
+++ b/rampfront/node/replicated_state.py
@@ -8,7 +8,7 @@
 from result import Err
 
 from ..settings import configuration_reader
-from .log_events import LogEvent
+from . import log_events
 
 if TYPE_CHECKING:
     from ..consensus.state import State
@@ -61,10 +61,10 @@
         if state.revision and (old is None or state.revision != old.revision):
             self._apply_configuration(state)
         if old is None or old.members != state.members:
-            self._log.record(LogEvent.CORE_MEMBERS_CHANGED, members=sorted(state.members))
+            self._log.record(log_events.CORE_MEMBERS_CHANGED, members=sorted(state.members))
             self._quota_exchange.update_placement()
         if old is None or old.evacuated_zones != state.evacuated_zones:
-            self._log.record(LogEvent.EVACUATIONS_CHANGED, zones=sorted(state.evacuated_zones))
+            self._log.record(log_events.EVACUATIONS_CHANGED, zones=sorted(state.evacuated_zones))
             self._request_proxy.apply_evacuations(state.evacuated_zones)
         if self._disseminator.is_leader:
             self._disseminator.push_updates(self._clock())
@@ -72,10 +72,10 @@
     def _apply_configuration(self, state: State) -> None:
         found = configuration_reader.read(zlib.decompress(state.body))
         if isinstance(found, Err):
-            self._log.record(LogEvent.CONFIGURATION_UNREADABLE, revision=state.revision, error=found.err_value)
+            self._log.record(log_events.CONFIGURATION_UNREADABLE, revision=state.revision, error=found.err_value)
             return
         configuration = found.ok_value
-        self._log.record(LogEvent.CONFIGURATION_APPLIED, revision=state.revision)
+        self._log.record(log_events.CONFIGURATION_APPLIED, revision=state.revision)
         self._client_front.apply_caps(configuration.caps)
         self._request_proxy.apply_configuration(configuration)
         self._quota_exchange.apply_limits(configuration.customers_by_name)
--- a/rampfront/node/server_list_service.py
+++ b/rampfront/node/server_list_service.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 from typing import TYPE_CHECKING
 
-from .log_events import LogEvent
+from . import log_events
 
 if TYPE_CHECKING:
     from ..membership.deltas import Packed
@@ -76,7 +76,7 @@
     def on_poll_failed(self, reason: str) -> None:
         """Count a round that brought no list."""
         self._context.counts["server_lists_failed"] += 1
-        self._context.log.record_limited(LogEvent.SERVER_LIST_POLL_FAILED, "platform", error=reason)
+        self._context.log.record_limited(log_events.SERVER_LIST_POLL_FAILED, "platform", error=reason)
 
     def receive(self, packed: Packed, now: int) -> None:
         """Take a list from another node's packed values. Raises like `Snapshots.decode_endpoints`."""
--- a/rampfront/node/settings_reload.py
+++ b/rampfront/node/settings_reload.py
@@ -8,7 +8,7 @@
 from result import Err
 
 from ..settings import settings_reader
-from .log_events import LogEvent
+from . import log_events
 
 if TYPE_CHECKING:
     from ..membership.dissemination import Disseminator
@@ -53,7 +53,7 @@
         """Read the file at `path`. A faulty one is named in the log and changes nothing."""
         found = settings_reader.load(path)
         if isinstance(found, Err):
-            self._context.log.record(LogEvent.SETTINGS_REJECTED, error=found.err_value)
+            self._context.log.record(log_events.SETTINGS_REJECTED, error=found.err_value)
             return
         new = found.ok_value
         seeds = [host for host, _ in new.seed_nodes]
@@ -63,4 +63,4 @@
             self._server_list.move_platform(new.platform_address)
         # Only added to: other nodes may know a new zone by now, and one that is gone may yet be taken back.
         self._context.process_settings.zones.update(new.zones)
-        self._context.log.record(LogEvent.SETTINGS_RELOADED)
+        self._context.log.record(log_events.SETTINGS_RELOADED)
--- a/rampfront/node/shutdown.py
+++ b/rampfront/node/shutdown.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from .log_events import LogEvent
+from . import log_events
 from .operator_listeners import OperatorListeners
 
 if TYPE_CHECKING:
@@ -52,7 +52,7 @@
         self.in_progress = True
         self._readiness.withdraw()
         self._core.leave()
-        self._context.log.record(LogEvent.SHUTDOWN_STARTED)
+        self._context.log.record(log_events.SHUTDOWN_STARTED)
         self._client_front.drain()
         self._readiness.update(self._context.clock())
         self._disseminator.tick(self._context.clock())
--- a/tests/node/test_declared_tables.py
+++ b/tests/node/test_declared_tables.py
@@ -4,8 +4,9 @@
 from pathlib import Path
 
 from rampfront.net.event_log import SHARED_COUNTERS
-from rampfront.node.log_events import LogEvent
-from rampfront.node.metrics import COUNTERS, GAUGES, all_metrics
+from rampfront.node.log_events import all_events
+from rampfront.node.metrics import COUNTERS, GAUGES
+from rampfront.node.metrics_catalogue import all_metrics
 from rampfront.node.metrics_page import gauges
 from rampfront.simulation.isolation import IsolationRun
 
@@ -39,10 +40,9 @@
 
 
 def test_every_event_of_the_log_is_declared():
+    events = all_events()
     written = set(re.findall(r'\.record(?:_limited)?\(\s*"([\w ]+)"', sources("node", "transport", "proxy")))
-    assert written <= {str(event) for event in LogEvent}
-    used = set(re.findall(r"LogEvent\.([A-Z_]+)", sources("node")))
-    declared_elsewhere = written | OF_SERVERS | {"totals"}
-    assert {event.name for event in LogEvent if event not in declared_elsewhere} == used - {
-        event.name for event in LogEvent if event in declared_elsewhere
-    }
+    assert written <= set(events.values())
+    used = set(re.findall(r"log_events\.([A-Z_]+)", sources("node")))
+    of_others = {name for name, event in events.items() if event in written | OF_SERVERS | {"totals"}}
+    assert used <= set(events) and set(events) - of_others == used - of_others
