--- a/rampfront/lab/system/scale_run.py
+++ b/rampfront/lab/system/scale_run.py
@@ -24,7 +24,8 @@
 
 MS = 10**6
 REST_S, AFTER_S = 10.0, 3.0  # watched at rest; and behind each change
-SETTLE_S = 18.0  # before the rest is watched: a limiter falls silent `quota.counter_link.SILENT_AFTER_NS` behind its last question
+# Before the rest is watched: a limiter falls silent `quota.counter_link.SILENT_AFTER_NS` behind its last request.
+SETTLE_S = 18.0
 POLL_S = 0.05  # between looks at what changed
 MOST_S = 600.0  # of one size, if not told otherwise
 CHANGES = 5  # of the configuration, each timed
--- a/rampfront/quota/counter.py
+++ b/rampfront/quota/counter.py
@@ -169,13 +169,13 @@
         `lived_ns`: how long its counts reach back; a proxy that just started brings nothing."""
         self.registry.allow_survey(now)
         self.survey(now)
-        away_ns = min(lived_ns, now - record.missed_at)
-        if away_ns <= 0:
+        unserved_ns = min(lived_ns, now - record.missed_at)
+        if unserved_ns <= 0:
             return
         proxy_count = self.registry.known_count()
         share = BROUGHT_SHARE / proxy_count if proxy_count else 0.0
         for tenant in self.tenants.values():
-            tenant.bring_share(share, away_ns, now, self.missing_share)
+            tenant.bring_share(share, unserved_ns, now, self.missing_share)
 
     def survey(self, now: int) -> None:
         """Works out which part of the proxies is missing, ten times a second at most."""
--- a/rampfront/quota/counter_link.py
+++ b/rampfront/quota/counter_link.py
@@ -82,7 +82,7 @@
 
     # ---- what is sent
 
-    def read_soon(self, now: int) -> None:
+    def request_reading(self, now: int) -> None:
         """Asks for a first reading."""
         self.schedule.flush_by(now + FIRST_READING_NS)
 
--- a/rampfront/quota/counter_placement.py
+++ b/rampfront/quota/counter_placement.py
@@ -23,7 +23,7 @@
 PROBE_TIMEOUT_NS = 200 * MS  # an answer that comes later is none
 FEWEST_ANSWERS = 3  # in a row, behind which a node is gone back to; doubled each time that it fails soon after,
 MOST_ANSWERS = 16  # up to that
-FAILS_SOON_NS = 30 * SEC
+QUICK_FAILURE_NS = 30 * SEC
 STALL_NS = 300 * MS  # a tick that comes so late shows that this process stood still itself
 
 Outgoing = tuple[tuple[str, WireMap], ...]  # what is to be sent: (address, message) each
@@ -53,7 +53,7 @@
         self.answers_needed = FEWEST_ANSWERS
         self.failovers = 0  # to the next in rank since a counter was last heard
         self.failed_over_at = 0
-        self.returned_at = -FAILS_SOON_NS  # to one before in rank, last
+        self.returned_at = -QUICK_FAILURE_NS  # to one before in rank, last
 
     def rank(self, now: int, members: Iterable[str], serving: Collection[str]) -> Outgoing:
         """Takes in a change of the membership.
@@ -101,7 +101,7 @@
 
     def _fail_over(self, now: int, rank: int) -> Outgoing:
         """To the next behind `rank`. One that fails soon after a return has to answer more often next time."""
-        if now - self.returned_at < FAILS_SOON_NS:
+        if now - self.returned_at < QUICK_FAILURE_NS:
             self.answers_needed = min(MOST_ANSWERS, 2 * self.answers_needed)
         elif not self.failovers:
             self.answers_needed = FEWEST_ANSWERS
--- a/rampfront/quota/limiter.py
+++ b/rampfront/quota/limiter.py
@@ -147,7 +147,7 @@
         """Counts a rejected request; returns in how many ns to come back, later the more is asked for."""
         tenant.rejected += 1
         if tenant.read_at < now - tenant.reading_lasts_ns:
-            self.link.read_soon(now)
+            self.link.request_reading(now)
         per_s = tenant.quota.per_s
         refilled_s = (1 - available) / per_s
         overload = max(1.0, tenant.requested_per_s / per_s)
@@ -162,7 +162,7 @@
         if tenant.unsent() >= max(1.0, EARLY_SHARE * share):
             self.link.update_by(now + int(self.random.uniform(0.5, 1.0) * EARLY_UPDATE_NS))
         elif tenant.read_at < now - TICK_NS:
-            self.link.read_soon(now)
+            self.link.request_reading(now)
 
     # ---- what the proxy knows
 
--- a/rampfront/quota/proxy_registry.py
+++ b/rampfront/quota/proxy_registry.py
@@ -10,7 +10,7 @@
 from .messages import SILENCE_NS
 
 MEMORY_NS = 10 * SEC  # how long a proxy is remembered after its last message
-LATE_NS = 3 * SEC  # how late a frame of a former incarnation may come after those of the next one
+STRAY_NS = 3 * SEC  # how late a frame of a former incarnation may come after those of the next one
 MOST_PROXIES = 2048  # remembered
 SURVEY_GAP_NS = 100 * MS  # between two surveys
 NEVER = -1 << 62  # ns
@@ -48,7 +48,7 @@
         record = self.records.get(proxy)
         if record is not None and record.incarnation == incarnation:
             return record
-        if record and record.former_incarnation == incarnation and now - record.first_seen_at < LATE_NS:
+        if record and record.former_incarnation == incarnation and now - record.first_seen_at < STRAY_NS:
             # Guards against datagrams of a process that has ended, which would pass for another start. Not for ever:
             # one that comes late may be the first that is heard of its incarnation here, and the former one is the one
             # that goes on.
--- a/rampfront/quota/tenant_totals.py
+++ b/rampfront/quota/tenant_totals.py
@@ -106,17 +106,17 @@
         self.remaining = min(self.quota.depth, former.update_remaining(now, missing_share))
         self.unaccounted = 0.0
 
-    def bring_share(self, share: float, away_ns: int, now: int, missing_share: float) -> None:
+    def bring_share(self, share: float, unserved_ns: int, now: int, missing_share: float) -> None:
         """A proxy brings its even share of the quota from another counter.
 
         Args:
             share: of each quota.
-            away_ns: for how long its share was not given out here.
+            unserved_ns: for how long its share was not given out here.
             now: ns.
             missing_share: of the proxies.
         """
         self.update_remaining(now, missing_share)
-        brought = self.quota.depth * share * min(1.0, away_ns / self.quota.window)
+        brought = self.quota.depth * share * min(1.0, unserved_ns / self.quota.window)
         if self.slots is None:
             self.remaining += brought
         else:
--- a/tests/quota/test_quota_scenes.py
+++ b/tests/quota/test_quota_scenes.py
@@ -1,17 +1,22 @@
 """Scenes of the quota simulation: the rule holds, and usual load is not rejected."""
 
+from dataclasses import replace
+
 import pytest
 
-from rampfront.simulation.quota_runs import LARGE, SMALL, Bucket, figures, scene
+from rampfront.simulation.quota_measures import TokenBucket, take
+from rampfront.simulation.quota_runs import LARGE, SMALL, Size, play, scene_of
+from rampfront.simulation.quota_scene import Counting, Scene, Span
 
 
-@pytest.mark.parametrize("fleet", [SMALL, dict(nodes=82, others=10)], ids=["11", "82"])
-def test_a_tenant_hot_at_all_proxies_at_once_stays_a_tenth_below_the_rule(fleet):
-    got = figures(seed=3, end=13.0, hot=(5.0, 12.0), **fleet)
-    assert got["worst"] < 0.9 and got["served"] > 0.95
-    assert got["quiet"] < 0.005
-    none = figures(seed=3, end=13.0, hot=(5.0, 12.0), way="none", **fleet)
-    assert none["worst"] > 2  # without sharing
+@pytest.mark.parametrize("size", [SMALL, Size(nodes=82, other_tenants=10)], ids=["11", "82"])
+def test_a_tenant_hot_at_all_proxies_at_once_stays_a_tenth_below_the_rule(size):
+    scene = replace(scene_of("hot", size, seed=3), end_s=13.0, hot=Span(5.0, 12.0))
+    shared = play(scene)
+    assert shared.worst < 0.9 and shared.served_hot > 0.95
+    assert shared.wrong_quiet < 0.005
+    unshared = play(replace(scene, counting=Counting.NONE))
+    assert unshared.worst > 2
 
 
 @pytest.mark.parametrize(
@@ -29,11 +34,11 @@
     ],
 )
 def test_the_rule_holds_under_faults(name):
-    got = scene(name, SMALL, 5)
-    assert got["worst"] < 0.95 and got["served"] > 0.95
+    figures = play(scene_of(name, SMALL, seed=5))
+    assert figures.worst < 0.95 and figures.served_hot > 0.95
 
 
 def test_usual_load_is_not_rejected():
-    got = figures(seed=4, hot=None, **SMALL)
-    assert got["usual"] < 0.005 and got["quiet"] < 0.005 and got["msgs"] < 100
-    assert Bucket(1, 1).take(0) and LARGE["nodes"] == 82
+    figures = play(Scene(seed=4, hot=None))
+    assert figures.wrong_usual < 0.005 and figures.wrong_quiet < 0.005 and figures.messages_per_s < 100
+    assert take(TokenBucket(1, 1), 0) and LARGE.nodes == 82
