--- a/rampfront/membership/dissemination.py
+++ b/rampfront/membership/dissemination.py
@@ -16,7 +16,7 @@
 (`peers.py`), which of them make up the roster (`roster.py`).
 """
 
-from collections.abc import Callable, Sequence
+from collections.abc import Callable, Iterable, Sequence
 from random import Random
 
 from . import messages
@@ -113,6 +113,11 @@
         """Number of that roster."""
         return self.roster_replica.version
 
+    @property
+    def peer_addresses(self) -> Iterable[str]:
+        """Addresses of the other nodes, as far as this node hears them while it leads."""
+        return self.peer_table.by_ip
+
     @property
     def versions(self) -> ReplicaVersions:
         """What this node holds. Made anew only where it has changed: each heartbeat needs it."""
--- a/rampfront/node/__init__.py
+++ b/rampfront/node/__init__.py
@@ -25,6 +25,7 @@
 `order_table`) hands it to the core once; `order_messages` is their protocol.
 
 What a node says of itself: `readiness` and `lease` (whether it may serve), `directory_call` (which fronts clients are
-given), `status_views` and `evacuation_view` (the operators' read calls), `metrics` and `metrics_page` (`metrics_catalogue` lists them), `log` and
-`log_events`. How it changes and ends: `settings_reload`, `shutdown`.
+given), `status_views` and `evacuation_view` (the operators' read calls), `metrics` and `metrics_page`
+(`metrics_catalogue` lists them for the docs), `log` and `log_events`. How it changes and ends: `settings_reload`,
+`shutdown`.
 """
--- a/rampfront/node/__main__.py
+++ b/rampfront/node/__main__.py
@@ -71,7 +71,7 @@
     loop.add_signal_handler(signal.SIGTERM, node.shutdown.begin)
     loop.add_signal_handler(signal.SIGINT, node.shutdown.begin)
     loop.add_signal_handler(signal.SIGHUP, node.settings_reloader.reload, settings_path)
-    loop.add_signal_handler(signal.SIGUSR1, log.record_counters, "asked")
+    loop.add_signal_handler(signal.SIGUSR1, log.record_counters, "signal")
 
 
 if __name__ == "__main__":
--- a/rampfront/node/assembly.py
+++ b/rampfront/node/assembly.py
@@ -91,7 +91,7 @@
         self.health_registry = HealthRegistry()
 
     def build_membership(self) -> None:
-        """What nodes tell each other of the core's state, the servers, and themselves."""
+        """Make what keeps nodes in step: the core's state, the list of servers, the roster."""
         settings = self.settings
         self.adapter = DisseminationAdapter(self.context)
         front = "{}:{}".format(*settings.front) if settings.front else ""
@@ -101,7 +101,7 @@
         self.lease = Lease(self.context, self.disseminator)
 
     def build_proxy(self) -> None:
-        """What serves clients, and the quotas of their tenants."""
+        """Make what serves clients, and the quotas of their tenants."""
         context, settings = self.context, self.settings
         self.quota_exchange = self._build_quota_exchange()
         limits = network_limits(settings)
@@ -121,7 +121,7 @@
         return QuotaExchange(context, self.disseminator, limiter, counter, placement)
 
     def build_core(self) -> None:
-        """What agrees on the state and brings it into force, and the orders that change it."""
+        """Make what agrees on the state and brings it into force, and the orders that change it."""
         context, disseminator = self.context, self.disseminator
         self.core = CoreDriver(context)
         self.replicated_state = ReplicatedState(
@@ -134,7 +134,7 @@
         self.orders = OrderSubmitter(context, self.core, disseminator, self.order_executor)
 
     def build_lifecycle(self) -> None:
-        """What happens on signals."""
+        """Make what acts on signals."""
         self.settings_reloader = SettingsReloader(self.context, self.disseminator, self.core, self.server_list)
         self.shutdown = Shutdown(self.context, self.core, self.disseminator, self.client_front, self.readiness)
 
@@ -159,7 +159,7 @@
         self.core.attach(self.order_executor, self.replicated_state, self.leadership)
         self.order_executor.attach(self.orders)
         self.quota_exchange.attach(self.request_proxy)
-        self.request_proxy.on_quota_used = self.quota_exchange.schedule_flush
+        self.request_proxy.call_on_quota_use(self.quota_exchange.schedule_flush)
 
     def open_disk_and_platform(self) -> None:
         """Read the core's record, where there is a disk, and name the platform's address, where there is one."""
--- a/rampfront/node/control_calls.py
+++ b/rampfront/node/control_calls.py
@@ -32,7 +32,7 @@
 NO_ANSWER = error_response(503, "the core gave no answer in time", ((b"Retry-After", b"0.3"),))
 
 
-class Control:
+class ControlCalls:
     """The operators' orders."""
 
     def __init__(self, orders: OrderSubmitter, zones: Mapping[str, str], counts: dict[str, int]) -> None:
--- a/rampfront/node/core_driver.py
+++ b/rampfront/node/core_driver.py
@@ -14,6 +14,7 @@
 from ..consensus.context import MemberSettings
 from ..consensus.errors import RemoteProtocolError
 from ..consensus.member import Member
+from ..membership.leadership import CoreStatus
 from . import log_events
 
 if TYPE_CHECKING:
@@ -89,6 +90,11 @@
         except (OSError, ValueError) as error:
             self._context.log.record(log_events.RECORD_UNREADABLE, error=repr(error))
 
+    @property
+    def has_member(self) -> bool:
+        """Whether this node is a member of the core."""
+        return self.member is not None
+
     @property
     def leads(self) -> bool:
         """Whether the member beside us leads the core, as far as it knows."""
@@ -99,6 +105,17 @@
         """The newest state that the member knows to be committed."""
         return self.member.committed if self.member is not None else None
 
+    def status(self, term: int) -> CoreStatus | None:
+        """Return the member's role, for the disseminator; None without a member. `term`: of the state in force here.
+
+        A leader counts as one once a majority stands behind it for the first time.
+        """
+        member = self.member
+        if member is None:
+            return None
+        confirmed_at = member.quorum_confirmed_at
+        return CoreStatus(member.is_leader and confirmed_at is not None, member.leader_ip, term, confirmed_at)
+
     def strength(self, now: int) -> CoreStrength | None:
         """Return what the leader knows of the core's members; None at all other nodes."""
         return self.member.core_strength(now) if self.member is not None else None
--- a/rampfront/node/endpoints.py
+++ b/rampfront/node/endpoints.py
@@ -12,7 +12,7 @@
 from ..net.http_routing import endpoint
 from ..net.http_server import HttpServer
 from . import log_events
-from .control_calls import Control
+from .control_calls import ControlCalls
 from .directory_call import Directory
 from .metrics_page import MetricsPage
 from .status_views import StatusViews
@@ -50,12 +50,12 @@
         self._context.log.record_limited(log_events.INTERNAL_ERROR, request.path, error=repr(error))
 
 
-def control(node: NodeProcess) -> Control:
+def build_control_calls(node: NodeProcess) -> ControlCalls:
     """Return the operators' orders at a node."""
-    return Control(node.orders, node.context.process_settings.zones, node.context.counts)
+    return ControlCalls(node.orders, node.context.process_settings.zones, node.context.counts)
 
 
-def directory(node: NodeProcess) -> Directory:
+def build_directory(node: NodeProcess) -> Directory:
     """Return the directory of a node."""
     return Directory(node.disseminator, node.context.process_settings, node.context.rng)
 
@@ -76,8 +76,8 @@
     handlers_at: dict[tuple[str, int], list[object]] = {}
     for address, handler in (
         (settings.ready_check, ReadyCheck(node.readiness)),
-        (settings.directory, directory(node)),
-        (settings.control, control(node)),
+        (settings.directory, build_directory(node)),
+        (settings.control, build_control_calls(node)),
         (settings.control, StatusViews(node)),
         (settings.control, MetricsPage(node)),
     ):
--- a/rampfront/node/leadership.py
+++ b/rampfront/node/leadership.py
@@ -4,7 +4,6 @@
 
 from typing import TYPE_CHECKING
 
-from ..membership.leadership import CoreStatus
 from . import log_events
 
 if TYPE_CHECKING:
@@ -35,18 +34,15 @@
         self._readiness = readiness
 
     def update(self, now: int) -> None:
-        """Take over the member's role. A leader leads once a majority stands behind it for the first time."""
-        member = self._core.member
+        """Take over the member's role; to be called after each input to it. `now` in ns."""
         disseminator = self._disseminator
         state = self._snapshots.state
-        assert member is not None  # who has no member is never told
+        status = self._core.status(state.term if state else 0)
+        assert status is not None  # who has no member is never told
         led = disseminator.is_leader
-        leads = member.is_leader and member.quorum_confirmed_at is not None
-        term = state.term if state else 0
-        status = CoreStatus(leads, member.leader_ip, term, member.quorum_confirmed_at)
         disseminator.set_leadership(status, now)
-        if leads != led:
-            event = log_events.LEADERSHIP_GAINED if leads else log_events.LEADERSHIP_LOST
+        if status.is_leader != led:
+            event = log_events.LEADERSHIP_GAINED if status.is_leader else log_events.LEADERSHIP_LOST
             self._log.record(event, term=disseminator.term)
-        self._server_list.poll_while(leads)
+        self._server_list.poll_while(status.is_leader)
         self._readiness.update(now)
--- a/rampfront/node/node_process.py
+++ b/rampfront/node/node_process.py
@@ -62,8 +62,8 @@
     def start(self) -> None:
         """Start the parts and the timers; to be called once, when the listeners are open."""
         settings = self.context.process_settings
-        has_disk = self.core.member is not None
-        self.context.log.record(log_events.STARTED, zone=settings.zone, disk=has_disk, first_boot=settings.first_boot)
+        is_member = self.core.has_member
+        self.context.log.record(log_events.STARTED, zone=settings.zone, disk=is_member, first_boot=settings.first_boot)
         self.core.start()
         self.tick()
         self.sweep()
@@ -88,10 +88,9 @@
         self.client_front.sweep()
         self.context.wire.sweep()
         self.context.log.sweep()
-        for service_pool in self.request_proxy.service_pools.values():
-            service_pool.connection_pool.sweep()
+        self.request_proxy.sweep()
 
     def close(self) -> None:
-        """End every timer and listener at once; nobody is told."""
+        """End every timer and listener at once; nobody is told. For a host of several nodes: a process just ends."""
         self.context.scheduler.close()
         self.shutdown.listeners.close()
--- a/rampfront/node/server_health_exchange.py
+++ b/rampfront/node/server_health_exchange.py
@@ -47,7 +47,7 @@
         verdicts = self.registry.add_reports(ip, reports, self._request_proxy.proxy_count, now)
         if not verdicts:
             return
-        everyone = list(dict.fromkeys((self._own_ip, *disseminator.peer_table.by_ip)))
+        everyone = list(dict.fromkeys((self._own_ip, *disseminator.peer_addresses)))
         for start in range(0, len(verdicts), MAX_REPORTS):
             part = messages.HealthVerdicts(disseminator.term, verdicts[start : start + MAX_REPORTS])
             self._wire.send_all(everyone, messages.encode_health_verdicts(part))
--- a/rampfront/node/status_views.py
+++ b/rampfront/node/status_views.py
@@ -75,7 +75,7 @@
             "Zone": settings.zone,
             "Ready": disseminator.ready,
             "Ending": node.shutdown.in_progress,
-            "Disk": node.core.member is not None,
+            "Disk": node.core.has_member,
             "Leads": disseminator.is_leader,
             "Leader": disseminator.leader,
             "Term": state.term if state else 0,
--- a/rampfront/proxy/request_proxy.py
+++ b/rampfront/proxy/request_proxy.py
@@ -56,7 +56,7 @@
         self.counts = environment.log.counts
         self.limiter = limiter
         self.is_fresh = is_fresh
-        self.on_quota_used: Callable[[], None] = _do_nothing  # called behind each use: the limiter may have a message
+        self._on_quota_used: Callable[[], None] = _do_nothing
         # The snapshots.
         self.configuration: Configuration | None = None
         self.servers: EndpointList | None = None
@@ -80,6 +80,15 @@
         self.products: dict[bytes, object] = {}
         self.outcomes: list[list[int]] = []
 
+    def call_on_quota_use(self, callback: Callable[[], None]) -> None:
+        """Calls back behind each use of a quota: the limiter may have a message to send."""
+        self._on_quota_used = callback
+
+    def sweep(self) -> None:
+        """Closes connections to servers that are idle or late."""
+        for service_pool in self.service_pools.values():
+            service_pool.connection_pool.sweep()
+
     # ---- snapshots
 
     def apply_configuration(self, configuration: Configuration) -> None:
@@ -202,7 +211,7 @@
         if customer is None:
             return
         retry_after_ns = self.limiter.take(customer.name, now)
-        self.on_quota_used()
+        self._on_quota_used()
         if retry_after_ns is not None:
             raise RequestRejectedError(outcomes.OVER_QUOTA._replace(retry_after_ns=retry_after_ns))
 
--- a/rampfront/simulation/fleet.py
+++ b/rampfront/simulation/fleet.py
@@ -9,7 +9,7 @@
 
 from ..net.event_log import EventLog
 from ..node.assembly import build_node_process
-from ..node.endpoints import control, directory
+from ..node.endpoints import build_control_calls, build_directory
 from ..node.metrics import COUNTERS
 from ..node.ports import Ports
 from ..settings import settings_reader
@@ -472,7 +472,7 @@
             loop, self.process_settings(machine), Quiet(machine.name), self.chance.getrandbits(64), ports=ports
         )
         node_process.client_front.server = Listener
-        machine.control, machine.directory = control(node_process), directory(node_process)
+        machine.control, machine.directory = build_control_calls(node_process), build_directory(node_process)
         self.watch.join(machine)
         if machine.counted and not machine.began and node_process.core.member.entry is not None:
             self.ledger.founders.add(machine.name)
--- a/tests/node/test_control_calls.py
+++ b/tests/node/test_control_calls.py
@@ -7,7 +7,7 @@
 from node_fixtures import LEADER, NodeHarness
 from proxy_fixtures import orders, rule
 
-from rampfront.node.endpoints import control
+from rampfront.node.endpoints import build_control_calls
 
 
 def rpc(name, body=b""):
@@ -31,7 +31,7 @@
 def test_a_faulty_call_is_rejected_by_its_field(text, field):
     """A 4xx with a body of JSON; nothing of it is given to the core."""
     node = NodeHarness(leads=True)
-    calls = HttpCalls(control(node.process))
+    calls = HttpCalls(build_control_calls(node.process))
     ((status, head, body),) = calls.responses(calls.connect(text))
     assert 400 <= status < 500 and "application/json" in head and field in json.loads(body)["Message"]
     assert not node.core.orders
@@ -41,7 +41,7 @@
 def test_an_unreachable_core_is_answered_once_with_503(name):
     """503 with when to come back, once, inside the second that callers wait; at once where the table is full."""
     node = NodeHarness()
-    calls = HttpCalls(control(node.process))
+    calls = HttpCalls(build_control_calls(node.process))
     text = rpc(name, orders(2) if b"replace" in name else b"")
     caller = calls.connect(text)
     node.loop.wait(950)
--- a/tests/pins/adapter.py
+++ b/tests/pins/adapter.py
@@ -20,7 +20,7 @@
 from rampfront.consensus.member import Member
 from rampfront.consensus.record_store import RecordStore
 from rampfront.net.http_routing import RoutingTable
-from rampfront.node.endpoints import ReadyCheck, control, directory
+from rampfront.node.endpoints import ReadyCheck, build_control_calls, build_directory
 from rampfront.node.order_messages import OrderReply, OrderRequest
 from rampfront.node.status_views import StatusViews
 from rampfront.operator_cli import explain, snapshot, survey
@@ -191,7 +191,12 @@
 
     def hand(ask: Ask) -> None:
         process = fleet.machines[ask.node - 1].node_process
-        handlers = [ReadyCheck(process.readiness), directory(process), control(process), StatusViews(process)]
+        handlers = [
+            ReadyCheck(process.readiness),
+            build_directory(process),
+            build_control_calls(process),
+            StatusViews(process),
+        ]
         handler = RoutingTable(handlers, 0).handler(ask.method, ask.path, ask.call)
         at_once = handler(_Call(ask, answered))
         if at_once is not None:
--- a/tests/test_hardening_numbers.py
+++ b/tests/test_hardening_numbers.py
@@ -18,7 +18,7 @@
 from rampfront.consensus.messages import AppendEntry
 from rampfront.consensus.persistent_state import PersistentState
 from rampfront.consensus.state import State, digest
-from rampfront.node.control_calls import Control
+from rampfront.node.control_calls import ControlCalls
 from rampfront.node.open_order import OpenOrder
 from rampfront.node.order_messages import MalformedMessageError, OrderReply, OrderRequest
 from rampfront.simulation.isolation import IsolationRun
@@ -489,7 +489,7 @@
         return True
 
 
-def control(*verdicts: tuple) -> tuple[Control, list]:
+def control(*verdicts: tuple) -> tuple[ControlCalls, list]:
     """The calls of a node whose core gives these verdicts; and what it was asked."""
     orders, answers = [], list(verdicts)
 
@@ -497,7 +497,7 @@
         orders.append((kind, body))
         ended(*answers.pop(0))
 
-    return Control(SimpleNamespace(submit=submit), {"hall": "north"}, Counter()), orders
+    return ControlCalls(SimpleNamespace(submit=submit), {"hall": "north"}, Counter()), orders
 
 
 def held(number: int, word: str = "web") -> State:
