--- a/rampfront/node/assembly.py
+++ b/rampfront/node/assembly.py
@@ -1,7 +1,7 @@
 """Builds a node's process: makes its parts and joins them.
 
 The parts need each other in circles (the wire hands frames to the core, which sends by the wire). So each part is built
-over those that exist already, and told of the later ones by its `attach`, before anything runs. The order of building
+over those that exist already, and gets the later ones by its `attach`, before anything runs. The order of building
 also fixes in which order the parts draw from the random source, by which simulated runs are repeated: it must stay.
 """
 
--- a/rampfront/node/core_driver.py
+++ b/rampfront/node/core_driver.py
@@ -132,7 +132,7 @@
         self.handle(None)
 
     def tick(self) -> None:
-        """Let the member look at the time; to be called about ten times a second."""
+        """Let the member act on the time that has passed; to be called about ten times a second."""
         self.handle(events.Tick())
 
     def leave(self) -> None:
--- a/rampfront/node/leadership.py
+++ b/rampfront/node/leadership.py
@@ -38,7 +38,7 @@
         disseminator = self._disseminator
         state = self._snapshots.state
         status = self._core.status(state.term if state else 0)
-        assert status is not None  # who has no member is never told
+        assert status is not None  # the driver calls this for a member alone
         led = disseminator.is_leader
         disseminator.set_leadership(status, now)
         if status.is_leader != led:
--- a/rampfront/node/metrics.py
+++ b/rampfront/node/metrics.py
@@ -19,7 +19,7 @@
     "settled": "Requests that were answered with a server's answer.",
     "declined": "Requests that were turned away with the promise that they have not run.",
     "voided": "Requests that may have run, and have no answer of a server.",
-    "turned_away": "Requests on connections beyond the bound, which were told to come back.",
+    "turned_away": "Requests on connections beyond the bound, which were answered 503 with a Retry-After.",
     "submissions": "Attempts at servers, retries and hedged requests included.",
     "dispatches": "Attempts that were written to a connection.",
     "resent": "Retries: attempts after one that failed.",
--- a/rampfront/node/node_process.py
+++ b/rampfront/node/node_process.py
@@ -32,7 +32,7 @@
     from .shutdown import Shutdown
 
 MS = 10**6
-TICK_NS = 100 * MS  # of all parts that look at the time
+TICK_NS = 100 * MS  # interval of the ticks of all parts
 FIRST_TICK_NS = 25 * MS  # the same until the node has a lease for the first time
 SWEEP_NS = 250 * MS  # of connections that are idle or late
 
@@ -69,7 +69,10 @@
         self.sweep()
 
     def tick(self) -> None:
-        """Let every part look at the time. The next tick is set first, so that a defect in a part doesn't end them."""
+        """Let every part act on the time that has passed.
+
+        The next tick is scheduled first, so that a defect in a part doesn't end the ticks.
+        """
         has_lease = self.disseminator.confirmed_at_ns is not None
         self.context.scheduler.call_after(TICK_NS if has_lease else FIRST_TICK_NS, self.tick)
         now = self.context.clock()
@@ -83,7 +86,7 @@
         self.quota_exchange.tick(now)
 
     def sweep(self) -> None:
-        """Close connections that are idle or late, and say what the log held back."""
+        """Close connections that are idle or late, and log how many repeated lines were suppressed."""
         self.context.scheduler.call_after(SWEEP_NS, self.sweep)
         self.client_front.sweep()
         self.context.wire.sweep()
@@ -91,6 +94,6 @@
         self.request_proxy.sweep()
 
     def close(self) -> None:
-        """End every timer and listener at once; nobody is told. For a host of several nodes: a process just ends."""
+        """End all timers and listeners at once, without a shutdown. For a host of several nodes: a process just ends."""
         self.context.scheduler.close()
         self.shutdown.listeners.close()
--- a/rampfront/node/open_order.py
+++ b/rampfront/node/open_order.py
@@ -17,7 +17,7 @@
     __slots__ = ("request", "due", "resend_at", "on_done", "sent_to", "last_sent_to", "state_index")
 
     def __init__(self, request: OrderRequest, due: int, state_index: int, on_done: OrderCallback) -> None:
-        """`due`: ns, when it is answered at the latest; `state_index`: of the state held here when it was submitted."""
+        """`due`: ns, when it is answered at the latest; `state_index`: of this node's state when it was submitted."""
         self.request = request
         self.due = due
         self.resend_at = 0
@@ -34,7 +34,7 @@
     def objection(self, ip: str, reply: OrderReply) -> str | None:
         """Return why a reply that names this order does not end it, or None.
 
-        A reply with a state holds whoever of those asked gives it, unless its state is older than what the node held
+        A reply with a state counts from any node that was asked, unless its state is older than what the node had
         already. Any other verdict counts only from the node asked last: one asked before may have said so before the
         order came to its successor.
         """
--- a/rampfront/node/quota_exchange.py
+++ b/rampfront/node/quota_exchange.py
@@ -89,8 +89,8 @@
     def on_add(self, ip: str, frame: Message, now: int) -> None:
         """Count what a proxy lets in, and answer with the totals.
 
-        A node that starts knows no tenants, or those of a record of long ago: it does not answer, as its answer would
-        say that every tenant is idle.
+        A node that starts knows no tenants, or those of an old record. It does not answer: its answer would make every
+        tenant appear idle.
         """
         if self._request_proxy.configuration is None or self._disseminator.confirmed_at_ns is None:
             return
--- a/rampfront/node/readiness.py
+++ b/rampfront/node/readiness.py
@@ -1,4 +1,4 @@
-"""Whether this node asks for clients: it says so to the platform, and to the other nodes by the roster."""
+"""Whether this node asks for clients: the platform asks for it, and the roster carries it to the other nodes."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     """Ready is a node whose front can serve and that is not shutting down."""
 
     def __init__(self, context: NodeContext, disseminator: Disseminator, client_front: ClientFront) -> None:
-        """`disseminator` tells the other nodes, `client_front` knows whether it can serve."""
+        """`disseminator` announces it to the other nodes, `client_front` knows whether it can serve."""
         self._log = context.log
         self._disseminator = disseminator
         self._client_front = client_front
@@ -24,11 +24,11 @@
 
     @property
     def announced(self) -> bool:
-        """What the other nodes were told last."""
+        """What was last announced to the other nodes."""
         return self._disseminator.ready
 
     def is_ready(self) -> bool:
-        """Whether both this moment and the last update say so."""
+        """Whether the node is announced as ready, and its front can serve at this moment."""
         return self._disseminator.ready and self._client_front.ready()
 
     def withdraw(self) -> None:
@@ -36,7 +36,7 @@
         self._withdrawn = True
 
     def update(self, now: int) -> None:
-        """Look anew; a change is told to the other nodes at once. `now` in ns."""
+        """Evaluate readiness anew, and announce a change to the other nodes at once. `now` in ns."""
         ready = self._client_front.ready() and not self._withdrawn
         if ready == self._disseminator.ready:
             return
--- a/rampfront/node/server_health_exchange.py
+++ b/rampfront/node/server_health_exchange.py
@@ -53,7 +53,7 @@
             self._wire.send_all(everyone, messages.encode_health_verdicts(part))
 
     def on_verdict(self, ip: str, frame: messages.Message, now: int) -> None:
-        """Act by the leader's verdicts. What the leader of an older term still has to say is dropped."""
+        """Act by the leader's verdicts. Verdicts of the leader of an older term are dropped."""
         if ip != self._disseminator.leader:
             return
         health = messages.decode_health_verdicts(frame)
--- a/rampfront/node/snapshots.py
+++ b/rampfront/node/snapshots.py
@@ -65,7 +65,7 @@
     def decode_state(self, packed: Packed, current_index: int) -> State | None:
         """Return the state that another node packed, or None if it is not newer than `current_index`.
 
-        Raises `membership.deltas.DeltaMismatchError` for a difference to what is not held, ValueError for no state.
+        Raises `membership.deltas.DeltaMismatchError` for a difference to an unknown version, ValueError for no state.
         """
         return self._states.decode_since(packed, current_index)
 
--- a/tests/test_hardening_once.py
+++ b/tests/proxy/test_once_only_requests.py
@@ -73,7 +73,7 @@
 
 @pytest.mark.parametrize("path", [WRITE, PUT])
 @pytest.mark.parametrize("end", ENDS)
-def test_what_may_have_run_goes_out_once(end, path):
+def test_a_once_only_request_that_may_have_run_is_sent_once(end, path):
     """On a connection that was used before, and with other servers free: one dispatch, and no promise."""
     q = Quay(SERVERS)
     q.ask(path, tag="t0", body=b"0")
@@ -92,7 +92,7 @@
 
 
 @pytest.mark.parametrize("end", ["a Not-Run that names no request", "a 421 that names no request"])
-def test_on_a_connection_of_its_own_it_is_believed(end):
+def test_a_not_run_without_an_id_counts_on_a_fresh_connection(end):
     """Nothing else was ever asked there, so it can only be the answer to this request."""
     q = Quay(SERVERS)
     q.ask(WRITE, body=b"1")
@@ -103,7 +103,7 @@
     assert q.got().status == 200
 
 
-def test_a_client_that_leaves_takes_its_request_along():
+def test_a_request_whose_client_left_is_not_sent_again():
     """Whatever its server then says, nothing is sent again for it."""
     for end in (reset, partial_then_close, lambda q: q.not_run()):
         q = Quay(SERVERS)
@@ -131,7 +131,7 @@
 
 
 @pytest.mark.parametrize("path", [READ, WRITE])
-def test_a_failure_bears_its_own_servers_seal(path):
+def test_a_failure_carries_the_seal_of_its_own_server(path):
     """MIXED: a sealed failure goes back with the status, seal and body that one server gave; our own have no seal."""
     q = Quay(SERVERS)
     q.ask(path)
@@ -151,7 +151,7 @@
 
 @pytest.mark.parametrize("tries", [1, 2, 3])
 @pytest.mark.parametrize("how", ["silent", "reset", "not run", "500"])
-def test_no_more_servers_than_the_routes_tries(tries, how):
+def test_no_more_servers_are_asked_than_the_route_has_attempts(tries, how):
     """BUDGET: copies of what is late, repeats of what failed and of what was turned away all count."""
     q = Quay(SERVERS, rules=[rule("/read/", tries=tries, give_up="4s")])
     for k in range(30):  # its usual time is known, so what is late gets copies
@@ -176,7 +176,7 @@
 
 
 @pytest.mark.parametrize("path", [READ, WRITE])
-def test_nothing_is_held_past_its_routes_time(path):
+def test_every_request_is_answered_within_its_routes_time(path):
     """Neither by silence, nor by an answer that drips, nor by tries behind each other: it is told by GiveUp."""
     for way in ("silence", "drips", "again"):
         kind = "changing" if path == WRITE else "read_only"
@@ -197,7 +197,7 @@
 # ---- around planned work
 
 
-def test_planned_work_cuts_nothing():
+def test_planned_changes_cut_off_no_request():
     """LOST: a new configuration that drops the route, its service's servers leaving the list, an evacuation, SIGTERM:
     what was passed on by then gets its server's answer."""
     works = {
@@ -316,7 +316,7 @@
 
 
 @pytest.mark.parametrize("seed", range(24))
-def test_whatever_befalls(seed):
+def test_random_faults_keep_requests_once_only_and_answers_their_own(seed):
     """Requests under every end at once: what may run only once may have run at one server at most; a promise is given
     only for what ran nowhere; each answer is that of its own request, with a seal only where a server gave it."""
     scene = Scene(seed)
