--- a/rampfront/node/node_process.py
+++ b/rampfront/node/node_process.py
@@ -94,6 +94,6 @@
         self.request_proxy.sweep()
 
     def close(self) -> None:
-        """End all timers and listeners at once, without a shutdown. For a host of several nodes: a process just ends."""
+        """End all timers and listeners at once. For a host of several nodes; a process just ends."""
         self.context.scheduler.close()
         self.shutdown.listeners.close()
