--- a/rampfront/edge/admin.py
+++ b/rampfront/edge/admin.py
@@ -1,7 +1,8 @@
 """The operators' address: readiness, figures, drain and activate; one call a connection, answered at once.
 
 It owns what is said there; listener and callers are `calls`'s. It must never decide about a txn or count outcomes of
-its own: it reads the front's counts, the books and the module, and tells the front to drain or take clients.
+its own: it reads the gateway's counts, what is in flight and the module, and tells the listeners to drain or take
+clients.
 """
 
 import orjson
@@ -18,13 +19,13 @@
 
 
 class Admin:
-    def __init__(self, loop, desk, front, bounds, names, log):
-        self.desk, self.front, self.log = desk, front, log
+    def __init__(self, loop, driver, listener, bounds, names, log):
+        self.driver, self.listener, self.log = driver, listener, log
         self.classes = sorted(names.products, key=names.products.get)  # names by index
         wait = bounds.admin_timeout_ns
         self.calls = HttpServer(
             loop,
-            desk.clock,
+            driver.clock,
             [self],
             HttpServerLimits(
                 max_head_bytes=bounds.max_head_bytes,
@@ -55,36 +56,38 @@
 
     @endpoint("GET", "/v1/readyz")
     def readyz(self, asked):
-        ready = self.front.ready()
+        ready = self.listener.ready()
         return text(200 if ready else 503, b"ready" if ready else b"not ready")
 
     @endpoint("GET", "/v1/metrics")
     def metrics(self, asked):
-        front, desk = self.front, self.desk
+        listener, driver = self.listener, self.driver
+        outcomes = dict(zip(self.classes, driver.gateway.outcomes, strict=False))
         figures = {
-            kind: dict(zip(self.classes, column))
-            for kind, column in zip(("success", "overload", "error"), zip(*desk.core.outcomes))
+            "success": {name: counts.succeeded for name, counts in outcomes.items()},
+            "overload": {name: counts.declined for name, counts in outcomes.items()},
+            "error": {name: counts.unknown for name, counts in outcomes.items()},
         }
-        node = desk.node  # read between inputs, never while it is entered; which are avoided is its own test
+        node = driver.node  # read between inputs, never while it is entered; which are avoided is its own test
         listed = [s for s in node.servers.values() if s.state != t.REMOVED]
         avoided = sum(s.state != t.UP or node.doubtful(s) for s in listed)
         figures.update(
             dispatches=self.log.counts["dispatches"],
-            concurrent=sum(not row[2] for row in desk.books.out.values()),
+            concurrent=driver.in_flight.unfinished,
             targets=len(listed),
             targets_disabled=avoided,
-            draining=front.draining,
+            draining=listener.draining,
         )
         return Response(200, orjson.dumps(figures))
 
     @endpoint("POST", "/v1/edge-node/drain")
     def drain(self, asked):
         self.log.record("drain")
-        self.desk.core.drain()
+        self.driver.gateway.drain()
         return text(200, b"draining")
 
     @endpoint("POST", "/v1/edge-node/activate")
     def activate(self, asked):
         self.log.record("activate")
-        self.desk.core.activate()
+        self.driver.gateway.activate()
         return text(200, b"taking clients")
--- a/rampfront/edge/counter.py
+++ b/rampfront/edge/counter.py
@@ -89,10 +89,10 @@
 
 
 class Counter:
-    def __init__(self, loop, desk, address, wait, bounds, log):
-        self.loop, self.desk, self.address, self.wait = loop, desk, address, wait
+    def __init__(self, loop, driver, address, wait, bounds, log):
+        self.loop, self.driver, self.address, self.wait = loop, driver, address, wait
         self.bounds, self.log, self.counts = bounds, log, log.counts
-        self.clock, self.timers = desk.clock, desk.timers
+        self.clock, self.timers = driver.clock, driver.timers
         self.wire = None
         self.leaving = []  # connections to former addresses; emptied as their calls are answered or they end
 
@@ -148,7 +148,7 @@
     def tell(self, name, how, took, total=0.0):
         if how != t.DONE:
             self.counts["adds_timed_out" if how == t.TIMED_OUT else "adds_refused"] += 1
-        self.desk.counted(name, total, how, took)
+        self.driver.counted(name, total, how, took)
 
     def answer(self, wire, mark, text):
         """The answer of the oldest call; false if it is none."""
@@ -166,7 +166,7 @@
             self.log.record_limited("counter refuses", text[:80].decode("latin-1"))
         wire.calls.popleft()
         if wire.timer and not wire.calls:  # a wake for nothing is dear
-            self.timers.call_off(wire.timer)
+            self.timers.cancel(wire.timer)
             wire.timer = None
         if name is not PING and not told:  # the answer to a call that has timed out is dropped
             self.tell(name, t.UNSEEN if mark == b"-" else t.DONE, self.clock() - when, total)
@@ -207,7 +207,7 @@
         if wire.transport:
             wire.transport.abort()
         if wire.timer:
-            self.timers.call_off(wire.timer)
+            self.timers.cancel(wire.timer)
         if self.wire is wire:
             self.wire = None
         else:
--- a/rampfront/edge/discovery.py
+++ b/rampfront/edge/discovery.py
@@ -11,6 +11,7 @@
 
 from .. import terms as t
 from ..announced import Odd
+from ..net.decision_ports import ServerRow
 
 STATES = {"in_service": t.UP, "terminating": t.DRAINING, "terminated": t.REMOVED}
 
@@ -23,12 +24,12 @@
 
 
 def read_list(said, zones):
-    """One object of discovery: its version, whether it is the whole list, its rows as the desk wants them."""
+    """One object of discovery: its version, whether it is the whole list, its rows as the driver wants them."""
     rows = []
     for row in said["targets"]:
         leads = "endpoint" in row or row["state"] != "terminated"
         rows.append(
-            (
+            ServerRow(
                 row["uid"],
                 STATES[row["state"]],
                 zones.get(row.get("az"), -1),
@@ -99,11 +100,11 @@
 
 
 class Discovery:
-    def __init__(self, loop, desk, address, rev, zones, bounds, draw, log):
-        self.loop, self.desk, self.rev, self.zones = loop, desk, rev, zones
+    def __init__(self, loop, driver, address, rev, zones, bounds, draw, log):
+        self.loop, self.driver, self.rev, self.zones = loop, driver, rev, zones
         self.address = address
         self.bounds, self.draw, self.log, self.counts = bounds, draw, log, log.counts
-        self.clock, self.timers = desk.clock, desk.timers
+        self.clock, self.timers = driver.clock, driver.timers
         self.watch, self.heard, self.stopped = None, self.clock(), False
         self.failed = 0  # joins in a row that brought nothing
 
@@ -132,7 +133,7 @@
             raise Odd(f"{type(trouble).__name__} {trouble}") from None
         self.rev, self.failed = rev, 0
         self.counts["lists"] += 1
-        self.desk.listed(whole, rows)
+        self.driver.update_servers(whole, rows)
 
     def lost(self, watch, why):
         """Joins again after a drawn time, so that nodes cut off together do not come back together."""
--- a/rampfront/edge/node.py
+++ b/rampfront/edge/node.py
@@ -12,10 +12,13 @@
 
 import uvloop
 
-from ..net.core import Core
-from ..net.desk import Clock, Desk
-from ..net.front import Front
-from ..net.upstream import Upstream
+from ..net.clock import Clock
+from ..net.decision_driver import DecisionDriver
+from ..net.once_only import OnceOnlyGate
+from ..net.server_connection_pool import ServerConnectionPool
+from ..net.timers import TimerQueue
+from ..net.transaction_gateway import TransactionGateway
+from ..net.transaction_listener import TransactionListener
 from .admin import Admin
 from .counter import Counter
 from .discovery import Discovery
@@ -24,25 +27,25 @@
 
 
 def start(loop, clock, launch, log, again=load):
-    """Makes the parts, joins them and listens; returns the desk. `again` reads the configuration anew."""
+    """Makes the parts, joins them and listens; returns the driver. `again` reads the configuration anew."""
     bounds, terms = launch.bounds, launch.terms
-    desk = Desk(loop, clock, terms, launch.seed, (bounds.reminder_slack_ns, bounds.reminder_slack_divisor), log)
+    driver = DecisionDriver(TimerQueue(loop, clock), terms, launch.seed, bounds, log)
     rev, _, rows = launch.known
-    upstream = desk.upstream = Upstream(loop, desk, bounds, launch.reports, log)
-    core = desk.core = Core(desk, bounds, launch.names, terms, log)
-    front = core.front = Front(loop, core, bounds, log)
-    fronts = core.fronts = [front]
+    servers = driver.servers = ServerConnectionPool(loop, driver, bounds, launch.reports, log)
+    gateway = driver.gateway = TransactionGateway(driver, bounds, launch.names, terms)
+    listener = TransactionListener(loop, gateway, bounds, log)
+    listeners = gateway.listeners = [listener]
     draw = random.Random(launch.seed ^ 1).uniform
-    watch = Discovery(loop, desk, launch.discovery, rev, launch.names.zones, bounds, draw, log)
-    parts = [front, upstream, watch, log]
+    watch = Discovery(loop, driver, launch.discovery, rev, launch.names.zones, bounds, draw, log)
+    parts = [listener, servers, watch, log]
     if launch.counter:
-        desk.counter = Counter(loop, desk, launch.counter, terms.counter_wait, bounds, log)
-        desk.counter.connect()
-        parts.append(desk.counter)
+        driver.counter = Counter(loop, driver, launch.counter, terms.counter_wait, bounds, log)
+        driver.counter.connect()
+        parts.append(driver.counter)
     if launch.storm:
         from ..storm import Storm
 
-        core.storm = Storm(draw=draw, counts=log.counts, **launch.storm)
+        gateway.storm = driver.storm = listener.storm = Storm(draw=draw, counts=log.counts, **launch.storm)
     if launch.journal:
         from ..journal.keeper import Keeper
         from ..journal.store import Store
@@ -53,42 +56,43 @@
             store = Store(name=launch.name, **told)
         except OSError as trouble:
             raise Faulty("journal.dir", "a folder that this process alone may write to", str(trouble)) from None
-        desk.journal = Keeper(loop, desk.timers, clock, log, store, launch.names, batch)
-        desk.journal.send, desk.journal.refuse = desk.release, desk.refuse
+        keeper = Keeper(loop, driver.timers, clock, log, store, launch.names, batch)
+        gate = driver.once_only_gate = OnceOnlyGate(keeper, driver.timers, servers, driver.submission_ended)
+        keeper.send, keeper.refuse = gate.send, gate.refuse
     if launch.syslog:
         from ..syslog.recorder import Recorder
         from ..syslog.sink import Sink
 
         told = dict(launch.syslog)
         settled = told.pop("settled")
-        sink = Sink(loop, desk.timers, clock, log, name=launch.name, draw=draw, **told).start()
-        desk.record = Recorder(sink, launch.names, settled)
+        sink = Sink(loop, driver.timers, clock, log, name=launch.name, draw=draw, **told).start()
+        driver.recorder = Recorder(sink, launch.names, settled)
     if launch.mqtt:
         from ..mqtt.front import Front as Mqtt
         from ..mqtt.topics import Routes
 
-        fronts.append(Mqtt(loop, core, bounds, log, launch.name, Routes(launch.mqtt["routes"]), launch.mqtt))
-        parts.append(fronts[-1])
-    desk.begin()
-    desk.listed(True, rows)
+        listeners.append(Mqtt(loop, gateway, bounds, log, launch.name, Routes(launch.mqtt["routes"]), launch.mqtt))
+        parts.append(listeners[-1])
+    driver.start()
+    driver.update_servers(True, rows)
     watch.start()
     if launch.mqtt:  # first: `/-/ready` must not say yes while one of the fronts is not there
-        loop.run_until_complete(fronts[-1].listen(*launch.mqtt["address"]))
-    loop.run_until_complete(front.listen(*launch.listen, launch.inherited))
+        loop.run_until_complete(listeners[-1].listen(*launch.mqtt["address"]))
+    loop.run_until_complete(listener.listen(*launch.listen, launch.inherited))
     if launch.admin:
-        admin = Admin(loop, desk, front, bounds, launch.names, log)
+        admin = Admin(loop, driver, listener, bounds, launch.names, log)
         loop.run_until_complete(admin.listen(*launch.admin))
         parts.append(admin)
 
     def sweep():
-        desk.timers.after(bounds.sweep_interval_ns, sweep)  # first, so that a defect below does not end it
+        driver.timers.after(bounds.sweep_interval_ns, sweep)  # first, so that a defect below does not end it
         for part in parts:
             part.sweep()
 
     def ending():
         log.record("ending")
-        desk.timers.after(bounds.shutdown_delay_ns, core.retire, loop.stop)
-        desk.timers.after(bounds.shutdown_timeout_ns, loop.stop)
+        driver.timers.after(bounds.shutdown_delay_ns, gateway.retire, loop.stop)
+        driver.timers.after(bounds.shutdown_timeout_ns, loop.stop)
 
     def reread():
         """Guards the txns under way against a faulty file: it is named, and what stands goes on."""
@@ -98,15 +102,15 @@
             return log.record("configuration kept", why=str(trouble))
         log.record("configuration read", discovery=new.discovery, counter=new.counter)
         watch.move(new.discovery)
-        if desk.counter and new.counter:
-            desk.counter.move(new.counter)
+        if driver.counter and new.counter:
+            driver.counter.move(new.counter)
 
     sweep()
     loop.add_signal_handler(signal.SIGHUP, reread)
     loop.add_signal_handler(signal.SIGTERM, ending)
     loop.add_signal_handler(signal.SIGINT, ending)
     loop.add_signal_handler(signal.SIGUSR1, log.record_counters, "asked")
-    return desk
+    return driver
 
 
 def serve():
@@ -125,7 +129,7 @@
 
     loop.set_exception_handler(fault)
     try:
-        desk = start(loop, Clock(), launch, log)
+        driver = start(loop, Clock(), launch, log)
     except Faulty as trouble:
         print(f"rampfront: {trouble}", file=sys.stderr)
         return 2
@@ -136,9 +140,9 @@
     gc.freeze()  # what stands now stays; nothing that is made for a txn holds itself in a ring
     gc.set_threshold(20000, 20, 100)
     loop.run_forever()
-    if desk.record:
-        desk.record.sink.close()
-    if desk.journal:
-        desk.journal.close()
+    if driver.recorder:
+        driver.recorder.sink.close()
+    if driver.once_only_gate:
+        driver.once_only_gate.journal.close()
     log.record_counters("exit")
     return 0
--- /dev/null
+++ b/rampfront/in_flight.py
@@ -0,0 +1,205 @@
+"""What is in flight: open transactions, their submissions to servers, and the small indices that name them.
+
+The decision module names transactions and servers by small indices (`terms.py`). An index is handed out again only once
+nothing refers to it: a transaction's once it is over and its last submission has ended, a server's once it has left the
+server list and nothing is out there. Both programs that drive the module keep this table, `net/` and `benchlink/`; it
+decides nothing and knows no protocol.
+"""
+
+from collections.abc import Hashable, Iterable
+from typing import Generic, TypeVar
+
+from . import terms as t
+
+Key = TypeVar("Key", bound=Hashable)
+
+
+class IndexTable(Generic[Key]):
+    """Small indices for outside keys, handed out again once they are free."""
+
+    def __init__(self) -> None:
+        """Starts empty."""
+        self._indices: dict[Key, int] = {}
+        self._keys: list[Key | None] = []  # by index; None where the index is free
+        self._free: list[int] = []
+
+    def __len__(self) -> int:
+        """How many indices are taken."""
+        return len(self._indices)
+
+    def __contains__(self, key: Key) -> bool:
+        """Whether the key has an index."""
+        return key in self._indices
+
+    @property
+    def capacity(self) -> int:
+        """How many indices were ever needed at once."""
+        return len(self._keys)
+
+    def indices(self) -> Iterable[int]:
+        """All indices that are taken."""
+        return self._indices.values()
+
+    def find(self, key: Key) -> int | None:
+        """The index of a key, or None."""
+        return self._indices.get(key)
+
+    def key(self, index: int) -> Key:
+        """The key of an index. Raises LookupError if the index is free."""
+        key = self._keys[index]
+        if key is None:
+            raise LookupError(f"index {index} is free")
+        return key
+
+    def take(self, key: Key) -> int:
+        """The index of a key, which gets one if it has none."""
+        index = self._indices.get(key)
+        if index is not None:
+            return index
+        if self._free:
+            index = self._free.pop()
+            self._keys[index] = key
+        else:
+            index = len(self._keys)
+            self._keys.append(key)
+        self._indices[key] = index
+        return index
+
+    def free(self, index: int) -> None:
+        """Gives an index back."""
+        key = self._keys[index]
+        if key is None:
+            raise LookupError(f"index {index} is free")
+        del self._indices[key]
+        self._keys[index] = None  # drops the reference to the key
+        self._free.append(index)
+
+
+@t.slotted
+class _Transaction:
+    """An open transaction."""
+
+    submissions: int  # so far
+    in_flight: set[int]  # numbers of those that have not ended
+    finished: bool  # it is over: it has its final answer, or nobody waits for one
+
+
+class InFlight(Generic[Key]):
+    """Open transactions, by the outside keys of their owner, and what is out at each server.
+
+    Attributes:
+        transactions: the indices of transactions.
+        servers: the indices of servers, by their ids.
+        departed_servers: indices of servers that left the list and still have something out.
+    """
+
+    def __init__(self) -> None:
+        """Starts empty."""
+        self.transactions: IndexTable[Key] = IndexTable()
+        self.servers: IndexTable[str] = IndexTable()
+        self.departed_servers: set[int] = set()
+        self._open: dict[int, _Transaction] = {}
+        self._server_load: dict[int, int] = {}  # submissions and health checks out, by server
+        self._finished: list[int] = []  # transactions to look at in `release`
+
+    def __len__(self) -> int:
+        """How many transactions are open, or over with something out still."""
+        return len(self._open)
+
+    @property
+    def unfinished(self) -> int:
+        """How many transactions are not over."""
+        return sum(not transaction.finished for transaction in self._open.values())
+
+    # ---- transactions
+
+    def open(self, key: Key) -> int:
+        """Opens a transaction. Returns its index."""
+        txn = self.transactions.take(key)
+        self._open[txn] = _Transaction(0, set(), finished=False)
+        return txn
+
+    def is_unfinished(self, txn: int) -> bool:
+        """Whether this is an open transaction that is not over."""
+        transaction = self._open.get(txn)
+        return transaction is not None and not transaction.finished
+
+    def is_out(self, txn: int, attempt: int) -> bool:
+        """Whether this submission of a transaction has not ended."""
+        return attempt in self._open[txn].in_flight
+
+    def add_submission(self, txn: int, server: int) -> int:
+        """A submission goes to a server. Returns its number among those of the transaction."""
+        transaction = self._open[txn]
+        attempt = transaction.submissions
+        transaction.in_flight.add(attempt)
+        transaction.submissions += 1
+        self.add_health_check(server)
+        return attempt
+
+    def end_submission(self, txn: int, attempt: int, server: int, final: bool) -> bool:
+        """A submission has ended. `final`: its outcome ends the transaction. Returns whether that is over."""
+        transaction = self._open[txn]
+        transaction.in_flight.discard(attempt)
+        self._server_load[server] -= 1
+        if final:
+            transaction.finished = True
+        if transaction.finished:
+            self._finished.append(txn)
+        return transaction.finished
+
+    def finish(self, txn: int) -> bool:
+        """The transaction is over. Returns False if it was already."""
+        transaction = self._open[txn]
+        was_finished = transaction.finished
+        transaction.finished = True
+        self._finished.append(txn)
+        return not was_finished
+
+    # ---- servers
+
+    def add_health_check(self, server: int) -> None:
+        """Something goes to a server."""
+        self._server_load[server] = self._server_load.get(server, 0) + 1
+
+    def end_health_check(self, server: int) -> None:
+        """A health check has ended."""
+        self._server_load[server] -= 1
+
+    def is_busy(self, server: int) -> bool:
+        """Whether something is out at a server."""
+        return bool(self._server_load.get(server))
+
+    def list_server(self, uid: str, removed: bool) -> int | None:
+        """The server list names a server. Returns its index; None for one that is removed without ever having come."""
+        if removed and uid not in self.servers:
+            return None
+        index = self.servers.take(uid)
+        if removed:
+            self.departed_servers.add(index)
+        else:
+            self.departed_servers.discard(index)
+        return index
+
+    def retain_servers(self, rows: Iterable[t.Listed]) -> None:
+        """A complete list: servers that it leaves out have departed."""
+        named = {row.server for row in rows}
+        self.departed_servers.update(index for index in self.servers.indices() if index not in named)
+
+    def release(self) -> None:
+        """Frees the indices of transactions that are over and of departed servers, once nothing of theirs is out.
+
+        Called after an input and its effects, so that no index changes its meaning in between.
+        """
+        if self._finished:
+            for txn in dict.fromkeys(self._finished):
+                transaction = self._open.get(txn)
+                if transaction is not None and transaction.finished and not transaction.in_flight:
+                    del self._open[txn]
+                    self.transactions.free(txn)
+            self._finished.clear()
+        if self.departed_servers:
+            for index in [index for index in sorted(self.departed_servers) if not self.is_busy(index)]:
+                self.departed_servers.discard(index)
+                self._server_load.pop(index, None)
+                self.servers.free(index)
--- a/rampfront/journal/keeper.py
+++ b/rampfront/journal/keeper.py
@@ -30,7 +30,7 @@
         self.held = {}  # number of an intent to what waits for it; emptied by the ends of writes
         self.records = []  # (number of an intent or None, record) of the next write; bounded by the rules and `most`
         self.writing, self.timer = False, None
-        self.send = self.refuse = None  # set by the desk
+        self.send = self.refuse = None  # set by the once-only gate
         # Once-only txns that may have run before this start, by id: these are not taken again.
         self.doubted = {record[3].encode("latin-1") for record in store.index.doubts.values()}
         for name, at, size, why in store.damage[:20]:
@@ -44,7 +44,7 @@
             damaged=len(store.damage),
         )
 
-    # ---- of the desk
+    # ---- of the once-only gate
 
     def may_take(self):
         return self.rules.may_take()
--- a/rampfront/mqtt/front.py
+++ b/rampfront/mqtt/front.py
@@ -1,6 +1,6 @@
-"""MQTT clients: connections, sessions, PUBLISHes handed to the core, answers told in acknowledgements and topics.
+"""MQTT clients: connections, sessions, PUBLISHes handed to the gateway, answers told in acknowledgements and topics.
 
-It owns the MQTT listener, its connections and sessions. It must never decide what becomes of a txn: `net/core.py`
+It owns the MQTT listener, its connections and sessions. It must never decide what becomes of a txn: the gateway
 takes it and `choice.py` decides, as for HTTP. By itself it answers only what cannot be followed, and a repeat that may
 have run elsewhere (`doubt`).
 """
@@ -12,7 +12,8 @@
 import orjson
 
 from .. import terms as t
-from ..net.core import Unfit
+from ..net.http_status import HttpStatusError
+from ..net.transaction_gateway import TransactionRequest, parse_account
 from . import codec as c
 from .session import DOUBT, REFUSE, TAKE, TELL, Session, digest
 
@@ -27,10 +28,10 @@
 
 
 class Asked:
-    """One txn that a PUBLISH asked for: the core's asker."""
+    """One txn that a PUBLISH asked for: the receiver of its answer."""
 
     __slots__ = ("front", "session", "pid", "qos", "response", "correlation", "exchange")
-    relays = False  # an MQTT packet tells its length first: what cannot be held is void
+    accepts_streams = False  # an MQTT packet tells its length first: what cannot be held is void
     damped = False  # a connection past the accept rate never gets past its CONNECT
 
     def __init__(self, front, session, packet):
@@ -39,17 +40,17 @@
         self.response = packet.properties.get("response_topic")
         self.correlation = packet.properties.get("correlation")
 
-    def taken(self, exchange):
+    def accepted(self, exchange):
         self.exchange = exchange
         self.session.open[self] = None
 
-    def settled(self, body):
+    def succeeded(self, body):
         self.front.answered(self, SETTLED, body)
 
     def declined(self, back_in):
         self.front.answered(self, DECLINED, orjson.dumps({"retry_after_ms": back_in // MS} if back_in else {}), back_in)
 
-    def voided(self):
+    def outcome_unknown(self):
         self.front.answered(self, VOIDED, orjson.dumps({"why": IN_DOUBT}), why=IN_DOUBT)
 
 
@@ -149,9 +150,10 @@
 class Front:
     """`routes`: topics to txns; `told`: the `mqtt` table as `launch.py` read it."""
 
-    def __init__(self, loop, core, bounds, log, name, routes, told):
-        self.loop, self.core, self.desk, self.bounds, self.log, self.routes = loop, core, core.desk, bounds, log, routes
-        self.counts, self.clock, self.name = log.counts, core.clock, f"{name}-m{core.clock() // MS:x}".encode()
+    def __init__(self, loop, gateway, bounds, log, name, routes, told):
+        self.loop, self.gateway, self.driver, self.bounds = loop, gateway, gateway.driver, bounds
+        self.log, self.routes = log, routes
+        self.counts, self.clock, self.name = log.counts, gateway.clock, f"{name}-m{gateway.clock() // MS:x}".encode()
         self.connections, self.sessions_most, self.inflight = told["connections"], told["sessions"], told["inflight"]
         self.expiry, self.session_most, self.plan = told["expiry"], told["session_expiry"], told["plan"].encode()
         self.answers = told["answers"]
@@ -168,7 +170,7 @@
     def joined(self, link):
         self.counts["mqtt_clients"] += 1
         self.links[link] = None
-        if self.core.storm and not self.core.storm.connected(self.clock()):
+        if self.gateway.storm and not self.gateway.storm.connected(self.clock()):
             link.damped = True
         if len(self.links) > self.connections + self.bounds.overflow_clients:
             link.over = True
@@ -191,9 +193,9 @@
         for asked in opened:
             exchange = asked.exchange
             if exchange.client is asked:
-                exchange.client = None
+                exchange.detach_client()
                 self.counts["left"] += 1
-                self.desk.left(exchange)
+                self.driver.client_left(exchange)
 
     def sweep(self):
         now = self.clock()
@@ -261,15 +263,15 @@
         else:
             plan = (user[1] or "").encode() or self.plan
             try:
-                account = self.core.account(user[2].encode())
-                code = c.OK if plan in self.core.plans else c.NOT_AUTHORIZED
-            except Unfit:
+                account = parse_account(user[2].encode())
+                code = c.OK if self.gateway.has_plan(plan) else c.NOT_AUTHORIZED
+            except HttpStatusError:
                 code = c.BAD_USER
         if code:
             self.counts["mqtt_refused"] += 1
             more = {}
-            if link.damped and self.core.storm:
-                back = self.core.storm.advice(0, self.clock()) // MS
+            if link.damped and self.gateway.storm:
+                back = self.gateway.storm.advice(0, self.clock()) // MS
                 more["user"] = [("retry-after-ms", str(back))]
             link.write(c.connack(link.version, False, code, **more))
             return link.end()
@@ -366,8 +368,8 @@
         if doubt and route.kind == t.ONCE_ONLY:
             # Guards rule 2: who delivers again cannot say whether the node that had it first ran it. What another
             # node knows is nowhere: the counter's names live a minute, so their absence proves nothing.
-            self.core.outcomes[self.core.products[route.product][0]][2] += 1
-            return asked.voided()
+            self.gateway.count_unknown(route.product)
+            return asked.outcome_unknown()
         plan, account, client_id = session.key
         self.number += 1
         properties, key = packet.properties, None
@@ -379,23 +381,23 @@
         kind = properties.get("content_type") if route.method == b"POST" else None
         try:
             if any(text and not (text.isascii() and text.isprintable()) for text in (key, kind)):
-                raise Unfit(400, "a key or content type that is not printable ASCII")
-            self.core.take(
-                asked,
-                b"%s-%d" % (self.name, self.number),
-                route.product,
-                plan,
-                key and key.encode(),
-                account.encode(),
-                min(expires_in, self.bounds.max_expiry_ns),
-                route.said,
-                route.method,
-                url,
-                kind and kind.encode(),
-                packet.payload,
-                packet.dup,
+                raise HttpStatusError(400, "a key or content type that is not printable ASCII")
+            request = TransactionRequest(
+                id=b"%s-%d" % (self.name, self.number),
+                product=route.product,
+                plan=plan,
+                idempotency_key=key and key.encode(),
+                account_key=account.encode(),
+                expires_in_ns=min(expires_in, self.bounds.max_expiry_ns),
+                call_terms=route.said,
+                method=route.method,
+                target=url,
+                content_type=kind and kind.encode(),
+                body=packet.payload,
+                is_retry=packet.dup,
             )
-        except Unfit as trouble:
+            self.gateway.accept(asked, request)
+        except HttpStatusError as trouble:
             self.counts["malformed"] += 1
             self.answered(
                 asked,
--- a/rampfront/net/connection_timeouts.py
+++ b/rampfront/net/connection_timeouts.py
@@ -6,21 +6,21 @@
 """
 
 from collections.abc import Iterable, Mapping
-from enum import Enum
+from enum import IntEnum
 from typing import Protocol
 
 
-class Phase(Enum):
-    """What a connection waits for, which decides how long it may take."""
+class Phase(IntEnum):
+    """What a connection waits for, which decides how long it may take. (Hashing a plain `Enum` is slow.)"""
 
-    FIRST_REQUEST = "first request"  # nothing complete has come on it yet
-    IDLE = "idle"  # the next request
-    READING_HEAD = "reading head"
-    READING_BODY = "reading body"
-    AWAITING_RESPONSE = "awaiting response"  # a request is complete and its response is owed
-    WRITING = "writing"  # its peer does not take what was written
-    FLUSHING = "flushing"  # the last response is written but not sent, and then it closes
-    LINGERING = "lingering"  # the last response is sent, and the peer has yet to close
+    FIRST_REQUEST = 1  # nothing complete has come on it yet
+    IDLE = 2  # the next request
+    READING_HEAD = 3
+    READING_BODY = 4
+    AWAITING_RESPONSE = 5  # a request is complete and its response is owed
+    WRITING = 6  # its peer does not take what was written
+    FLUSHING = 7  # the last response is written but not sent, and then it closes
+    LINGERING = 8  # the last response is sent, and the peer has yet to close
 
 
 class TimedConnection(Protocol):
--- a/rampfront/net/http_messages.py
+++ b/rampfront/net/http_messages.py
@@ -115,7 +115,9 @@
 
 def _parse_parameter(part: bytes) -> tuple[str, str]:
     """Name and value of one parameter. Raises HttpStatusError."""
-    raw_name, _, raw_value = part.partition(b"=")
+    separated = part.split(b"=", 1)
+    raw_name = separated[0]
+    raw_value = separated[1] if len(separated) > 1 else b""
     try:
         name = raw_name.decode("ascii")
         value = raw_value.decode("ascii")
--- a/rampfront/net/http_routing.py
+++ b/rampfront/net/http_routing.py
@@ -130,11 +130,15 @@
         """Collects the endpoints of one object."""
         for name in dir(type(owner)):
             for declaration in getattr(getattr(type(owner), name), _DECLARATIONS, ()):
-                method, path, operation, max_body_bytes = declaration
-                methods = self._paths.setdefault(path, {}).setdefault(operation, {})
-                if method in methods:
-                    raise ValueError(f"{method} {path} {operation or ''} is declared twice")
-                methods[method] = _Endpoint(getattr(owner, name), max_body_bytes)
+                self._add_endpoint(declaration, getattr(owner, name))
+
+    def _add_endpoint(self, declaration: _Declaration, handler: Handler) -> None:
+        """Adds one endpoint. Raises ValueError if there is one for the same method, path and operation."""
+        method, operation = declaration.method, declaration.operation
+        methods = self._paths.setdefault(declaration.path, {}).setdefault(operation, {})
+        if method in methods:
+            raise ValueError(f"{method} {declaration.path} {operation or ''} is declared twice")
+        methods[method] = _Endpoint(handler, declaration.max_body_bytes)
 
     def _methods(self, request: IncomingRequest) -> _Methods:
         """The endpoints of a request's path and operation, by method. Raises RoutingError."""
--- a/rampfront/net/http_server.py
+++ b/rampfront/net/http_server.py
@@ -256,6 +256,7 @@
     target = raw.target.partition(b"#")[0]
     if target[:1] != b"/" and b"://" in target[:_MAX_SCHEME_BYTES]:  # absolute form (RFC 9112, section 3.2.2)
         target = b"/" + target.partition(b"://")[2].partition(b"/")[2]
-    path, _, query = target.partition(b"?")
-    parameters = parse_query(query) if query else {}
-    return IncomingRequest(connection, raw.method.decode("ascii"), path.decode("latin-1"), parameters, raw.body)
+    path_and_query = target.split(b"?", 1)
+    path = path_and_query[0].decode("latin-1")
+    parameters = parse_query(path_and_query[1]) if len(path_and_query) > 1 else {}
+    return IncomingRequest(connection, raw.method.decode("ascii"), path, parameters, raw.body)
--- /dev/null
+++ b/rampfront/net/once_only.py
@@ -0,0 +1,148 @@
+"""Once-only submissions are recorded in the journal before they leave.
+
+A transaction that may run only once must not be sent again after a crash of this process. So its intent is durable
+before its submission leaves: until then a `PendingIntent` stands where its connection will stand, and is cancelled the
+same way.
+"""
+
+from collections.abc import Callable
+from typing import Any, Protocol
+
+from .. import terms as t
+from .decision_ports import ServerPool, SubmissionEnd
+from .exchange import AnyExchange
+from .timers import TimerQueue
+
+_NS_PER_MS = 10**6
+
+
+class IntentJournal(Protocol):
+    """Records once-only submissions before they leave (`rampfront/journal`)."""
+
+    def intend(self, exchange: AnyExchange, attempt: int, server: str | None, pending: "PendingIntent") -> int | None:
+        """Records an intent. Returns its number, or None if it cannot be recorded."""
+        raise NotImplementedError
+
+    def call_off(self, number: int) -> bool:
+        """Withdraws an intent that is not durable yet. Returns whether it was withdrawn."""
+        raise NotImplementedError
+
+    def outcome(self, number: int, how: int) -> None:
+        """Records how a submission ended."""
+        raise NotImplementedError
+
+    def may_take(self) -> bool:
+        """Whether intents can be recorded now."""
+        raise NotImplementedError
+
+    @property
+    def doubted(self) -> set[bytes]:
+        """Ids of transactions that may have run before this process started."""
+        raise NotImplementedError
+
+
+class PendingIntent:
+    """A once-only submission whose intent is not durable yet.
+
+    Attributes:
+        exchange: its transaction.
+        attempt: its number among the submissions of the transaction.
+        server: the index of its server.
+        due_ns: by when it has to be answered.
+        number: of the journal's record; None until it has one.
+    """
+
+    __slots__ = ("exchange", "attempt", "server", "due_ns", "number", "_gate", "_timer")
+
+    def __init__(self, gate: "OnceOnlyGate", exchange: AnyExchange, attempt: int, effect: t.Submit) -> None:
+        """Sets its time limit: a disk that stands still must not hold up the client's answer."""
+        self.exchange = exchange
+        self.attempt = attempt
+        self.server = effect.server
+        self.due_ns = gate.timers.clock() + effect.allow
+        self.number: int | None = None
+        self._gate = gate
+        self._timer = gate.timers.at(self.due_ns, self.finish, t.UNSENT)
+
+    def release(self) -> None:
+        """It waits no longer."""
+        self._gate.timers.cancel(self._timer)
+        self.exchange.submissions.pop(self.attempt, None)
+
+    def finish(self, how: int) -> None:
+        """Withdraws it. If its record is being written it cannot be withdrawn, and the journal ends it."""
+        self._gate.withdraw(self, how)
+
+
+class OnceOnlyGate:
+    """Holds once-only submissions until their intents are durable.
+
+    Attributes:
+        journal: records the intents.
+        timers: the timers to use.
+    """
+
+    def __init__(
+        self,
+        journal: IntentJournal,
+        timers: TimerQueue,
+        servers: ServerPool[Any],
+        on_end: Callable[[SubmissionEnd[Any]], None],
+    ) -> None:
+        """Holds nothing yet.
+
+        Args:
+            journal: records the intents; it calls `send` and `refuse`.
+            timers: the timers to use.
+            servers: sends the submissions.
+            on_end: is called with the end of a submission that did not leave.
+        """
+        self.journal = journal
+        self.timers = timers
+        self._servers = servers
+        self._on_end = on_end
+
+    def may_have_run(self, exchange_id: bytes) -> bool:
+        """Whether a transaction of this id may have run before this process started."""
+        return exchange_id in self.journal.doubted
+
+    def accepts_intents(self) -> bool:
+        """Whether intents can be recorded now."""
+        return self.journal.may_take()
+
+    def submit(self, exchange: AnyExchange, attempt: int, effect: t.Submit) -> None:
+        """Records the intent of a submission."""
+        pending = PendingIntent(self, exchange, attempt, effect)
+        pending.number = self.journal.intend(exchange, attempt, self._servers.uid(effect.server), pending)
+        if pending.number is None:
+            self.refuse(pending)
+        else:
+            exchange.submissions[attempt] = pending
+
+    def send(self, number: int, pending: PendingIntent) -> None:
+        """An intent is durable: its submission leaves, in what is left of its time."""
+        pending.release()
+        pending.exchange.intent_number = number
+        allow_ns = max(_NS_PER_MS, pending.due_ns - self.timers.clock())
+        self._servers.submit(pending.exchange, pending.attempt, pending.server, allow_ns)
+
+    def refuse(self, pending: PendingIntent) -> None:
+        """An intent cannot be recorded, so its submission does not leave."""
+        pending.release()
+        self._end_unsent(pending, t.UNSENT)
+
+    def withdraw(self, pending: PendingIntent, how: int) -> None:
+        """Ends an intent that waits, if the journal can still withdraw it."""
+        if pending.number is not None and self.journal.call_off(pending.number):
+            pending.release()
+            self._end_unsent(pending, how)
+
+    def record_outcome(self, exchange: AnyExchange, how: int) -> None:
+        """Records how a submission ended, if it was recorded."""
+        if exchange.intent_number is not None:
+            self.journal.outcome(exchange.intent_number, how)
+            exchange.intent_number = None
+
+    def _end_unsent(self, pending: PendingIntent, how: int) -> None:
+        """The submission of an intent has ended without leaving."""
+        self._on_end(SubmissionEnd(pending.exchange, pending.attempt, pending.server, how, took_ns=0))
--- /dev/null
+++ b/rampfront/net/streaming_connection.py
@@ -0,0 +1,149 @@
+"""A server connection that streams responses that are too large to keep to their clients (`response_stream.py`).
+
+The edge node uses it; the system's proxy keeps responses whole, up to its limit.
+"""
+
+from .. import terms as t
+from .decision_ports import SubmissionEnd
+from .exchange import ExchangeT
+from .response_stream import ResponseStream
+from .server_connection import AWAITING_RESPONSE, CLOSED, IDLE, STREAMING, ServerConnection
+
+
+class StreamingServerConnection(ServerConnection[ExchangeT]):
+    """One connection to a server: the source of streams (`StreamSource`)."""
+
+    __slots__ = ()
+
+    @property
+    def length(self) -> int | None:
+        """Bytes of the body that is streamed; None if the server does not tell it first."""
+        return self.reader.length
+
+    # ---- the source of a stream
+
+    def pause(self) -> None:
+        """The client takes the stream too slowly: nothing is read until `resume`."""
+        if self.transport:
+            self.transport.pause_reading()
+        self._note_progress()
+
+    def resume(self) -> None:
+        """Reads on. While it was paused nothing could come, so it has not stalled."""
+        if self.transport:
+            self.transport.resume_reading()
+        self._note_progress()
+
+    def detach_client(self) -> None:
+        """The client of the stream has gone."""
+        if self.reader.stream:
+            self.reader.stream.sink = None
+        self.close()
+
+    # ---- the connection
+
+    def close(self) -> None:
+        """Closes the connection now, and cuts the client of a stream that was under way."""
+        if self.state is CLOSED:
+            return
+        stream = self.reader.stream
+        self.reader.stream = None
+        if stream:
+            stream.abort()
+        super().close()
+
+    def connection_lost(self, error: Exception | None) -> None:
+        """The connection has ended; so has a body that has neither a length nor chunks."""
+        if self.state is STREAMING and self.reader.length is None and not self.reader.chunked:
+            self._end_stream()
+        super().connection_lost(error)
+
+    def stream_response(self, error: str | None) -> bool:
+        """Streams what came of a large response. `error`: how it breaks the protocol. Returns False if it does not."""
+        if self.state is AWAITING_RESPONSE and error is None:
+            self._begin_stream()
+        if self.state is not STREAMING:
+            return False
+        self._note_progress()
+        self._continue_stream(error)
+        return True
+
+    def _may_stream(self) -> bool:
+        """Whether a response may be streamed to the client of the submission."""
+        client = self.exchange.client if self.exchange else None
+        return client is not None and client.accepts_streams
+
+    def _begin_stream(self) -> None:
+        """The transaction is done here: its client gets the head now and the body as it comes."""
+        pool = self.pool
+        exchange = self.exchange
+        assert exchange is not None
+        client = exchange.client
+        assert client is not None, "a response is streamed only to a client that is there"
+        self._cancel_timer()
+        self.exchange = None
+        self.state = STREAMING
+        now_ns = pool.clock()
+        reader = self.reader
+        body_parts = reader.take_body()
+        stream = ResponseStream(client, pool.limits.max_streamed_bytes, now_ns)
+        reader.stream = stream
+        pool.counts["relayed"] += 1
+        pool.counts["done"] += 1
+        took_ns = now_ns - self.sent_at_ns
+        index = self.server.index
+        pool.driver.submission_ended(
+            SubmissionEnd(exchange, self.attempt, index, t.DONE, took_ns, reader.units, reader.use, stream=self)
+        )
+        if client.stream_source is not self:  # the client had gone, or was answered otherwise
+            reader.stream = None
+            self.close()
+            return
+        for part in body_parts:
+            stream.write(part)
+        self._timer = pool.driver.timers.after(pool.limits.stream_stall_timeout_ns, self._check_stall)
+
+    def _continue_stream(self, error: str | None) -> None:
+        """Bytes of a stream came. `error`: how they break the protocol."""
+        if self.reader.complete:  # first: what follows a complete response spoils the connection, not the response
+            self._end_stream()
+        if error is None:
+            return
+        if self.state is IDLE:
+            self.protocol_broken(error)
+        else:
+            self.close()
+
+    def _end_stream(self) -> None:
+        """The response has been passed on completely."""
+        reader = self.reader
+        reader.complete = False
+        stream = reader.stream
+        reader.stream = None
+        self._cancel_timer()
+        if stream:
+            stream.complete()
+        if self.state is STREAMING and reader.should_keep_alive() and self.server.up:
+            reader.is_large = False
+            self._rest(self.pool.clock())
+        else:
+            self.close()
+
+    def _check_stall(self) -> None:
+        """Cuts a stream that has stopped, with its client."""
+        self._timer = None
+        stream = self.reader.stream
+        if self.state is not STREAMING or stream is None:
+            return
+        limit_ns = self.pool.limits.stream_stall_timeout_ns
+        left_ns = stream.stall_time_left_ns(self.pool.clock(), limit_ns)
+        if left_ns:
+            self._timer = self.pool.driver.timers.after(left_ns, self._check_stall)
+            return
+        self.pool.log.record_limited("odd answer", self.server.uid, why="stops mid-answer")
+        self.close()
+
+    def _note_progress(self) -> None:
+        """The stream, if one is under way, has not stalled."""
+        if self.reader.stream:
+            self.reader.stream.last_progress_ns = self.pool.clock()
--- /dev/null
+++ b/rampfront/net/transaction_gateway.py
@@ -0,0 +1,319 @@
+"""The way of transactions in and out of the edge node, shared by its listeners of all protocols.
+
+A listener reads its protocol and calls `accept` with a `TransactionRequest` and an `AnswerReceiver`. The gateway checks
+the transaction and hands it to the decision driver; the driver hands its one answer back, which the gateway counts and
+gives to the receiver. It chooses no answer, apart from two guards: a transaction that cannot be recorded is declined,
+and one whose client would give up before the counter answers is declined in time.
+"""
+
+from binascii import unhexlify
+from collections.abc import Callable, Iterable, Mapping
+from functools import partial
+from typing import NamedTuple, Protocol
+
+from .. import terms as t
+from .call_terms import CallTermsParser
+from .decision_driver import DecisionDriver
+from .decision_ports import RetryStormControl
+from .exchange import AnswerReceiver, Exchange, ResponseBody, StreamSource
+from .http_status import BAD_REQUEST, CONFLICT, METHOD_NOT_ALLOWED, HttpStatusError
+from .limits import NetworkLimits
+
+_NS_PER_MS = 10**6
+_NO_UNITS = 1e-9  # of a retry whose units an earlier attempt has taken
+_JOURNAL_RETRY_NS = 1000 * _NS_PER_MS  # a client comes back once the journal has tried to write again
+_MAX_ID_BYTES = 256
+_MAX_ACCOUNT_KEY = (1 << 33).to_bytes(8, "big")  # account keys are below it
+
+TransactionExchange = Exchange[AnswerReceiver]
+
+
+class TransactionRequest(NamedTuple):
+    """A transaction as its listener read it.
+
+    Attributes:
+        id: X-Request-Id.
+        product: X-Class.
+        plan: X-Tier.
+        idempotency_key: Idempotency-Key.
+        account_key: 16 hex digits.
+        expires_in_ns: until its client gives up; 0 if it does not say.
+        call_terms: X-Call-Terms.
+        method: the method to use at the server.
+        target: the request target to use at the server.
+        content_type: of the body.
+        body: the body.
+        is_retry: its client calls it a retry.
+    """
+
+    id: bytes
+    product: bytes | None
+    plan: bytes | None
+    idempotency_key: bytes | None
+    account_key: bytes
+    expires_in_ns: int
+    call_terms: bytes
+    method: bytes
+    target: bytes
+    content_type: bytes | None
+    body: bytes
+    is_retry: bool
+
+
+@t.slotted
+class OutcomeCounts:
+    """What clients were answered for transactions of one product."""
+
+    succeeded: int = 0
+    declined: int = 0
+    unknown: int = 0  # they may have run
+
+
+class AnnouncedNames(Protocol):
+    """The indices of the names that the settings announce."""
+
+    products: Mapping[str, int]
+    plans: Mapping[str, int]
+
+
+class Listener(Protocol):
+    """Takes clients of one protocol."""
+
+    def drain(self) -> None:
+        """Sends clients elsewhere; what comes is still served."""
+        raise NotImplementedError
+
+    def activate(self) -> None:
+        """Welcomes clients again."""
+        raise NotImplementedError
+
+    def retire(self, done: Callable[[], None]) -> None:
+        """Takes nothing new, and calls `done` once every client has its answers and is gone."""
+        raise NotImplementedError
+
+
+class _Product(NamedTuple):
+    """A product and its index at the decision module."""
+
+    product_index: int
+    terms: t.Product
+
+
+class TransactionGateway:
+    """Accepts transactions, and hands answers to their clients.
+
+    Attributes:
+        driver: decides about them.
+        clock: gives the time in ns.
+        listeners: those that take clients; set by the program.
+        storm: damps retries and reconnects; set by the program where the configuration has it.
+        outcomes: what clients were answered, by product index. Counted where answers are handed back, so the operators'
+            figures are what clients saw.
+    """
+
+    def __init__(
+        self, driver: DecisionDriver[TransactionExchange], limits: NetworkLimits, names: AnnouncedNames, terms: t.Terms
+    ) -> None:
+        """Accepts from now on.
+
+        Args:
+            driver: decides about transactions.
+            limits: the limits of the process.
+            names: the announced names of products and plans.
+            terms: what the node starts under.
+        """
+        self.driver = driver
+        self.clock = driver.clock
+        self.listeners: Iterable[Listener] = ()
+        self.storm: RetryStormControl | None = None
+        self.outcomes = [OutcomeCounts() for _ in terms.products]
+        self._counts = driver.counts
+        self._limits = limits
+        self._products = {name.encode(): _Product(k, terms.products[k]) for name, k in names.products.items()}
+        self._plans = {name.encode(): index for name, index in names.plans.items()}
+        self._has_ceiling = [plan.ceiling_rate > 0 for plan in terms.plans]  # by plan index
+        self._call_terms = CallTermsParser(terms.largest, terms.nodes, limits.max_cached_call_terms)
+        # A call to the counter may outlast a shorter expiry.
+        self._short_expiry_ns = terms.counter_wait + 2 * terms.tick + 2 * limits.answer_margin_ns
+
+    # ---- for the operators
+
+    def drain(self) -> None:
+        """Sends clients of all listeners elsewhere."""
+        for listener in self.listeners:
+            listener.drain()
+
+    def activate(self) -> None:
+        """Welcomes clients of all listeners again."""
+        for listener in self.listeners:
+            listener.activate()
+
+    def retire(self, done: Callable[[], None]) -> None:
+        """Takes nothing new, and calls `done` once the clients of all listeners have their answers and are gone."""
+        remaining = set(self.listeners)
+
+        def retired(listener: Listener) -> None:
+            """The clients of one listener are gone."""
+            remaining.discard(listener)
+            if not remaining:
+                done()
+
+        for listener in self.listeners:
+            listener.retire(partial(retired, listener))
+
+    # ---- for listeners
+
+    def has_plan(self, name: bytes) -> bool:
+        """Whether the settings announce a plan of this name."""
+        return name in self._plans
+
+    def count_declined(self, product: bytes | None) -> None:
+        """A listener declined a transaction by itself. A product that is not announced counts nowhere."""
+        if known := self._products.get(product or b""):
+            self.outcomes[known.product_index].declined += 1
+
+    def count_unknown(self, product: bytes | None) -> None:
+        """A listener answered by itself that a transaction may have run, or refused it."""
+        if known := self._products.get(product or b""):
+            self.outcomes[known.product_index].unknown += 1
+
+    def accept(self, client: AnswerReceiver, request: TransactionRequest) -> None:
+        """Accepts a transaction: `client.accepted` is called, and its answer follows, at once or later.
+
+        Raises:
+            HttpStatusError: it cannot be followed; then nothing was accepted.
+        """
+        product, plan = self._check_names(request)
+        _check_method(request, product.terms)
+        account = parse_account(request.account_key)
+        if not 0 < request.expires_in_ns <= self._limits.max_expiry_ns:
+            raise HttpStatusError(BAD_REQUEST, "X-Deadline-Ms is no time ahead")
+        units, spread = self._call_terms.parse(request.call_terms)
+        exchange = Exchange(client, request.id, _encode_head(request), request.body, product.product_index)
+        exchange.account = account
+        once_only = product.terms.kind == t.ONCE_ONLY
+        self._check_not_open(exchange, once_only)
+        gate = self.driver.once_only_gate
+        if gate and once_only and not gate.accepts_intents():
+            client.accepted(exchange)
+            self.decline(exchange, _JOURNAL_RETRY_NS)
+            return
+        if self.storm:
+            retry_after_ns, units_taken = self._check_storm(self.storm, exchange, request)
+            if retry_after_ns is not None:
+                client.accepted(exchange)
+                self.decline(exchange, retry_after_ns)
+                return
+            if units_taken and not self._has_ceiling[plan]:  # a ceiling counts every attempt
+                units = _NO_UNITS
+        client.accepted(exchange)
+        expires_in_ns = request.expires_in_ns - self._limits.answer_margin_ns
+        txn = self.driver.open(exchange)
+        allow_ns = max(_NS_PER_MS, expires_in_ns)
+        self.driver.post(t.Arrival(txn, product.product_index, plan, account, units, allow_ns, spread))
+        if exchange.client is client and expires_in_ns < self._short_expiry_ns:
+            self.driver.timers.after(max(0, expires_in_ns), self._decline_unsent, exchange)
+
+    # ---- for the driver
+
+    def complete(self, exchange: TransactionExchange, body: ResponseBody, stream: StreamSource | None) -> None:
+        """Answers with a server's response: its body in bytes, or the connection that gives it as it comes."""
+        self._counts["settled"] += 1
+        if self.storm and exchange.fingerprint:
+            self.storm.settled(exchange.fingerprint, self.clock())
+        client = exchange.detach_client()
+        if client is None:
+            return
+        self.outcomes[exchange.product].succeeded += 1
+        if stream is None:
+            client.succeeded(body)
+        else:
+            client.stream(stream)
+
+    def decline(self, exchange: TransactionExchange, retry_after_ns: int) -> None:
+        """Answers that the transaction has not run. `retry_after_ns`: when to come back; 0 for no advice."""
+        self._counts["declined"] += 1
+        if client := exchange.detach_client():
+            self.outcomes[exchange.product].declined += 1
+            client.declined(retry_after_ns)
+
+    def void(self, exchange: TransactionExchange) -> None:
+        """Answers that the transaction may have run."""
+        self._counts["voided"] += 1
+        if client := exchange.detach_client():
+            self.outcomes[exchange.product].unknown += 1
+            client.outcome_unknown()
+
+    # ---- checks
+
+    def _check_names(self, request: TransactionRequest) -> tuple[_Product, int]:
+        """The product and the plan's index. Raises HttpStatusError."""
+        if not 0 < len(request.id) <= _MAX_ID_BYTES:
+            raise HttpStatusError(BAD_REQUEST, "X-Request-Id is missing or too long")
+        product = self._products.get(request.product or b"")
+        plan = self._plans.get(request.plan or b"")
+        if product is None or plan is None:
+            raise HttpStatusError(BAD_REQUEST, "unknown X-Class or X-Tier")
+        return product, plan
+
+    def _check_not_open(self, exchange: TransactionExchange, once_only: bool) -> None:
+        """Refuses a second copy of a transaction, which must not run twice. Raises HttpStatusError."""
+        if exchange in self.driver.in_flight.transactions:
+            raise HttpStatusError(CONFLICT, "its X-Request-Id is open")
+        gate = self.driver.once_only_gate
+        if gate and once_only and gate.may_have_run(exchange.id):
+            raise HttpStatusError(CONFLICT, "its X-Request-Id may have run before this node's last start")
+
+    def _check_storm(
+        self, storm: RetryStormControl, exchange: TransactionExchange, request: TransactionRequest
+    ) -> tuple[int | None, bool]:
+        """When to come back, if the transaction is declined for a retry storm, and whether its units were taken."""
+        now_ns = self.clock()
+        fingerprint = storm.mark(
+            exchange.account, exchange.product, request.idempotency_key, request.target, request.body
+        )
+        exchange.fingerprint = fingerprint
+        units_taken, retry_after_ns = storm.arrived(fingerprint, exchange.product, request.is_retry, now_ns)
+        client = exchange.client
+        if retry_after_ns is None and client is not None and client.damped:
+            retry_after_ns = storm.advice(0, now_ns)
+        return retry_after_ns, units_taken
+
+    def _decline_unsent(self, exchange: TransactionExchange) -> None:
+        """Declines a transaction that still waits for the counter when its client is about to give up."""
+        if exchange.client and not exchange.submissions:
+            self.driver.client_left(exchange)
+            self.decline(exchange, 0)
+
+
+def parse_account(key: bytes) -> str:
+    """The customer of an account key, spelt alike on all nodes. Raises HttpStatusError."""
+    try:
+        number = unhexlify(key)
+    except ValueError:
+        raise HttpStatusError(BAD_REQUEST, "no cookie key of 16 hex digits") from None
+    if number >= _MAX_ACCOUNT_KEY:
+        raise HttpStatusError(BAD_REQUEST, "the cookie's key is out of range")
+    return key.decode().lower()
+
+
+def _check_method(request: TransactionRequest, product: t.Product) -> None:
+    """Checks the method and the key against the product. Raises HttpStatusError."""
+    if request.method != (b"GET" if product.kind == t.INQUIRY else b"POST"):
+        raise HttpStatusError(METHOD_NOT_ALLOWED, "not the method of its X-Class")
+    if product.kind == t.REFERENCED and not request.idempotency_key:
+        raise HttpStatusError(BAD_REQUEST, "Idempotency-Key is missing")
+
+
+def _encode_head(request: TransactionRequest) -> bytes:
+    """The head that servers get, without what differs between submissions. Raises HttpStatusError."""
+    head = b"%s %s HTTP/1.1\r\nHost: app.svc\r\nX-Request-Id: %s\r\n" % (request.method, request.target, request.id)
+    if request.idempotency_key:
+        head += b"Idempotency-Key: %s\r\n" % request.idempotency_key
+    if request.content_type is not None:
+        head += b"Content-Type: %s\r\n" % request.content_type
+    if request.body and request.method == b"GET":
+        raise HttpStatusError(BAD_REQUEST, "a GET has no body")
+    if request.method == b"POST":
+        head += b"Content-Length: %d\r\n" % len(request.body)
+    return head
--- a/rampfront/node/metrics.py
+++ b/rampfront/node/metrics.py
@@ -7,7 +7,8 @@
 
 PREFIX = "rampfront_"
 
-# In the order of print. The first part is counted by the packages shared with the edge node (`net.notes.COUNTED`).
+# In the order of print. The first part is counted by the packages shared with the edge node
+# (`net.event_log.SHARED_COUNTERS`).
 COUNTERS = {
     "clients": "Connections of clients that were accepted.",
     "clients_shed": "Connections of clients that were closed, or turned away, because too many were open.",
--- a/rampfront/node/ports.py
+++ b/rampfront/node/ports.py
@@ -11,7 +11,7 @@
 
 from ..consensus.record_store import RecordStore
 from ..membership.endpoint_list_poller import Poller
-from ..net.desk import Clock
+from ..net.clock import Clock
 from ..proxy.request_proxy import RequestProxy
 from ..quota.limiter import Limiter
 from ..transport.wire import Wire
--- a/rampfront/node/scheduler.py
+++ b/rampfront/node/scheduler.py
@@ -5,7 +5,7 @@
 from functools import partial
 from typing import TYPE_CHECKING, Any
 
-from ..net.desk import Timers
+from ..net.timers import TimerQueue
 
 if TYPE_CHECKING:
     from asyncio import AbstractEventLoop, Future
@@ -19,7 +19,7 @@
     def __init__(self, loop: AbstractEventLoop, clock: Callable[[], int]) -> None:
         """`clock` gives ns."""
         self._loop = loop
-        self._timers = Timers(loop, clock)
+        self._timers = TimerQueue(loop, clock)
         self._disk_executor: Executor | None = None
         self._disk_calls: set[Future[Any]] = set()  # emptied as they end
 
--- a/rampfront/node/status_views.py
+++ b/rampfront/node/status_views.py
@@ -181,9 +181,9 @@
 def open_links(request_proxy: RequestProxy) -> dict[str, int]:
     """Return how many connections this node has to each server, by its id."""
     return {
-        target.uid: target.links
+        server.uid: server.connections
         for service_pool in request_proxy.service_pools.values()
-        for target in service_pool.connection_pool.targets.values()
+        for server in service_pool.connection_pool.servers.values()
     }
 
 
--- a/rampfront/proxy/admission.py
+++ b/rampfront/proxy/admission.py
@@ -7,7 +7,7 @@
 `RequestProxy`'s own.
 """
 
-from ..net.core import Unfit
+from ..net.http_status import HttpStatusError
 from ..settings.configuration import Configuration, Customer, Route
 from ..settings.scalars import MS, SEC
 from .outcomes import UNKNOWN_KEY, UNKNOWN_ROUTE, RequestRejectedError
@@ -19,10 +19,10 @@
 
 
 def check_try_id(header: dict[bytes, bytes]) -> bytes:
-    """The request's identifier. Raises `Unfit` (400) where it has none that can be used."""
+    """The request's identifier. Raises `HttpStatusError` (400) where it has none that can be used."""
     try_id = header.get(b"try-id")
     if not try_id or len(try_id) > LONGEST_TRY_ID_BYTES:
-        raise Unfit(400, "Try-Id is missing or too long")
+        raise HttpStatusError(400, "Try-Id is missing or too long")
     return try_id
 
 
--- a/rampfront/proxy/request.py
+++ b/rampfront/proxy/request.py
@@ -16,8 +16,8 @@
 from enum import IntEnum
 from typing import NamedTuple, Protocol
 
-from ..net.core import Exchange
-from ..net.desk import Desk
+from ..net.decision_driver import DecisionDriver
+from ..net.exchange import Exchange
 from ..settings.configuration import Customer
 from .outcomes import LocalResponse
 from .server_response import ServerResponse
@@ -70,7 +70,7 @@
 class RequestingClient(Protocol):
     """The client's side of a request: `client_front.ClientConnection`."""
 
-    def taken(self, exchange: "ProxiedRequest") -> None:
+    def accepted(self, exchange: "ProxiedRequest") -> None:
         """The request was admitted; the client is owed its response."""
 
     def forward(self, response: ServerResponse) -> None:
@@ -80,27 +80,32 @@
         """Writes a response of this proxy."""
 
 
-class ProxiedRequest(Exchange):
+class ProxiedRequest(Exchange[RequestingClient]):
     """One admitted request: what is sent for it, who waits for it, and its state."""
 
-    __slots__ = ("desk", "customer", "received_at", "deadline_at", "once_only", "state", "failure_response")
-
-    client: RequestingClient | None
+    __slots__ = ("driver", "customer", "received_at", "deadline_at", "once_only", "state", "failure_response")
 
     def __init__(self, client: RequestingClient, try_id: bytes, head: bytes, body: bytes, product: int) -> None:
         """`head`: the request line and fields for the server; `product`: its index among those of its service."""
-        super().__init__(client, try_id, head, body, product, "all")
+        super().__init__(client, try_id, head, body, product)
+        self.account = "all"
         self.state = RequestState.UNEXECUTED
         self.failure_response: ServerResponse | None = None
 
     def admit(
-        self, desk: Desk, customer: Customer | None, received_at: int, deadline_at: int, *, once_only: bool
+        self,
+        driver: DecisionDriver["ProxiedRequest"],
+        customer: Customer | None,
+        received_at: int,
+        deadline_at: int,
+        *,
+        once_only: bool,
     ) -> None:
         """Sets what holds from its admission on.
 
-        `desk`: of its service, which has its attempts; `received_at`, `deadline_at`: ns of the clock; `once_only`:
+        `driver`: of its service, which has its attempts; `received_at`, `deadline_at`: ns of the clock; `once_only`:
         whether no second server may run it once one may have."""
-        self.desk = desk
+        self.driver = driver
         self.customer = customer
         self.received_at = received_at
         self.deadline_at = deadline_at
@@ -134,4 +139,4 @@
     def cancel(self) -> None:
         """The client is gone: ends every attempt, by the one path there is for it."""
         self.close()
-        self.desk.left(self)
+        self.driver.client_left(self)
--- a/rampfront/proxy/request_proxy.py
+++ b/rampfront/proxy/request_proxy.py
@@ -3,9 +3,9 @@
 It owns the snapshots (configuration, server list, evacuations, number of proxies) and a `ServicePool` for each
 service. It must never choose a server (`choice.py` does) nor judge a quota by itself (the limiter does).
 
-Two others call it. `net.front.Front`, the clients' side, calls `handle_request` and `left`, and reads `desk`,
-`products`, `outcomes` and `storm`, of which this proxy uses only the first. `net.desk.Desk`, the decisions' side,
-calls `settle`, `decline` and `void`, exactly one of them for each request whose client has not gone.
+Two others call it. `ClientFront`, the clients' side, calls `handle_request` and `left`. The `DecisionDriver` of each
+service, the decisions' side, calls `complete`, `decline` and `void`, exactly one of them for each request whose client
+has not gone.
 """
 
 from __future__ import annotations
@@ -13,9 +13,10 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
+from .. import terms as t
 from ..membership.health_reporter import HealthReporter
 from ..membership.server_health import HEALTHY
-from ..net.core import Unfit
+from ..net.http_status import HttpStatusError
 from ..net.latency_histogram import LatencyHistogram
 from ..settings.scalars import MS
 from . import admission, outcomes
@@ -74,11 +75,6 @@
         self._observer = ServerObserver(self.health_reporter)
         self.request_durations = LatencyHistogram()  # from a whole request to its response
         self.response_durations = self._observer.response_durations
-        # What `net.front.Front` reads of whoever takes its requests.
-        self.desk = self
-        self.storm = None
-        self.products: dict[bytes, object] = {}
-        self.outcomes: list[list[int]] = []
 
     def call_on_quota_use(self, callback: Callable[[], None]) -> None:
         """Calls back behind each use of a quota: the limiter may have a message to send."""
@@ -156,7 +152,7 @@
         guarantees = self.environment.process_settings.guarantees
         for name, service_pool in self.service_pools.items():
             if service := self.configuration.services.get(name):
-                set_budgets(service_pool.desk.node, guarantees, service, self.proxy_count)
+                set_budgets(service_pool.driver.node, guarantees, service, self.proxy_count)
 
     def ready(self) -> bool:
         """Whether requests can be served: the configuration is fresh, and a server is up."""
@@ -169,8 +165,9 @@
     # ---- requests; called by the front
 
     def handle_request(self, client: RequestingClient, received: ReceivedRequest) -> None:
-        """Admits a request and has a server looked for, or responds at once. Raises `Unfit` for one that cannot be
-        followed; then nothing was begun."""
+        """Admits a request and has a server looked for, or responds at once.
+
+        Raises `HttpStatusError` for one that cannot be followed; then nothing was begun."""
         now = self.clock()
         try:
             configuration = self._configuration_in_force(now)
@@ -186,9 +183,9 @@
             return
         head = build_request_head(received, customer)
         request = ProxiedRequest(client, try_id, head, received.body, service_pool.product_index(route))
-        request.admit(service_pool.desk, customer, now, now + time_left_ns, once_only=route.request_type != READ_ONLY)
+        request.admit(service_pool.driver, customer, now, now + time_left_ns, once_only=route.request_type != READ_ONLY)
         self._check_not_open(request, now)
-        client.taken(request)
+        client.accepted(request)
         self._begin(request, route, time_left_ns)
 
     def left(self, request: ProxiedRequest) -> None:
@@ -221,7 +218,7 @@
         for service_pool in self.service_pools.values():
             if request in service_pool.open_requests:
                 self._return_quota(request.customer, now)
-                raise Unfit(409, "its Try-Id is open")
+                raise HttpStatusError(409, "its Try-Id is open")
 
     def _return_quota(self, customer: Customer | None, now: int) -> None:
         """A request that was not executed does not use the quota."""
@@ -231,8 +228,8 @@
     def _begin(self, request: ProxiedRequest, route: Route, time_left_ns: int) -> None:
         """Hands the request to the decisions of its service, which make its attempts."""
         customer = request.customer
-        request.desk.arrived(
-            request,
+        arrival = t.Arrival(
+            request.driver.open(request),
             request.product,
             _NO_PLAN,
             _ONE_ACCOUNT,
@@ -244,10 +241,11 @@
             distance_exponent(len(request.body)),
             self._priority_ranks.rank(route.priority, customer.priority if customer else None),
         )
+        request.driver.post(arrival)
 
-    # ---- responses; called by the desk of a service
+    # ---- responses; called by the decision driver of a service
 
-    def settle(self, request: ProxiedRequest, response: ServerResponse, relay: None = None) -> None:
+    def complete(self, request: ProxiedRequest, response: ServerResponse, stream: None = None) -> None:
         """A server's response is the request's."""
         self.counts["settled"] += 1
         if client := self._close(request):
--- a/rampfront/proxy/server_connections.py
+++ b/rampfront/proxy/server_connections.py
@@ -1,4 +1,4 @@
-"""Connections to the servers of one service: the system's own protocol on the pool of `net/upstream.py`.
+"""Connections to the servers of one service: the system's own protocol on the pool of `net/server_connection_pool.py`.
 
 A request leaves with `Wanted-Server`, `Customer` and the time left. A response is believed only when it carries the
 request's `Try-Id` and, where it is a success, the server's seal; that a request has not run is believed only from a
@@ -10,11 +10,17 @@
 
 from __future__ import annotations
 
+from collections.abc import Callable
 from typing import Protocol
 
 from .. import terms as t
-from ..net.desk import Desk
-from ..net.upstream import IDLE, WAITING, Link, Target, Upstream
+from ..net.decision_driver import DecisionDriver
+from ..net.decision_ports import SubmissionEnd
+from ..net.limits import NetworkLimits
+from ..net.server_connection import AWAITING_RESPONSE, IDLE, Server
+from ..net.server_connection import ServerConnection as HttpServerConnection
+from ..net.server_connection_pool import ServerConnectionPool
+from ..net.server_response_reader import ServerResponseReader
 from ..settings.scalars import MS
 from .environment import ProxyEnvironment
 from .health_observation import ServerObserver
@@ -61,24 +67,27 @@
         """Another server has the address."""
 
 
-class ServerConnection(Link):
-    """One connection to one server. The methods `on_...` are called by the parser."""
+class ResponseReader(ServerResponseReader):
+    """Reads the responses of one connection. The methods `on_...` are called by the parser."""
 
-    __slots__ = ("reusable_until", "fields", "header_rows", "idle_ns", "observation")
-    pool: ConnectionPool
-    exchange: ProxiedRequest | None
+    __slots__ = ("fields", "header_rows", "expects_no_body")
 
-    # ---- of the parser
+    def __init__(self, limits: NetworkLimits, may_stream: Callable[[], bool]) -> None:
+        """Nothing has been read yet."""
+        super().__init__(limits, may_stream)
+        self.fields: dict[bytes, bytes] = {}  # those of _FIELDS, by their names in lower case
+        self.header_rows: list[HeaderRow] = []  # those that go back to the client, as they came
+        self.expects_no_body = False  # the request is a HEAD
 
     def on_message_begin(self) -> None:
         """A response begins."""
         super().on_message_begin()
-        self.fields: dict[bytes, bytes] = {}  # those of _FIELDS, by their names in lower case
-        self.header_rows: list[HeaderRow] = []  # those that go back to the client, as they came
+        self.fields = {}
+        self.header_rows = []
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """A header field."""
-        if self.headed:
+        if self.head_complete:
             return  # guards the head against trailers
         lowered = name.lower()
         if lowered in _FIELDS:
@@ -94,60 +103,82 @@
         if b"content-length" in fields:
             self.length = int(fields[b"content-length"])  # the parser has checked it
         super().on_headers_complete()
-        if self.headed and self.exchange and self.exchange.head[:5] == b"HEAD ":
-            self.whole = True
-            self.keep = False
+        if self.head_complete and self.expects_no_body:
+            self.complete = True
+            self.keep_alive = False
+
+    @property
+    def is_encoded(self) -> bool:
+        """Whether the body has a content encoding, which the system's servers never use."""
+        return b"content-encoding" in self.fields
+
+    def take_header_rows(self) -> list[HeaderRow]:
+        """Hands over the header fields that go back to the client."""
+        rows = self.header_rows
+        self.header_rows = []
+        return rows
+
+
+class ServerConnection(HttpServerConnection[ProxiedRequest]):
+    """One connection to one server."""
+
+    __slots__ = ("reusable_until", "idle_ns", "observation")
+    reader_type = ResponseReader
+    pool: ConnectionPool
+    reader: ResponseReader
 
     # ---- one attempt or health check
 
     def begin(self, exchange: ProxiedRequest | None, attempt: int, allow: int) -> None:
         """Starts an attempt, or a health check (`exchange` None), that may take `allow` ns."""
         pool, now = self.pool, self.pool.clock()
-        self.idle_ns = now - self.since if self.state == IDLE else None
+        self.idle_ns = now - self.idle_since_ns if self.state is IDLE else None
         if exchange:
-            mean_ns = pool.desk.node.lines[exchange.product].mean
-            self.observation = pool.observer.attempt_started(self.target.uid, mean_ns, now)
+            mean_ns = pool.driver.node.lines[exchange.product].mean
+            self.observation = pool.observer.attempt_started(self.server.uid, mean_ns, now)
+        self.reader.expects_no_body = exchange is not None and exchange.head[:5] == b"HEAD "
         super().begin(exchange, attempt, allow)
 
-    def say(self, exchange: ProxiedRequest, left: int) -> None:
+    def write_request(self, exchange: ProxiedRequest, left: int) -> None:
         """Writes the request; `left` ns until the attempt has to be answered."""
-        fields = b"Time-Left-Ms: %d\r\nWanted-Server: %s\r\n\r\n" % (left // MS, self.target.uid.encode())
+        fields = b"Time-Left-Ms: %d\r\nWanted-Server: %s\r\n\r\n" % (left // MS, self.server.uid.encode())
         self.transport.writelines((exchange.head, fields, exchange.body))
 
     def connection_lost(self, trouble: Exception | None) -> None:
         """Of the loop: the connection has ended."""
-        if self.state == WAITING and not self.fed and self.idle_ns is not None:
+        if self.state is AWAITING_RESPONSE and not self.reader.received_bytes and self.idle_ns is not None:
             now = self.pool.clock()
-            self.pool.idle_trust.connection_ended(self.idle_ns, now - self.sent_at, now)
+            self.pool.idle_trust.connection_ended(self.idle_ns, now - self.sent_at_ns, now)
         super().connection_lost(trouble)
 
     def conclude(self, sound: bool) -> None:
         """A whole response has come; `sound`: nothing that breaks the protocol came behind it."""
-        self.whole = False
-        status = self.parser.get_status_code()
+        reader = self.reader
+        reader.complete = False
+        status = reader.status
         request = self.exchange
-        if text := self.fields.get(b"server-load"):
-            self.pool.load_reported(self.target, text)
+        if text := reader.fields.get(b"server-load"):
+            self.pool.load_reported(self.server, text)
         if request is None:
-            self.finish(t.DONE if status == _OK else t.ERROR, sound and self.keep)
+            self.finish(t.DONE if status == _OK else t.ERROR, sound and reader.keep_alive)
             return
-        rejected = self.not_run or status == MISDIRECTED
+        rejected = reader.not_run or status == MISDIRECTED
         if not self._is_of(request, rejected):
-            self.odd("another request's answer")
+            self.protocol_broken("another request's answer")
         elif rejected:
             if status == MISDIRECTED:
-                self.pool.address_reused(self.target)
-            self.finish(t.UNSEEN, sound and self.keep)
-        elif b"content-encoding" in self.fields or status in SUCCESS_STATUSES and not self.fields.get(b"server-seal"):
+                self.pool.address_reused(self.server)
+            self.finish(t.UNSEEN, sound and reader.keep_alive)
+        elif reader.is_encoded or status in SUCCESS_STATUSES and not reader.fields.get(b"server-seal"):
             # Guards against responses that are not the server's: none of it reaches a client.
-            self.odd("not the server's answer")
+            self.protocol_broken("not the server's answer")
         else:
-            self.finish(t.ERROR if is_failure(status) else t.DONE, sound and self.keep)
+            self.finish(t.ERROR if is_failure(status) else t.DONE, sound and reader.keep_alive)
 
     def _is_of(self, request: ProxiedRequest, rejected: bool) -> bool:
         """Guards against a late response to an earlier request, above all one that says that nothing ran. A rejection
         without an identifier is believed only on a connection that carried no earlier request."""
-        try_id = self.fields.get(b"try-id")
+        try_id = self.reader.fields.get(b"try-id")
         if try_id == request.id:
             return True
         return rejected and try_id is None and self.idle_ns is None
@@ -155,76 +186,77 @@
     def finish(self, how: int, keep: bool = False) -> None:
         """The attempt has ended as `how` of `terms` says; `keep`: the connection may be used again."""
         now = self.pool.clock()
-        keep_alive = self.fields.get(b"keep-alive") if keep else None
+        keep_alive = self.reader.fields.get(b"keep-alive") if keep else None
         self.reusable_until = reusable_until(keep_alive, now) if keep_alive else NEVER
         if self.exchange:
-            lasted_ns = now - self.sent_at
-            self.pool.observer.attempt_ended(self.observation, self.target.uid, how, lasted_ns, now)
+            lasted_ns = now - self.sent_at_ns
+            self.pool.observer.attempt_ended(self.observation, self.server.uid, how, lasted_ns, now)
         super().finish(how, keep)
 
-    def outcome(self, how: int, took: int) -> tuple[ServerResponse | None, int, None]:
-        """The response that an attempt brought which ended as `how`, `took` ns after its start; no costs, no quota
-        use."""
-        request = self.exchange
-        if request and how not in _NOT_EXECUTED:
-            request.apply(_ATTEMPT_UNCERTAIN)
-        if request is None or how not in _ANSWERED:
-            return None, 0, None
-        self.pool.observer.response_durations.record(took)
-        response = ServerResponse(self.parser.get_status_code(), self.header_rows, b"".join(self.body))
-        self.header_rows = []  # an idle connection holds nothing of its last response
+    def submission_end(self, exchange: ProxiedRequest, how: int, took_ns: int) -> SubmissionEnd[ProxiedRequest]:
+        """What the decisions are told of an attempt that ended as `how`: its response, no costs, no quota use."""
+        if how not in _NOT_EXECUTED:
+            exchange.apply(_ATTEMPT_UNCERTAIN)
+        if how not in _ANSWERED:
+            return SubmissionEnd(exchange, self.attempt, self.server.index, how, took_ns)
+        self.pool.observer.response_durations.record(took_ns)
+        reader = self.reader
+        response = ServerResponse(reader.status, reader.take_header_rows(), b"".join(reader.body_parts))
         if how == t.ERROR and response.status not in NOT_RUN_STATUSES:
-            request.retain_failure(response)
-        return response, 0, None
+            exchange.retain_failure(response)
+        return SubmissionEnd(exchange, self.attempt, self.server.index, how, took_ns, body=response)
+
+    def health_report(self) -> None:
+        """A health check reports no load: responses to requests do."""
 
 
-class ConnectionPool(Upstream):
+class ConnectionPool(ServerConnectionPool[ProxiedRequest]):
     """The connections to all servers of one service."""
 
-    kind = ServerConnection
+    connection_type = ServerConnection
 
     def __init__(
         self,
         environment: ProxyEnvironment,
-        desk: Desk,
+        driver: DecisionDriver[ProxiedRequest],
         health_path: bytes,
         events: ServiceEvents,
         observer: ServerObserver,
     ) -> None:
         """`events` is told what responses say of their servers, `observer` of every attempt."""
-        super().__init__(environment.loop, desk, environment.limits, False, environment.log)
+        super().__init__(environment.loop, driver, environment.limits, False, environment.log)
         self.events = events
         self.observer = observer
         self.idle_trust = IdleTrust(environment.limits.server_idle_timeout_ns)
-        self.probe_text = b"GET %s HTTP/1.1\r\nHost: health\r\n\r\n" % health_path
+        self.health_check_request = b"GET %s HTTP/1.1\r\nHost: health\r\n\r\n" % health_path
 
     def submit(self, exchange: ProxiedRequest, attempt: int, index: int, allow: int) -> None:
         """Makes an attempt at a server, that may take `allow` ns."""
-        if exchange.once_only and (target := self.targets.get(index)):
+        if exchange.once_only and (server := self.servers.get(index)):
             # Guards it against a connection that its server has forgotten: it could not be sent again.
-            self._close_distrusted(target)
+            self._close_distrusted(server)
         super().submit(exchange, attempt, index, allow)
 
-    def _close_distrusted(self, target: Target) -> None:
+    def _close_distrusted(self, server: Server[ProxiedRequest]) -> None:
         now = self.clock()
         trusted_ns = self.idle_trust.trusted_ns(now)
-        while target.idle and now - target.idle[-1].since > trusted_ns:
-            target.idle[-1].close()
+        while server.idle and now - server.idle[-1].idle_since_ns > trusted_ns:
+            server.idle[-1].close()
 
-    def link_to(self, index: int) -> ServerConnection | None:
+    def connection_to(self, index: int) -> ServerConnection | None:
         """A connection to a server: the idle one used last, or a new one. None: there can be none."""
-        target = self.targets.get(index)
-        if target and target.idle and target.idle[-1].reusable_until <= self.clock():
-            self.close_idle(target)  # the newest is too old, so the others are
-        return super().link_to(index)
+        server = self.servers.get(index)
+        if server and server.idle and server.idle[-1].reusable_until <= self.clock():
+            server.close_idle()  # the newest is too old, so the others are
+        return super().connection_to(index)
 
-    def load_reported(self, target: Target, text: bytes) -> None:
+    def load_reported(self, server: Server[ProxiedRequest], text: bytes) -> None:
         """A response's `Server-Load`. What cannot be read is left alone."""
         load = parse_server_load(text)
         if load is not None:
-            self.events.server_load_reported(target.index, load)
+            self.events.server_load_reported(server.index, load)
 
-    def address_reused(self, target: Target) -> None:
+    def address_reused(self, server: Server[ProxiedRequest]) -> None:
         """Guards against sending to a server that is gone, whose address is another's, until the list says so too."""
         self.counts["misplaced"] += 1
-        self.events.address_reused(target.uid)
+        self.events.address_reused(server.uid)
--- a/rampfront/simulation/fleet.py
+++ b/rampfront/simulation/fleet.py
@@ -223,7 +223,7 @@
             return
         if client_front.closing:
             return self.fleet.flow(self.back, self, self.request.failed, "refused")
-        self.protocol = client_front.kind(client_front)
+        self.protocol = client_front.make_connection()
         self.protocol.connection_made(self)
         feed(self, data)
 
--- a/rampfront/syslog/recorder.py
+++ b/rampfront/syslog/recorder.py
@@ -1,4 +1,4 @@
-"""What the desk tells of its decisions, as rows for the sink. It decides nothing and sends nothing."""
+"""What the decision driver tells of its decisions, as rows for the sink. It decides nothing and sends nothing."""
 
 from .. import terms as t
 
@@ -25,7 +25,7 @@
             ("account", about.account),
             ("product", self.products[about.product]),
             ("txn", about.id.decode("latin-1")),
-            ("box", about.box),
+            ("box", about.server),
             *more.items(),
         )
 
--- /dev/null
+++ b/tests/net/test_decision_driver.py
@@ -0,0 +1,49 @@
+"""The decision driver: reminders, faults and tables, in plays of the whole program."""
+
+from helper import Stage
+
+from rampfront import terms as t
+
+
+def test_reminders_share_a_wake_up():
+    """A tick goes along with the next wake, and wakes the node by itself only when none comes soon; a first
+    reading is not kept waiting, for an account unread is held to its split of the quota."""
+    for wakes in (False, True):
+        s = Stage()
+        for txn in (0, 1):
+            s.ask(txn, plan="held")
+            s.reply("s0")
+        s.wait(60)
+        s.pipes["counter"].feed("$1\r\n2\r\n")
+        s.ask(2, plan="held")
+        s.reply("s0")
+        for _ in range(140):
+            s.wait(10)
+            if wakes:
+                s.driver.post(t.Probed(99, t.DONE, 0, {}))
+        s.lines = [line for line in s.lines if "counter" in line]
+        s.check("ride_along" if wakes else "ride_alone")
+
+
+def test_a_fault_costs_the_transaction_that_it_struck():
+    """A defect costs the txn that it struck, with a void and a line in the log, and no other."""
+    s = Stage()
+    s.ask(1)
+    take, s.driver.node.take = s.driver.node.take, lambda now, told: 1 // 0
+    s.reply("s0", 500)
+    s.ask(2, client="b")
+    s.driver.node.take = take
+    s.ask(3)
+    s.reply("s0")
+    assert len(s.driver.in_flight) == 0 and s.log.counts["faults"] == 2
+    s.check("fault")
+
+
+def test_tables_do_not_grow_with_transactions():
+    """Nothing grows with txns seen: time-outs called off, indices and names of what has ended are gone."""
+    s = Stage()
+    for k in range(3000):
+        s.ask(k, expiry=9000)
+        s.reply("s0")
+    assert not s.driver.in_flight and s.driver.in_flight.transactions.capacity == 1 and not s.driver.waiting_inputs
+    assert len(s.driver.timers) < 300 and s.log.counts["connects"] == 1
