--- a/rampfront/membership/dissemination.py
+++ b/rampfront/membership/dissemination.py
@@ -13,7 +13,7 @@
 
 `Disseminator` joins the parts, each of which decides one thing: when to send a heartbeat and to whom (`heartbeats.py`),
 what to answer (`responder.py`), which leader to follow and how old the lease is (`leadership.py`), which nodes live
-(`peers.py`), which of them make up the roster (`roster.py`).
+(`peers.py`), when a new roster is made of them (`roster_keeper.py`, `roster.py`).
 """
 
 from collections.abc import Callable, Iterable, Sequence
@@ -27,17 +27,11 @@
 from .messages import Heartbeat, Message, StateResponse
 from .peers import Peer, PeerTable
 from .responder import Responder
-from .roster import Roster, RosterEntry, someone_stopped_serving
+from .roster import Roster, RosterEntry
+from .roster_keeper import RosterKeeper
 from .versions import NO_VERSIONS, ReplicaVersions, first_version
 
-MS = 10**6  # ns
-SEC = 10**9
-
 INCARNATION_BITS = 24
-# Interval between rosters in which nobody stopped serving: at most, and for each node that they go to. Guards links
-# against a roster for each node that joins.
-MAX_ROSTER_INTERVAL_NS = SEC
-ROSTER_INTERVAL_PER_NODE_NS = MS
 
 
 class Disseminator:
@@ -77,7 +71,7 @@
         self.incarnation = random.getrandbits(INCARNATION_BITS)
         self.schedule = HeartbeatSchedule(own.ip, seeds, random)
         self.responder = Responder(host, self.leadership, self.roster_replica)
-        self._roster_made_at_ns = 0  # when this leader made its last roster
+        self._roster_keeper = RosterKeeper(own, self.roster_replica, self.peer_table)
         self._versions = NO_VERSIONS
         self._corrupt_parts: set[str] = set()  # keys of parts of which a difference came out wrong
 
@@ -204,7 +198,7 @@
         own = self._own
         return Heartbeat(versions, now, self.incarnation, own.name, own.zone, own.front, self.ready)
 
-    # ---- responses
+    # ---- heartbeats of other nodes, and what they are answered
 
     def on_heartbeat(self, ip: str, message: Message, now: int) -> None:
         """A node sent a heartbeat: as the leader notes it, and answers what that node lacks.
@@ -238,11 +232,15 @@
 
     def _renumber_above(self, versions: ReplicaVersions, now: int) -> None:
         """Guards against what an old leader numbered when another led already: whoever took it would keep it."""
-        first = first_version(self.term)
-        if self.endpoints_version < versions.endpoints_version < first:
+        if self.endpoints_version < versions.endpoints_version < first_version(self.term):
             self.must_renumber_endpoints = True
-        if self.roster_version < versions.roster_version < first:
-            self.roster_replica.replace(first, self.roster)
+        if self._roster_keeper.renumber_above(versions.roster_version, self.term):
+            self.push_updates(now)
+
+    def _refresh_roster(self, now: int) -> None:
+        """Makes a new roster where the nodes that this leader hears have changed, and pushes it to all."""
+        if self._roster_keeper.renew(self.ready, self.term, now):
+            self._host.on_roster()
             self.push_updates(now)
 
     def push_updates(self, now: int) -> None:
@@ -316,21 +314,3 @@
         """
         is_own = response.incarnation is None or response.incarnation == self.incarnation
         return 0 < response.requested_at_ns <= now and is_own
-
-    # ---- the leader's roster
-
-    def _refresh_roster(self, now: int) -> None:
-        """Makes a new roster where the nodes that this leader hears have changed, and pushes it to all."""
-        self.peer_table.drop_silent(now)
-        own = self._own._replace(ready=self.ready)
-        entries = tuple(sorted([own, *self.peer_table.entries()]))
-        if entries == self.roster:
-            return
-        if not someone_stopped_serving(self.roster, entries):
-            interval_ns = min(MAX_ROSTER_INTERVAL_NS, ROSTER_INTERVAL_PER_NODE_NS * len(self.peer_table.by_ip))
-            if now - self._roster_made_at_ns < interval_ns:
-                return
-        self._roster_made_at_ns = now
-        self.roster_replica.replace(max(self.roster_version + 1, first_version(self.term)), entries)
-        self._host.on_roster()
-        self.push_updates(now)
--- a/rampfront/membership/messages.py
+++ b/rampfront/membership/messages.py
@@ -283,15 +283,13 @@
 def _decode_server_reports(packed: Packed, statuses: Container[int]) -> list[ServerReport]:
     if type(packed) is not list or len(packed) > MAX_REPORTS:
         raise ValueError("server reports are no list")
-    return [_decode_server_report(row, statuses) for row in packed]
-
-
-def _decode_server_report(row: Packed, statuses: Container[int]) -> ServerReport:
-    if type(row) is not list or len(row) != len(ServerReport._fields):
+    if any(type(row) is not list for row in packed):
         raise ValueError("a server report is no row")
-    report = ServerReport(*row)
-    if type(report.server_id) is not str or len(report.server_id) > MAX_SERVER_ID_CHARACTERS:
-        raise ValueError("a server report without a server")
-    if type(report.status) is not int or report.status not in statuses:
-        raise ValueError("a server report of no known status")
-    return report
+    reports = []
+    for server_id, status in packed:
+        if type(server_id) is not str or len(server_id) > MAX_SERVER_ID_CHARACTERS:
+            raise ValueError("a server report without a server")
+        if type(status) is not int or status not in statuses:
+            raise ValueError("a server report of no known status")
+        reports.append(ServerReport(server_id, status))
+    return reports
--- a/tests/pins/adapter.py
+++ b/tests/pins/adapter.py
@@ -19,6 +19,7 @@
 from rampfront.consensus.context import MemberSettings
 from rampfront.consensus.member import Member
 from rampfront.consensus.record_store import RecordStore
+from rampfront.membership import endpoint_codec, messages
 from rampfront.net.http_routing import RoutingTable
 from rampfront.node.endpoints import ReadyCheck, build_control_calls, build_directory
 from rampfront.node.order_messages import OrderReply, OrderRequest
@@ -31,6 +32,8 @@
 Step: TypeAlias = Callable[[str, int, str, str, bytes], None]  # kind, time (ns), from, to, bytes
 COMPRESSED = b"\x78"  # the first byte of a compressed frame; no map of CBOR begins with it
 CORE_KINDS = {"knock", "seek", "at", "ask", "may", "run", "aye", "nay", "beat", "full", "ack", "quit"}
+COMPLETE_LIST_PARTS = 4  # of a packed endpoint list; a difference has more
+DECODED_AT = 10**18  # ns
 
 
 def plain_frame(data: bytes) -> bytes:
@@ -107,6 +110,42 @@
 # Frames, through the checks and codecs of the packages that they belong to.
 
 
+def heartbeat_again(plain: dict[str, Any]) -> dict[str, Any]:
+    """A node's heartbeat, as the leader reads it."""
+    return messages.encode_heartbeat(messages.decode_heartbeat(plain, with_sender=True))
+
+
+def response_again(plain: dict[str, Any]) -> dict[str, Any]:
+    """A state response, its roster and endpoint list decoded too; its state may need the one before, and stays."""
+    response = messages.decode_state_response(plain)
+    if response.roster is not None:
+        update = messages.decode_roster_update(response.roster, 0)
+        response = response._replace(roster=messages.encode_roster_update(update))
+    if response.endpoints is not None:
+        complete, delta = response.endpoints[:COMPLETE_LIST_PARTS], response.endpoints[COMPLETE_LIST_PARTS:]
+        endpoints = endpoint_codec.decode(complete, DECODED_AT)
+        response = response._replace(endpoints=[*endpoint_codec.encode(endpoints, DECODED_AT), *delta])
+    return messages.encode_state_response(response)
+
+
+def reports_again(plain: dict[str, Any]) -> dict[str, Any]:
+    """A node's health reports."""
+    return messages.encode_health_reports(messages.decode_health_reports(plain))
+
+
+def verdicts_again(plain: dict[str, Any]) -> dict[str, Any]:
+    """The leader's health verdicts."""
+    return messages.encode_health_verdicts(messages.decode_health_verdicts(plain))
+
+
+MEMBERSHIP_CODECS: dict[str, Callable[[dict[str, Any]], dict[str, Any]]] = {
+    "hail": heartbeat_again,
+    "word": response_again,
+    "sight": reports_again,
+    "dim": verdicts_again,
+}
+
+
 def again(data: bytes, bodies: Sequence[bytes]) -> bytes:
     """Decodes a frame (CBOR), checks it and encodes it again. `bodies`: configurations that the receiver of a reply
     holds. Raises ValueError for a frame that is not valid."""
@@ -114,6 +153,8 @@
     kind = plain["k"]
     if kind in CORE_KINDS:
         return cbor2.dumps(codec.encode(codec.decode(plain)))
+    if kind in MEMBERSHIP_CODECS:
+        return cbor2.dumps(MEMBERSHIP_CODECS[kind](plain))
     if kind == "order":
         return cbor2.dumps(OrderRequest.decode(plain).encode())
     if kind == "said":
