--- a/rampfront/membership/__init__.py
+++ b/rampfront/membership/__init__.py
@@ -8,7 +8,7 @@
 1. `versions` - how nodes compare what they hold;
 2. `messages` - the four kinds of frames, their fields and their keys on the wire;
 3. `dissemination` - how every node is kept up to date, with its parts: `heartbeats`, `responder` and `transfer_budget`,
-   `leadership`, `peers`, `roster_keeper`, `roster`; `dissemination_host` is what it needs of the process;
+   `leadership`, `peers`, `roster_builder`, `roster`; `dissemination_host` is what it needs of the process;
 4. `deltas` - differences between versions;
 5. `endpoint_list` - the servers; `endpoint_pages`, `endpoint_list_pager` and `endpoint_list_poller` read them from the
    platform, `endpoint_codec` passes them on;
--- a/rampfront/membership/dissemination.py
+++ b/rampfront/membership/dissemination.py
@@ -13,7 +13,7 @@
 
 `Disseminator` joins the parts, each of which decides one thing: when to send a heartbeat and to whom (`heartbeats.py`),
 what to answer (`responder.py`), which leader to follow and how old the lease is (`leadership.py`), which nodes live
-(`peers.py`), when a new roster is made of them (`roster_keeper.py`, `roster.py`).
+(`peers.py`), when a new roster is made of them (`roster_builder.py`, `roster.py`).
 """
 
 from collections.abc import Callable, Iterable, Sequence
@@ -28,7 +28,7 @@
 from .peers import Peer, PeerTable
 from .responder import Responder
 from .roster import Roster, RosterEntry
-from .roster_keeper import RosterKeeper
+from .roster_builder import RosterBuilder
 from .versions import NO_VERSIONS, ReplicaVersions, first_version
 
 INCARNATION_BITS = 24
@@ -71,7 +71,7 @@
         self.incarnation = random.getrandbits(INCARNATION_BITS)
         self.schedule = HeartbeatSchedule(own.ip, seeds, random)
         self.responder = Responder(host, self.leadership, self.roster_replica)
-        self._roster_keeper = RosterKeeper(own, self.roster_replica, self.peer_table)
+        self._roster_builder = RosterBuilder(own, self.roster_replica, self.peer_table)
         self._versions = NO_VERSIONS
         self._corrupt_parts: set[str] = set()  # keys of parts of which a difference came out wrong
 
@@ -234,12 +234,12 @@
         """Guards against what an old leader numbered when another led already: whoever took it would keep it."""
         if self.endpoints_version < versions.endpoints_version < first_version(self.term):
             self.must_renumber_endpoints = True
-        if self._roster_keeper.renumber_above(versions.roster_version, self.term):
+        if self._roster_builder.renumber_above(versions.roster_version, self.term):
             self.push_updates(now)
 
     def _refresh_roster(self, now: int) -> None:
         """Makes a new roster where the nodes that this leader hears have changed, and pushes it to all."""
-        if self._roster_keeper.renew(self.ready, self.term, now):
+        if self._roster_builder.renew(self.ready, self.term, now):
             self._host.on_roster()
             self.push_updates(now)
 
--- a/rampfront/membership/endpoint_list_pager.py
+++ b/rampfront/membership/endpoint_list_pager.py
@@ -153,7 +153,7 @@
         if isinstance(event, type):  # `TimerFired`
             return self._continue(now)
         if not self._is_running or event.round != self.round:
-            self.counts["late"] += 1  # of a round that was given up
+            self.counts["stale_responses"] += 1  # of a round that was given up
             return []
         if isinstance(event, PageFailed):
             return self._fail_round(now, event.why, 1)
@@ -204,7 +204,7 @@
             page = self._read_page(body, now)
         except FieldError as error:
             return self._fail_round(now, f"odd page: {error}", 1)
-        self.counts["odd_rows"] += page.faults
+        self.counts["invalid_rows"] += page.faults
         for row in page.rows:
             self._rows[row.id] = row
         if page.token is None:
@@ -238,7 +238,7 @@
 
     def _fail_round(self, now: int, why: str, failures: int) -> list[Effect]:
         """Ends a round without a list; it counts as so many `failures`."""
-        self.counts["dropped"] += 1
+        self.counts["failed_rounds"] += 1
         self.failures = min(MAX_FAILURES, self.failures + failures)
         self.stop()
         doublings = min(MAX_DOUBLINGS, self.failures - 1)
@@ -251,7 +251,7 @@
         """Makes a list of the round. The timer goes first, so that a fault of the list's receiver ends no rounds."""
         result = self._compare_round(now)
         self._pending = result.pending
-        self.counts["held"] += len(result.pending)
+        self.counts["pending"] += len(result.pending)
         self.counts["rounds"] += 1
         self.failures = 0
         if self._last is None or self._last.version != self._version or self._last.endpoints != result.endpoints:
--- a/rampfront/membership/messages.py
+++ b/rampfront/membership/messages.py
@@ -209,12 +209,16 @@
     term = message[LEADER_TERM]
     requested_at_ns = message[SENT_AT]
     get = message.get
-    age_ns = get(AGE)
-    incarnation = get(INCARNATION)
+    age_ns = get(AGE, 0)
+    incarnation = get(INCARNATION, 0)
     _check_texts(leader)
-    _check_integers(term, requested_at_ns, age_ns or 0, incarnation or 0)
+    _check_integers(term, requested_at_ns, age_ns, incarnation)
     if None in message.values():
         raise ValueError("a key without a value")
+    if AGE not in message:
+        age_ns = None
+    if INCARNATION not in message:
+        incarnation = None
     parts = (get(STATE), get(ENDPOINTS), get(ROSTER))
     return new_tuple(StateResponse, (leader, term, requested_at_ns, age_ns, *parts, incarnation))
 
--- a/rampfront/membership/roster_keeper.py
+++ b/rampfront/membership/roster_builder.py
@@ -13,7 +13,7 @@
 ROSTER_INTERVAL_PER_NODE_NS = MS
 
 
-class RosterKeeper:
+class RosterBuilder:
     """Makes new versions of a leader's roster out of the nodes that it hears."""
 
     def __init__(self, own: RosterEntry, roster: Roster, peers: PeerTable) -> None:
--- a/tests/membership/test_endpoint_list_pager.py
+++ b/tests/membership/test_endpoint_list_pager.py
@@ -110,7 +110,7 @@
     for told in (PageReceived(first.round, 200, page.body), PageFailed(first.round, "late")):
         assert run.pager.take(run.now, told) == []
     run.answer()
-    assert len(run.ids) == 119 and run.pager.counts["late"] == 2
+    assert len(run.ids) == 119 and run.pager.counts["stale_responses"] == 2
     run.pager.stop()
     assert run.pager.take(run.now, PageReceived(2, 200, page.body)) == []
 
--- a/tests/membership/test_membership_messages.py
+++ b/tests/membership/test_membership_messages.py
@@ -9,6 +9,8 @@
     (
         {"a": -1},
         {"a": "1"},
+        {"a": ""},
+        {"a": 0.0},
         {"t": -5},
         {"t": None},
         {"t": True},
