--- a/rampfront/in_flight.py
+++ b/rampfront/in_flight.py
@@ -75,13 +75,22 @@
         self._free.append(index)
 
 
-@t.slotted
 class _Transaction:
-    """An open transaction."""
+    """An open transaction.
 
-    submissions: int  # so far
-    in_flight: set[int]  # numbers of those that have not ended
-    finished: bool  # it is over: it has its final answer, or nobody waits for one
+    Attributes:
+        submissions: how many there were so far.
+        in_flight: the numbers of those that have not ended.
+        finished: it is over: it has its final answer, or nobody waits for one.
+    """
+
+    __slots__ = ("submissions", "in_flight", "finished")
+
+    def __init__(self) -> None:
+        """Nothing of it is out yet."""
+        self.submissions = 0
+        self.in_flight: set[int] = set()
+        self.finished = False
 
 
 class InFlight(Generic[Key]):
@@ -116,7 +125,7 @@
     def open(self, key: Key) -> int:
         """Opens a transaction. Returns its index."""
         txn = self.transactions.take(key)
-        self._open[txn] = _Transaction(0, set(), finished=False)
+        self._open[txn] = _Transaction()
         return txn
 
     def is_unfinished(self, txn: int) -> bool:
--- a/rampfront/net/event_log.py
+++ b/rampfront/net/event_log.py
@@ -8,7 +8,6 @@
 import time
 from abc import ABC, abstractmethod
 from collections.abc import Iterable
-from dataclasses import dataclass
 
 # Counters of the modules of `net/`, in the order in which they are printed. Dashboards and the tests' traces refer to
 # these names, so they stay as they are.
@@ -45,12 +44,15 @@
 _MAX_TRACKED_SUBJECTS = 1000  # past it, further events are written without a limit rather than tracked
 
 
-@dataclass(slots=True)
 class _RecentLine:
     """A line written within the quiet period, and how many like it were suppressed since."""
 
-    written_at_ns: int
-    suppressed: int = 0
+    __slots__ = ("written_at_ns", "suppressed")
+
+    def __init__(self, written_at_ns: int) -> None:
+        """Nothing was suppressed yet."""
+        self.written_at_ns = written_at_ns
+        self.suppressed = 0
 
 
 class EventLog(ABC):
--- a/rampfront/net/http_client.py
+++ b/rampfront/net/http_client.py
@@ -6,7 +6,6 @@
 
 import asyncio
 from collections.abc import Iterable
-from dataclasses import dataclass
 from typing import NamedTuple
 
 from result import Err, Ok, Result
@@ -38,8 +37,7 @@
     headers: Headers = ()
 
 
-@dataclass(frozen=True, slots=True)
-class RequestError:
+class RequestError(NamedTuple):
     """Why there is no response.
 
     Attributes:
--- a/rampfront/net/http_routing.py
+++ b/rampfront/net/http_routing.py
@@ -37,13 +37,17 @@
         self.headers = headers
 
 
-class _Declaration(NamedTuple):
+class _Declaration:
     """What `endpoint` notes on a handler."""
 
-    method: str
-    path: str
-    operation: str | None
-    max_body_bytes: int | None
+    __slots__ = ("method", "path", "operation", "max_body_bytes")
+
+    def __init__(self, method: str, path: str, operation: str | None, max_body_bytes: int | None) -> None:
+        """As `endpoint` has its parameters."""
+        self.method = method
+        self.path = path
+        self.operation = operation
+        self.max_body_bytes = max_body_bytes
 
 
 class _Endpoint(NamedTuple):
--- a/rampfront/net/limits.py
+++ b/rampfront/net/limits.py
@@ -5,7 +5,6 @@
 belong here: those stand in `choice.py`.
 """
 
-from dataclasses import dataclass
 from typing import NamedTuple
 
 _MS = 10**6  # ns
@@ -14,8 +13,7 @@
 _MIB = 1 << 20
 
 
-@dataclass(frozen=True, slots=True, repr=False, eq=False, match_args=False)
-class NetworkLimits:
+class NetworkLimits(NamedTuple):
     """The limits of one process. Times are ns, sizes bytes."""
 
     # ---- connections
--- a/rampfront/net/transaction_gateway.py
+++ b/rampfront/net/transaction_gateway.py
@@ -60,13 +60,22 @@
     is_retry: bool
 
 
-@t.slotted
 class OutcomeCounts:
-    """What clients were answered for transactions of one product."""
+    """What clients were answered for transactions of one product.
 
-    succeeded: int = 0
-    declined: int = 0
-    unknown: int = 0  # they may have run
+    Attributes:
+        succeeded: with a server's response.
+        declined: that it has not run.
+        unknown: that it may have run, or that it cannot be followed.
+    """
+
+    __slots__ = ("succeeded", "declined", "unknown")
+
+    def __init__(self) -> None:
+        """Starts at zero."""
+        self.succeeded = 0
+        self.declined = 0
+        self.unknown = 0
 
 
 class AnnouncedNames(Protocol):
--- a/rampfront/proxy/client_front.py
+++ b/rampfront/proxy/client_front.py
@@ -7,7 +7,6 @@
 
 from __future__ import annotations
 
-from dataclasses import replace
 from typing import TYPE_CHECKING
 
 from ..net.client_connection import FIELD_OVERHEAD_BYTES
@@ -145,8 +144,7 @@
 
     def apply_caps(self, caps: Caps) -> None:
         """Bounds as the configuration has them, from now on."""
-        self.limits = replace(
-            self.limits,
+        self.limits = self.limits._replace(
             max_head_bytes=caps.header_bytes,
             max_body_bytes=caps.body_bytes,
             client_idle_timeout_ns=caps.idle,
--- a/tests/net/test_client_connections.py
+++ b/tests/net/test_client_connections.py
@@ -1,7 +1,5 @@
 """Clients, good and bad: plays of the whole program against parties written from the protocol, without waiting."""
 
-from dataclasses import replace
-
 from helper import Stage, target
 
 
@@ -108,7 +106,7 @@
 def test_idle_clients_make_room_before_newcomers_are_rejected():
     """At the descriptors' limit idle ones go first; with none idle the newest are turned away."""
     s = Stage(servers=22, limits={"sockets": 128})
-    s.driver.servers.limits = replace(s.driver.servers.limits, max_server_connections=22)
+    s.driver.servers.limits = s.driver.servers.limits._replace(max_server_connections=22)
     for k in range(22):
         s.ask(k, client=f"c{k}")
     s.lines.clear()
