--- a/rampfront/lab/system/clients.py
+++ b/rampfront/lab/system/clients.py
@@ -15,8 +15,9 @@
 import numpy as np
 
 from ...net.http_client import HttpClientConnection, HttpRequest, send_request
-from ...operator_cli.control_client import Channel, Refusal
-from ...operator_cli.local_system import ip_port
+from ...operator_cli.control_answers import Rejection
+from ...operator_cli.control_client import ControlClient
+from ...settings.scalars import parse_address
 from ..client import BROKEN, DECLINED, LOST, ROW, SETTLED, VOIDED, Pacer
 from ..schedule import retry_wait
 from . import plan as plans
@@ -67,11 +68,11 @@
         )
         for node in near[:ASKED]:
             lookup = HttpRequest("GET", f"/api/lookup?Name={plans.HOST}&Region={region}&Zone={zone}")
-            found = await send_request(self.world.loop, ip_port(node.directory), lookup)
+            found = await send_request(self.world.loop, parse_address(node.directory), lookup)
             try:
                 said = json.loads(found.unwrap().body) if found.is_ok() and found.ok_value.status == 200 else {}
                 ttl = min(seconds(said.get("Ttl")) or 0, self.world.terms.ttl_max / SEC)
-                fronts = [ip_port(text) for text in said["Addresses"][:FRONTS]]
+                fronts = [parse_address(text) for text in said["Addresses"][:FRONTS]]
             except (ValueError, KeyError, TypeError, AttributeError):
                 fronts, ttl = [], 0
             if fronts and ttl:
@@ -280,18 +281,18 @@
         order = Ordered(step.call, time.monotonic_ns(), step.revision, step.body, step.zone, step.valid)
         self.given.append(order)
         turn = step.node % len(self.world.nodes)
-        places = [ip_port(node.control) for node in self.world.nodes[turn:] + self.world.nodes[:turn]]
+        places = [parse_address(node.control) for node in self.world.nodes[turn:] + self.world.nodes[:turn]]
         query = {"of": step.zone} if step.zone else {}
-        found = await Channel(places, self.world.terms.ack_within / SEC).call(step.call, step.body, **query)
+        found = await ControlClient(places, self.world.terms.ack_within / SEC).call(step.call, step.body, query)
         if found.is_ok():
             order.acked = time.monotonic_ns()
         else:
             order.refused = str(found.err_value)
-            if step.valid and isinstance(found.err_value, Refusal):
+            if step.valid and isinstance(found.err_value, Rejection):
                 self.world.counts["orders_refused"] += 1
         return found
 
     async def read_back(self):
-        places = [ip_port(node.control) for node in self.world.nodes]
-        found = await Channel(places, self.world.terms.ack_within / SEC).call("config.read")
+        places = [parse_address(node.control) for node in self.world.nodes]
+        found = await ControlClient(places, self.world.terms.ack_within / SEC).call("config.read")
         return found.ok_value.body if found.is_ok() else None
--- a/rampfront/lab/system/run.py
+++ b/rampfront/lab/system/run.py
@@ -18,8 +18,10 @@
 import msgspec
 import uvloop
 
-from ...operator_cli.control_client import place
-from ...operator_cli.local_system import LocalSystem, Node, Stranded, settings
+from ...operator_cli.control_answers import format_address
+from ...operator_cli.local_layout import Environment, LocalSystemError, Node, node_settings
+from ...operator_cli.local_system import LocalSystem, SystemSize
+from ...settings.scalars import parse_address
 from ..boxes import SPOILS, Fleet, Make
 from ..nodes import RunFailed, usage
 from ..platform import Platform, open_platform
@@ -58,7 +60,7 @@
 
     def __init__(self, loop, plan, variant, seed, folder):
         body = json.dumps(plans.configuration(plan, 1)).encode()
-        super().__init__(loop, len(plans.places(plan)), plan.base, body=body, folder=folder)
+        super().__init__(loop, SystemSize(len(plans.places(plan)), plan.base), body=body, folder=folder)
         self.plan, self.variant, self.seed, self.terms = plan, variant, seed, plans.terms(plan)
         self.counts, self.rng, self.defect, self.relay = Counter(), Random(f"{seed}/world"), None, None
         self.events = schedule.faults(plan, seed)
@@ -73,7 +75,7 @@
 
     # ---- what this small system does its own way
 
-    def berths(self, port):
+    def layout_nodes(self, port):
         first = plans.ip(self.plan.base)
         return [
             Node(f"pilot-{k + 1}", str(first + k), zone, port, disk)
@@ -87,16 +89,15 @@
             await self.relay.listen()
 
     def process_settings(self, node, first):
-        return settings(
-            node,
+        environment = Environment(
             self.nodes,
-            place(self.listener.address),
+            format_address(self.listener.address),
             self.folder,
-            first,
             self.plan.zones,
             plans.ms(1000 * self.plan.platform.lag_s),
-            **self.plan.guarantees,
+            self.plan.guarantees,
         )
+        return node_settings(node, environment, first)
 
     def program(self, node):
         if not self.rigged:
@@ -109,7 +110,7 @@
         }
         return [sys.executable, "-m", "rampfront.lab.system.machine", json.dumps(told)]
 
-    async def stand_ins(self):
+    async def start_simulated_parts(self):
         clock = time.monotonic_ns
         told = self.plan.platform
         self.platform = Platform(clock, told.page, round(told.lag_s * SEC), told.per_s)
@@ -315,7 +316,7 @@
 
     try:
         return uvloop.run(act())
-    except Stranded as trouble:
+    except LocalSystemError as trouble:
         raise RunFailed(str(trouble)) from None
     except OSError as trouble:
         if trouble.errno == errno.EADDRINUSE:
@@ -353,7 +354,6 @@
 def speed(plan, folder):
     """Rates of the first stream straight to its servers, through one pilot and through all, in turn in one run: rows of
     (way, rate, report)."""
-    from ...operator_cli.local_system import ip_port
     from . import report
 
     stream, length = plan.streams[0], plan.speed.seconds
@@ -362,9 +362,9 @@
     async def act(world):
         await world.start()
         await asyncio.sleep(1.0)
-        fronts = [ip_port(node.front) for node in world.nodes]
+        fronts = [parse_address(node.front) for node in world.nodes]
         ways = {
-            "direct": [ip_port(box.address) for box in world.boxes if box.make.service == service],
+            "direct": [parse_address(box.address) for box in world.boxes if box.make.service == service],
             "one pilot": fronts[:1],
             f"{len(fronts)} pilots": fronts,
         }
--- a/rampfront/lab/system/scale_plan.py
+++ b/rampfront/lab/system/scale_plan.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from random import Random
 
-from ...operator_cli.local_system import Node
+from ...operator_cli.local_layout import Node
 
 MB = 1 << 20
 REGIONS = 6
--- a/rampfront/lab/system/scale_run.py
+++ b/rampfront/lab/system/scale_run.py
@@ -17,8 +17,11 @@
 
 import uvloop
 
-from ...operator_cli.control_client import Channel, place
-from ...operator_cli.local_system import ROOT, Node, Stranded, child_environment, free_row, ip_port, settings
+from ...operator_cli.child_processes import ROOT, child_environment
+from ...operator_cli.control_answers import format_address
+from ...operator_cli.control_client import ControlClient
+from ...operator_cli.local_layout import Environment, LocalSystemError, Node, find_free_ports, node_settings
+from ...settings.scalars import parse_address
 from ..platform import Platform, open_platform
 from .scale_plan import HOSTED, MEMORY_PART, ZONES, Scale, check, configuration, layout, server_entries
 
@@ -122,7 +125,7 @@
         self.platform = Platform(time.monotonic_ns)
         self.platform.change(server_entries(scale))
         self.listener = await open_platform(loop, self.platform)
-        self.nodes = layout(scale, free_row([node.ip for node in layout(scale, 0)]))
+        self.nodes = layout(scale, find_free_ports([node.ip for node in layout(scale, 0)]))
         real = scale.nodes - scale.hollow_count
         for node in self.nodes[:real]:
             self.children[node.name] = Child(node.name, [node], False)
@@ -131,7 +134,7 @@
             self.children[f"hollow-{start}"] = Child(f"hollow-{start}", some, True)
         for child in self.children.values():
             await self.launch(child, first=True)
-        self.channel = Channel([ip_port(node.control) for node in self.nodes[: scale.core]], ORDER_S)
+        self.channel = ControlClient([parse_address(node.control) for node in self.nodes[: scale.core]], ORDER_S)
         await self.start_all()
 
     async def start_all(self) -> None:
@@ -147,7 +150,8 @@
         """Writes the settings of a process's nodes and starts it, without its nodes."""
         paths = []
         for node in child.nodes:
-            told = settings(node, self.nodes, place(self.listener.address), self.folder, first, ZONES)
+            environment = Environment(self.nodes, format_address(self.listener.address), self.folder, ZONES)
+            told = node_settings(node, environment, first)
             if child.hollow:
                 told["Self"].pop("DataFolder", None)
             elif node.disk:
@@ -283,7 +287,7 @@
     async def order(self, name: str, body: bytes = b"", **query: str) -> tuple[int, int]:
         """An order of the operator: when it was sent and when it was acknowledged. Raises PartialRunError."""
         sent = time.monotonic_ns()
-        found = await self.channel.call(name, body, **query)
+        found = await self.channel.call(name, body, query)
         if found.is_err():
             raise PartialRunError(f"{name}: {found.err_value}")
         return sent, time.monotonic_ns()
@@ -446,7 +450,7 @@
         began = os.getloadavg()[0]
         try:
             await self.scenes()
-        except (PartialRunError, Stranded) as trouble:
+        except (PartialRunError, LocalSystemError) as trouble:
             self.played.partial = str(trouble)
             self.say(f"partial: {trouble}")
         try:
--- a/rampfront/operator_cli/__main__.py
+++ b/rampfront/operator_cli/__main__.py
@@ -1,24 +1,28 @@
 """`python -m rampfront.operator_cli`, the same as `python -m rampfront system`."""
 
 import sys
+from collections.abc import Sequence
 
+from .exit_codes import ExitCode
 
-def run(args, name):
-    """Runs one command; returns or exits with its code. Libraries that lack are named with the way out."""
+
+def run(args: Sequence[str], name: str) -> int:
+    """Runs one command; exits with its code. A missing library is named, with the way to install it."""
     try:
         from .commands import main
-        from .start import COMPLETE
-    except ModuleNotFoundError as trouble:
-        if (trouble.name or "").startswith("rampfront"):
+        from .start_commands import COMPLETION_VARIABLE
+    except ModuleNotFoundError as error:
+        if (error.name or "").startswith("rampfront"):
             raise
         print(
-            f"rampfront: {trouble.name} is not installed; the system's libraries come with\n"
+            f"rampfront: {error.name} is not installed; the system's libraries come with\n"
             f"  python3 -m pip install --target target/deps -r requirements-system.txt\n"
             f"and are found with PYTHONPATH=target/deps",
             file=sys.stderr,
         )
-        return 2
-    return main(args, prog_name=name, complete_var=COMPLETE)
+        return ExitCode.USAGE
+    main(list(args), prog_name=name, complete_var=COMPLETION_VARIABLE)  # ends the process
+    return ExitCode.DONE
 
 
 if __name__ == "__main__":
--- /dev/null
+++ b/rampfront/operator_cli/control_answers.py
@@ -0,0 +1,161 @@
+"""What the nodes' answers to control calls must contain, and what the client makes of them.
+
+The fields are those of PROTOCOL.md ("The operator") and docs/system/operating.md ("The read calls"). Only those that a
+command reads are checked, so that a newer node may add others.
+"""
+
+import json
+from collections.abc import Mapping
+from dataclasses import dataclass
+from types import NoneType
+from typing import Any, NamedTuple, TypeAlias
+
+Json: TypeAlias = dict[str, Any]  # a table of a JSON document
+Address: TypeAlias = tuple[str, int]
+FieldType: TypeAlias = type | tuple[type, ...]
+
+MAX_REASON_CHARS = 500
+_NUMBER = (int, float)
+
+
+class AnswerShape(NamedTuple):
+    """The fields of an answer with their types, and those of each row of the list in `rows_field`, if it has one."""
+
+    fields: Mapping[str, FieldType]
+    rows_field: str = ""
+    row_fields: Mapping[str, FieldType] = {}
+
+
+ANSWER_SHAPES: dict[str, AnswerShape] = {
+    "state.read": AnswerShape(
+        {
+            "Node": str,
+            "Ip": str,
+            "Zone": str,
+            "Ready": bool,
+            "Ending": bool,
+            "Disk": bool,
+            "Leads": bool,
+            "Term": int,
+            "Index": int,
+            "Revision": (str, NoneType),
+            "Members": list,
+            "Core": (dict, NoneType),
+            "Emptied": list,
+            "Zones": dict,
+            "WordAgeMs": (int, NoneType),
+            "LeaseMs": int,
+            "Fresh": bool,
+            "Counts": dict,
+        }
+    ),
+    "nodes.read": AnswerShape(
+        {"Nodes": list},
+        "Nodes",
+        {"Name": str, "Ip": str, "Zone": str, "Front": str, "Control": str, "Ready": bool},
+    ),
+    "servers.read": AnswerShape(
+        {"Servers": list, "ChangedMs": int},
+        "Servers",
+        {
+            "Id": str,
+            "Service": str,
+            "Address": str,
+            "Zone": str,
+            "Capacity": int,
+            "State": str,
+            "Emptied": bool,
+            "ColdMs": int,
+            "Links": int,
+        },
+    ),
+    "quotas.read": AnswerShape(
+        {"Quotas": list, "Alone": bool},
+        "Quotas",
+        {
+            "Tenant": str,
+            "PerS": _NUMBER,
+            "Burst": _NUMBER,
+            "Left": _NUMBER,
+            "AskedPerS": _NUMBER,
+            "Own": _NUMBER,
+            "Others": _NUMBER,
+        },
+    ),
+}
+
+
+@dataclass(frozen=True, slots=True)
+class Answer:
+    """A node did what it was asked: its address, the body, and the checked document of a call that reads."""
+
+    address: Address
+    body: bytes
+    document: Json
+
+
+@dataclass(frozen=True, slots=True)
+class Rejection:
+    """A node clearly refused the call."""
+
+    address: Address
+    status: int
+    reason: str
+
+    def __str__(self) -> str:
+        """As operators read it."""
+        return f"{format_address(self.address)} says {self.status}: {self.reason}"
+
+
+@dataclass(frozen=True, slots=True)
+class NoAnswer:
+    """No node gave a clear answer in time. `failures`: "host:port: reason" of each node, as it last was."""
+
+    failures: tuple[str, ...]
+    may_have_run: bool
+
+    def __str__(self) -> str:
+        """As operators read it."""
+        return "no node gives a clear answer: " + "; ".join(self.failures)
+
+
+def format_address(address: Address) -> str:
+    """Returns an address as `host:port`."""
+    host, port = address
+    return f"{host}:{port}"
+
+
+def parse_answer(call: str, body: bytes) -> Json:
+    """Returns the document in an answer's body, or an empty one for a call of which nothing is read.
+
+    Raises:
+        ValueError: the body is no JSON, or a field that commands read is missing or of another type.
+        RecursionError: its tables are too deep.
+    """
+    shape = ANSWER_SHAPES.get(call)
+    if shape is None:
+        return {}
+    document = json.loads(body)
+    _check_fields(document, shape.fields, call)
+    if shape.rows_field:
+        for row in document[shape.rows_field]:
+            _check_fields(row, shape.row_fields, call)
+    table: Json = document
+    return table
+
+
+def _check_fields(table: object, fields: Mapping[str, FieldType], call: str) -> None:
+    for field, kind in fields.items():
+        if not isinstance(table, dict) or not isinstance(table.get(field), kind):
+            raise ValueError(f"{field} is missing in its answer to {call}, or not what it was: is it another version?")
+
+
+def rejection_reason(body: bytes) -> str:
+    """Returns the reason in the body of a rejection, bounded and without characters that a terminal would obey."""
+    try:
+        document = json.loads(body)
+        text = document.get("Message") if isinstance(document, dict) else document
+    except (ValueError, RecursionError):
+        text = body.decode("utf-8", "replace")
+    printable = "".join(character if character.isprintable() else " " for character in str(text))
+    return printable[:MAX_REASON_CHARS]
--- a/rampfront/operator_cli/control_client.py
+++ b/rampfront/operator_cli/control_client.py
@@ -1,211 +1,178 @@
-"""Calls of the operator to the nodes that serve `control`, as PROTOCOL.md ("The operator") has them made.
+"""Calls to the nodes that serve `control`, made as PROTOCOL.md ("The operator") asks.
 
-A call goes to one node after another, with a pause that grows, until one gives a clear answer: none is a failure, a 5xx,
-408, 429 or silence. A call sent again is unchanged; all calls of ours may be given twice. A clear no is a `Refusal`,
-nothing clear within the time is a `Silence`, which tells of each node why, and whether the order may have been taken.
+A call goes to one node after another, with exponential backoff, until one gives a clear answer. A failure to connect, a
+5xx, 408, 429 or a time-out is none. A call is sent again unchanged; every call is idempotent. A clear refusal is a
+`Rejection`; `NoAnswer` says of each node why, and whether the order may have been taken.
 """
 
 import asyncio
-import json
 import time
+from collections.abc import Awaitable, Callable, Coroutine, Iterable, Mapping
 from dataclasses import dataclass
+from http import HTTPStatus
+from typing import Any, TypeAlias
 from urllib.parse import quote, urlsplit
 
-from result import Err, Ok
+from result import Err, Ok, Result
 
 from ..net.http_client import HttpRequest, send_request
-
-SILENT_S, PER_MB_S = 1.2, 1.0  # a node that says nothing for so long, and longer for large bodies, is passed over
-PAUSE_S, GROWS, LONGEST_S = 0.05, 1.6, 1.0
-RPC = "/api/rpc?call="
-MOVES = 2  # redirections that are followed
-AGAIN = frozenset((408, 429))
-MOST = 64 << 20  # bytes of an answer
-ROWS = 100_000  # of a list
-NUMBER = (int, float)
-FIELDS = {  # what is read of answers: of the answer itself, and of each row of its list
-    "state.read": (
-        {
-            "Node": str,
-            "Ip": str,
-            "Zone": str,
-            "Ready": bool,
-            "Ending": bool,
-            "Disk": bool,
-            "Leads": bool,
-            "Term": int,
-            "Index": int,
-            "Revision": (str, type(None)),
-            "Members": list,
-            "Core": (dict, type(None)),
-            "Emptied": list,
-            "Zones": dict,
-            "WordAgeMs": (int, type(None)),
-            "LeaseMs": int,
-            "Fresh": bool,
-            "Counts": dict,
-        },
-        {},
-    ),
-    "nodes.read": ({"Nodes": list}, {"Name": str, "Ip": str, "Zone": str, "Front": str, "Control": str, "Ready": bool}),
-    "servers.read": (
-        {"Servers": list, "ChangedMs": int},
-        {
-            "Id": str,
-            "Service": str,
-            "Address": str,
-            "Zone": str,
-            "Capacity": int,
-            "State": str,
-            "Emptied": bool,
-            "ColdMs": int,
-            "Links": int,
-        },
-    ),
-    "quotas.read": (
-        {"Quotas": list, "Alone": bool},
-        {
-            "Tenant": str,
-            "PerS": NUMBER,
-            "Burst": NUMBER,
-            "Left": NUMBER,
-            "AskedPerS": NUMBER,
-            "Own": NUMBER,
-            "Others": NUMBER,
-        },
-    ),
-}
-
-
-@dataclass(frozen=True, slots=True)
-class Heard:
-    """A clear yes: who gave it, its body, and for a call that reads what it says."""
-
-    at: tuple
-    body: bytes
-    said: dict
-
-
-@dataclass(frozen=True, slots=True)
-class Refusal:
-    """A clear no."""
-
-    at: tuple
-    status: int
-    why: str
-
-    def __str__(self):
-        return f"{place(self.at)} says {self.status}: {self.why}"
+from ..net.http_response_reader import HttpResponse
+from .control_answers import (
+    Address,
+    Answer,
+    Json,
+    NoAnswer,
+    Rejection,
+    format_address,
+    parse_answer,
+    rejection_reason,
+)
+
+NODE_TIMEOUT_S = 1.2  # for one node's answer,
+NODE_TIMEOUT_S_PER_MB = 1.0  # and more for large bodies
+MIN_NODE_TIMEOUT_S = 0.1
+DEFAULT_TIMEOUT_S = 6.0  # for a call, at all nodes together
+FIRST_PAUSE_S = 0.05
+PAUSE_GROWTH = 1.6
+MAX_PAUSE_S = 1.0
+CALL_PATH = "/api/rpc?call="
+MAX_REDIRECTIONS = 2
+RETRIED_STATUSES = frozenset((HTTPStatus.REQUEST_TIMEOUT, HTTPStatus.TOO_MANY_REQUESTS))
+MAX_ANSWER_BYTES = 64 << 20
+MAX_LIST_ROWS = 100_000
+
+CallResult: TypeAlias = Result[Answer, Rejection | NoAnswer]
 
 
 @dataclass(frozen=True, slots=True)
-class Silence:
-    """No clear answer. `tried`: "host:port: why" of each node, as it last was."""
+class FailedAttempt:
+    """One node gave no clear answer."""
 
-    tried: tuple
+    reason: str
     may_have_run: bool
 
-    def __str__(self):
-        return "no node gives a clear answer: " + "; ".join(self.tried)
-
-
-def place(address):
-    return "%s:%d" % address
 
-
-def read(name, body):
-    """What an answer says, of which all fields that we go by are there. Raises ValueError."""
-    if name not in FIELDS:
-        return {}
-    said, (own, rows) = json.loads(body), FIELDS[name]
-    check(said, own, name)
-    for field in own if rows else ():
-        for row in said[field] if own[field] is list else ():
-            check(row, rows, name)
-    return said
-
-
-def check(table, fields, name):
-    for field, kind in fields.items():
-        if not isinstance(table, dict) or not isinstance(table.get(field), kind):
-            raise ValueError(f"{field} is missing in its answer to {name}, or not what it was: is it another version?")
-
-
-def message(body):
-    """The reason in a refusal's body, bounded and fit for a terminal."""
-    try:
-        said = json.loads(body)
-        text = said.get("Message") if isinstance(said, dict) else said
-    except (ValueError, RecursionError):
-        text = body.decode("utf-8", "replace")
-    return "".join(c if c.isprintable() else " " for c in str(text))[:500]
-
-
-class Channel:
-    """`ask`, `clock` (s) and `sleep` are handed in by tests."""
-
-    def __init__(self, addresses, within_s=6.0, ask=send_request, clock=time.monotonic, sleep=asyncio.sleep):
-        self.addresses, self.within_s, self.ask, self.clock, self.sleep = list(addresses), within_s, ask, clock, sleep
-
-    async def call(self, name, body=b"", **query):
-        """Result[Heard, Refusal | Silence]."""
-        target = RPC + name + "".join(f"&{key}={quote(value, safe='')}" for key, value in query.items())
-        until, pause, tried, ran, turn = self.clock() + self.within_s, PAUSE_S, {}, False, 0
+class ControlClient:
+    """Calls nodes in turn; whoever answered is asked first from then on, so that one command shows one node's view."""
+
+    def __init__(
+        self,
+        addresses: Iterable[Address],
+        timeout_s: float = DEFAULT_TIMEOUT_S,
+        send: Callable[..., Awaitable[Any]] = send_request,
+        clock: Callable[[], float] = time.monotonic,
+        sleep: Callable[[float], Coroutine[Any, Any, None]] = asyncio.sleep,
+    ) -> None:
+        """`timeout_s`: for each call; `send`, `clock` (s) and `sleep` are replaced by tests."""
+        self.addresses = list(addresses)
+        self.timeout_s = timeout_s
+        self.send = send
+        self.clock = clock
+        self.sleep = sleep
+
+    async def call(self, name: str, body: bytes = b"", query: Mapping[str, str] | None = None) -> CallResult:
+        """Makes a call, with retries at all nodes until the time-out."""
+        target = call_target(name, query or {})
+        deadline = self.clock() + self.timeout_s
+        pause = FIRST_PAUSE_S
+        failures: dict[Address, str] = {}
+        may_have_run = False
+        turn = 0
         while True:
             address = self.addresses[turn % len(self.addresses)]
-            found = await self.one(address, name, target, body, until - self.clock())
-            if found.is_ok():
-                # Whoever answered is asked first from now on: a command's calls then show one node's view.
-                turn %= len(self.addresses)
-                self.addresses = self.addresses[turn:] + self.addresses[:turn]
-                return found
-            if type(found.err_value) is Refusal:
-                return found
-            why, sent = found.err_value
-            tried[address], ran, turn = why, ran or sent, turn + 1
-            if self.clock() + pause >= until:
-                return Err(Silence(tuple(f"{place(at)}: {why}" for at, why in tried.items()), ran))
+            outcome = await self.call_node(address, name, target, body, deadline - self.clock())
+            if isinstance(outcome, Ok):
+                self._prefer(turn % len(self.addresses))
+                return outcome
+            failure = outcome.err_value
+            if isinstance(failure, Rejection):
+                return Err(failure)
+            failures[address] = failure.reason
+            may_have_run = may_have_run or failure.may_have_run
+            turn += 1
+            if self.clock() + pause >= deadline:
+                reasons = [f"{format_address(address)}: {reason}" for address, reason in failures.items()]
+                return Err(NoAnswer(tuple(reasons), may_have_run))
             await self.sleep(pause)
-            pause = min(LONGEST_S, pause * GROWS)
-
-    async def one(self, address, name, target, body=b"", left_s=SILENT_S):
-        """Asks one node once: Heard, Refusal, or (why, whether it may have been taken)."""
-        wait = max(0.1, min(SILENT_S + PER_MB_S * len(body) / 1e6, left_s))
-        loop, headers = asyncio.get_running_loop(), ((b"Content-Type", b"application/json"),) if body else ()
-        for _ in range(MOVES + 1):
-            found = await self.ask(loop, address, HttpRequest("POST", target, body, headers), wait, MOST)
-            if found.is_err():
-                return Err((str(found.err_value), found.err_value.may_have_run))
-            reply = found.ok_value
-            if 200 <= reply.status < 300:
-                try:
-                    return Ok(Heard(address, reply.body, read(name, reply.body)))
-                except (ValueError, RecursionError) as odd:
-                    return Err(Refusal(address, reply.status, str(odd)))
-            if reply.status != 307:
-                break
-            to = urlsplit(reply.headers.get(b"location", b"").decode("latin-1"))
-            try:
-                if to.scheme != "http" or not to.hostname or not to.port:
-                    raise ValueError
-            except ValueError:  # a port that is none says so only when it is asked for
-                return Err(("sends us on to nowhere", False))
-            address, target = (to.hostname, to.port), to.path + (f"?{to.query}" if to.query else "")
-        if reply.status >= 500 or reply.status in AGAIN or reply.status == 307:
-            return Err((f"{reply.status} {message(reply.body)}".strip(), reply.status >= 500))
-        return Err(Refusal(address, reply.status, message(reply.body)))
-
-    async def all(self, name, field, **query):
-        """A list that comes in pages, whole: Result[(its rows, the last page), Refusal | Silence]."""
-        rows, then = [], {}
+            pause = min(MAX_PAUSE_S, pause * PAUSE_GROWTH)
+
+    def _prefer(self, index: int) -> None:
+        """Puts the node at this index first."""
+        self.addresses = self.addresses[index:] + self.addresses[:index]
+
+    async def call_node(
+        self, address: Address, name: str, target: str, body: bytes = b"", timeout_s: float = NODE_TIMEOUT_S
+    ) -> Result[Answer, Rejection | FailedAttempt]:
+        """Asks one node once, following redirections."""
+        wanted_s = NODE_TIMEOUT_S + NODE_TIMEOUT_S_PER_MB * len(body) / 1e6
+        timeout_s = max(MIN_NODE_TIMEOUT_S, min(wanted_s, timeout_s))
+        headers = ((b"Content-Type", b"application/json"),) if body else ()
+        loop = asyncio.get_running_loop()
+        for _ in range(MAX_REDIRECTIONS + 1):
+            request = HttpRequest("POST", target, body, headers)
+            outcome = await self.send(loop, address, request, timeout_s, MAX_ANSWER_BYTES)
+            if outcome.is_err():
+                return Err(FailedAttempt(str(outcome.err_value), outcome.err_value.may_have_run))
+            response: HttpResponse = outcome.ok_value
+            if response.status != HTTPStatus.TEMPORARY_REDIRECT:
+                return _interpret(address, name, response)
+            redirection = _redirection(response)
+            if redirection is None:
+                return Err(FailedAttempt("sends us on to nowhere", False))
+            address, target = redirection
+        return Err(FailedAttempt(_describe(response), False))
+
+    async def read_list(
+        self, name: str, field: str, query: Mapping[str, str] | None = None
+    ) -> Result[tuple[list[Json], Json], Any]:
+        """Reads a list that comes in pages: returns all rows and the last page, or the `Rejection` or `NoAnswer`."""
+        rows: list[Json] = []
+        position: dict[str, str] = {}
         while True:
-            found = await self.call(name, **query, **then)
-            if found.is_err():
-                return found
-            said = found.ok_value.said
-            rows += said[field]
-            if not said.get("Next"):
-                return Ok((rows, said))
-            if len(rows) > ROWS or type(said["Next"]) is not str or then.get("after", "") >= said["Next"]:
-                return Err(Refusal(found.ok_value.at, 200, "its pages do not end, or go round in a circle"))
-            then = {"after": said["Next"]}
+            outcome = await self.call(name, query={**(query or {}), **position})
+            if not isinstance(outcome, Ok):
+                return outcome
+            page = outcome.ok_value.document
+            rows += page[field]
+            following = page.get("Next")
+            if not following:
+                return Ok((rows, page))
+            if len(rows) > MAX_LIST_ROWS or type(following) is not str or position.get("after", "") >= following:
+                reason = "its pages do not end, or go round in a circle"
+                return Err(Rejection(outcome.ok_value.address, HTTPStatus.OK.value, reason))
+            position = {"after": following}
+
+
+def call_target(name: str, query: Mapping[str, str]) -> str:
+    """Returns the request target of a call."""
+    return CALL_PATH + name + "".join(f"&{key}={quote(value, safe='')}" for key, value in query.items())
+
+
+def _interpret(address: Address, name: str, response: HttpResponse) -> Result[Answer, Rejection | FailedAttempt]:
+    """What a response other than a redirection means."""
+    if HTTPStatus.OK <= response.status < HTTPStatus.MULTIPLE_CHOICES:
+        try:
+            return Ok(Answer(address, response.body, parse_answer(name, response.body)))
+        except (ValueError, RecursionError) as error:
+            return Err(Rejection(address, response.status, str(error)))
+    if response.status >= HTTPStatus.INTERNAL_SERVER_ERROR:
+        return Err(FailedAttempt(_describe(response), True))
+    if response.status in RETRIED_STATUSES:
+        return Err(FailedAttempt(_describe(response), False))
+    return Err(Rejection(address, response.status, rejection_reason(response.body)))
+
+
+def _describe(response: HttpResponse) -> str:
+    return f"{response.status} {rejection_reason(response.body)}".strip()
+
+
+def _redirection(response: HttpResponse) -> tuple[Address, str] | None:
+    """Returns the address and target that a redirection leads to, or None if it leads nowhere."""
+    location = urlsplit(response.headers.get(b"location", b"").decode("latin-1"))
+    try:
+        port = location.port  # raises ValueError if it is no port
+    except ValueError:
+        return None
+    if location.scheme != "http" or not location.hostname or not port:
+        return None
+    return (location.hostname, port), location.path + (f"?{location.query}" if location.query else "")
--- a/tests/pins/adapter.py
+++ b/tests/pins/adapter.py
@@ -24,7 +24,7 @@
 from rampfront.node.endpoints import ReadyCheck, build_control_calls, build_directory
 from rampfront.node.order_messages import OrderReply, OrderRequest
 from rampfront.node.status_views import StatusViews
-from rampfront.operator_cli import explain, snapshot, survey
+from rampfront.operator_cli import explanation, snapshot_file, system_status
 from rampfront.settings import configuration_reader
 from rampfront.simulation.schedule import Run
 from rampfront.simulation.system_run import SystemRun
@@ -186,7 +186,7 @@
 
 def snapshot_of(body: bytes, head: dict[str, Any]) -> bytes:
     """The file of a snapshot."""
-    return snapshot.pack(body, head)
+    return snapshot_file.pack(body, head)
 
 
 # Answers to operators' calls.
@@ -259,11 +259,11 @@
 def status_of(states: list[dict[str, Any]]) -> dict[str, Any]:
     """`rampfront status --json`, of the answers to state.read of all nodes."""
     rows = [{**state, "Control": f"{state['Ip']}:82", "Answers": True} for state in states]
-    return survey.judge(rows, states[0])
+    return system_status.assess(rows, states[0])
 
 
 def explain_of(configuration: bytes, told: dict[str, Any], url: str, key: str) -> dict[str, Any]:
     """`rampfront explain URL --key KEY --json`. `told`: what a node said, by call."""
     held = configuration_reader.read(configuration).ok_value
     rows, quotas = told["servers.read"]["Servers"], told["quotas.read"]["Quotas"]
-    return explain.explain(held, told["state.read"], rows, quotas, url, key)
+    return explanation.explain(held, explanation.NodeView(told["state.read"], rows, quotas), url, key)
