--- a/rampfront/consensus/__init__.py
+++ b/rampfront/consensus/__init__.py
@@ -17,12 +17,13 @@
 To read it from the start:
 
 1. The data: `identifiers.py`, `state.py` (with `version_history.py`, `evacuations.py`), `events.py`, `messages.py`.
-2. The member: `member.py` joins the parts; `context.py` is what they share, `errors.py` what they raise.
+2. The member: `member.py` takes the inputs, `message_handler.py` the messages among them, `roles.py` joins the parts;
+   `context.py` is what they share, `errors.py` what they raise.
 3. What must not be forgotten: `persistent_state.py`, `deferred_responses.py`; on disk: `record.py`, `record_store.py`.
 4. Who leads: `election.py`, `electorate.py`, `leader_discovery.py`.
 5. Following: `entry_receiver.py`, with `body_history.py`.
 6. Leading: `leader.py`, and its parts `heartbeat_rounds.py`, `replication.py` (with `replica_progress.py`),
    `order_queue.py`, `order_application.py` (with `repeat_window.py`), `membership_change.py`,
    `leadership_transfer.py`, `core_strength.py`.
-7. The wire: `codec.py`.
+7. The wire: `wire_names.py`, `frame_decoder.py`, `frame_encoder.py`.
 """
--- a/rampfront/consensus/context.py
+++ b/rampfront/consensus/context.py
@@ -8,8 +8,8 @@
 from random import Random
 from typing import NamedTuple
 
-from . import codec
 from .events import Effect, OrderEnded, Outcome, SendMessage
+from .frame_encoder import encode
 from .identifiers import DurationNs, TimeNs
 from .messages import Message
 from .repeat_window import DEFAULT_REPEAT_NS
@@ -41,14 +41,14 @@
 
 
 class MemberContext:
-    """Shared by all parts of one member. Only `Member` calls `begin` and `note_shutdown`."""
+    """Shared by all parts of one member. Only `Member` calls `begin`, `note_shutdown` and `change_seeds`."""
 
     def __init__(self, settings: MemberSettings, random: Random, now: TimeNs) -> None:
         """`random`: seeded by chance that a restart does not repeat, since incarnations are drawn from it."""
         self.settings = settings
         self.random = random
         self.now = now
-        self.seeds = list(settings.seeds)  # may be set anew at any time
+        self.seeds = list(settings.seeds)
         self.is_shutting_down = False
         self.effects: list[Effect] = []
 
@@ -61,6 +61,10 @@
         """The process is about to end."""
         self.is_shutting_down = True
 
+    def change_seeds(self, ips: Sequence[str]) -> None:
+        """The settings name other seeds."""
+        self.seeds = list(ips)
+
     def draw(self, timeout: Timeout) -> DurationNs:
         """A duration out of the span."""
         return self.random.randrange(timeout.shortest, timeout.longest)
@@ -75,7 +79,7 @@
 
     def send(self, ip: str, message: Message) -> None:
         """Sends a message to one address."""
-        self.effects.append(SendMessage(ip, codec.encode(message)))
+        self.effects.append(SendMessage(ip, encode(message)))
 
     def broadcast(self, ips: Sequence[str | None], message: Message) -> None:
         """Sends a message to each address but the own one; None stands for nobody."""
--- a/rampfront/consensus/codec.py
+++ b/rampfront/consensus/frame_decoder.py
@@ -1,22 +1,17 @@
-"""Messages between members, to and from the maps that the transport carries. Only this module knows the wire's keys.
+"""From a frame to the message that it is, every field of it checked.
 
-A map has short keys, because heartbeats go to each member three times a second and bytes between zones are priced.
-Old and new nodes run mixed, so the keys, their order in the map and the kinds' names stay as they are, and what is
-optional is left out where it says nothing. Keys that are not known are skipped.
-
-For each kind there is a row of `_FORMS`: the fields that must be there, and the function that builds the message.
+For each kind there is a row of `_FORMS`: the fields that must be there, and the function that builds the message. Keys
+that are not known are skipped, so that newer nodes may send more. Called by `Member` for each frame that comes.
 """
 
 from collections.abc import Callable
-from typing import Any, NamedTuple, TypeAlias, assert_never
+from typing import NamedTuple, TypeAlias
 
 from .errors import RemoteProtocolError
 from .identifiers import LogPosition, MemberKey
 from .messages import (
     AppendAcknowledged,
     AppendEntry,
-    DiscoveryMessage,
-    ElectionMessage,
     Heartbeat,
     JoinRequest,
     LeaderHint,
@@ -25,49 +20,44 @@
     Message,
     PreVoteGranted,
     PreVoteRequest,
-    ReplicationMessage,
     TermRejected,
     VoteGranted,
     VoteRequest,
 )
 from .state import MAX_NAMES
-
-Frame: TypeAlias = dict[str, Any]  # a message as the transport carries it
-FieldCheck: TypeAlias = Callable[[object], bool]
-
-# The wire's keys.
-KIND = "k"
-SENDER_NAME = "n"
-SENDER_INCARNATION = "i"
-RECEIVER_INCARNATION = "j"
-TERM = "t"
-POSITION = "e"
-BODY_DIGEST = "d"
-ROUND = "s"
-COMMIT_INDEX = "c"
-ENTRY = "x"  # of an AppendEntry
-PASSWORD = "x"  # of a JoinRequest or a LeaderHint
-VERSIONS = "v"
-LEADER_IP = "l"
-MEMBER_IPS = "m"
-IS_EXCLUDED = "o"
-COUNTS_TOWARDS_SIZE = "f"
-IS_SHUTTING_DOWN = "z"
-SUCCESSOR = "h"  # 1: the receiver (of a VoteRequest: the sender) is named, 0: another member is
-
-# The kinds' names.
-JOIN_REQUEST = "knock"
-LEADER_QUERY = "seek"
-LEADER_HINT = "at"
-PRE_VOTE_REQUEST = "ask"
-PRE_VOTE_GRANTED = "may"
-VOTE_REQUEST = "run"
-VOTE_GRANTED = "aye"
-TERM_REJECTED = "nay"
-HEARTBEAT = "beat"
-APPEND_ENTRY = "full"
-APPEND_ACKNOWLEDGED = "ack"
-LEADERSHIP_ENDED = "quit"
+from .wire_names import (
+    APPEND_ACKNOWLEDGED,
+    APPEND_ENTRY,
+    BODY_DIGEST,
+    COMMIT_INDEX,
+    COUNTS_TOWARDS_SIZE,
+    ENTRY,
+    HEARTBEAT,
+    IS_EXCLUDED,
+    IS_SHUTTING_DOWN,
+    JOIN_REQUEST,
+    KIND,
+    LEADER_HINT,
+    LEADER_IP,
+    LEADER_QUERY,
+    LEADERSHIP_ENDED,
+    MEMBER_IPS,
+    PASSWORD,
+    POSITION,
+    PRE_VOTE_GRANTED,
+    PRE_VOTE_REQUEST,
+    RECEIVER_INCARNATION,
+    ROUND,
+    SENDER_INCARNATION,
+    SENDER_NAME,
+    SUCCESSOR,
+    TERM,
+    TERM_REJECTED,
+    VERSIONS,
+    VOTE_GRANTED,
+    VOTE_REQUEST,
+    Frame,
+)
 
 MAX_KEYS = 16
 MAX_NUMBER = 1 << 53
@@ -76,6 +66,8 @@
 MAX_DIGEST_BYTES = 16
 POSITION_LENGTH = 2
 
+FieldCheck: TypeAlias = Callable[[object], bool]
+
 
 # Checks of single fields.
 
@@ -261,165 +253,3 @@
             if key in frame and not is_valid(frame[key]):
                 raise RemoteProtocolError(f"{kind}: {key}")
     return form.build(frame)
-
-
-# To the wire: the order of the keys is part of the form.
-
-
-def encode(message: Message) -> Frame:
-    """The map that the transport carries."""
-    match message:
-        case Heartbeat() | AppendAcknowledged() | AppendEntry() | LeadershipEnded():
-            return _replication_frame(message)
-        case PreVoteRequest() | PreVoteGranted() | VoteRequest() | VoteGranted() | TermRejected():
-            return _election_frame(message)
-        case JoinRequest() | LeaderQuery() | LeaderHint():
-            return _discovery_frame(message)
-        case _:
-            assert_never(message)
-
-
-def _replication_frame(message: ReplicationMessage) -> Frame:
-    match message:
-        case Heartbeat():
-            return _round_frame(HEARTBEAT, message)
-        case AppendAcknowledged():
-            return _append_acknowledged_frame(message)
-        case AppendEntry():
-            return _append_entry_frame(message)
-        case LeadershipEnded():
-            return _leadership_ended_frame(message)
-        case _:
-            assert_never(message)
-
-
-def _election_frame(message: ElectionMessage) -> Frame:
-    match message:
-        case PreVoteRequest():
-            return {**_bound_frame(PRE_VOTE_REQUEST, message), POSITION: list(message.position)}
-        case PreVoteGranted():
-            return _bound_frame(PRE_VOTE_GRANTED, message)
-        case VoteRequest():
-            return _vote_request_frame(message)
-        case VoteGranted():
-            return _bound_frame(VOTE_GRANTED, message)
-        case TermRejected():
-            return {KIND: TERM_REJECTED, TERM: message.term}
-        case _:
-            assert_never(message)
-
-
-def _discovery_frame(message: DiscoveryMessage) -> Frame:
-    match message:
-        case JoinRequest():
-            return _join_request_frame(message)
-        case LeaderQuery():
-            return _leader_query_frame(message)
-        case LeaderHint():
-            return _leader_hint_frame(message)
-        case _:
-            assert_never(message)
-
-
-_Bound: TypeAlias = (
-    PreVoteRequest
-    | PreVoteGranted
-    | VoteRequest
-    | VoteGranted
-    | Heartbeat
-    | AppendEntry
-    | AppendAcknowledged
-    | LeadershipEnded
-)
-
-
-def _bound_frame(kind: str, message: _Bound) -> Frame:
-    """Of a kind that is bound to its sender, to one incarnation of its receiver, and to a term."""
-    return {
-        KIND: kind,
-        SENDER_NAME: message.sender.name,
-        SENDER_INCARNATION: message.sender.incarnation,
-        RECEIVER_INCARNATION: message.receiver_incarnation,
-        TERM: message.term,
-    }
-
-
-def _round_frame(kind: str, message: Heartbeat | AppendEntry) -> Frame:
-    """Of a message with which a leader counts a round."""
-    sender = message.sender
-    return {
-        KIND: kind,
-        SENDER_NAME: sender.name,
-        SENDER_INCARNATION: sender.incarnation,
-        RECEIVER_INCARNATION: message.receiver_incarnation,
-        TERM: message.term,
-        ROUND: message.round,
-        COMMIT_INDEX: message.commit_index,
-    }
-
-
-def _append_entry_frame(message: AppendEntry) -> Frame:
-    frame = _round_frame(APPEND_ENTRY, message)
-    frame[ENTRY] = message.entry
-    if message.versions is not None:
-        frame[VERSIONS] = message.versions
-    return frame
-
-
-def _append_acknowledged_frame(message: AppendAcknowledged) -> Frame:
-    frame = _bound_frame(APPEND_ACKNOWLEDGED, message)
-    frame[ROUND] = message.round
-    frame[POSITION] = list(message.position)
-    frame[BODY_DIGEST] = message.body_digest
-    if message.is_shutting_down:
-        frame[IS_SHUTTING_DOWN] = 1
-    return frame
-
-
-def _vote_request_frame(message: VoteRequest) -> Frame:
-    frame = _bound_frame(VOTE_REQUEST, message)
-    frame[POSITION] = list(message.position)
-    if message.is_named_successor:
-        frame[SUCCESSOR] = 1
-    return frame
-
-
-def _leadership_ended_frame(message: LeadershipEnded) -> Frame:
-    frame = _bound_frame(LEADERSHIP_ENDED, message)
-    if message.hands_over_to_receiver is not None:
-        frame[SUCCESSOR] = int(message.hands_over_to_receiver)
-    return frame
-
-
-def _join_request_frame(message: JoinRequest) -> Frame:
-    frame: Frame = {
-        KIND: JOIN_REQUEST,
-        SENDER_NAME: message.sender.name,
-        SENDER_INCARNATION: message.sender.incarnation,
-        PASSWORD: message.password,
-    }
-    if message.counts_towards_size:
-        frame[COUNTS_TOWARDS_SIZE] = 1
-    return frame
-
-
-def _leader_query_frame(message: LeaderQuery) -> Frame:
-    frame: Frame = {KIND: LEADER_QUERY}
-    if message.sender is not None:
-        frame[SENDER_NAME] = message.sender.name
-        frame[SENDER_INCARNATION] = message.sender.incarnation
-    return frame
-
-
-def _leader_hint_frame(message: LeaderHint) -> Frame:
-    frame: Frame = {
-        KIND: LEADER_HINT,
-        TERM: message.term,
-        LEADER_IP: message.leader_ip,
-        MEMBER_IPS: message.member_ips,
-        PASSWORD: message.password,
-        IS_EXCLUDED: int(message.receiver_is_excluded),
-    }
-    if message.receiver_is_excluded:
-        frame[RECEIVER_INCARNATION] = message.receiver_incarnation
-    return frame
--- /dev/null
+++ b/rampfront/consensus/frame_encoder.py
@@ -0,0 +1,218 @@
+"""From a message to the frame that the transport carries.
+
+The order of the keys is part of the form, and what is optional is left out where it says nothing: old and new nodes run
+mixed, and frames are compared byte by byte in tests. Called by `MemberContext.send`.
+"""
+
+from typing import TypeAlias, assert_never
+
+from .messages import (
+    AppendAcknowledged,
+    AppendEntry,
+    DiscoveryMessage,
+    ElectionMessage,
+    Heartbeat,
+    JoinRequest,
+    LeaderHint,
+    LeaderQuery,
+    LeadershipEnded,
+    Message,
+    PreVoteGranted,
+    PreVoteRequest,
+    ReplicationMessage,
+    TermRejected,
+    VoteGranted,
+    VoteRequest,
+)
+from .wire_names import (
+    APPEND_ACKNOWLEDGED,
+    APPEND_ENTRY,
+    BODY_DIGEST,
+    COMMIT_INDEX,
+    COUNTS_TOWARDS_SIZE,
+    ENTRY,
+    HEARTBEAT,
+    IS_EXCLUDED,
+    IS_SHUTTING_DOWN,
+    JOIN_REQUEST,
+    KIND,
+    LEADER_HINT,
+    LEADER_IP,
+    LEADER_QUERY,
+    LEADERSHIP_ENDED,
+    MEMBER_IPS,
+    PASSWORD,
+    POSITION,
+    PRE_VOTE_GRANTED,
+    PRE_VOTE_REQUEST,
+    RECEIVER_INCARNATION,
+    ROUND,
+    SENDER_INCARNATION,
+    SENDER_NAME,
+    SUCCESSOR,
+    TERM,
+    TERM_REJECTED,
+    VERSIONS,
+    VOTE_GRANTED,
+    VOTE_REQUEST,
+    Frame,
+)
+
+
+def encode(message: Message) -> Frame:
+    """The map that the transport carries."""
+    match message:
+        case Heartbeat() | AppendAcknowledged() | AppendEntry() | LeadershipEnded():
+            return _replication_frame(message)
+        case PreVoteRequest() | PreVoteGranted() | VoteRequest() | VoteGranted() | TermRejected():
+            return _election_frame(message)
+        case JoinRequest() | LeaderQuery() | LeaderHint():
+            return _discovery_frame(message)
+        case _:
+            assert_never(message)
+
+
+def _replication_frame(message: ReplicationMessage) -> Frame:
+    match message:
+        case Heartbeat():
+            return _round_frame(HEARTBEAT, message)
+        case AppendAcknowledged():
+            return _append_acknowledged_frame(message)
+        case AppendEntry():
+            return _append_entry_frame(message)
+        case LeadershipEnded():
+            return _leadership_ended_frame(message)
+        case _:
+            assert_never(message)
+
+
+def _election_frame(message: ElectionMessage) -> Frame:
+    match message:
+        case PreVoteRequest():
+            return {**_bound_frame(PRE_VOTE_REQUEST, message), POSITION: list(message.position)}
+        case PreVoteGranted():
+            return _bound_frame(PRE_VOTE_GRANTED, message)
+        case VoteRequest():
+            return _vote_request_frame(message)
+        case VoteGranted():
+            return _bound_frame(VOTE_GRANTED, message)
+        case TermRejected():
+            return {KIND: TERM_REJECTED, TERM: message.term}
+        case _:
+            assert_never(message)
+
+
+def _discovery_frame(message: DiscoveryMessage) -> Frame:
+    match message:
+        case JoinRequest():
+            return _join_request_frame(message)
+        case LeaderQuery():
+            return _leader_query_frame(message)
+        case LeaderHint():
+            return _leader_hint_frame(message)
+        case _:
+            assert_never(message)
+
+
+_Bound: TypeAlias = (
+    PreVoteRequest
+    | PreVoteGranted
+    | VoteRequest
+    | VoteGranted
+    | Heartbeat
+    | AppendEntry
+    | AppendAcknowledged
+    | LeadershipEnded
+)
+
+
+def _bound_frame(kind: str, message: _Bound) -> Frame:
+    """Of a kind that is bound to its sender, to one incarnation of its receiver, and to a term."""
+    return {
+        KIND: kind,
+        SENDER_NAME: message.sender.name,
+        SENDER_INCARNATION: message.sender.incarnation,
+        RECEIVER_INCARNATION: message.receiver_incarnation,
+        TERM: message.term,
+    }
+
+
+def _round_frame(kind: str, message: Heartbeat | AppendEntry) -> Frame:
+    """Of a message with which a leader counts a round."""
+    sender = message.sender
+    return {
+        KIND: kind,
+        SENDER_NAME: sender.name,
+        SENDER_INCARNATION: sender.incarnation,
+        RECEIVER_INCARNATION: message.receiver_incarnation,
+        TERM: message.term,
+        ROUND: message.round,
+        COMMIT_INDEX: message.commit_index,
+    }
+
+
+def _append_entry_frame(message: AppendEntry) -> Frame:
+    frame = _round_frame(APPEND_ENTRY, message)
+    frame[ENTRY] = message.entry
+    if message.versions is not None:
+        frame[VERSIONS] = message.versions
+    return frame
+
+
+def _append_acknowledged_frame(message: AppendAcknowledged) -> Frame:
+    frame = _bound_frame(APPEND_ACKNOWLEDGED, message)
+    frame[ROUND] = message.round
+    frame[POSITION] = list(message.position)
+    frame[BODY_DIGEST] = message.body_digest
+    if message.is_shutting_down:
+        frame[IS_SHUTTING_DOWN] = 1
+    return frame
+
+
+def _vote_request_frame(message: VoteRequest) -> Frame:
+    frame = _bound_frame(VOTE_REQUEST, message)
+    frame[POSITION] = list(message.position)
+    if message.is_named_successor:
+        frame[SUCCESSOR] = 1
+    return frame
+
+
+def _leadership_ended_frame(message: LeadershipEnded) -> Frame:
+    frame = _bound_frame(LEADERSHIP_ENDED, message)
+    if message.hands_over_to_receiver is not None:
+        frame[SUCCESSOR] = int(message.hands_over_to_receiver)
+    return frame
+
+
+def _join_request_frame(message: JoinRequest) -> Frame:
+    frame: Frame = {
+        KIND: JOIN_REQUEST,
+        SENDER_NAME: message.sender.name,
+        SENDER_INCARNATION: message.sender.incarnation,
+        PASSWORD: message.password,
+    }
+    if message.counts_towards_size:
+        frame[COUNTS_TOWARDS_SIZE] = 1
+    return frame
+
+
+def _leader_query_frame(message: LeaderQuery) -> Frame:
+    frame: Frame = {KIND: LEADER_QUERY}
+    if message.sender is not None:
+        frame[SENDER_NAME] = message.sender.name
+        frame[SENDER_INCARNATION] = message.sender.incarnation
+    return frame
+
+
+def _leader_hint_frame(message: LeaderHint) -> Frame:
+    frame: Frame = {
+        KIND: LEADER_HINT,
+        TERM: message.term,
+        LEADER_IP: message.leader_ip,
+        MEMBER_IPS: message.member_ips,
+        PASSWORD: message.password,
+        IS_EXCLUDED: int(message.receiver_is_excluded),
+    }
+    if message.receiver_is_excluded:
+        frame[RECEIVER_INCARNATION] = message.receiver_incarnation
+    return frame
--- a/rampfront/consensus/messages.py
+++ b/rampfront/consensus/messages.py
@@ -1,4 +1,5 @@
-"""The messages between members: an immutable class for each kind. `codec.py` says how they look on the wire.
+"""The messages between members: an immutable class for each kind. `frame_encoder.py` and `frame_decoder.py`
+say how they look on the wire.
 
 `sender`: who sent it. `receiver_incarnation`: which incarnation of the receiver is meant; a receiver that is another
 one has lost its disk and must not answer for its former self. None where the sender names none.
--- a/rampfront/simulation/world.py
+++ b/rampfront/simulation/world.py
@@ -8,10 +8,11 @@
 
 import cbor2
 
-from rampfront.consensus import codec, events
+from rampfront.consensus import events
 from rampfront.consensus.context import MemberSettings
 from rampfront.consensus.events import OrderKind, Outcome
 from rampfront.consensus.member import Member
+from rampfront.consensus.wire_names import KIND, VOTE_GRANTED
 from rampfront.transport.frames import MAX_DATAGRAM_BYTES
 
 from .checks import Broken, Ledger
@@ -317,7 +318,7 @@
 
     def send(self, node, ip, message):
         chance = self.chance
-        if self.on_vote is not None and message[codec.KIND] == codec.VOTE_GRANTED:
+        if self.on_vote is not None and message[KIND] == VOTE_GRANTED:
             self.on_vote(node)
         peer = self.by_ip.get(ip)
         if peer is None or (node.ip, ip) in self.cuts or chance.random() < self.loss:
--- a/tests/consensus/test_answer_checks.py
+++ b/tests/consensus/test_answer_checks.py
@@ -22,14 +22,14 @@
     core = consensus.Core()
     leader = core.leader.core_member
     core.cut([core.leader], core.others(core.leader))
-    (key, peer), *_ = leader.leadership.replication.replicas.items()
-    mismatched, matching = answers_to(leader, *key, k="ack", s=leader.leadership.rounds.current, e=[99, 99], d=b"")
+    (key, peer), *_ = leader.roles.leader.replication.replicas.items()
+    mismatched, matching = answers_to(leader, *key, k="ack", s=leader.roles.leader.rounds.current, e=[99, 99], d=b"")
     mismatched["round"] = {**matching, "s": matching["s"] + 1}
     held = peer.acknowledged_round, peer.match_position
     for what, message in mismatched.items():
-        leader.take(leader.context.now, events.MessageReceived(peer.ip, message))
+        leader.take(leader.roles.context.now, events.MessageReceived(peer.ip, message))
         assert (peer.acknowledged_round, peer.match_position) == held, what
-    leader.take(leader.context.now, events.MessageReceived(peer.ip, matching))
+    leader.take(leader.roles.context.now, events.MessageReceived(peer.ip, matching))
     assert peer.match_position == (99, 99)
 
 
@@ -39,14 +39,20 @@
     core = consensus.Core(members=6)
     member = core.others(core.leader)[0].core_member
     others = [(name, inc) for name, (_, inc) in member.entry.members.items() if name != member.name]
-    member.election.role, member.election.votes = role, {(member.name, member.incarnation)}
+    member.roles.election.role, member.roles.election.votes = role, {(member.name, member.incarnation)}
     for name, incarnation in others:
         mismatched, matching = answers_to(member, name, incarnation, k=kind)
         for message in mismatched.values():
-            member.take(member.context.now, events.MessageReceived("10.0.0.9", {**message, "t": message["t"] + ahead}))
-    assert member.election.role == role and not {(name, inc) for name, inc in member.election.votes} & set(others)
+            member.take(
+                member.roles.context.now, events.MessageReceived("10.0.0.9", {**message, "t": message["t"] + ahead})
+            )
+    assert member.roles.election.role == role and not {(name, inc) for name, inc in member.roles.election.votes} & set(
+        others
+    )
     for name, incarnation in others[:3]:
-        assert member.election.role == role
+        assert member.roles.election.role == role
         _, matching = answers_to(member, name, incarnation, k=kind)
-        member.take(member.context.now, events.MessageReceived("10.0.0.9", {**matching, "t": matching["t"] + ahead}))
-    assert member.election.role != role
+        member.take(
+            member.roles.context.now, events.MessageReceived("10.0.0.9", {**matching, "t": matching["t"] + ahead})
+        )
+    assert member.roles.election.role != role
--- a/tests/consensus/test_catch_up.py
+++ b/tests/consensus/test_catch_up.py
@@ -6,8 +6,8 @@
 from catch_up_fixtures import SLOW, BusyCore
 
 from rampfront.consensus import events
-from rampfront.consensus.codec import encode
 from rampfront.consensus.errors import RemoteProtocolError
+from rampfront.consensus.frame_encoder import encode
 from rampfront.consensus.messages import AppendEntry
 from rampfront.simulation.world import MS, SEC
 
@@ -57,13 +57,13 @@
     """A member that lost what the difference rests on, or comes out elsewhere, takes nothing, and gets the whole."""
     core = BusyCore(50)
     node = core.follower()
-    node.core_member.persistent.bodies.by_digest.clear()
-    node.core_member.persistent.entry = node.core_member.persistent.durable.entry
+    node.core_member.roles.persistent.bodies.by_digest.clear()
+    node.core_member.roles.persistent.entry = node.core_member.roles.persistent.durable.entry
     core.change()
     core.go(SEC)
     assert core.held(node) == core.rev
     rev = core.rev
-    kept = node.core_member.persistent.bodies.by_digest
+    kept = node.core_member.roles.persistent.bodies.by_digest
     for mark, held in list(kept.items()):
         kept[mark] = zlib.compress(zlib.decompress(held).replace(b"3000ms", b"9999ms"))
     core.change()
@@ -82,7 +82,7 @@
     row = led.core_member.entry.next_entry(body=b"other").encode(include_body=False)
     row[3] = odd if odd is not None else [entry.body_digest, [[0, 10**6]]]
     leader = led.core_member
-    message = encode(AppendEntry(leader.persistent.key, member.incarnation, leader.term, 1, 0, row))
+    message = encode(AppendEntry(leader.roles.persistent.key, member.incarnation, leader.term, 1, 0, row))
     with pytest.raises(RemoteProtocolError):
         member.take(core.now + node.offset, events.MessageReceived(led.ip, message))
     assert member.entry is entry
@@ -95,9 +95,9 @@
     node.disk.wait = 400 * MS
     core.burst(30)
     peer = next(
-        peer for (name, _), peer in led.core_member.leadership.replication.replicas.items() if name == node.name
+        peer for (name, _), peer in led.core_member.roles.leader.replication.replicas.items() if name == node.name
     )
-    assert peer.match_position == node.core_member.persistent.durable.entry.position
+    assert peer.match_position == node.core_member.roles.persistent.durable.entry.position
     node.disk.wait = node.disk.usual
     core.go(SEC)
     assert core.held(node) == core.rev
@@ -113,11 +113,11 @@
     core.go(20 * MS)
     told = []
     core.send = lambda node, ip, message: told.append(message)
-    stamp = node.core_member.persistent.in_flight.entry.position
-    core.stored(node, node.life, node.disk, node.core_member.persistent.in_flight.version)
+    stamp = node.core_member.roles.persistent.in_flight.entry.position
+    core.stored(node, node.life, node.disk, node.core_member.roles.persistent.in_flight.version)
     assert [tuple(m["e"]) for m in told if m["k"] == "ack"] == []
     node.disk.hangs = False
-    core.stored(node, node.life, node.disk, node.core_member.persistent.in_flight.version)
+    core.stored(node, node.life, node.disk, node.core_member.roles.persistent.in_flight.version)
     assert [tuple(m["e"]) for m in told if m["k"] == "ack"] == [stamp] and node.core_member.entry.position > stamp
 
 
@@ -126,14 +126,14 @@
     core = BusyCore(400)
     node = core.follower()
     node.disk.full = True
-    before = node.core_member.persistent.durable.entry
+    before = node.core_member.roles.persistent.durable.entry
     core.burst(50)
-    assert node.core_member.persistent.durable.entry is before
+    assert node.core_member.roles.persistent.durable.entry is before
     node.disk.full = False
     core.burst(10)
     assert core.rev - core.held(node) <= 1
     core.go(SEC)
-    assert node.core_member.persistent.durable.entry.revision == core.rev
+    assert node.core_member.roles.persistent.durable.entry.revision == core.rev
 
 
 @pytest.mark.parametrize("seed", range(3))
@@ -150,7 +150,7 @@
         assert held >= stamp
         core.change()
         core.go(core.chance.randrange(10, 400) * MS)
-        stamp = node.core_member.persistent.durable.entry.position
+        stamp = node.core_member.roles.persistent.durable.entry.position
         core.stop(node)
         core.go(50 * MS)
     seconds, came = core.catch_up(node)
--- a/tests/consensus/test_commitment.py
+++ b/tests/consensus/test_commitment.py
@@ -39,7 +39,7 @@
     core = Core()
     voter = core.others(core.leader)[0]
     voter.disk.full = True
-    voter.core_member.discovery.forget_leader()
+    voter.core_member.roles.discovery.forget_leader()
     entry = voter.core_member.entry
     told = events.MessageReceived(
         "10.0.0.9",
--- a/tests/consensus/test_configuration_conflicts.py
+++ b/tests/consensus/test_configuration_conflicts.py
@@ -92,7 +92,7 @@
     heir = core.others(lost)[0]
     core.cut([lost], [node for node in core.others(lost) if node is not heir])
     first = core.config(5, lost)
-    until(core, lambda: heir.core_member.persistent.durable.entry.revision == 5)  # on two disks of four
+    until(core, lambda: heir.core_member.roles.persistent.durable.entry.revision == 5)  # on two disks of four
     core.stop(lost)
     core.heal()
     assert first.verdict is None
--- a/tests/consensus/test_consensus_messages.py
+++ b/tests/consensus/test_consensus_messages.py
@@ -6,9 +6,9 @@
 from core_fixtures import Core
 
 from rampfront.consensus import version_history as v
-from rampfront.consensus.codec import decode
 from rampfront.consensus.errors import RemoteProtocolError
 from rampfront.consensus.events import OrderKind
+from rampfront.consensus.frame_decoder import decode
 from rampfront.simulation.world import MS, SEC
 
 
--- a/tests/consensus/test_core_strength.py
+++ b/tests/consensus/test_core_strength.py
@@ -8,19 +8,19 @@
 
 def test_the_leader_tells_the_condition_of_each_member_and_since_when_the_core_is_at_full_strength() -> None:
     core = site(4, 1)
-    report = core.leader.core_member.leadership.member_statuses
+    report = core.leader.core_member.roles.leader.member_statuses
     assert {row.condition for row in report()} == {MemberCondition.VOTER} and core.strong()
     gone = core.others(core.leader)[0]
     core.lose(gone)
     core.go(2 * SEC)
     assert {row.name: row.condition for row in report()}[gone.name] == MemberCondition.SILENT
-    assert core.leader.core_member.leadership.strength_monitor.full_since is None
+    assert core.leader.core_member.roles.leader.strength_monitor.full_since is None
     core.start(core.newcomer())
     seen = set()
     while not core.strong():
         core.go(5 * MS)
         seen |= {row.condition for row in report() if row.name == gone.name}
     assert MemberCondition.REPLACED in seen
-    since = core.leader.core_member.leadership.strength_monitor.full_since
+    since = core.leader.core_member.roles.leader.strength_monitor.full_since
     core.go(SEC)
-    assert core.leader.core_member.leadership.strength_monitor.full_since == since
+    assert core.leader.core_member.roles.leader.strength_monitor.full_since == since
--- a/tests/consensus/test_elections.py
+++ b/tests/consensus/test_elections.py
@@ -5,8 +5,8 @@
 from core_fixtures import Core, done
 
 from rampfront.consensus import events
-from rampfront.consensus.codec import encode
 from rampfront.consensus.events import OrderKind
+from rampfront.consensus.frame_encoder import encode
 from rampfront.consensus.messages import VoteRequest
 from rampfront.simulation.world import MS, SEC
 
@@ -92,11 +92,11 @@
     send = core.send
     core.send = lambda sender, ip, message: (told.append((sender, message)), send(sender, ip, message))
     core.go(200 * MS)
-    node.core_member.election.start_pre_vote()
+    node.core_member.roles.election.start_pre_vote()
     for other in up:
         member = node.core_member
         request = VoteRequest(
-            member.persistent.key, other.core_member.incarnation, member.term + 50, member.entry.position
+            member.roles.persistent.key, other.core_member.incarnation, member.term + 50, member.entry.position
         )
         core.tell(other, events.MessageReceived(node.ip, encode(request)))
     core.go(3 * SEC)
@@ -127,20 +127,20 @@
         return [
             (
                 member.term,
-                member.persistent.vote,
+                member.roles.persistent.vote,
                 member.leader_ip,
-                member.election.role,
+                member.roles.election.role,
                 member.is_leader,
                 member.entry.position,
                 member.committed.position,
-                member.persistent.durable.entry.position,
+                member.roles.persistent.durable.entry.position,
             )
             for member in (node.core_member for node in core.nodes)
         ]
 
-    before, confirmed = standing(), core.leader.core_member.leadership.rounds.confirmed
+    before, confirmed = standing(), core.leader.core_member.roles.leader.rounds.confirmed
     for src, dst, message in stale:
         core.tell(core.by_ip[dst], events.MessageReceived(src, message))
-    assert standing() == before and core.leader.core_member.leadership.rounds.confirmed == confirmed
+    assert standing() == before and core.leader.core_member.roles.leader.rounds.confirmed == confirmed
     core.go(2 * SEC)
     assert [row[:1] for row in standing()] == [row[:1] for row in before] and core.held(old) == core.rev
--- a/tests/consensus/test_evacuations.py
+++ b/tests/consensus/test_evacuations.py
@@ -115,7 +115,7 @@
     heir = core.others(lost)[0]
     core.cut([lost], [node for node in core.others(lost) if node is not heir])
     first = core.ask(lost, OrderKind.EVACUATE, "hall")
-    until(core, lambda: "hall" in heir.core_member.persistent.durable.entry.evacuated_zones)
+    until(core, lambda: "hall" in heir.core_member.roles.persistent.durable.entry.evacuated_zones)
     core.stop(lost)
     core.heal()
     assert first.verdict is None
--- a/tests/consensus/test_excluded_members.py
+++ b/tests/consensus/test_excluded_members.py
@@ -28,7 +28,7 @@
         core.go(MS)
     core.cut([new], core.others(new))
     core.go(4 * SEC)
-    assert new.name not in core.members() and not new.core_member.persistent.is_member()
+    assert new.name not in core.members() and not new.core_member.roles.persistent.is_member()
     core.heal()
     assert core.until_strong() < 2500 * MS
     core.strike(survive, 2)
@@ -59,13 +59,13 @@
     core.tell(out, events.Shutdown())
     while (
         out.name in out.core_member.entry.members
-        or out.core_member.persistent.durable.entry is not out.core_member.entry
+        or out.core_member.roles.persistent.durable.entry is not out.core_member.entry
     ):
         core.go(MS)
     for node in (old, out):
         core.stop(node)
     core.start(out)
-    out.core_member.election.stand()
+    out.core_member.roles.election.stand()
     core.tell(out, events.Tick())
     core.go(3 * SEC)
     core.start(old)
--- a/tests/consensus/test_lost_disks.py
+++ b/tests/consensus/test_lost_disks.py
@@ -83,7 +83,7 @@
         core.start(lost)
         core.go(2 * SEC)
     knocks = [knock for knock in knocks if knock["i"] != lost.core_member.incarnation]
-    assert any(knock["x"] == leader.core_member.leadership.password for knock in knocks)
+    assert any(knock["x"] == leader.core_member.roles.leader.password for knock in knocks)
     for knock in knocks:
         core.tell(leader, events.MessageReceived(lost.ip, knock))
     core.go(SEC)
@@ -97,7 +97,7 @@
     leader, out = core.leader, core.others(core.leader)[0]
     before = out.core_member.incarnation
     core.cut([out], core.others(out))
-    knock = {"k": "knock", "n": out.name, "i": 77, "x": leader.core_member.leadership.password}
+    knock = {"k": "knock", "n": out.name, "i": 77, "x": leader.core_member.roles.leader.password}
     core.tell(leader, events.MessageReceived(out.ip, knock))
     core.go(2 * SEC)
     assert leader.core_member.committed.members[out.name][1] == before
@@ -134,7 +134,7 @@
     knock = {"k": "knock", "n": leader.name, "i": 77, "x": 0}
     for _ in range(20):
         core.tell(other, events.MessageReceived(leader.ip, knock)), core.go(100 * MS)
-    assert other.core_member.electorate.sole_survivor_of is None and core.leader is leader
+    assert other.core_member.roles.electorate.sole_survivor_of is None and core.leader is leader
     core.stop(leader)
     core.go(2 * SEC)
     core.tell(other, events.MessageReceived(leader.ip, knock))
@@ -146,7 +146,7 @@
     core.go(2 * SEC)
     core.start(lost)
     core.go(5 * SEC)
-    assert not core.leaders and left.core_member.electorate.sole_survivor_of is None
+    assert not core.leaders and left.core_member.roles.electorate.sole_survivor_of is None
 
 
 def test_all_killed_at_once_one_of_them_without_its_disk():
--- a/tests/consensus/test_member_shutdown.py
+++ b/tests/consensus/test_member_shutdown.py
@@ -132,7 +132,7 @@
     voter.core_member.take(core.now + voter.offset, events.MessageReceived("10.0.0.9", run))
     assert voter.core_member.term == term
     voter.core_member.take(core.now + voter.offset, events.MessageReceived("10.0.0.9", {**run, "h": 1}))
-    assert voter.core_member.term == term + 1 and voter.core_member.persistent.vote == ("x", 5)
+    assert voter.core_member.term == term + 1 and voter.core_member.roles.persistent.vote == ("x", 5)
 
 
 def test_a_leader_that_shuts_down_commits_what_it_began() -> None:
--- a/tests/consensus/test_state_codec.py
+++ b/tests/consensus/test_state_codec.py
@@ -76,10 +76,10 @@
     core = Core(1)
     core.config(5, body=packed(5)), core.go(SEC)
     (node,) = core.nodes
-    record = cbor2.loads(node.core_member.persistent.encode())
+    record = cbor2.loads(node.core_member.roles.persistent.encode())
     record[5] = [*record[5][:8], []][:width]
     member = node.core_member
-    found = PersistentState(member.context, cbor2.dumps(record[:7])).entry
+    found = PersistentState(member.roles.context, cbor2.dumps(record[:7])).entry
     assert found.revision == 5 and found.body == packed(5)
     assert found.versions.rows == ((5, v.content_digest(packed(5))),)
 
@@ -90,7 +90,7 @@
     member = core.others(core.leader)[0].core_member
     state = member.entry.next_entry(revision=9, body=b"nine")
     message = AppendEntry(MemberKey("x", 1), member.incarnation, state.term, 1, 0, state.encode())
-    received = received_entry(member.persistent, message)
+    received = received_entry(member.roles.persistent, message)
     assert [number for number, _ in received.versions.rows] == [5, 9]
 
 
--- a/tests/pins/adapter.py
+++ b/tests/pins/adapter.py
@@ -15,8 +15,9 @@
 
 import cbor2
 
-from rampfront.consensus import codec
 from rampfront.consensus.context import MemberSettings
+from rampfront.consensus.frame_decoder import decode
+from rampfront.consensus.frame_encoder import encode
 from rampfront.consensus.member import Member
 from rampfront.consensus.record_store import RecordStore
 from rampfront.membership import endpoint_codec, messages
@@ -152,7 +153,7 @@
     plain = cbor2.loads(data)
     kind = plain["k"]
     if kind in CORE_KINDS:
-        return cbor2.dumps(codec.encode(codec.decode(plain)))
+        return cbor2.dumps(encode(decode(plain)))
     if kind in MEMBERSHIP_CODECS:
         return cbor2.dumps(MEMBERSHIP_CODECS[kind](plain))
     if kind == "order":
@@ -169,7 +170,7 @@
 def record_again(record: bytes, name: str) -> bytes:
     """Reads a member's record as its process does at a start, and writes the record of what was read."""
     settings = MemberSettings(name, "10.0.0.1", ["10.0.0.1"], survive=1)
-    return Member(settings, record, Random(1), 0).persistent.encode()
+    return Member(settings, record, Random(1), 0).roles.persistent.encode()
 
 
 def load_folder(folder: Path) -> bytes | None:
--- a/tests/replacement_fixtures.py
+++ b/tests/replacement_fixtures.py
@@ -42,7 +42,7 @@
     def strong(self) -> bool:
         """Whether the members are exactly those that run, all at full strength as the leader says."""
         leaders = self.leaders
-        if len(leaders) != 1 or leaders[0].core_member.leadership.strength_monitor.full_since is None:
+        if len(leaders) != 1 or leaders[0].core_member.roles.leader.strength_monitor.full_since is None:
             return False
         return self.members() == {node.name: node.core_member.incarnation for node in self.running()}
 
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -114,7 +114,7 @@
     order = None
     while (
         old.core_member.is_leader
-        and candidate.core_member.election.role is Role.CANDIDATE
+        and candidate.core_member.roles.election.role is Role.CANDIDATE
         and not (order and done(order))
     ):
         core.go(MS)
