--- a/rampfront/membership/endpoint_list_pager.py
+++ b/rampfront/membership/endpoint_list_pager.py
@@ -203,7 +203,7 @@
         try:
             page = self._read_page(body, now)
         except FieldError as error:
-            return self._fail_round(now, f"odd page: {error}", 1)
+            return self._fail_round(now, f"invalid page: {error}", 1)
         self.counts["invalid_rows"] += page.faults
         for row in page.rows:
             self._rows[row.id] = row
--- a/tests/fake_fleet.py
+++ b/tests/fake_fleet.py
@@ -5,6 +5,7 @@
 
 import random
 from bisect import bisect
+from typing import NamedTuple
 
 import cbor2
 
@@ -31,6 +32,11 @@
     return messages.encode_state_response(response)
 
 
+def names(disseminator, ready=True):
+    """Names on its roster: of the ready nodes, or of all."""
+    return [entry.name for entry in disseminator.roster if entry.ready or not ready]
+
+
 class FakeHost:
     """The process around one disseminator."""
 
@@ -64,63 +70,86 @@
 
     def on_state(self, index, now):
         if index > self.disseminator.state_index:
-            self.disseminator.state_index = index
+            self.disseminator.state_changed(index)
             self.received.append(("state", index))
 
     def on_endpoints(self, number, now):
         if number > self.disseminator.endpoints_version:
-            self.disseminator.endpoints_version = number
+            self.disseminator.endpoints_changed(number)
             self.received.append(("servers", number))
 
     def on_roster(self):
         self.roster_changes += 1
 
 
+class Frame(NamedTuple):
+    """A frame between nodes: when it is sent or due, in which order, from and to which address."""
+
+    at: int
+    number: int
+    sender: str
+    receiver: str
+    message: dict
+
+
 class FakeFleet:
-    """Nodes n1, n2, ... at 10.0.0.1, 10.0.0.2, ...; `fleet[k]` is the disseminator of the k-th."""
+    """Nodes n1, n2, ... at 10.0.0.1, 10.0.0.2, ...; `fleet[k]` is the disseminator of the k-th.
+
+    Attributes:
+        partitions: pairs of addresses between which nothing gets through.
+        silent: addresses of nodes that are cut off from all others, and stand still.
+        unreliable: frames are lost, repeated, and delayed by up to 3 s.
+        has_quorum: a majority of the core stands behind the leader.
+        quorum_at: when it last did.
+        committed: (when, index) of what it stood behind.
+        recorded: frames sent since `record_frames`.
+    """
 
     def __init__(self, count=5, seed=1, delay=10 * MS):
-        self.random, self.now, self.delay = random.Random(seed), EPOCH, delay
-        self.in_flight, self.frame_number = [], 0  # (due, number, from, to, message)
-        self.partitions, self.silent, self.unreliable = set(), set(), False
-        self.recorded = None  # frames sent since `record_frames`
-        self.has_quorum, self.quorum_at, self.committed = (
-            True,
-            EPOCH,
-            [(0, 0)],
-        )  # committed: (when, index) of what a majority stood behind
+        self.random = random.Random(seed)
+        self.now = EPOCH
+        self.delay = delay
+        self.in_flight = []
+        self.frame_number = 0
+        self.partitions = set()
+        self.silent = set()
+        self.unreliable = False
+        self.recorded = None
+        self.has_quorum = True
+        self.quorum_at = EPOCH
+        self.committed = [(0, 0)]
         self.hosts = {f"10.0.0.{k}": FakeHost(self, f"n{k}", f"10.0.0.{k}", "a1") for k in range(1, count + 1)}
 
     def __getitem__(self, k):
         return self.hosts[f"10.0.0.{k}"].disseminator
 
     def record_frames(self):
+        """The list to which frames are added from now on."""
         self.recorded = []
         return self.recorded
 
     def lead(self, k, index=1, term=1):
         """The core's leader stands beside node k, and a majority stands behind it all the time."""
         self.leader, self.term = k, term
-        self[k].state_index = max(index, self[k].state_index)
-
-    def transmit(self, sender, to, message):
-        if (
-            sender in self.silent
-            or to in self.silent
-            or (sender, to) in self.partitions
-            or (to, sender) in self.partitions
-        ):
+        self[k].state_changed(max(index, self[k].state_index))
+
+    def is_cut(self, sender, receiver):
+        """Whether nothing gets through between two addresses."""
+        one_is_silent = sender in self.silent or receiver in self.silent
+        return one_is_silent or (sender, receiver) in self.partitions or (receiver, sender) in self.partitions
+
+    def transmit(self, sender, receiver, message):
+        """Sends a frame."""
+        if self.is_cut(sender, receiver):
             return
         message = cbor2.loads(cbor2.dumps(message))
         if self.recorded is not None:
-            self.recorded.append((self.now, 0, sender, to, message))
-        times = 1
-        if self.unreliable:
-            times = self.random.choice((0, 1, 1, 2, 3))
-        for _ in range(times):
+            self.recorded.append(Frame(self.now, 0, sender, receiver, message))
+        copies = self.random.choice((0, 1, 1, 2, 3)) if self.unreliable else 1
+        for _ in range(copies):
             delay = self.delay if not self.unreliable else self.random.randrange(1, 3000) * MS
             self.frame_number += 1
-            self.in_flight.append((self.now + delay, self.frame_number, sender, to, message))
+            self.in_flight.append(Frame(self.now + delay, self.frame_number, sender, receiver, message))
 
     def committed_index_at(self, at):
         """The newest index that a majority stood behind at that moment."""
@@ -130,22 +159,32 @@
         """In steps of 10 ms; `every()` is called after each."""
         for _ in range(ms // 10):
             self.now += 10 * MS
-            due = sorted(row for row in self.in_flight if row[0] <= self.now)
-            self.in_flight = [row for row in self.in_flight if row[0] > self.now]
-            for _, _, sender, to, message in due:
-                if to not in self.silent and to in self.hosts:
-                    disseminator = self.hosts[to].disseminator
-                    (disseminator.on_heartbeat if message["k"] == "hail" else disseminator.on_state_response)(
-                        sender, message, self.now
-                    )
+            self.deliver()
             for k, host in enumerate(self.hosts.values(), 1):
                 if host.ip not in self.silent:
-                    if k == self.leader:
-                        if self.has_quorum:
-                            self.quorum_at = self.now
-                            self.committed.append((self.now, host.disseminator.state_index))
-                        status = CoreStatus(True, host.ip, self.term, self.quorum_at)
-                        host.disseminator.set_leadership(status, self.now)
-                    host.disseminator.tick(self.now)
+                    self.step(host, k == self.leader)
             if every:
                 every()
+
+    def deliver(self):
+        """Gives the frames that are due to their receivers."""
+        due = sorted(frame for frame in self.in_flight if frame.at <= self.now)
+        self.in_flight = [frame for frame in self.in_flight if frame.at > self.now]
+        for frame in due:
+            if frame.receiver in self.silent or frame.receiver not in self.hosts:
+                continue
+            disseminator = self.hosts[frame.receiver].disseminator
+            if frame.message["k"] == messages.HEARTBEAT:
+                disseminator.on_heartbeat(frame.sender, frame.message, self.now)
+            else:
+                disseminator.on_state_response(frame.sender, frame.message, self.now)
+
+    def step(self, host, leads):
+        """A node looks at the time; the leader hears from its core first."""
+        if leads:
+            if self.has_quorum:
+                self.quorum_at = self.now
+                self.committed.append((self.now, host.disseminator.state_index))
+            status = CoreStatus(True, host.ip, self.term, self.quorum_at)
+            host.disseminator.set_leadership(status, self.now)
+        host.disseminator.tick(self.now)
--- a/tests/membership/test_full_transfers.py
+++ b/tests/membership/test_full_transfers.py
@@ -1,5 +1,7 @@
 """The budget of full transfers."""
 
+from itertools import pairwise
+
 from fake_fleet import MS, SEC, FakeFleet, heartbeat_frame
 
 from rampfront.membership.leadership import CoreStatus
@@ -20,20 +22,17 @@
     given = []
     for _ in range(40):
         fleet.run(100)
-        given.append(sum("S" in m and sender == "10.0.0.1" for _, _, sender, _, m in sent))
-    assert (
-        max(b - a for a, b in zip(given, given[1:], strict=False)) <= 11 * MAX_FULL_TRANSFERS
-    )  # ten looks at the time in 100 ms here
+        given.append(sum("S" in frame.message and frame.sender == "10.0.0.1" for frame in sent))
+    begun = [after - before for before, after in pairwise(given)]
+    assert max(begun) <= 11 * MAX_FULL_TRANSFERS  # ten ticks in 100 ms here
     assert all(fleet[k].state_index == 1 for k in range(1, 61)) and given[-1] < 2 * 60
     fleet = FakeFleet(3)
     fleet.leader, sent = None, fleet.record_frames()
     fleet.run(10000)
-    assert sum(m["k"] == "hail" and sender == "10.0.0.3" for _, _, sender, _, m in sent) < 80
-    late = [row for row in sent if row[0] > fleet.now - 3 * SEC]
-    assert {to for _, _, sender, to, _ in late if sender == "10.0.0.3"} == {
-        "10.0.0.1",
-        "10.0.0.2",
-    }  # neither is given up
+    assert sum(frame.message["k"] == "hail" and frame.sender == "10.0.0.3" for frame in sent) < 80
+    late = [frame for frame in sent if frame.at > fleet.now - 3 * SEC]
+    asked = {frame.receiver for frame in late if frame.sender == "10.0.0.3"}
+    assert asked == {"10.0.0.1", "10.0.0.2"}  # neither is given up
 
 
 def test_a_list_does_not_wait_for_a_state_in_flight():
@@ -44,16 +43,16 @@
     heartbeat, sent = heartbeat_frame(fleet[2], fleet.now), fleet.record_frames()
     fleet[1].on_heartbeat("10.0.0.2", heartbeat, fleet.now)
     fleet[1].on_heartbeat("10.0.0.2", heartbeat, fleet.now)
-    assert [set("SV") & set(message) for *_, message in sent] == [{"S"}]
+    assert [set("SV") & set(frame.message) for frame in sent] == [{"S"}]
     fleet[1].endpoints_version = 7
     fleet[1].on_heartbeat("10.0.0.2", heartbeat | {"i": 1}, fleet.now)
-    assert "V" in sent[-1][4] and "S" not in sent[-1][4]
+    assert "V" in sent[-1].message and "S" not in sent[-1].message
     fleet[1].on_heartbeat("10.0.0.2", heartbeat, fleet.now)
     assert len(sent) == 2
     fleet.now += SEC
     fleet[1].tick(fleet.now)
     fleet[1].on_heartbeat("10.0.0.2", heartbeat, fleet.now)
-    assert {"S", "V"} <= set(sent[-1][4])
+    assert {"S", "V"} <= set(sent[-1].message)
 
 
 def test_a_node_far_behind_gets_one_full_transfer_at_a_time():
@@ -70,9 +69,9 @@
         fleet[1].state_index = index
         fleet[1].on_heartbeat("10.0.0.3", heartbeat | {"t": fleet.now}, fleet.now)
         fleet[1].push_updates(fleet.now)
-    told = [to for *_, to, message in sent if "S" in message]
-    assert told.count("10.0.0.3") == 1 and told.count("10.0.0.2") == 10
+    receivers = [frame.receiver for frame in sent if "S" in frame.message]
+    assert receivers.count("10.0.0.3") == 1 and receivers.count("10.0.0.2") == 10
     fleet.now += FULL_TRANSFER_TIMEOUT_NS + FULL_TRANSFER_NS_PER_BYTE * 100_000
     fleet[1].tick(fleet.now)
     fleet[1].on_heartbeat("10.0.0.3", heartbeat | {"t": fleet.now}, fleet.now)
-    assert [to for *_, to, message in sent if "S" in message].count("10.0.0.3") == 2
+    assert [frame.receiver for frame in sent if "S" in frame.message].count("10.0.0.3") == 2
--- a/tests/membership/test_health_messages.py
+++ b/tests/membership/test_health_messages.py
@@ -13,12 +13,6 @@
 T0 = 1000 * SEC
 
 
-def registry_of(**zones):
-    registry = HealthRegistry()
-    registry.set_servers((uid, zone) for zone, uids in zones.items() for uid in uids)
-    return registry
-
-
 @pytest.mark.parametrize(
     "odd",
     [
@@ -32,7 +26,8 @@
     ],
 )
 def test_invalid_reports_change_nothing(odd):
-    registry = registry_of(a=["s1"])
+    registry = HealthRegistry()
+    registry.set_servers([("s1", "a")])
     with pytest.raises(ValueError):
         registry.add_reports("p1", decode_health_reports({"r": odd}).reports, 11, T0)
     with pytest.raises(ValueError):
--- a/tests/membership/test_leader_change.py
+++ b/tests/membership/test_leader_change.py
@@ -1,16 +1,12 @@
 """What a deposed leader still sends, and what a new one begins with."""
 
-from fake_fleet import MS, SEC, FakeFleet, response_frame
+from fake_fleet import MS, SEC, FakeFleet, names, response_frame
 
 from rampfront.membership.leadership import CoreStatus
 from rampfront.membership.peers import PEER_TIMEOUT_NS
 from rampfront.membership.versions import VERSIONS_PER_TERM
 
 
-def names(node, ready=True):
-    return [entry.name for entry in node.roster if entry.ready or not ready]
-
-
 def test_versions_of_a_deposed_leader_are_overruled():
     """Not aware of it, it numbers its roster and its list above those that the new leader found. The new leader's hold
     everywhere all the same."""
@@ -29,7 +25,7 @@
     fleet[1].set_leadership(CoreStatus(False, None, 1, None), fleet.now)
     fleet.run(3000)
     assert all(fleet[k].roster == fleet[2].roster and len(fleet[k].roster) == 6 for k in range(1, 7))
-    assert fleet[2].must_renumber_endpoints  # the station numbers its next list anew
+    assert fleet[2].must_renumber_endpoints  # the next list gets a new number
 
 
 def test_a_deposed_leader_is_not_followed():
@@ -51,7 +47,7 @@
         fleet.now,
     )
     assert fleet[1].leader is None
-    for later in (0, 2 * SEC):  # the second time it is deaf
+    for later in (0, 2 * SEC):  # the second time it has lost contact
         node.on_state_response("10.0.0.1", old, fleet.now + later)
         node.on_state_response("10.0.0.4", old, fleet.now + later)
         assert node.leader == "10.0.0.2"
@@ -70,7 +66,7 @@
     fleet.run(100)
     assert set(names(fleet[2])) == {"n1", "n2", "n3", "n4", "n5", "n6"}
     assert all(fleet[k].leader == "10.0.0.2" for k in range(2, 6))  # it told them
-    assert not any("S" in message or "V" in message for _, _, _, _, message in sent)
+    assert not any("S" in message or "V" in message for message in (frame.message for frame in sent))
     seen = []
     fleet.run(PEER_TIMEOUT_NS // MS, lambda: seen.append(set(names(fleet[2]))))
     assert all({"n2", "n3", "n4", "n5"} <= now for now in seen)
--- a/tests/membership/test_lease_age.py
+++ b/tests/membership/test_lease_age.py
@@ -32,16 +32,15 @@
     fleet[1].on_heartbeat("10.0.0.2", heartbeat_frame(node, EPOCH + SEC) | {"b": node.incarnation ^ 1}, EPOCH + SEC)
     answer[0].pop("S")
     node.on_state_response("10.0.0.1", answer[0], EPOCH + 9 * SEC)
-    assert answer[0]["a"] == SEC and node.confirmed_at_ns is None  # an answer to the life before, which held more
+    assert answer[0]["a"] == SEC and node.confirmed_at_ns is None  # an answer to the process before, which held more
     node.on_state_response("10.0.0.1", response, EPOCH + 9 * SEC)
     assert node.confirmed_at_ns == EPOCH + 800 * MS
     node.on_state_response("10.0.0.1", response | {"t": 0, "a": 0}, EPOCH + 9 * SEC)
     node.on_state_response("10.0.0.1", response | {"t": EPOCH + 10 * SEC}, EPOCH + 9 * SEC)
     node.on_state_response("10.0.0.1", response | {"a": 900 * MS}, EPOCH + 9 * SEC)
     assert node.confirmed_at_ns == EPOCH + 800 * MS
-    assert "a" not in response_frame(
-        node, fleet.now, (0, 0, 0), 0
-    )  # without a state there is nothing that could be young
+    # Without a state there is nothing that could be young.
+    assert "a" not in response_frame(node, fleet.now, (0, 0, 0), 0)
 
 
 def test_a_state_that_was_not_applied_confirms_no_lease():
@@ -51,10 +50,10 @@
     fleet.run(3000)
     node, host, at = fleet[3], fleet.hosts["10.0.0.3"], fleet[3].confirmed_at_ns
 
-    def astray(plain, now):
+    def fail(plain, now):
         raise DeltaMismatchError(corrupt=True)
 
-    host.on_state = astray
+    host.on_state = fail
     response = response_frame(fleet[1], fleet.now, (0, 1 << 40, 1 << 60), fleet.now)
     node.on_state_response("10.0.0.1", response, fleet.now)
     assert node.confirmed_at_ns == at and node.schedule.is_due(0) and heartbeat_frame(node, fleet.now)["i"] == 0
--- a/tests/membership/test_membership_roster.py
+++ b/tests/membership/test_membership_roster.py
@@ -1,7 +1,7 @@
 """The roster: who is on it, and how it reaches every node."""
 
 import pytest
-from fake_fleet import MS, FakeFleet, heartbeat_frame
+from fake_fleet import MS, FakeFleet, heartbeat_frame, names
 
 from rampfront.membership.heartbeats import HEARTBEAT_INTERVAL_NS
 from rampfront.membership.leadership import CoreStatus
@@ -9,10 +9,6 @@
 from rampfront.membership.versions import VERSIONS_PER_TERM
 
 
-def names(node, ready=True):
-    return [entry.name for entry in node.roster if entry.ready or not ready]
-
-
 def test_silent_nodes_leave_the_roster_and_return():
     """Not at the first lost heartbeat, but soon; and they are taken in again."""
     fleet = FakeFleet(6)
@@ -66,7 +62,7 @@
     fleet[1].set_leadership(CoreStatus(False, "10.0.0.2", 2, None), fleet.now)
     fleet[7].ready = True
     fleet.run(4000)
-    rosters = [message["O"] for _, _, _, _, message in sent if "O" in message]
+    rosters = [frame.message["O"] for frame in sent if "O" in frame.message]
     assert sum(len(told) == 5 for told in rosters) > 0.9 * len(rosters) > 30
     assert all(
         fleet[k].roster == fleet[2].roster
--- a/tests/membership/test_state_dissemination.py
+++ b/tests/membership/test_state_dissemination.py
@@ -155,9 +155,9 @@
     node.roster_replica.entries = (RosterEntry("n2", "10.0.0.2", "a1", "", True),)
     sent = fleet.record_frames()
     node.on_heartbeat("10.0.0.3", heartbeat_frame(fleet[3], fleet.now), fleet.now)
-    assert [set(message) & set("SVOa") for *_, message in sent] == [set()]
+    assert [set(frame.message) & set("SVOa") for frame in sent] == [set()]
     fleet.run(3000)
     assert fleet[3].state_index == 300 and node.state_index == 300
     sent = fleet.record_frames()
     node.on_heartbeat("10.0.0.3", heartbeat_frame(fleet[3], fleet.now) | {"i": 0, "s": 0, "o": 0}, fleet.now)
-    assert set("Sa") <= set(sent[-1][4])
+    assert set("Sa") <= set(sent[-1].message)
