--- a/rampfront/node/server_health_exchange.py
+++ b/rampfront/node/server_health_exchange.py
@@ -58,4 +58,4 @@
             return
         health = messages.decode_health_verdicts(frame)
         if health.term >= self._disseminator.term:
-            self._request_proxy.apply_health_reports(health.verdicts)
+            self._request_proxy.apply_health_verdicts(health.verdicts)
--- a/rampfront/proxy/endpoints.py
+++ b/rampfront/proxy/endpoints.py
@@ -10,6 +10,7 @@
 
 from .. import terms as t
 from ..membership.endpoint_list import DRAINING, READY
+from ..net.decision_ports import ServerRow
 from .locality import server_weights
 from .slow_start import warm_up_started_at
 
@@ -23,18 +24,6 @@
 _FULL_WEIGHT = 1.0
 
 
-class ServiceEndpoint(NamedTuple):
-    """A server as the decisions and the connections of its service have it; in the order that `Desk.listed` takes."""
-
-    state: int  # UP, DRAINING or REMOVED, of `terms`
-    zone: int  # index
-    cell: int
-    weight: float
-    warm_up_started_at: int  # ns; 0: long ago
-    address: tuple[str, int] | None  # None: of one that was removed
-    locality: float  # weight by the path there
-
-
 class Zones(NamedTuple):
     """What is known of the zones."""
 
@@ -45,18 +34,19 @@
 
 def endpoints_by_service(
     configuration: Configuration, servers: EndpointList, zones: Zones, process_settings: ProcessSettings, now: int
-) -> dict[str, dict[str, ServiceEndpoint]]:
+) -> dict[str, dict[str, ServerRow]]:
     """The endpoints of every service of the configuration, by service and by server id; `now` ns."""
     listed: dict[str, list[Endpoint]] = {name: [] for name in configuration.services}
     for endpoint in servers.endpoints:
         if endpoint.service in listed and endpoint.zone in zones.index_by_name:
             listed[endpoint.service].append(endpoint)
-    found: dict[str, dict[str, ServiceEndpoint]] = {}
+    found: dict[str, dict[str, ServerRow]] = {}
     for name, endpoints in listed.items():
         locality = server_weights(endpoints, process_settings)
         service = configuration.services[name]
         found[name] = {
-            endpoint.id: ServiceEndpoint(
+            endpoint.id: ServerRow(
+                endpoint.id,
                 t.DRAINING if endpoint.zone in zones.evacuated else _STATES.get(endpoint.state, t.DRAINING),
                 zones.index_by_name[endpoint.zone],
                 _ONE_CELL,
--- a/rampfront/proxy/health_observation.py
+++ b/rampfront/proxy/health_observation.py
@@ -13,22 +13,15 @@
 _SEEN = {t.DONE: HEALTHY, t.ERROR: REQUEST_FAILED, t.BROKEN: REQUEST_FAILED}
 
 
-class ServerObserver:
-    """Takes the begin and the end of every attempt of this proxy."""
+class ServerObserver(HealthReporter):
+    """Takes the begin (`request_started`) and the end of every attempt of this proxy."""
 
-    def __init__(self, health_reporter: HealthReporter) -> None:
-        """`health_reporter`: reports to the leader."""
-        self._health_reporter = health_reporter
+    def __init__(self) -> None:
+        """Nothing was observed yet."""
+        super().__init__()
         self.response_durations = LatencyHistogram()  # from a request handed to a server to its whole response
 
-    def attempt_started(self, server_id: str, mean_ns: float, now: int) -> int:
-        """A request goes to a server. `mean_ns`: what such requests take, 0 if not known yet. Returns the reference by
-        which it ends."""
-        return self._health_reporter.request_started(server_id, mean_ns, now)
-
     def attempt_ended(self, reference: int, server_id: str, outcome: int, lasted_ns: int, now: int) -> None:
-        """It has ended: `outcome` as `terms` has it, `lasted_ns` since its start."""
+        """An attempt has ended: `outcome` as `terms` has it, `lasted_ns` since its start."""
         hung = outcome == t.UNREACHED and lasted_ns >= CONNECT_TIMEOUT_NS
-        self._health_reporter.request_ended(
-            reference, server_id, now, CONNECT_TIMED_OUT if hung else _SEEN.get(outcome)
-        )
+        self.request_ended(reference, server_id, now, CONNECT_TIMED_OUT if hung else _SEEN.get(outcome))
--- a/rampfront/proxy/request.py
+++ b/rampfront/proxy/request.py
@@ -1,6 +1,7 @@
-"""A request's two forms: as a client sent it, and as it is under way.
+"""A request's forms: as a client sent it, as it was admitted, and as it is under way.
 
-`ReceivedRequest` is what the client's connection read, immutable. Once it is admitted, `ProxiedRequest` stands for it
+`ReceivedRequest` is what the client's connection read, `Admission` what the checks found of it, both immutable. From
+then on `ProxiedRequest` stands for it
 until the client has its one response. What it may still be answered depends on what its attempts have left behind, so
 its life is one state and a table of transitions; nothing else may set the state:
 
@@ -18,11 +19,12 @@
 
 from ..net.decision_driver import DecisionDriver
 from ..net.exchange import Exchange
-from ..settings.configuration import Customer
+from ..settings.configuration import Customer, Route
+from .attempt_policy import READ_ONLY
 from .outcomes import LocalResponse
 from .server_response import ServerResponse
 
-HeaderRow = tuple[bytes, bytes]  # a field's name as it came, and its value
+HeaderLine = tuple[bytes, bytes]  # a field's name in lower case, and the whole field as it came, with its line end
 
 
 class ReceivedRequest(NamedTuple):
@@ -31,11 +33,30 @@
     method: bytes
     target: bytes  # as it came: a path, or an absolute URL
     path: bytes  # of the target; begins with a slash
-    header_rows: list[HeaderRow]  # all fields in their order
+    header_lines: list[HeaderLine]  # all fields in their order
     header: dict[bytes, bytes]  # the fields that a proxy goes by, by their names in lower case; `host` is one
     body: bytes
 
 
+class Admission(NamedTuple):
+    """What the checks found of a request that passed them.
+
+    Attributes:
+        try_id: the identifier of this try of the request.
+        route: the route by host and longest prefix.
+        customer: whose key the request shows; None where the configuration has no customers, or where the route is
+            public and the request shows no valid key.
+        received_at: ns of the clock.
+        deadline_at: when the response has to be out, ns of the clock.
+    """
+
+    try_id: bytes
+    route: Route
+    customer: Customer | None
+    received_at: int
+    deadline_at: int
+
+
 class RequestState(IntEnum):
     """Where a request stands."""
 
@@ -63,6 +84,8 @@
     (RequestState.CLOSED, RequestState.CLOSED, RequestState.CLOSED),  # CLOSED
 )
 
+ACCOUNT = "all"  # `choice.py` counts no accounts here
+_UNEXECUTED = RequestState.UNEXECUTED
 _CLOSE = RequestEvent.CLOSE
 _NOT_EXECUTED = (RequestState.UNEXECUTED, RequestState.CLOSED_UNEXECUTED)
 
@@ -81,35 +104,29 @@
 
 
 class ProxiedRequest(Exchange[RequestingClient]):
-    """One admitted request: what is sent for it, who waits for it, and its state."""
+    """One admitted request: what is sent for it, who waits for it, and its state.
 
-    __slots__ = ("driver", "customer", "received_at", "deadline_at", "once_only", "state", "failure_response")
+    Attributes:
+        admission: what it was admitted with.
+        driver: of its service, which has its attempts.
+        once_only: whether no second server may run it once one may have.
+        state: where it stands; `apply` changes it.
+        failure_response: the last failure that a server gave for it.
+    """
 
-    def __init__(self, client: RequestingClient, try_id: bytes, head: bytes, body: bytes, product: int) -> None:
-        """`head`: the request line and fields for the server; `product`: its index among those of its service."""
-        super().__init__(client, try_id, head, body, product)
-        self.account = "all"
-        self.state = RequestState.UNEXECUTED
-        self.failure_response: ServerResponse | None = None
+    __slots__ = ("admission", "driver", "once_only", "state", "failure_response")
 
-    def admit(
-        self,
-        driver: DecisionDriver["ProxiedRequest"],
-        customer: Customer | None,
-        received_at: int,
-        deadline_at: int,
-        *,
-        once_only: bool,
+    def __init__(
+        self, client: RequestingClient, admission: Admission, line: "ServiceLine", head: bytes, body: bytes
     ) -> None:
-        """Sets what holds from its admission on.
-
-        `driver`: of its service, which has its attempts; `received_at`, `deadline_at`: ns of the clock; `once_only`:
-        whether no second server may run it once one may have."""
-        self.driver = driver
-        self.customer = customer
-        self.received_at = received_at
-        self.deadline_at = deadline_at
-        self.once_only = once_only
+        """`head` and `body`: what servers get."""
+        super().__init__(client, admission.try_id, head, body, line.product)
+        self.account = ACCOUNT
+        self.admission = admission
+        self.driver = line.driver
+        self.once_only = admission.route.request_type != READ_ONLY
+        self.state = _UNEXECUTED
+        self.failure_response: ServerResponse | None = None
 
     def apply(self, event: RequestEvent) -> None:
         """Changes the state by the table."""
@@ -132,11 +149,22 @@
 
     def close(self) -> RequestingClient | None:
         """Nothing is owed any more. Returns who waits for the response, once; None where the client is gone."""
-        client, self.client = self.client, None
         self.apply(_CLOSE)
-        return client
+        return self.detach_client()
 
     def cancel(self) -> None:
         """The client is gone: ends every attempt, by the one path there is for it."""
         self.close()
         self.driver.client_left(self)
+
+
+class ServiceLine(NamedTuple):
+    """Where a service takes the requests of a route. There are few, and they are kept.
+
+    Attributes:
+        driver: of the service's decisions.
+        product: the index there of what these requests allow.
+    """
+
+    driver: DecisionDriver[ProxiedRequest]
+    product: int
--- a/rampfront/proxy/request_head.py
+++ b/rampfront/proxy/request_head.py
@@ -24,7 +24,7 @@
     """The request line and the fields, each with its line end; the empty line is not in it."""
     rows = [b"%s %s HTTP/1.1\r\n" % (received.method, received.target)]
     dropped = _dropped_fields(received.header) if b"connection" in received.header else _DROPPED_FIELDS
-    rows += [b"%s: %s\r\n" % row for row in received.header_rows if row[0].lower() not in dropped]
+    rows += [line for name, line in received.header_lines if name not in dropped]
     if customer:
         rows.append(b"Customer: %s\r\n" % customer.name.encode())
     if received.body or received.method not in _METHODS_WITHOUT_BODY:
--- a/rampfront/proxy/request_proxy.py
+++ b/rampfront/proxy/request_proxy.py
@@ -3,45 +3,46 @@
 It owns the snapshots (configuration, server list, evacuations, number of proxies) and a `ServicePool` for each
 service. It must never choose a server (`choice.py` does) nor judge a quota by itself (the limiter does).
 
-Two others call it. `ClientFront`, the clients' side, calls `handle_request` and `left`. The `DecisionDriver` of each
-service, the decisions' side, calls `complete`, `decline` and `void`, exactly one of them for each request whose client
-has not gone.
+Two others call it. The listener of clients calls `handle_request`. The decision driver of each service calls
+`complete`, `decline` and `void`, exactly one of them for each request whose client is not gone; a client that goes
+cancels its request by `ProxiedRequest.cancel`.
 """
 
 from __future__ import annotations
 
-from collections.abc import Callable
+from collections.abc import Callable, Iterable
 from typing import TYPE_CHECKING
 
 from .. import terms as t
 from ..membership.health_reporter import HealthReporter
 from ..membership.server_health import HEALTHY
-from ..net.http_status import HttpStatusError
+from ..net.exchange import StreamSource
+from ..net.http_status import CONFLICT, HttpStatusError
 from ..net.latency_histogram import LatencyHistogram
 from ..settings.scalars import MS
-from . import admission, outcomes
-from .attempt_policy import READ_ONLY
+from . import outcomes
+from .admission import admit
 from .budget_shares import set_budgets
 from .endpoints import Zones, endpoints_by_service
 from .health_observation import ServerObserver
 from .locality import distance_exponent
 from .outcomes import RequestRejectedError
 from .priorities import PriorityRanks
-from .request import ProxiedRequest, ReceivedRequest, RequestingClient
+from .request import ACCOUNT, Admission, ProxiedRequest, ReceivedRequest, RequestingClient
 from .request_head import build_request_head
 from .routing import HomeZones, pick_service
 from .service_pool import ServicePool
 
 if TYPE_CHECKING:
     from ..membership.endpoint_list import EndpointList
+    from ..membership.server_health import ServerReport
     from ..quota.limiter import Limiter
-    from ..settings.configuration import Configuration, Customer, Route
+    from ..settings.configuration import Configuration, Customer
     from .environment import ProxyEnvironment
     from .server_response import ServerResponse
 
 _ALMOST_DUE_NS = 3 * MS  # as near to the deadline as the margin of `choice.py` lets a request wait
 _NO_PLAN = 0  # the one plan of `attempt_policy.node_terms`
-_ONE_ACCOUNT = "all"  # `choice.py` counts no accounts here
 _ONE_UNIT = 1
 _ONE_NODE = 1
 
@@ -56,6 +57,7 @@
         self.clock = environment.clock
         self.counts = environment.log.counts
         self.limiter = limiter
+        self._margin_ns = environment.limits.answer_margin_ns
         self.is_fresh = is_fresh
         self._on_quota_used: Callable[[], None] = _do_nothing
         # The snapshots.
@@ -71,8 +73,8 @@
             str, ServicePool
         ] = {}  # of all configurations so far: a service that returns has its own
         # What is observed.
-        self.health_reporter = HealthReporter()
-        self._observer = ServerObserver(self.health_reporter)
+        self._observer = ServerObserver()
+        self.health_reporter: HealthReporter = self._observer
         self.request_durations = LatencyHistogram()  # from a whole request to its response
         self.response_durations = self._observer.response_durations
 
@@ -81,7 +83,7 @@
         self._on_quota_used = callback
 
     def sweep(self) -> None:
-        """Closes connections to servers that are idle or late."""
+        """Closes connections to servers that are idle for too long."""
         for service_pool in self.service_pools.values():
             service_pool.connection_pool.sweep()
 
@@ -116,9 +118,9 @@
             self.limiter.set_proxy_count(proxy_count)
             self._share_budgets()
 
-    def apply_health_reports(self, rows: object) -> None:
-        """Servers that the fleet found silent, failing, or healthy again. Raises ValueError for what is no report."""
-        for server_id, state in self.health_reporter.accept_verdicts(rows, self.clock()):
+    def apply_health_verdicts(self, verdicts: Iterable[ServerReport]) -> None:
+        """Servers that the fleet found unreachable, unhealthy, or healthy again."""
+        for server_id, state in self.health_reporter.accept_verdicts(verdicts, self.clock()):
             for service_pool in self.service_pools.values():
                 service_pool.health_reported(server_id, state == HEALTHY)
 
@@ -162,107 +164,103 @@
             and any(service_pool.has_server_up() for service_pool in self.service_pools.values())
         )
 
-    # ---- requests; called by the front
+    # ---- requests; called by the listener
 
     def handle_request(self, client: RequestingClient, received: ReceivedRequest) -> None:
         """Admits a request and has a server looked for, or responds at once.
 
-        Raises `HttpStatusError` for one that cannot be followed; then nothing was begun."""
+        Raises:
+            HttpStatusError: it cannot be followed; then nothing was begun.
+        """
         now = self.clock()
         try:
-            configuration = self._configuration_in_force(now)
-            try_id = admission.check_try_id(received.header)
-            route = admission.find_route(configuration, received)
-            customer = admission.authenticate(configuration, route, received.header)
-            time_left_ns = admission.time_left_ns(received.header, route, self.environment.limits.answer_margin_ns)
-            service_pool = self._pick_service_pool(route, time_left_ns)
-            self._use_quota(customer, now)
+            if self.configuration is None or not self.is_fresh(now):
+                # Guards revocations and routes: who does not know what is in force lets nothing run, and says so.
+                raise RequestRejectedError(outcomes.NO_CONFIGURATION)
+            admission = admit(self.configuration, received, self._margin_ns, now)
+            service_pool = self._pick_service_pool(admission)
+            if admission.customer:
+                self._use_quota(admission.customer, now)
         except RequestRejectedError as rejection:
             self.counts[rejection.response.counter] += 1
             client.respond(rejection.response)
             return
-        head = build_request_head(received, customer)
-        request = ProxiedRequest(client, try_id, head, received.body, service_pool.product_index(route))
-        request.admit(service_pool.driver, customer, now, now + time_left_ns, once_only=route.request_type != READ_ONLY)
-        self._check_not_open(request, now)
+        head = build_request_head(received, admission.customer)
+        request = ProxiedRequest(client, admission, service_pool.line(admission.route), head, received.body)
+        self._check_not_open(request)
         client.accepted(request)
-        self._begin(request, route, time_left_ns)
+        self._begin(request)
 
-    def left(self, request: ProxiedRequest) -> None:
-        """The client is gone, or sent what cannot be followed: all that hangs on its request is cancelled."""
-        request.cancel()
-
-    def _configuration_in_force(self, now: int) -> Configuration:
-        """Guards revocations and routes: a proxy that does not know what is in force lets nothing run, and says so."""
-        if self.configuration is None or not self.is_fresh(now):
-            raise RequestRejectedError(outcomes.NO_CONFIGURATION)
-        return self.configuration
-
-    def _pick_service_pool(self, route: Route, time_left_ns: int) -> ServicePool:
-        service_pool = self.service_pools.get(pick_service(route.service_weights, self.environment.draw))
-        if time_left_ns <= 0 or service_pool is None or not service_pool.has_server_up():
+    def _pick_service_pool(self, admission: Admission) -> ServicePool:
+        """The pool of the request's service. Raises RequestRejectedError where it has no server, or it is too late."""
+        service_pool = self.service_pools.get(pick_service(admission.route.service_weights, self.environment.draw))
+        too_late = admission.deadline_at <= admission.received_at
+        if too_late or service_pool is None or not service_pool.has_server_up():
             raise RequestRejectedError(outcomes.NO_SERVER)
         return service_pool
 
-    def _use_quota(self, customer: Customer | None, now: int) -> None:
-        if customer is None:
-            return
+    def _use_quota(self, customer: Customer, now: int) -> None:
+        """Counts a request to the customer's quota. Raises RequestRejectedError where it is used up."""
         retry_after_ns = self.limiter.take(customer.name, now)
         self._on_quota_used()
         if retry_after_ns is not None:
             raise RequestRejectedError(outcomes.OVER_QUOTA._replace(retry_after_ns=retry_after_ns))
 
-    def _check_not_open(self, request: ProxiedRequest, now: int) -> None:
+    def _check_not_open(self, request: ProxiedRequest) -> None:
         """Guards against a second run of a try whose first one is under way, be it at another service of a route in
-        shares."""
+        shares. Raises HttpStatusError."""
         for service_pool in self.service_pools.values():
             if request in service_pool.open_requests:
-                self._return_quota(request.customer, now)
-                raise HttpStatusError(409, "its Try-Id is open")
+                self._return_quota(request, request.admission.received_at)
+                raise HttpStatusError(CONFLICT, "its Try-Id is open")
 
-    def _return_quota(self, customer: Customer | None, now: int) -> None:
+    def _return_quota(self, request: ProxiedRequest, now: int) -> None:
         """A request that was not executed does not use the quota."""
-        if customer:
+        if customer := request.admission.customer:
             self.limiter.refund(customer.name, now)
 
-    def _begin(self, request: ProxiedRequest, route: Route, time_left_ns: int) -> None:
+    def _begin(self, request: ProxiedRequest) -> None:
         """Hands the request to the decisions of its service, which make its attempts."""
-        customer = request.customer
-        arrival = t.Arrival(
-            request.driver.open(request),
-            request.product,
-            _NO_PLAN,
-            _ONE_ACCOUNT,
-            _ONE_UNIT,
-            time_left_ns,
-            _ONE_NODE,
-            self._home_zones.allowed(route, customer),
-            route.max_attempts,
-            distance_exponent(len(request.body)),
-            self._priority_ranks.rank(route.priority, customer.priority if customer else None),
+        _, route, customer, received_at, deadline_at = request.admission
+        driver = request.driver
+        ranks = self._priority_ranks
+        assert ranks is not None, "a request is admitted by a configuration"
+        driver.post(
+            t.Arrival(
+                driver.open(request),
+                request.product,
+                _NO_PLAN,
+                ACCOUNT,
+                _ONE_UNIT,
+                deadline_at - received_at,
+                _ONE_NODE,
+                self._home_zones.allowed(route, customer),
+                route.max_attempts,
+                distance_exponent(len(request.body)),
+                ranks.rank(route.priority, customer.priority if customer else None),
+            )
         )
-        request.driver.post(arrival)
 
-    # ---- responses; called by the decision driver of a service
+    # ---- responses; called by the driver of a service
 
-    def complete(self, request: ProxiedRequest, response: ServerResponse, stream: None = None) -> None:
-        """A server's response is the request's."""
+    def complete(self, request: ProxiedRequest, body: ServerResponse, stream: StreamSource | None) -> None:
+        """A server's response, `body`, is the request's; none is streamed."""
         self.counts["settled"] += 1
         if client := self._close(request):
-            client.forward(response)
+            client.forward(body)
 
-    def decline(self, request: ProxiedRequest, back_in: int) -> None:
-        """No server is to run it any more; `back_in` ns: when to come back, 0: not known. One that may have run
+    def decline(self, request: ProxiedRequest, retry_after_ns: int) -> None:
+        """No server is to run it any more; `retry_after_ns`: when to come back, 0: not known. One that may have run
         already is not promised to be unexecuted."""
         if request.may_have_run:
             self.void(request)
             return
         self.counts["declined"] += 1
         client = self._close(request)
-        self._return_quota(request.customer, self.clock())
+        self._return_quota(request, self.clock())
         if client:
             response = outcomes.NO_CAPACITY
-            client.respond(response._replace(retry_after_ns=back_in) if back_in else response)
+            client.respond(response._replace(retry_after_ns=retry_after_ns) if retry_after_ns else response)
 
     def void(self, request: ProxiedRequest) -> None:
         """It may have run, and no good response will come: a server's failure goes back, if there was one."""
@@ -273,7 +271,7 @@
             return
         if failure:
             client.forward(failure)
-        elif self.clock() >= request.deadline_at - _ALMOST_DUE_NS:
+        elif self.clock() >= request.admission.deadline_at - _ALMOST_DUE_NS:
             client.respond(outcomes.TIMED_OUT)
         else:
             client.respond(outcomes.FAILED)
@@ -282,7 +280,7 @@
         """Who is owed the response; None if the client is gone."""
         client = request.close()
         if client:
-            self.request_durations.record(self.clock() - request.received_at)
+            self.request_durations.record(self.clock() - request.admission.received_at)
         return client
 
 
--- a/rampfront/proxy/server_response.py
+++ b/rampfront/proxy/server_response.py
@@ -4,7 +4,9 @@
 directions; all others are passed on as they came.
 """
 
-from typing import NamedTuple, TypedDict
+from typing import NamedTuple
+
+from ..net.server_response import Report
 
 HOP_BY_HOP_FIELDS = frozenset(
     (
@@ -32,25 +34,18 @@
     """A response that was read to its end and belongs to its request."""
 
     status: int
-    header_rows: list[tuple[bytes, bytes]]  # without hop-by-hop fields
+    header_lines: list[bytes]  # the fields as they came, with their line ends, without hop-by-hop fields
     body: bytes
 
 
-class ServerLoad(TypedDict):
-    """What `Server-Load` says, in the form of `terms.Probed.report`: requests that run there, that wait there, and how
-    many it runs at once."""
-
-    running: int
-    waiting: int
-    slots: int
-
-
 _LOAD_PARTS = 3
 _LONGEST_LOAD_NUMBER = 6  # digits
 
 
-def parse_server_load(text: bytes) -> ServerLoad | None:
-    """The figures of a `Server-Load` field; None where it is not three small whole numbers."""
+def parse_server_load(text: bytes) -> Report | None:
+    """The figures of a `Server-Load` field: requests that run there, that wait there, and how many it runs at once.
+
+    None where it is not three small whole numbers."""
     parts = text.split(b",")
     if len(parts) != _LOAD_PARTS:
         return None
@@ -59,8 +54,3 @@
             return None
     running, waiting, slots = map(int, parts)
     return {"running": running, "waiting": waiting, "slots": slots}
-
-
-def is_failure(status: int) -> bool:
-    """Whether a response of this status counts as a failed attempt."""
-    return status >= FIRST_SERVER_ERROR or status in NOT_RUN_STATUSES
--- a/tests/node/test_server_health_exchange.py
+++ b/tests/node/test_server_health_exchange.py
@@ -9,7 +9,7 @@
 def test_verdicts_of_an_older_leader_are_dropped():
     """Neither one at the address of the present one, in an older term, nor one elsewhere."""
     node, seen = NodeHarness(), []
-    node.process.request_proxy.apply_health_reports = seen.append
+    node.process.request_proxy.apply_health_verdicts = seen.append
     node.process.disseminator.leadership.term = 3
     node.receive(LEADER, {"k": "dim", "e": 2, "r": [["old", UNHEALTHY]]})
     node.receive(OTHER, {"k": "dim", "e": 4, "r": [["elsewhere", UNHEALTHY]]})
