--- a/rampfront/consensus/body_history.py
+++ b/rampfront/consensus/body_history.py
@@ -2,7 +2,7 @@
 
 A delta names the digest of the body that it rests on; the entry carries the digest of the body which must come out. A
 receiver that lacks the first, or comes out elsewhere, takes nothing. The form is our own: both bodies are cut at `{`
-(the configuration is JSON), and the new one is told as runs of the old one's pieces and new pieces between them.
+(the configuration is JSON), and the new one is told as runs of the old one's chunks and new chunks between them.
 
 No I/O, no clock. `replication.py` makes deltas, `entry_receiver.py` applies them; `membership/deltas.py` uses
 `make_delta` and `apply_delta` by themselves.
@@ -21,7 +21,7 @@
 MAX_UNPACKED_BYTES = 4 * MAX_BODY_BYTES  # of one body
 SEPARATOR = b"{"
 
-DeltaOperation: TypeAlias = bytes | list[int]  # a new piece, or [first, count] of the old pieces
+DeltaOperation: TypeAlias = bytes | list[int]  # a new chunk, or [first, count] of the old chunks
 
 
 class BodyDelta(NamedTuple):
@@ -32,36 +32,36 @@
 
 
 def make_delta(old: bytes, new: bytes) -> list[DeltaOperation]:
-    """How `new` is made of pieces of `old`, both cut at `{`."""
-    old_pieces = old.split(SEPARATOR)
-    first_place = {piece: place for place, piece in reversed(list(enumerate(old_pieces)))}
+    """How `new` is made of chunks of `old`, both cut at `{`."""
+    old_chunks = old.split(SEPARATOR)
+    first_place = {chunk: place for place, chunk in reversed(list(enumerate(old_chunks)))}
     operations: list[DeltaOperation] = []
     run: list[int] = []  # the operation that copies, if the last one does
-    next_place = -1  # the old piece behind the run
-    for piece in new.split(SEPARATOR):
-        if run and next_place < len(old_pieces) and old_pieces[next_place] == piece:
+    next_place = -1  # the old chunk behind the run
+    for chunk in new.split(SEPARATOR):
+        if run and next_place < len(old_chunks) and old_chunks[next_place] == chunk:
             run[1] += 1
             next_place += 1
-        elif (place := first_place.get(piece)) is not None:
+        elif (place := first_place.get(chunk)) is not None:
             run = [place, 1]
             operations.append(run)
             next_place = place + 1
         else:
             run = []
-            operations.append(piece)
+            operations.append(chunk)
     return operations
 
 
 def apply_delta(old: bytes, operations: list[object]) -> bytes:
     """The body that `make_delta` told.
 
-    Raises ValueError for what `make_delta` does not make; guards memory against pieces that are named over and over.
+    Raises ValueError for what `make_delta` does not make; guards memory against chunks that are named over and over.
     """
-    old_pieces = old.split(SEPARATOR)
+    old_chunks = old.split(SEPARATOR)
     parts: list[bytes] = []
     size = 0
     for operation in operations:
-        added = [operation] if isinstance(operation, bytes) else _copied_pieces(old_pieces, operation)
+        added = [operation] if isinstance(operation, bytes) else _copied_chunks(old_chunks, operation)
         parts += added
         size += sum(map(len, added)) + len(added)
         if size > MAX_UNPACKED_BYTES:
@@ -69,13 +69,13 @@
     return SEPARATOR.join(parts)
 
 
-def _copied_pieces(old_pieces: list[bytes], operation: object) -> list[bytes]:
-    """The old pieces that an operation copies. Raises ValueError for pieces that are not there."""
+def _copied_chunks(old_chunks: list[bytes], operation: object) -> list[bytes]:
+    """The old chunks that an operation copies. Raises ValueError for chunks that are not there."""
     match operation:
         case [first, count] if type(first) is int and type(count) is int:
-            if 0 <= first < first + count <= len(old_pieces):
-                return old_pieces[first : first + count]
-    raise ValueError("pieces that are not there")
+            if 0 <= first < first + count <= len(old_chunks):
+                return old_chunks[first : first + count]
+    raise ValueError("chunks that are not there")
 
 
 class BodyHistory:
--- a/rampfront/consensus/core_strength.py
+++ b/rampfront/consensus/core_strength.py
@@ -4,13 +4,13 @@
 members is under way. Operators wait for that between two planned losses. Called by `Leader`; `node/` shows the result.
 """
 
-from collections.abc import Collection, Mapping
 from enum import StrEnum
 from typing import NamedTuple
 
 from .identifiers import DurationNs, MemberKey, TimeNs
 from .membership_change import MembershipChange, wanted_size
 from .replica_progress import ReplicaProgress
+from .replication import Replication
 from .state import State
 
 
@@ -44,38 +44,32 @@
 class StrengthMonitor:
     """Watches the strength of the core during one leader's term."""
 
-    def __init__(self, membership: MembershipChange, survive: int) -> None:
-        """Not at full strength, as far as is known."""
+    def __init__(self, membership: MembershipChange, replication: Replication, survive: int) -> None:
+        """Not at full strength, as far as is known. `survive`: how many machines may be lost at once."""
         self._membership = membership
+        self._replication = replication
         self._survive = survive
         self.full_since: TimeNs | None = None
 
-    def watch(self, entry: State, replicas: Mapping[MemberKey, ReplicaProgress], is_quiet: bool, now: TimeNs) -> None:
-        """To be called with each tick. `is_quiet`: the entry is committed, and none of the members is silent."""
-        is_staying = is_quiet and not any(replica.is_shutting_down for replica in replicas.values())
+    def watch(self, entry: State, is_committed: bool, now: TimeNs) -> None:
+        """To be called with each tick. `entry`: the newest one; `is_committed`: whether it is."""
+        replicas = self._replication.replicas.values()
+        is_staying = not any(self._replication.is_silent(each) or each.is_shutting_down for each in replicas)
         is_changing = entry.previous_members is not None or bool(self._membership.learners)
         has_enough = len(entry.members) >= wanted_size(entry, self._survive)
-        if not is_staying or is_changing or not has_enough:
+        if not is_committed or not is_staying or is_changing or not has_enough:
             self.full_since = None
         elif self.full_since is None:
             self.full_since = now
 
-    def strength(
-        self,
-        entry: State,
-        replicas: Mapping[MemberKey, ReplicaProgress],
-        silent: Collection[MemberKey],
-        now: TimeNs,
-    ) -> CoreStrength:
-        """The strength at this moment. `silent`: the members that do not answer."""
+    def strength(self, entry: State, now: TimeNs) -> CoreStrength:
+        """The strength at this moment."""
         full_for = None if self.full_since is None else max(0, now - self.full_since)
-        members = self.member_statuses(entry, replicas, silent)
-        return CoreStrength(wanted_size(entry, self._survive), members, full_for)
+        return CoreStrength(wanted_size(entry, self._survive), self.member_statuses(entry), full_for)
 
-    def member_statuses(
-        self, entry: State, replicas: Mapping[MemberKey, ReplicaProgress], silent: Collection[MemberKey]
-    ) -> list[MemberStatus]:
+    def member_statuses(self, entry: State) -> list[MemberStatus]:
         """Each member and then each learner, by name."""
+        replicas, silent = self._replication.replicas, self._replication.silent_keys()
         is_surplus = len(entry.members) > wanted_size(entry, self._survive)
         statuses = []
         for name, (ip, incarnation) in sorted(entry.members.items()):
--- a/rampfront/consensus/leader.py
+++ b/rampfront/consensus/leader.py
@@ -25,13 +25,12 @@
 from .identifiers import SEC, MemberKey, TimeNs
 from .leader_discovery import LeaderDiscovery
 from .leadership_transfer import LeadershipTransfer, most_caught_up
-from .membership_change import SILENCE_NS, MembershipChange, Step
+from .membership_change import MembershipChange, Step
 from .messages import AppendAcknowledged, JoinRequest, LeadershipEnded
 from .order_application import OrderApplication, PendingOrder, pending_order
 from .order_queue import OrderQueue
 from .persistent_state import PersistentState
 from .repeat_window import RepeatWindow
-from .replica_progress import ReplicaProgress
 from .replication import Replication
 from .state import State, StateChanges
 
@@ -62,12 +61,11 @@
         self.rounds = HeartbeatRounds(context.now)
         self.membership = MembershipChange(self._own, self._term, survive)
         self.replication = Replication(context, persistent, self.rounds, self.membership)
-        self.strength_monitor = StrengthMonitor(self.membership, survive)
+        self.strength_monitor = StrengthMonitor(self.membership, self.replication, survive)
         repeat_window = RepeatWindow(context.now, context.settings.order_repeat_ns)
         self._orders = OrderQueue(context, persistent)
         self._application = OrderApplication(repeat_window)
         self._transfer = LeadershipTransfer()
-        self._settled_at: TimeNs | None = None  # when the first entry of this term was committed
         self._last_was_for_orders = False  # the last entry: a change of members has its turn then
 
     # What is known.
@@ -80,7 +78,7 @@
     @property
     def may_step_down(self) -> bool:
         """Whether a leader that is about to end gives up now."""
-        return self._transfer.is_due(self._is_settled(), self.context.now)
+        return self._transfer.is_due(self._is_entry_committed(), self.context.now)
 
     @property
     def excludes_itself(self) -> bool:
@@ -104,7 +102,7 @@
         assert entry is not None
         return entry
 
-    def _is_settled(self) -> bool:
+    def _is_entry_committed(self) -> bool:
         """Whether the newest entry is committed."""
         return self.replication.commit_index == self._entry().index
 
@@ -134,8 +132,9 @@
         """Which member is to stand at once; None unless this leader ends in order."""
         if not self.context.is_shutting_down and not self.excludes_itself:
             return None
+        silent = self.replication.silent_keys()
         replicas = self.replication.replicas
-        answering = {key: replica for key, replica in replicas.items() if not self._is_silent(replica)}
+        answering = {key: replica for key, replica in replicas.items() if key not in silent}
         return most_caught_up(self._entry(), answering)
 
     # Rounds and acknowledgements.
@@ -148,14 +147,14 @@
         self.membership.expire(now)
         self.replication.resend_overdue()
         self._orders.expire()
-        self.settle()
-        self._watch_strength()
+        self.advance_commit()
+        self.strength_monitor.watch(self._entry(), self._is_entry_committed(), now)
 
     def acknowledged(self, message: AppendAcknowledged) -> None:
         """A member or learner has answered a round."""
         if self.replication.acknowledged(message):
             self._confirm_rounds()
-            self.settle()
+            self.advance_commit()
 
     def _start_round(self) -> None:
         self.rounds.start(self.context.now)
@@ -179,20 +178,18 @@
         self.rounds.start(self.context.now)
         self.replication.broadcast_entry(entry, is_first=not had_replicas)
         self._confirm_rounds()
-        self.settle()
+        self.advance_commit()
 
-    def settle(self) -> None:
+    def advance_commit(self) -> None:
         """Looks whether the entry is committed now; if so, the next one may follow."""
         entry = self._entry()
-        if self._is_settled():
+        if self._is_entry_committed():
             self._answer()
             self._go_on()
         elif not entry.has_quorum(self._keys_with(entry)):
             self._answer()
         else:
-            self.replication.committed(entry)
-            if self._settled_at is None:
-                self._settled_at = self.context.now
+            self.replication.commit(entry)
             self.persistent.commit(entry)
             self._answer()
             if not self._go_on():
@@ -211,7 +208,7 @@
 
     def _go_on(self) -> bool:
         """Proposes the next entry, if one is wanted. Orders and members take turns; members of before go last."""
-        if not self._is_settled() or self._transfer.has_begun:
+        if not self._is_entry_committed() or self._transfer.has_begun:
             return False
         entry = self._entry()
         orders = self._orders.waiting() if self._takes_orders() else []
@@ -230,9 +227,10 @@
         return True
 
     def _next_step(self) -> Step | None:
-        assert self._settled_at is not None
-        replicas = self.replication.replicas
-        return self.membership.next_step(self._entry(), replicas, self.rounds.confirmed_at, self._settled_at)
+        first_committed_at = self.replication.first_committed_at
+        assert first_committed_at is not None
+        replicas, confirmed_at = self.replication.replicas, self.rounds.confirmed_at
+        return self.membership.next_step(self._entry(), replicas, confirmed_at, first_committed_at)
 
     def _reopen_zone(self, entry: State) -> bool:
         """Opens a zone that nobody certain keeps evacuated any more; returns whether there was one."""
@@ -273,7 +271,7 @@
 
     def _changes_nothing_under_way(self, order: PendingOrder) -> bool:
         """Whether an entry is under way that already has what the order wants."""
-        if self._is_settled() or not self.replication.commit_index:
+        if self._is_entry_committed() or not self.replication.commit_index:
             return False
         entry = self._entry()
         return self._application.apply(entry, order, self.context.now) is entry
@@ -327,21 +325,8 @@
 
     def strength(self, now: TimeNs) -> CoreStrength:
         """The strength of the core at this moment."""
-        return self.strength_monitor.strength(self._entry(), self.replication.replicas, self._silent_keys(), now)
+        return self.strength_monitor.strength(self._entry(), now)
 
     def member_statuses(self) -> list[MemberStatus]:
         """The condition of each member and learner."""
-        replicas = self.replication.replicas
-        return self.strength_monitor.member_statuses(self._entry(), replicas, self._silent_keys())
-
-    def _watch_strength(self) -> None:
-        is_quiet = self._is_settled() and not self._silent_keys()
-        self.strength_monitor.watch(self._entry(), self.replication.replicas, is_quiet, self.context.now)
-
-    def _silent_keys(self) -> set[MemberKey]:
-        return {key for key, replica in self.replication.replicas.items() if self._is_silent(replica)}
-
-    def _is_silent(self, replica: ReplicaProgress) -> bool:
-        """Whether a majority has answered for long without this member."""
-        since = max(replica.last_contact_at, self._settled_at or self._began_at)
-        return self.rounds.confirmed_at - since >= SILENCE_NS
+        return self.strength_monitor.member_statuses(self._entry())
--- a/rampfront/consensus/leader_discovery.py
+++ b/rampfront/consensus/leader_discovery.py
@@ -40,7 +40,7 @@
         self._heartbeat_at: TimeNs = LONG_AGO_NS  # when its last heartbeat came, in this term
         self._own_password = 0  # as the leader; 0: this member does not lead
         self._password = 0  # as the leader named it to this one, which wants to join
-        self._asked_at: TimeNs = -3 * SEC  # when the last request to join, or query, left
+        self._requested_at: TimeNs = -3 * SEC  # when the last request to join, or query, left
         self._checked_hint_at: TimeNs = -3 * SEC
         self._counts_towards_size = counts_towards_size
 
@@ -87,7 +87,7 @@
     def restart(self, leader_ip: str | None) -> None:
         """This member is another incarnation from now on, and asks to join at once."""
         self._counts_towards_size = False
-        self._asked_at = -SEC
+        self._requested_at = -SEC
         self.leader_ip = leader_ip
         self._leader_known_at = self._context.now
 
@@ -114,8 +114,8 @@
         is_known = self.leader_ip is not None and now - self._leader_known_at < FORGET_LEADER_NS
         if not is_known:
             self.leader_ip = None
-        if now - self._asked_at >= (QUERY_INTERVAL_NS if is_known else JOIN_INTERVAL_NS):
-            self._asked_at = now
+        if now - self._requested_at >= (QUERY_INTERVAL_NS if is_known else JOIN_INTERVAL_NS):
+            self._requested_at = now
             self._context.broadcast([self.leader_ip] if is_known else self._known_ips(), LeaderQuery())
 
     def expire(self) -> None:
@@ -129,9 +129,9 @@
         Not before its incarnation is on disk: it would be a member that can't remember who it is.
         """
         now = self._context.now
-        if not self._persistent.identity_is_durable() or now - self._asked_at < JOIN_INTERVAL_NS:
+        if not self._persistent.identity_is_durable() or now - self._requested_at < JOIN_INTERVAL_NS:
             return
-        self._asked_at = now
+        self._requested_at = now
         is_fresh = self.leader_ip is not None and now - self._leader_known_at < FRESH_LEADER_NS
         request = JoinRequest(self._persistent.key, self._password, self._counts_towards_size)
         self._context.broadcast([self.leader_ip] if is_fresh else self._known_ips(), request)
@@ -141,8 +141,8 @@
         and if it is no member any more, whoever leads says so."""
         now = self._context.now
         is_lost = self.leader_ip is None and now - self._heartbeat_at > FORGET_LEADER_NS
-        if is_lost and now - self._asked_at >= QUERY_INTERVAL_NS:
-            self._asked_at = now
+        if is_lost and now - self._requested_at >= QUERY_INTERVAL_NS:
+            self._requested_at = now
             self._context.broadcast(self._known_ips(), LeaderQuery(self._persistent.key))
 
     # Hints.
@@ -194,7 +194,7 @@
             self._persistent.follow_term(hint.term)
         elif hint.password and hint.password != self._password and is_from_leader:
             self._password = hint.password
-            self._asked_at = -SEC
+            self._requested_at = -SEC
             self.request_to_join()
 
     def _check_hint(self, leader_ip: str) -> None:
--- a/rampfront/consensus/leadership_transfer.py
+++ b/rampfront/consensus/leadership_transfer.py
@@ -32,9 +32,9 @@
         """The leader is about to end."""
         self._deadline = now + HANDOVER_NS
 
-    def is_due(self, is_settled: bool, now: TimeNs) -> bool:
-        """Whether the leader gives up now. `is_settled`: all that it proposed is committed."""
-        return self._deadline is not None and (is_settled or now >= self._deadline)
+    def is_due(self, is_committed: bool, now: TimeNs) -> bool:
+        """Whether the leader gives up now. `is_committed`: all that it proposed is committed."""
+        return self._deadline is not None and (is_committed or now >= self._deadline)
 
 
 def most_caught_up(entry: State, answering: Mapping[MemberKey, ReplicaProgress]) -> MemberKey | None:
--- a/rampfront/consensus/member.py
+++ b/rampfront/consensus/member.py
@@ -176,7 +176,7 @@
         if durable.term == self._persistent.term and self.roles.election.own_vote_stored():
             self.roles.lead()
         if self.roles.leader is not None:
-            self.roles.leader.settle()
+            self.roles.leader.advance_commit()
 
     def _order(self, order: Order) -> None:
         if self.roles.leader is not None and not self._context.is_shutting_down:
--- a/rampfront/consensus/membership_change.py
+++ b/rampfront/consensus/membership_change.py
@@ -130,7 +130,11 @@
     # Changes.
 
     def next_step(
-        self, state: State, replicas: Mapping[MemberKey, ReplicaProgress], confirmed_at: TimeNs, settled_at: TimeNs
+        self,
+        state: State,
+        replicas: Mapping[MemberKey, ReplicaProgress],
+        confirmed_at: TimeNs,
+        first_committed_at: TimeNs,
     ) -> Step | None:
         """The next change towards the list that is wanted, or None.
 
@@ -138,9 +142,9 @@
             state: a committed entry of this term.
             replicas: the other members.
             confirmed_at: when the newest round was sent that a majority answered.
-            settled_at: when the first entry of this term was committed.
+            first_committed_at: when the first entry of this term was committed.
         """
-        removal = self.removal(state, replicas, confirmed_at, settled_at)
+        removal = self.removal(state, replicas, confirmed_at, first_committed_at)
         return removal or self._admission(state, replicas, confirmed_at)
 
     def _admission(
@@ -169,7 +173,11 @@
         return None
 
     def removal(
-        self, state: State, replicas: Mapping[MemberKey, ReplicaProgress], confirmed_at: TimeNs, settled_at: TimeNs
+        self,
+        state: State,
+        replicas: Mapping[MemberKey, ReplicaProgress],
+        confirmed_at: TimeNs,
+        first_committed_at: TimeNs,
     ) -> Step | None:
         """Takes out one member, if enough are left: one silent for long, one that shuts down, or else a silent one."""
         members = state.members
@@ -180,7 +188,7 @@
             replica = replicas.get(MemberKey(name, incarnation))
             if replica is None:
                 continue
-            silence = confirmed_at - max(replica.last_contact_at, settled_at)
+            silence = confirmed_at - max(replica.last_contact_at, first_committed_at)
             may_leave = replica.is_shutting_down and self._bears_loss(members, name, replicas, confirmed_at)
             if may_leave or silence >= SILENCE_NS:
                 candidates.append(RemovalCandidate(silence >= LONG_SILENCE_NS, may_leave, silence, name))
--- a/rampfront/consensus/order_queue.py
+++ b/rampfront/consensus/order_queue.py
@@ -68,12 +68,12 @@
     def expire(self) -> None:
         """Ends those that have waited for too long."""
         now = self._context.now
-        late = [order for order in self._orders if now - order.received_at > MAX_WAIT_NS]
-        if not late:
+        overdue = [order for order in self._orders if now - order.received_at > MAX_WAIT_NS]
+        if not overdue:
             return
         self._orders = [order for order in self._orders if now - order.received_at <= MAX_WAIT_NS]
-        for order in late:
-            self.end(order, _outcome_if_late(order))
+        for order in overdue:
+            self.end(order, _outcome_if_overdue(order))
 
     def abandon(self) -> None:
         """The leader gives up: what it has sent to others may be committed yet."""
@@ -92,7 +92,7 @@
     return order.is_taken_up and order.entry_index <= commit_index and order.round <= confirmed
 
 
-def _outcome_if_late(order: PendingOrder) -> Outcome:
+def _outcome_if_overdue(order: PendingOrder) -> Outcome:
     """A repeat of what may be committed already must not be called rejected."""
     if order.kind is OrderKind.READ:
         return Outcome.NOT_LEADER
--- a/rampfront/consensus/record.py
+++ b/rampfront/consensus/record.py
@@ -56,9 +56,14 @@
     Raises RecordError for what is none, or is another member's: one memory for two members would be two votes.
     """
     try:
-        form, incarnation, term, vote, committed, row, member_ips, *optional = cbor2.loads(data)
+        columns = cbor2.loads(data)
     except (cbor2.CBORDecodeError, EOFError, TypeError, ValueError):
         raise RecordError("record that does not read") from None
+    match columns:
+        case [form, incarnation, term, vote, committed, row, member_ips, *optional]:
+            pass
+        case _:
+            raise RecordError("record that does not read")
     if form != FORM:
         raise RecordError("record of another form")
     if len(optional) > 1 and optional[1] != owner:
--- a/rampfront/consensus/record_store.py
+++ b/rampfront/consensus/record_store.py
@@ -145,8 +145,8 @@
         return None
     generation, checksum = HEADER.unpack_from(value)
     record = value[HEADER.size :]
-    is_whole = checksum == _checksum(generation, record, key[len(KEY) :])
-    return _StoredRecord(generation, record) if is_whole else None
+    is_complete = checksum == _checksum(generation, record, key[len(KEY) :])
+    return _StoredRecord(generation, record) if is_complete else None
 
 
 def _checksum(generation: int, record: bytes, nonce: bytes) -> bytes:
--- a/rampfront/consensus/replication.py
+++ b/rampfront/consensus/replication.py
@@ -16,8 +16,8 @@
 
 from .context import MemberContext
 from .heartbeat_rounds import HeartbeatRounds
-from .identifiers import NO_POSITION, LogIndex, LogPosition, MemberKey, Term
-from .membership_change import MembershipChange
+from .identifiers import NO_POSITION, LogIndex, LogPosition, MemberKey, Term, TimeNs
+from .membership_change import SILENCE_NS, MembershipChange
 from .messages import AppendAcknowledged, AppendEntry, Heartbeat
 from .persistent_state import PersistentState
 from .replica_progress import ReplicaProgress
@@ -47,6 +47,8 @@
         self._term: Term = persistent.term
         self.replicas: dict[MemberKey, ReplicaProgress] = {}  # of those whose votes may count, but the leader
         self.commit_index: LogIndex = 0  # of the newest committed entry of this term
+        self.first_committed_at: TimeNs | None = None  # when the first entry of this term was
+        self._began_at = context.now
         self._versions: dict[LogPosition, VersionHistory] = {}  # of the last entries; bounded
 
     def remember_versions(self, entry: State) -> None:
@@ -55,9 +57,11 @@
         if len(self._versions) > MAX_VERSION_BASES:
             del self._versions[next(iter(self._versions))]
 
-    def committed(self, entry: State) -> None:
+    def commit(self, entry: State) -> None:
         """The entry is on the disks of a majority."""
         self.commit_index = entry.index
+        if self.first_committed_at is None:
+            self.first_committed_at = self._context.now
 
     def keys_with(self, position: LogPosition) -> set[MemberKey]:
         """The replicas that have the entry at this position on disk."""
@@ -67,6 +71,15 @@
         """The replicas that answered this round, or a later one."""
         return {key for key, replica in self.replicas.items() if replica.acknowledged_round >= number}
 
+    def is_silent(self, replica: ReplicaProgress) -> bool:
+        """Whether a majority has answered for long without this member."""
+        since = max(replica.last_contact_at, self.first_committed_at or self._began_at)
+        return self._rounds.confirmed_at - since >= SILENCE_NS
+
+    def silent_keys(self) -> set[MemberKey]:
+        """The members that do not answer."""
+        return {key for key, replica in self.replicas.items() if self.is_silent(replica)}
+
     def replace_members(self, entry: State) -> bool:
         """The replicas are those of this entry from now on. Returns whether there were any before."""
         before, learners = self.replicas, self._membership.replicas()
--- a/rampfront/consensus/state.py
+++ b/rampfront/consensus/state.py
@@ -23,7 +23,6 @@
 BODY_COLUMN = 3  # of an encoded state
 DIGEST_COLUMN = 4
 COLUMNS = (8, 9, 10)  # how many there are: an older state lacks the evacuations, and its target size
-MEMBER_COLUMNS = 3
 DIGEST_BYTES = 8
 
 
@@ -140,9 +139,13 @@
     Returns None if it comes without its body and none of `bodies` is the same.
     Raises RemoteProtocolError for what `State.encode` does not make.
     """
-    if type(row) is not list or len(row) not in COLUMNS:
+    if not isinstance(row, list):
         raise RemoteProtocolError("state")
-    index, term, revision, body, body_digest, zones, members, previous, *optional = row
+    match row:
+        case [index, term, revision, body, body_digest, zones, members, previous, *optional] if len(row) in COLUMNS:
+            pass
+        case _:
+            raise RemoteProtocolError("state")
     evacuations = optional[0] if optional else []
     target_size = optional[1] if len(optional) > 1 else 0
     _check_numbers(index, term, revision, target_size)
@@ -208,11 +211,8 @@
 
 
 def _decode_member(row: object) -> tuple[str, MemberAddress]:
-    if type(row) is not list or len(row) != MEMBER_COLUMNS:
-        raise RemoteProtocolError("member")
-    name, ip, incarnation = row
-    if type(name) is not str or type(ip) is not str or type(incarnation) is not int:
-        raise RemoteProtocolError("member")
-    if len(name) + len(ip) > MAX_ADDRESS_LETTERS:
-        raise RemoteProtocolError("member")
-    return name, MemberAddress(ip, incarnation)
+    match row:
+        case [str() as name, str() as ip, int() as incarnation] if type(row) is list and type(incarnation) is int:
+            if len(name) + len(ip) <= MAX_ADDRESS_LETTERS:
+                return name, MemberAddress(ip, incarnation)
+    raise RemoteProtocolError("member")
