--- a/rampfront/consensus/body_history.py
+++ b/rampfront/consensus/body_history.py
@@ -2,7 +2,7 @@
 
 A delta names the digest of the body that it rests on; the entry carries the digest of the body which must come out. A
 receiver that lacks the first, or comes out elsewhere, takes nothing. The form is our own: both bodies are cut at `{`
-(the configuration is JSON), and the new one is told as runs of the old one's chunks and new chunks between them.
+(the configuration is JSON), and the new one is described as runs of the old one's chunks with new chunks between them.
 
 No I/O, no clock. `replication.py` makes deltas, `entry_receiver.py` applies them; `membership/deltas.py` uses
 `make_delta` and `apply_delta` by themselves.
@@ -25,7 +25,7 @@
 
 
 class BodyDelta(NamedTuple):
-    """What stands in an entry in place of its body, and about how many bytes that takes on the wire."""
+    """What replaces an entry's body, and about how many bytes that takes on the wire."""
 
     encoded: list[object]
     size: int
@@ -37,7 +37,7 @@
     first_place = {chunk: place for place, chunk in reversed(list(enumerate(old_chunks)))}
     operations: list[DeltaOperation] = []
     run: list[int] = []  # the operation that copies, if the last one does
-    next_place = -1  # the old chunk behind the run
+    next_place = -1  # the old chunk after the run
     for chunk in new.split(SEPARATOR):
         if run and next_place < len(old_chunks) and old_chunks[next_place] == chunk:
             run[1] += 1
@@ -53,7 +53,7 @@
 
 
 def apply_delta(old: bytes, operations: list[object]) -> bytes:
-    """The body that `make_delta` told.
+    """The body that a delta of `make_delta` describes.
 
     Raises ValueError for what `make_delta` does not make; guards memory against chunks that are named over and over.
     """
@@ -98,7 +98,7 @@
             self._bytes -= len(self.by_digest.pop(next(iter(self.by_digest))))
 
     def delta(self, base: bytes, entry: State) -> BodyDelta | None:
-        """What stands in place of an entry's body for a member that has the body of digest `base`.
+        """What replaces an entry's body for a member that has the body of digest `base`.
 
         None where that body is not known here, or where the body itself is no longer than the delta.
         """
--- a/rampfront/consensus/context.py
+++ b/rampfront/consensus/context.py
@@ -70,7 +70,7 @@
         return self.random.randrange(timeout.shortest, timeout.longest)
 
     def draw_identifier(self) -> int:
-        """48 random bits, never 0, as nothing else may ever bear the same number."""
+        """48 random bits, never 0: an identifier that nothing else is ever given."""
         return self.random.getrandbits(48) | 1
 
     def emit(self, effect: Effect) -> None:
--- a/rampfront/consensus/core_strength.py
+++ b/rampfront/consensus/core_strength.py
@@ -1,4 +1,4 @@
-"""What a leader tells operators of its core: the condition of each member, and for how long nothing has been amiss.
+"""What a leader reports to operators of its core: the condition of each member, and for how long all has been well.
 
 The core is at full strength while it has as many members as are wanted, all of them answer and stay, and no change of
 members is under way. Operators wait for that between two planned losses. Called by `Leader`; `node/` shows the result.
@@ -15,7 +15,7 @@
 
 
 class MemberCondition(StrEnum):
-    """What an operator is told of a member. The values go out over the control address."""
+    """The condition of a member, as operators see it. The values go out over the control address."""
 
     VOTER = "voter"
     LEARNER = "learner"
--- a/rampfront/consensus/election.py
+++ b/rampfront/consensus/election.py
@@ -7,8 +7,8 @@
 
 - A vote goes to one candidate a term, and only to one whose entry is no older than the own (paper, section 5.4.1).
 - A vote leaves its member, and the own vote counts, only once it is on disk.
-- A leader that hands over names its successor, which stands at once and is voted for although the leader is still live
-  (leadership transfer, dissertation, section 3.10).
+- A leader that hands over names its successor, which stands for election at once and gets votes although the leader is
+  still live (leadership transfer, dissertation, section 3.10).
 
 Two that ask at the same time would split the votes and lose a second; so now and then the one with the older entry, or
 the lesser name, gives way. That rule is our own.
@@ -27,7 +27,7 @@
 
 ELECTION_TIMEOUT = Timeout(700 * MS, 1250 * MS)  # without a heartbeat, until a member asks for votes
 CAMPAIGN_TIMEOUT = Timeout(400 * MS, 900 * MS)  # until it asks anew
-START_TIMEOUT = Timeout(60 * MS, 360 * MS)  # behind a start: where a leader is alive, nobody heeds it
+START_TIMEOUT = Timeout(60 * MS, 360 * MS)  # after a start: where a leader is alive, nobody grants a vote
 LEADER_ENDED_TIMEOUT = Timeout(20 * MS, 300 * MS)  # after a leader said that it stops
 SUCCESSOR_NAMED_TIMEOUT = Timeout(150 * MS, 450 * MS)  # after it named another one to follow it
 GIVE_WAY_INTERVAL_NS = 3 * SEC  # the other candidate may be deaf, so this one gives way no more often
@@ -208,5 +208,5 @@
         return VoteGranted(self._persistent.key, request.sender.incarnation, self._persistent.term)
 
     def reject_term(self, ip: str) -> None:
-        """Names the newer term to one that is behind."""
+        """Names the newer term to a member of an older one."""
         self._context.send(ip, TermRejected(self._persistent.term))
--- a/rampfront/consensus/electorate.py
+++ b/rampfront/consensus/electorate.py
@@ -6,7 +6,7 @@
 The exception is our own. In a core of two, neither could ever agree to anything without the other. If the disk of one
 is lost, the other therefore has all that was agreed, and the old incarnation agrees to nothing any more; yet there will
 never be a majority of the two again. So the one left stands for election by itself and takes the new incarnation in. It
-does so only behind several requests to join of that incarnation, as a late one proves nothing, and while no leader is
+does so only after several requests to join of that incarnation, as a late one proves nothing, and while no leader is
 there. In a core of more this would be wrong: one alone may lack what the others agreed to.
 
 Called by `Member` for requests to join, by the election and the leader for the votes that count.
--- a/rampfront/consensus/evacuations.py
+++ b/rampfront/consensus/evacuations.py
@@ -1,10 +1,10 @@
 """How many operators keep a zone evacuated, as far as that can be known: orders on a zone name no operator.
 
-Callers repeat an order whose answer got lost. Within the time for which they do, a repeat cannot be told from the order
-of a second operator. So that no lost answer leaves a zone evacuated for ever, and none restores it early:
+Callers repeat an order whose answer got lost. Within the time for which they do, a repeat cannot be distinguished
+from the order of a second operator. No lost answer may leave a zone evacuated for ever, and none may restore it early:
 
 - evacuated again later than that: certainly another operator, who is counted, and restores the zone himself;
-- evacuated again sooner: perhaps another one. He is heeded, but for a bounded time: the last certain operator's
+- evacuated again sooner: perhaps another one. He is counted, but for a bounded time: the last certain operator's
   restoration opens the zone after one such time more (`Evacuation.operators` is 0 meanwhile);
 - restored again sooner: taken as the same order, which changes nothing.
 
@@ -38,14 +38,14 @@
 
 
 class ZoneChange(NamedTuple):
-    """What is evacuated behind an order, and by whom."""
+    """What is evacuated after an order, and by whom."""
 
     zones: frozenset[str]
     evacuations: EvacuationTable
 
 
 def evacuate(zones: frozenset[str], evacuations: EvacuationTable, zone: str, may_be_repeat: bool) -> ZoneChange:
-    """Behind an order to evacuate a zone; the same two objects if nothing changes."""
+    """The zones after an order to evacuate one; the same two objects if nothing changes."""
     if zone not in zones:
         return ZoneChange(zones | {zone}, evacuations)
     before = evacuations.get(zone, SINGLE_OPERATOR)
@@ -59,7 +59,7 @@
 
 
 def restore(zones: frozenset[str], evacuations: EvacuationTable, zone: str, may_be_repeat: bool) -> ZoneChange:
-    """Behind an order to restore a zone; the same two objects if nothing changes."""
+    """The zones after an order to restore one; the same two objects if nothing changes."""
     if zone not in zones:
         return ZoneChange(zones, evacuations)
     before = evacuations.get(zone, SINGLE_OPERATOR)
--- a/rampfront/consensus/events.py
+++ b/rampfront/consensus/events.py
@@ -1,4 +1,4 @@
-"""What a member of the core is told (inputs) and what it wants done (effects).
+"""The inputs of a member of the core, and the effects that it wants carried out.
 
 `Member.take` is given one input at a time and returns the effects, to be carried out in order. Times are whole
 nanoseconds of a steady clock. Both sets are closed: `Input` and `Effect` name all of their classes.
--- a/rampfront/consensus/heartbeat_rounds.py
+++ b/rampfront/consensus/heartbeat_rounds.py
@@ -3,7 +3,7 @@
 A round is confirmed once a majority has answered it or a later one. The leader then knows that it still led when it
 sent the round, so no newer leader had committed anything before that moment. Three things rest on it:
 
-- a read is answered once a round that began behind it is confirmed (ReadIndex, Ongaro's dissertation, section 6.4);
+- a read is answered once a round that began after it is confirmed (ReadIndex, Ongaro's dissertation, section 6.4);
 - a leader without a confirmed round for `LEADERSHIP_LEASE_NS` gives up (check quorum, section 6.2);
 - what nodes hold is as fresh as the newest confirmed round (leases by the sender's clock, section 6.4.1).
 
@@ -16,7 +16,7 @@
 
 HEARTBEAT_INTERVAL_NS = 280 * MS  # ticks come each 100 ms
 MIN_INTERVAL_NS = 20 * MS  # rounds for the sake of a read are no closer than this
-LEADERSHIP_LEASE_NS = 1200 * MS  # behind its last confirmed round a leader gives up
+LEADERSHIP_LEASE_NS = 1200 * MS  # after its last confirmed round, until a leader gives up
 MAX_UNCONFIRMED = 64
 
 
--- a/rampfront/consensus/leader.py
+++ b/rampfront/consensus/leader.py
@@ -3,7 +3,7 @@
 Raft's leader (paper, section 5.3), with a log of one entry: at most one entry is under way, and the next is proposed
 only once it is committed, so orders that come meanwhile share the next one. The parts: `Replication` brings the entry
 to the others, `HeartbeatRounds` tell whether a majority still follows, `OrderQueue` and `OrderApplication` carry out
-orders, `MembershipChange` says who is taken in or out next, `LeadershipTransfer` hands over.
+orders, `MembershipChange` says who is added or removed next, `LeadershipTransfer` hands over.
 
 Invariants:
 
@@ -129,7 +129,7 @@
         self._orders.abandon()
 
     def _successor(self) -> MemberKey | None:
-        """Which member is to stand at once; None unless this leader ends in order."""
+        """Which member is to stand for election at once; None unless this leader ends in order."""
         if not self.context.is_shutting_down and not self.excludes_itself:
             return None
         silent = self.replication.silent_keys()
@@ -277,7 +277,7 @@
         return self._application.apply(entry, order, self.context.now) is entry
 
     def _await_round(self, orders: list[PendingOrder], index: int) -> None:
-        """They change nothing: answered once a majority has answered a round that began behind them. So is a CONFLICT:
+        """They change nothing: answered once a majority has answered a round that began after them. So is a CONFLICT:
         a leader that is deposed unawares may have what is never committed, and the order that it denies may yet be."""
         self._orders.await_round(orders, index, self.rounds.current + 1)
         if self.rounds.may_start(self.context.now):
@@ -304,11 +304,11 @@
     # Newcomers.
 
     def receive_join_request(self, ip: str, request: JoinRequest) -> None:
-        """One that is no member asks to be taken in: it becomes a learner, and is sent what it lacks."""
+        """One that is no member asks to become a member: it becomes a learner, and is sent what it lacks."""
         sender = request.sender
         if not self.membership.admits(sender):
             if self.membership.is_retired(sender.incarnation) and self.excludes(sender):
-                # A newcomer may be cut off before it hears that it was taken in, and be out again by now.
+                # A newcomer may be cut off before it learns that it was added, and be removed again by now.
                 self._discovery.send_hint(ip, excluded=sender.incarnation)
             return
         if request.password != self.password:
@@ -321,7 +321,7 @@
             self.replication.send_entry(learner.key, learner.replica)
         self._go_on()
 
-    # What operators are told.
+    # For operators.
 
     def strength(self, now: TimeNs) -> CoreStrength:
         """The strength of the core at this moment."""
--- a/rampfront/consensus/leader_discovery.py
+++ b/rampfront/consensus/leader_discovery.py
@@ -3,13 +3,13 @@
 The mechanism is our own; Raft leaves it to clients to find the leader (Ongaro's dissertation, section 6.2).
 
 - A node without a disk asks the leader it knows, or else all it knows, who leads.
-- A newcomer sends `JoinRequest` to them. The leader answers with a `LeaderHint` that bears its password of this term;
-  only a request with that password counts, so that no late one brings back an incarnation that was taken out.
+- A newcomer sends `JoinRequest` to them. The leader answers with a `LeaderHint` with its password of this term;
+  only a request with that password counts, so that no late one brings back an incarnation that was removed.
 - A member that finds no leader for long asks the seeds too: all whom it knows may have been replaced.
 - A hint may say that it is committed that the receiver is no member any more. The receiver then comes back as another
   incarnation (`receive_hint` returns who said so; `Member` does the rest).
 
-Invariant: what is known here decides whom to ask and whom to send orders to, and which candidates are heeded. It never
+Invariant: what is known here decides whom to ask, whom to send orders to and which candidates may get votes. It never
 decides what is committed. Called by `Member`; the election asks `has_live_leader`.
 """
 
@@ -32,7 +32,7 @@
     """What one member knows of the leader, itself included."""
 
     def __init__(self, context: MemberContext, persistent: PersistentState, counts_towards_size: bool) -> None:
-        """`counts_towards_size`: of the core, once this member is taken in: it starts with the whole system."""
+        """`counts_towards_size`: of the core, once this member is added: it starts with the whole system."""
         self._context = context
         self._persistent = persistent
         self.leader_ip: str | None = None
@@ -70,12 +70,12 @@
         self.leader_ip = None
 
     def leader_ended(self) -> None:
-        """The leader says that it leads no longer, so candidates are heeded at once."""
+        """The leader says that it leads no longer, so candidates may get votes at once."""
         self.leader_ip = None
         self._heartbeat_at = LONG_AGO_NS
 
     def became_leader(self, password: int) -> None:
-        """This member leads; `password`: what it wants to be told by those who ask to join."""
+        """This member leads; `password`: what requests to join must contain."""
         self._own_password = password
         self._note_leader(self._context.settings.ip)
 
@@ -124,7 +124,7 @@
             self.leader_ip = None
 
     def request_to_join(self) -> None:
-        """Of one that is no member: asks to be taken in, now and then.
+        """Of one that is no member: asks to be added, now and then.
 
         Not before its incarnation is on disk: it would be a member that can't remember who it is.
         """
--- a/rampfront/consensus/leadership_transfer.py
+++ b/rampfront/consensus/leadership_transfer.py
@@ -1,8 +1,8 @@
 """How a leader that is about to end hands over (leadership transfer, Ongaro's dissertation, section 3.10).
 
 It takes no new orders, waits until what it proposed is committed, but no longer than `HANDOVER_NS`, and then names the
-most caught-up member in its `LeadershipEnded`. That one stands for election at once, without a time-out, and is voted
-for although the leader was live a moment ago. The other members wait a little longer before they stand.
+most caught-up member in its `LeadershipEnded`. That one stands for election at once, without a time-out, and gets
+votes although the leader was live a moment ago. The other members wait a little longer before they stand.
 
 No I/O, no clock. Called by `Leader`.
 """
--- a/rampfront/consensus/membership_change.py
+++ b/rampfront/consensus/membership_change.py
@@ -1,4 +1,4 @@
-"""How the list of the core's members changes: who is taken in, who is exchanged, who is taken out. No I/O, no clock.
+"""How the list of the core's members changes: who is added, exchanged or removed. No I/O, no clock.
 
 The method is joint consensus, one change at a time (D. Ongaro, J. Ousterhout, "In Search of an Understandable
 Consensus Algorithm", section 6; learners: Ongaro's dissertation, section 4.2.1). The leader proposes an entry with the
@@ -11,8 +11,8 @@
 - A newcomer has no vote before its disk has an entry of this leader's term. Until then it is a learner: it receives
   entries and acknowledges them, and is counted nowhere.
 - A member is a name with an incarnation. A lost disk means another incarnation, which takes the place of the old one in
-  one step. An incarnation that was taken out is never taken in again.
-- A member is taken out only while the others number at least `wanted_size`, so never without a newcomer that has taken
+  one step. An incarnation that was removed is never added again.
+- A member is removed only while the others number at least `wanted_size`, so never without a newcomer that has taken
   its place before. It is one that is shutting down, or one that has been silent while a majority answered for
   `SILENCE_NS`.
 - Whether it is gone or cut off need not be known: the change is agreed by majorities of both lists, what was
@@ -28,8 +28,8 @@
 from .replica_progress import ReplicaProgress
 from .state import MAX_NAMES, State
 
-SILENCE_NS = 1500 * MS  # a majority must have answered for so long without a member before it may be taken out
-LONG_SILENCE_NS = 4 * SEC  # behind which a silent one goes before one that shuts down: that one may come back
+SILENCE_NS = 1500 * MS  # a majority must have answered for so long without a member before it may be removed
+LONG_SILENCE_NS = 4 * SEC  # after which a silent one is removed before one that shuts down, which may come back
 UNANSWERED_NS = 600 * MS  # about two rounds
 LEARNER_TIMEOUT_NS = SEC  # a learner that is silent for so long is dropped; it asks to join each 0.28 s
 MAX_LEARNERS = 16
@@ -38,7 +38,7 @@
 
 
 class Learner(NamedTuple):
-    """A newcomer that catches up. `counts_towards_size`: it stands for a machine of the whole system's first start."""
+    """A newcomer that catches up. `counts_towards_size`: it is a machine of the whole system's first start."""
 
     name: str
     incarnation: Incarnation
@@ -57,7 +57,7 @@
 
 
 class Step(NamedTuple):
-    """The next entry's members. `previous_members`: the list before it; None where nobody is taken in or out."""
+    """The next entry's members. `previous_members`: the list before it; None where nobody is added or removed."""
 
     members: MemberList
     previous_members: MemberList | None
@@ -65,7 +65,7 @@
 
 
 class RemovalCandidate(NamedTuple):
-    """A member that may be taken out. The greatest one goes first, so the order of the fields counts."""
+    """A member that may be removed. The greatest one goes first, so the order of the fields counts."""
 
     is_long_silent: bool
     is_shutting_down: bool
@@ -74,7 +74,7 @@
 
 
 def wanted_size(state: State, survive: int) -> int:
-    """How many members must be left: as many as at the first start, and a majority of them behind `survive` losses."""
+    """How many members must be left: as many as at the first start, and a majority of them after `survive` losses."""
     return max(state.target_size, 2 * survive + 1)
 
 
@@ -87,12 +87,12 @@
         self._term = term
         self._survive = survive
         self.learners: dict[str, Learner] = {}  # by name; bounded, silent ones are dropped
-        self._retired: set[Incarnation] = set()  # taken out by this leader; bounded
+        self._retired: set[Incarnation] = set()  # removed by this leader; bounded
 
     # Learners.
 
     def learner(self, key: MemberKey) -> Learner | None:
-        """The learner that bears this key."""
+        """The learner with this key."""
         found = self.learners.get(key.name)
         return found if found is not None and found.key == key else None
 
@@ -110,7 +110,7 @@
         return incarnation in self._retired
 
     def enrol(self, key: MemberKey, ip: str, counts_towards_size: bool) -> Learner:
-        """The learner of this key, taken in if it is none yet; one of the same name but another key is forgotten."""
+        """The learner of this key, enrolled if it is none yet; one of the same name but another key is forgotten."""
         learner = self.learner(key)
         if learner is None:
             learner = Learner(key.name, key.incarnation, counts_towards_size, ReplicaProgress(ip))
@@ -150,10 +150,10 @@
     def _admission(
         self, state: State, replicas: Mapping[MemberKey, ReplicaProgress], confirmed_at: TimeNs
     ) -> Step | None:
-        """Takes in one learner that has caught up, in place of its own former incarnation if there is one."""
+        """Adds one learner that has caught up, in place of its own former incarnation if there is one."""
         members = state.members
         # Guards a majority that is met barely: while one too many is in the list and some do not answer, another
-        # newcomer would raise what a majority takes. It waits until the silent one is out, or heard again.
+        # newcomer would raise what a majority takes. It waits until the silent one is removed, or answers again.
         is_crowded = len(members) > wanted_size(state, self._survive) and any(
             confirmed_at - replica.last_contact_at > UNANSWERED_NS for replica in replicas.values()
         )
@@ -179,7 +179,7 @@
         confirmed_at: TimeNs,
         first_committed_at: TimeNs,
     ) -> Step | None:
-        """Takes out one member, if enough are left: one silent for long, one that shuts down, or else a silent one."""
+        """Removes one member, if enough are left: one silent for long, one that shuts down, or else a silent one."""
         members = state.members
         if len(members) <= wanted_size(state, self._survive):
             return None
@@ -220,6 +220,6 @@
         return 2 * (staying - self._survive) > len(members) - 1
 
     def _retire(self, incarnation: Incarnation) -> None:
-        """Guards against a late request to join that would bring back an incarnation which was taken out."""
+        """Guards against a late request to join that would bring back an incarnation which was removed."""
         if len(self._retired) < MAX_RETIRED:
             self._retired.add(incarnation)
--- a/rampfront/consensus/messages.py
+++ b/rampfront/consensus/messages.py
@@ -13,7 +13,7 @@
 
 
 class JoinRequest(NamedTuple):
-    """I have a disk and am no member: take me in. `password`: as the leader named it in a `LeaderHint`, or 0."""
+    """I have a disk and am no member: add me. `password`: as the leader named it in a `LeaderHint`, or 0."""
 
     sender: MemberKey
     password: int
@@ -49,7 +49,7 @@
 
 
 class PreVoteGranted(NamedTuple):
-    """I would vote for you in that term, as things stand."""
+    """I would vote for you in that term, as matters are now."""
 
     sender: MemberKey
     receiver_incarnation: Incarnation | None
--- a/rampfront/consensus/order_queue.py
+++ b/rampfront/consensus/order_queue.py
@@ -1,6 +1,6 @@
 """The orders that one leader has not answered yet.
 
-An order is answered once the entry that carries it is committed, and once a round that began behind it is confirmed if
+An order is answered once the entry that carries it is committed, and once a round that began after it is confirmed if
 it changes nothing (`heartbeat_rounds.py`). Invariants:
 
 - Each order is answered once, within `MAX_WAIT_NS`.
--- a/rampfront/consensus/persistent_state.py
+++ b/rampfront/consensus/persistent_state.py
@@ -45,7 +45,7 @@
         self.vote: MemberKey | None = None  # in `term`
         self.entry: State | None = None  # the newest one
         self.committed: State | None = None  # the newest one known to be committed
-        self.member_ips: list[str] = []  # where to ask, as another member told
+        self.member_ips: list[str] = []  # where to ask, as another member said
         self.bodies = BodyHistory()  # that deltas may rest on
         self.version = 0
         self.durable = DurableVersion(0, 0, None)
@@ -120,7 +120,7 @@
             self._context.emit(StateCommitted(entry))
 
     def learn_members(self, ips: list[str]) -> None:
-        """Where to ask, for a member that is none yet. Goes to disk: it may be killed before it is taken in, and would
+        """Where to ask, for a member that is none yet. Goes to disk: it may be killed before it is added, and would
         know nobody then."""
         self.member_ips = ips
         if self._context.settings.has_disk:
--- a/rampfront/consensus/record_store.py
+++ b/rampfront/consensus/record_store.py
@@ -2,7 +2,7 @@
 
 `dbm.dumb` syncs nothing and rewrites its index by rename, so one database alone can be found empty. Two are used in
 turn: a save goes into the one that does not have the newest good record, which stays untouched meanwhile. Each value
-bears a generation and a checksum over both; files and then the folder are synced before `save` returns. A database
+has a generation and a checksum over both; files and then the folder are synced before `save` returns. A database
 that is missing, torn or out of step (a new index over old data, or the other way round) fails its checksum or does
 not open, and the other one counts. Needs about twice the record's size. What the standard library cannot do for us
 is left out: `sync` of `dbm.dumb` is a rename, no sync.
@@ -111,7 +111,7 @@
                 database.close()
             finally:
                 # Guards against a database that failed and writes its index once more when it is closed or collected,
-                # which may be behind the next save into the same files.
+                # which may be after the next save into the same files.
                 vars(database)["_index"] = None
 
     def _read(self, name: str) -> _StoredRecord | None:
--- a/rampfront/consensus/repeat_window.py
+++ b/rampfront/consensus/repeat_window.py
@@ -35,7 +35,7 @@
         self._evacuated_at[zone] = now
 
     def note_restoration(self, zone: str, now: TimeNs) -> None:
-        """An order to restore a zone is taken, behind which the zone is still evacuated."""
+        """An order to restore a zone is taken, after which the zone is still evacuated."""
         self._restored_at[zone] = now
 
     def forget(self, zone: str) -> None:
--- a/rampfront/consensus/replica_progress.py
+++ b/rampfront/consensus/replica_progress.py
@@ -16,8 +16,8 @@
     """How far a replica has come.
 
     `match_position`, `body_digest`: of the entry on its disk. `acknowledged_round`: the newest round that it answered.
-    `last_contact_at`: when it was heard of last. `is_shutting_down`: it said so. `sent_position`, `sent_at`,
-    `sent_bytes`, `send_attempts`: of the entry that was sent last; the bytes are those of its body and versions.
+    `last_contact_at`: when it last answered, or asked to join. `is_shutting_down`: as it said. `sent_position`,
+    `sent_at`, `sent_bytes`, `send_attempts`: of the entry that was sent last; the bytes are those of its body and versions.
     """
 
     ip: str
@@ -39,7 +39,7 @@
         self.sent_bytes = 0
 
     def sending_bytes(self, count: int) -> None:
-        """So many bytes stand for a part of the entry that is being sent."""
+        """So many bytes of the entry that is being sent are its body's, or its versions'."""
         self.sent_bytes += count
 
     def resend_timeout(self) -> DurationNs:
@@ -65,6 +65,6 @@
             self.body_digest = body_digest
 
     def contacted(self, now: TimeNs, is_shutting_down: bool) -> None:
-        """It was heard of."""
+        """It has answered."""
         self.last_contact_at = now
         self.is_shutting_down = is_shutting_down
--- a/rampfront/consensus/state.py
+++ b/rampfront/consensus/state.py
@@ -27,7 +27,7 @@
 
 
 def digest(body: bytes) -> bytes:
-    """8 bytes that stand for a compressed configuration, byte by byte."""
+    """8 bytes that identify a compressed configuration, byte by byte."""
     return blake2b(body, digest_size=DIGEST_BYTES).digest()
 
 
@@ -73,7 +73,7 @@
         return LogPosition(self.term, self.index)
 
     def next_entry(self, **changes: Unpack[StateChanges]) -> "State":
-        """The entry behind this one."""
+        """The entry after this one."""
         if "body" in changes:
             changes["body_digest"] = digest(changes["body"])
         return replace(self, index=self.index + 1, **changes)
@@ -134,7 +134,7 @@
 
     Parameters:
         row: as cbor2 carries it, unchecked.
-        bodies: those that the receiver has; one of them stands in where the state comes without its body.
+        bodies: those that the receiver has; one of them is taken where the state comes without its body.
 
     Returns None if it comes without its body and none of `bodies` is the same.
     Raises RemoteProtocolError for what `State.encode` does not make.
--- a/rampfront/consensus/version_history.py
+++ b/rampfront/consensus/version_history.py
@@ -27,7 +27,7 @@
 
 
 def content_digest(body: bytes) -> bytes:
-    """8 bytes that stand for what a compressed configuration says; for its bytes, where it is no compressed JSON."""
+    """8 bytes that identify what a compressed configuration says; for its bytes, where it is no compressed JSON."""
     try:
         unpacker = zlib.decompressobj()
         text = unpacker.decompress(body, MAX_CONTENT_BYTES)
--- a/rampfront/consensus/wire_names.py
+++ b/rampfront/consensus/wire_names.py
@@ -2,7 +2,7 @@
 
 A frame is a map with short keys, because heartbeats go to each member three times a second and bytes between zones are
 priced. Old and new nodes run mixed, so these names stay as they are. `frame_encoder.py` and `frame_decoder.py` alone
-know which class stands for which kind, and which field for which key.
+know which class is which kind, and which field has which key.
 """
 
 from typing import Any, TypeAlias
