--- a/rampfront/consensus/replica_progress.py
+++ b/rampfront/consensus/replica_progress.py
@@ -16,8 +16,8 @@
     """How far a replica has come.
 
     `match_position`, `body_digest`: of the entry on its disk. `acknowledged_round`: the newest round that it answered.
-    `last_contact_at`: when it last answered, or asked to join. `is_shutting_down`: as it said. `sent_position`,
-    `sent_at`, `sent_bytes`, `send_attempts`: of the entry that was sent last; the bytes are those of its body and versions.
+    `last_contact_at`: when it last answered, or asked to join. `is_shutting_down`: as it said then. `sent_position`,
+    `sent_at`, `send_attempts`: of the entry that was sent last; `sent_bytes`: of its body and versions.
     """
 
     ip: str
