--- a/rampfront/quota/counter.py
+++ b/rampfront/quota/counter.py
@@ -113,12 +113,14 @@
     def _apply_update(self, now: int, proxy: str, update: CounterUpdate) -> CounterTotals:
         """Counts an update, unless it is a repeated one, and returns the totals of its tenants."""
         record = self.registry.record_of(check_name(proxy), update.incarnation, now)
-        self._start_use(now)
+        if not self.used:
+            self._start_use(now)
         fresh = update.sequence > record.last_sequence
         record.last_seen_at = now
         if fresh and update.lived_ms:
             self._bring_share(record, update.lived_ms * MS, now)
-        self.survey(now)
+        if self.registry.survey_due(now):
+            self.survey(now)
         if fresh:
             record.missed_at = now + SILENCE_NS
             record.last_sequence = update.sequence
@@ -150,15 +152,13 @@
 
     def _start_use(self, now: int) -> None:
         """The first update of all starts all buckets."""
-        if not self.used:
-            self.used = True
-            for tenant in self.tenants.values():
-                tenant.start_use(now)
+        self.used = True
+        for tenant in self.tenants.values():
+            tenant.start_use(now)
 
     def _release(self, now: int, proxy: str, incarnation: int) -> None:
         """A proxy moves to another counter. Its even share goes with it at once; its counts stay."""
         if self.registry.release(proxy, incarnation, now):
-            self.registry.allow_survey(now)
             self.survey(now)
 
     def _bring_share(self, record: ProxyRecord, lived_ns: int, now: int) -> None:
@@ -167,7 +167,6 @@
 
         So a new counter that all moved to knows what is left, and those that move to and fro bring nothing twice.
         `lived_ns`: how long its counts reach back; a proxy that just started brings nothing."""
-        self.registry.allow_survey(now)
         self.survey(now)
         unserved_ns = min(lived_ns, now - record.missed_at)
         if unserved_ns <= 0:
@@ -178,9 +177,7 @@
             tenant.bring_share(share, unserved_ns, now, self.missing_share)
 
     def survey(self, now: int) -> None:
-        """Works out which part of the proxies is missing, ten times a second at most."""
-        if not self.registry.survey_due(now):
-            return
+        """Works out which part of the proxies is missing."""
         # With no survey for long no update came, and buckets need not be brought up to date under the old share.
         in_use = now - self.registry.surveyed_at <= SILENCE_NS
         missing_share = self.registry.survey(now)
--- a/rampfront/quota/proxy_registry.py
+++ b/rampfront/quota/proxy_registry.py
@@ -73,12 +73,8 @@
         """How many proxies share each quota; 0 while it is not known how many serve."""
         return max(self.serving_count, len(self.records)) if self.serving_count else 0
 
-    def allow_survey(self, now: int) -> None:
-        """The next survey need not wait for its gap."""
-        self.surveyed_at = min(self.surveyed_at, now - SURVEY_GAP_NS)
-
     def survey_due(self, now: int) -> bool:
-        """Whether the last survey is long enough ago."""
+        """Whether the last survey is long enough ago, for one that nothing else asks for."""
         return now - self.surveyed_at >= SURVEY_GAP_NS
 
     def survey(self, now: int) -> float:
