--- a/rampfront/quota/slot_counts.py
+++ b/rampfront/quota/slot_counts.py
@@ -6,7 +6,6 @@
 
 from collections import deque
 
-from ..terms import slotted
 from .limits import SEC, Quota
 from .messages import SILENCE_NS
 
@@ -18,12 +17,15 @@
 RESERVED_SLACK_SHARE = 0.6
 
 
-@slotted
 class Slot:
     """Requests admitted in one slot of time."""
 
-    number: int
-    count: int
+    __slots__ = ("count", "number")
+
+    def __init__(self, number: int, count: int) -> None:
+        """`number`: of the slot, by the counter's time."""
+        self.number = number
+        self.count = count
 
 
 class SlotCounts:
--- a/rampfront/quota/tenant_totals.py
+++ b/rampfront/quota/tenant_totals.py
@@ -29,12 +29,15 @@
     return max(LEAST_SHARE, min(1.0, 1.0 + spread * (1.0 - 2.0 * missing_share) - missing_share))
 
 
-@slotted
 class WindowTotal:
     """Requests admitted in one window by all proxies. Its number stands in `TenantTotals.window`."""
 
-    count: int
-    by_proxy: dict[ProxyIncarnation, int]
+    __slots__ = ("by_proxy", "count")
+
+    def __init__(self) -> None:
+        """None yet."""
+        self.count = 0
+        self.by_proxy: dict[ProxyIncarnation, int] = {}
 
     def add(self, proxy: ProxyIncarnation, count: int) -> None:
         """Counts requests that a proxy admitted."""
@@ -80,8 +83,8 @@
             name=name,
             quota=quota,
             window=now // quota.window,
-            current=WindowTotal(0, {}),
-            previous=WindowTotal(0, {}),
+            current=WindowTotal(),
+            previous=WindowTotal(),
             slots=SlotCounts(quota) if quota.without_burst else None,
             unaccounted=unaccounted,
             remaining=quota.depth - unaccounted,
@@ -190,8 +193,8 @@
         """Ages windows out."""
         window = now // self.quota.window
         if window != self.window:
-            self.previous = self.current if window == self.window + 1 else WindowTotal(0, {})
-            self.current = WindowTotal(0, {})
+            self.previous = self.current if window == self.window + 1 else WindowTotal()
+            self.current = WindowTotal()
             self.window = window
 
     def update_remaining(self, now: int, missing_share: float) -> float:
