--- a/rampfront/quota/limiter.py
+++ b/rampfront/quota/limiter.py
@@ -47,7 +47,6 @@
         """
         self.proxy_name = proxy_name
         self.random = random
-        self.rule = rule
         self.clock = CounterClock()
         self.table = TenantTable(rule, self.clock)
         self.tenants = self.table.tenants
