--- a/tests/node/conftest.py
+++ b/tests/node/conftest.py
@@ -2,13 +2,13 @@
 
 import pytest
 from node_fixtures import build_node
-from proxy_fixtures import Quay
+from proxy_fixtures import ProxyHarness
 
 
 @pytest.fixture
 def node_process():
-    """A node without a disk, whose loop is a `Quay` with clients and servers."""
-    loop = Quay()
+    """A node without a disk, whose loop is a `ProxyHarness` with clients and servers."""
+    loop = ProxyHarness()
     loop.stopped = []
     loop.stop = lambda: loop.stopped.append(loop.now)
     node = build_node(loop)
--- a/tests/node_fixtures.py
+++ b/tests/node_fixtures.py
@@ -4,7 +4,7 @@
 import zlib
 from dataclasses import replace
 
-from proxy_fixtures import Quay, Silent, orders, settings
+from proxy_fixtures import ProxyHarness, SilentEventLog, orders, settings
 
 from rampfront.consensus import events
 from rampfront.consensus.events import OrderKind, Outcome
@@ -65,19 +65,19 @@
 
 
 def build_node(loop, seed=3, **changes):
-    """A node without a disk, on a `Quay`. `changes`: fields of its settings."""
+    """A node without a disk, on a `ProxyHarness`. `changes`: fields of its settings."""
     loop.add_signal_handler = loop.run_in_executor = None
     process_settings = settings_reader.read(settings(Grace="6s", RevokeWithin="5s")).ok_value
     process_settings = replace(process_settings, **changes)
     ports = Ports(clock=lambda: loop.clock, wire=FakeWire)
-    return build_node_process(loop, process_settings, Silent(), seed, ports)
+    return build_node_process(loop, process_settings, SilentEventLog(), seed, ports)
 
 
 class NodeHarness:
     """One process whose orders are followed. `leads`: with a member of the core that leads."""
 
     def __init__(self, leads=False, seed=3):
-        self.loop = Quay()
+        self.loop = ProxyHarness()
         self.process = build_node(self.loop, seed)
         self.wire, self.counts = self.process.context.wire, self.process.context.counts
         self.orders, self.table = self.process.orders, self.process.order_executor.table
--- /dev/null
+++ b/tests/proxy/test_client_front.py
@@ -0,0 +1,81 @@
+"""Connections of clients: those that disconnect, are malformed, slow or idle."""
+
+import pytest
+from proxy_fixtures import TWO_SERVERS, WRITE, ProxyHarness
+
+
+def test_a_client_that_disconnects_cancels_its_request():
+    """What it asked for is called off at the server, at once; its body is no longer counted as held."""
+    proxy = ProxyHarness(TWO_SERVERS)
+    proxy.ask(WRITE, body=b"x" * 1000)
+    server = proxy.pipes[proxy.where()]
+    proxy.client().cut()
+    assert (
+        server.closed
+        and proxy.client_front.buffered_bytes == 0
+        and not proxy.request_proxy.service_pools["one"].driver.in_flight
+    )
+
+
+MALFORMED = {
+    "no id": (b"GET /read/x HTTP/1.1\r\nHost: host.example\r\nAuthorization: Bearer ann-key\r\n\r\n", 400),
+    "two ids": (b"GET /read/x HTTP/1.1\r\nHost: h\r\nTry-Id: a\r\nTry-Id: b\r\n\r\n", 400),
+    "two keys": (b"GET /read/x HTTP/1.1\r\nHost: h\r\nAuthorization: Bearer a\r\nauthorization: Bearer b\r\n\r\n", 400),
+    "no host": (b"GET /read/x HTTP/1.1\r\nTry-Id: a\r\n\r\n", 400),
+    "two hosts": (b"GET /read/x HTTP/1.1\r\nHost: a\r\nHost: b\r\nTry-Id: a\r\n\r\n", 400),
+    "two lengths": (
+        b"POST /write/x HTTP/1.1\r\nHost: host.example\r\nTry-Id: a\r\nContent-Length: 1\r\n"
+        b"Content-Length: 2\r\n\r\nab",
+        400,
+    ),
+    "a length and chunks": (
+        b"POST /write/x HTTP/1.1\r\nHost: host.example\r\nTry-Id: a\r\nContent-Length: 1\r\n"
+        b"Transfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\n\r\n",
+        400,
+    ),
+    "a large head": (b"GET /read/x HTTP/1.1\r\nHost: h\r\nX: " + b"x" * 3000 + b"\r\n\r\n", 431),
+    "a large body": (b"POST /write/x HTTP/1.1\r\nHost: h\r\nContent-Length: 5001\r\n\r\n", 413),
+    "many chunks": (
+        b"POST /write/x HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n"
+        + b"400\r\n"
+        + b"x" * 1024
+        + b"\r\n"
+        + b"fff\r\n"
+        + b"x" * 4095
+        + b"\r\n",
+        413,
+    ),
+    "no request": (b"\x16\x03\x01\x00\xa5\r\n\r\n", 400),
+    "a second behind it": (
+        b"GET /read/x HTTP/1.1\r\nHost: host.example\r\nTry-Id: a\r\nAuthorization: Bearer ann-key\r\n\r\n"
+        b"GET /read/y HTTP/1.1\r\nHost: host.example\r\nTry-Id: b\r\n\r\n",
+        400,
+    ),
+}
+
+
+@pytest.mark.parametrize("what", MALFORMED)
+def test_a_malformed_request_reaches_no_server(what):
+    """What cannot be followed is answered, ends its connection and reaches no server: nothing is smuggled through."""
+    data, status = MALFORMED[what]
+    proxy = ProxyHarness(TWO_SERVERS, MaxHeaderBytes=2000, MaxBodyBytes=5000)
+    proxy.client().feed(data)
+    assert (
+        proxy.got().status == status
+        and proxy.pipes["c"].closed
+        and not proxy.out()
+        and proxy.client_front.buffered_bytes == 0
+    )
+
+
+def test_incomplete_requests_and_idle_connections_time_out():
+    """408 in time, by the configuration's bound; an idle connection is closed by the other one."""
+    proxy = ProxyHarness(TWO_SERVERS, Idle="4s")
+    proxy.client().feed(b"GET /read/x HTTP/1.1\r\nHost: host.exam")
+    proxy.client("idle")
+    proxy.ask(client="kept")
+    proxy.reply()
+    for _ in range(60):
+        proxy.wait(250)
+        proxy.client_front.sweep()
+    assert proxy.got().status == 408 and proxy.pipes["kept"].closed and proxy.pipes["idle"].closed
--- /dev/null
+++ b/tests/proxy/test_connection_reuse.py
@@ -0,0 +1,87 @@
+"""Connections to servers: which of them are used again."""
+
+from proxy_fixtures import WRITE, ProxyHarness, reset
+
+
+def test_bytes_behind_a_complete_response_close_the_connection():
+    """They belong to no request: the answer stands, the connection goes, the next request finds a clean one."""
+    for then in (b"junk", b"HTTP/1.1 200 OK\r\nTry-Id: t2\r\nServer-Seal: x\r\nContent-Length: 3\r\n\r\nbad"):
+        proxy = ProxyHarness({"s1": ("one", "a1")})
+        proxy.ask()
+        old = proxy.pipes["s1"]
+        proxy.reply(then=then)
+        assert proxy.got().body == b"yes" and old.closed
+        proxy.ask(tag="t2")
+        assert proxy.pipes["s1"] is not old
+        proxy.reply(tag="t2", body=b"good")
+        assert proxy.got().body == b"good"
+
+
+def test_bytes_on_an_idle_connection_close_it():
+    """A late second answer, as what is unread there or as it comes: the connection goes before it can pass for
+    another's."""
+    proxy = ProxyHarness({"s1": ("one", "a1")})
+    proxy.ask()
+    proxy.reply()
+    old = proxy.pipes["s1"]
+    old.feed(b"HTTP/1.1 200 OK\r\nTry-Id: t2\r\nServer-Seal: x\r\nContent-Length: 3\r\n\r\nbad")
+    assert old.closed
+    proxy.ask(tag="t2")
+    assert proxy.pipes["s1"] is not old
+
+
+def test_connections_are_reused():
+    """One after the other on the same connection, but not behind `Connection: close`, nor past the idle bound."""
+    proxy = ProxyHarness({"s1": ("one", "a1")})
+    for k in range(3):
+        proxy.ask(tag=f"t{k}")
+        proxy.reply(tag=f"t{k}", more="Connection: close\r\n" if k == 1 else "")
+    assert proxy.log.counts["connects"] == 2
+    proxy.wait(7500)
+    for service_pool in proxy.request_proxy.service_pools.values():
+        service_pool.connection_pool.sweep()
+    assert proxy.pipes["s1"].closed
+
+
+def test_the_keep_alive_of_a_server_is_followed():
+    """Guards requests against a server that closes an idle connection just as they are sent."""
+    proxy = ProxyHarness({"s1": ("one", "a1")})
+    for k, (wait, more, connects) in enumerate(
+        (
+            (0, "timeout=2", 1),
+            (1500, "timeout=2, max=5", 1),
+            (1900, "3", 2),
+            (2500, "timeout=1", 2),
+            (800, "timeout=0", 3),
+            (0, "odd", 4),
+            (5000, "", 4),
+        )
+    ):
+        proxy.wait(wait)
+        proxy.ask(tag=f"t{k}")
+        proxy.reply(tag=f"t{k}", more=f"Keep-Alive: {more}\r\n" if more else "")
+        assert proxy.got().status == 200 and proxy.log.counts["connects"] == connects, k
+
+
+def test_after_a_forgotten_connection_idle_ones_are_distrusted():
+    """A server that forgets idle connections without a word costs one request that may run once, not one for each of
+    them."""
+    proxy = ProxyHarness({"s1": ("one", "a1")})
+    proxy.ask(WRITE)
+    proxy.reply()
+    assert proxy.got().status == 200
+    proxy.wait(3000)
+    proxy.ask(WRITE, tag="t2")
+    reset(proxy)
+    assert proxy.got().status == 502 and proxy.log.counts["connects"] == 1
+    for tag, rest, connects in (
+        ("t3", 0, 2),
+        ("t4", 300, 2),
+        ("t5", 500, 3),
+        ("t6", 2000, 4),
+        ("t7", 5500, 4),
+    ):  # and is, later
+        proxy.wait(rest)
+        proxy.ask(WRITE, tag=tag)
+        proxy.reply(tag=tag)
+        assert proxy.got().status == 200 and proxy.log.counts["connects"] == connects, tag
--- a/tests/proxy/test_once_only_requests.py
+++ b/tests/proxy/test_once_only_requests.py
@@ -7,7 +7,7 @@
 import random
 
 import pytest
-from proxy_fixtures import MS, RULES, Quay, rule
+from proxy_fixtures import MS, RULES, ProxyHarness, rule
 
 READ, WRITE, PUT = "/read/x", "/write/x", "/put/x"
 SERVERS = {f"s{k}": ("one", "a1") for k in range(1, 5)}
@@ -75,7 +75,7 @@
 @pytest.mark.parametrize("end", ENDS)
 def test_a_once_only_request_that_may_have_run_is_sent_once(end, path):
     """On a connection that was used before, and with other servers free: one dispatch, and no promise."""
-    q = Quay(SERVERS)
+    q = ProxyHarness(SERVERS)
     q.ask(path, tag="t0", body=b"0")
     first = q.where()
     q.answer("t0")
@@ -94,7 +94,7 @@
 @pytest.mark.parametrize("end", ["a Not-Run that names no request", "a 421 that names no request"])
 def test_a_not_run_without_an_id_counts_on_a_fresh_connection(end):
     """Nothing else was ever asked there, so it can only be the answer to this request."""
-    q = Quay(SERVERS)
+    q = ProxyHarness(SERVERS)
     q.ask(WRITE, body=b"1")
     first = q.where()
     ENDS[end](q)
@@ -106,7 +106,7 @@
 def test_a_request_whose_client_left_is_not_sent_again():
     """Whatever its server then says, nothing is sent again for it."""
     for end in (reset, partial_then_close, lambda q: q.not_run()):
-        q = Quay(SERVERS)
+        q = ProxyHarness(SERVERS)
         q.ask(WRITE, body=b"1")
         pipe = next(iter(q.out().values()))
         q.pipes["c"].cut()
@@ -120,7 +120,7 @@
 def test_an_id_that_is_open_at_one_service_is_open_at_all():
     """Of a route in shares, the same try may be drawn to another service: it is not run there beside the first."""
     shares = [{"Service": "one", "Weight": 1}, {"Service": "two", "Weight": 1}]
-    q = Quay(SERVERS | {"s9": ("two", "a1")}, rules=[*RULES, rule("/both/", "changing", shares=shares)])
+    q = ProxyHarness(SERVERS | {"s9": ("two", "a1")}, rules=[*RULES, rule("/both/", "changing", shares=shares)])
     for k in range(12):  # the draws fall on both
         q.ask("/both/x", method="POST", client=f"a{k}", body=b"1")
     assert q.log.counts["dispatches"] == 1
@@ -133,7 +133,7 @@
 @pytest.mark.parametrize("path", [READ, WRITE])
 def test_a_failure_carries_the_seal_of_its_own_server(path):
     """MIXED: a sealed failure goes back with the status, seal and body that one server gave; our own have no seal."""
-    q = Quay(SERVERS)
+    q = ProxyHarness(SERVERS)
     q.ask(path)
     said = []
     while q.out():
@@ -153,7 +153,7 @@
 @pytest.mark.parametrize("how", ["silent", "reset", "not run", "500"])
 def test_no_more_servers_are_asked_than_the_route_has_attempts(tries, how):
     """BUDGET: copies of what is late, repeats of what failed and of what was turned away all count."""
-    q = Quay(SERVERS, rules=[rule("/read/", tries=tries, give_up="4s")])
+    q = ProxyHarness(SERVERS, rules=[rule("/read/", tries=tries, give_up="4s")])
     for k in range(30):  # its usual time is known, so what is late gets copies
         q.ask(tag=f"w{k}", client=f"w{k}")
         q.wait(20)
@@ -180,7 +180,7 @@
     """Neither by silence, nor by an answer that drips, nor by tries behind each other: it is told by GiveUp."""
     for way in ("silence", "drips", "again"):
         kind = "changing" if path == WRITE else "read_only"
-        q = Quay(SERVERS, rules=[rule(path[:-1], kind, give_up="2s")])
+        q = ProxyHarness(SERVERS, rules=[rule(path[:-1], kind, give_up="2s")])
         q.ask(path, more="Time-Left-Ms: 60000\r\n")
         began, data, at = q.now, whole("t1", body=b"x" * 4000), 0
         while q.pipes["c"].data == b"" and q.now - began < 3000 * MS:
@@ -210,7 +210,7 @@
     }
     for work in works.values():
         for path in (READ, WRITE):
-            q = Quay(SERVERS)
+            q = ProxyHarness(SERVERS)
             q.ask(path, body=b"" if path == READ else b"x")
             pipe = next(iter(q.out().values()))
             work(q)
@@ -229,7 +229,7 @@
     ways = ("ok", "ok", "ok", "reset", "part", "not run", "421", "late", "extra", "500", "odd", "hang")
 
     def __init__(self, seed):
-        self.q, self.draw = Quay(SERVERS | {"s5": ("one", "a2")}), random.Random(seed)
+        self.q, self.draw = ProxyHarness(SERVERS | {"s5": ("one", "a2")}), random.Random(seed)
         self.asked, self.once = {}, set()  # client to the id that it waits for; ids of what may run only once
         self.sent, self.unrun = {}, {}  # id to the servers that it reached; id to how often it was turned away there
         self.seals = {}  # seal to the status that came with it
--- /dev/null
+++ b/tests/proxy/test_server_load_reports.py
@@ -0,0 +1,15 @@
+"""What responses say of the load of their servers."""
+
+import pytest
+from proxy_fixtures import ProxyHarness
+
+
+@pytest.mark.parametrize("load", ("3,0,8", "3,0", "3,0,0", "a,b,c", "-1,0,8", "1e9,0,8", "99999999,0,8", "", "3, 0, 8"))
+def test_an_invalid_load_report_is_ignored(load):
+    """Odd figures are left alone: the answer stands, and the next request is served."""
+    proxy = ProxyHarness({"s1": ("one", "a1")})
+    for k in range(3):
+        proxy.ask(tag=f"t{k}")
+        proxy.reply(tag=f"t{k}", more=f"Server-Load: {load}\r\n")
+        assert proxy.got().status == 200
+    assert not proxy.log.counts["faults"] and not proxy.log.counts["odd_answers"]
--- /dev/null
+++ b/tests/proxy/test_service_endpoints.py
@@ -0,0 +1,119 @@
+"""Which servers may be sent to: home regions, draining, evacuations, addresses."""
+
+import pytest
+from proxy_fixtures import READ, TWO_SERVERS, WRITE, ProxyHarness
+
+
+def test_home_regions_of_route_and_customer_both_bind():
+    """Route and tenant both bind, whatever stands free elsewhere."""
+    proxy = ProxyHarness({"s1": ("one", "a1"), "s2": ("one", "a2"), "s3": ("one", "b1"), "s4": ("one", "b1")})
+    for path, key, allowed in (("/home/x", "ann-key", {"s1", "s2"}), (READ, "bea-key", {"s3", "s4"})):
+        seen = set()
+        for k in range(12):
+            proxy.ask(path, key=key, client=f"c{k}", tag=f"{path}{k}")
+            seen |= set(proxy.out())
+        assert seen and seen <= allowed
+        for name in seen:
+            proxy.reply(name, tag=None)  # fails: the next try stays at home too
+        assert set(proxy.out()) <= allowed
+        for k in range(12):
+            proxy.client(f"c{k}").cut()
+        proxy.wait(100)
+    proxy.ask("/home/x", key="bea-key", client="d")  # no zone is a home of both
+    assert proxy.got("d").status == 503
+
+
+def test_draining_servers_get_nothing():
+    proxy = ProxyHarness(TWO_SERVERS)
+    proxy.list({"s1": ("one", "a1", "emptying"), "s2": ("one", "a2")})
+    for k in range(8):
+        proxy.ask(client=f"c{k}", tag=f"t{k}")
+    assert set(proxy.out()) == {"s2"}
+    proxy = ProxyHarness(TWO_SERVERS)
+    proxy.list({"s1": ("one", "a1", "emptying"), "s2": ("one", "a2", "emptying")})
+    proxy.ask()
+    assert proxy.got().status == 503 and not proxy.client_front.ready()
+
+
+def empty(proxy):
+    proxy.list({"s1": ("one", "a1", "emptying")})
+
+
+def evacuate(proxy):
+    proxy.request_proxy.apply_evacuations(frozenset(["a1"]))
+
+
+def gone(proxy):
+    proxy.list({"s2": ("two", "a1")})
+
+
+@pytest.mark.parametrize("ends", (empty, evacuate, gone))
+def test_nothing_is_sent_on_a_connect_that_its_server_outlived(ends):
+    """The connect was waiting when its server's use ended: it comes up and sends nothing, and what ran before ends
+    well."""
+    proxy = ProxyHarness({"s1": ("one", "a1")})
+    proxy.ask(client="old", tag="t0")
+    running = proxy.pipes["s1"]
+    proxy.ways["s1"] = "silent"
+    proxy.ask(WRITE)
+    ends(proxy)
+    proxy.ways.clear()
+    proxy.settle()
+    assert set(proxy.out().values()) == {running}
+    proxy.wait(5000)
+    assert proxy.got().status == 503
+
+
+def test_an_evacuated_zone_gets_nothing_until_it_is_reopened():
+    """Nothing more to a zone that is emptied, what is idle there is closed; what runs there ends; taken back, it
+    serves."""
+    proxy = ProxyHarness(TWO_SERVERS)
+    proxy.request_proxy.apply_evacuations(frozenset(["a2"]))
+    for k in range(8):
+        proxy.ask(client=f"c{k}", tag=f"t{k}")
+    assert set(proxy.out()) == {"s1"}
+    proxy = ProxyHarness({"s1": ("one", "a1")})
+    proxy.ask()
+    proxy.request_proxy.apply_evacuations(frozenset(["a1"]))
+    proxy.reply()
+    assert proxy.got().status == 200 and proxy.pipes["s1"].closed
+    proxy.ask(tag="t2")
+    assert proxy.got().status == 503
+    proxy.list({"s1": ("one", "a1"), "s2": ("one", "a1")})  # a new list does not undo it
+    proxy.ask(tag="t2")
+    assert proxy.got().status == 503
+    proxy.request_proxy.apply_evacuations(frozenset())
+    proxy.wait(3100)  # its servers may have become cold
+    proxy.ask(tag="t3")
+    assert proxy.out()
+
+
+def test_a_server_whose_address_was_reused_gets_nothing():
+    """A 421 says that another server has the address: it goes elsewhere, that server is asked no more, and its idle
+    connections are closed, until the list says something new of it."""
+    proxy = ProxyHarness(TWO_SERVERS)
+    proxy.ask()
+    gone = proxy.where()
+    proxy.reply(status=421, seal=None)
+    assert proxy.where() != gone
+    proxy.reply()
+    for k in range(8):
+        proxy.ask(client=f"c{k}", tag=f"t{k}")
+    assert len(proxy.out()) == 1 and gone not in proxy.out()
+    assert proxy.log.counts["misplaced"] == 1 and proxy.log.counts["unseen"] == 1
+    proxy.list({"s1": ("one", "a1"), "s2": ("one", "a2")}, at={gone: 9100})
+    for k in range(8):
+        proxy.ask(client=f"d{k}", tag=f"u{k}")
+    assert gone in proxy.out()
+
+
+def test_connections_to_a_former_address_are_closed():
+    """Connections to where a server stood are not used for where it stands now."""
+    proxy = ProxyHarness({"s1": ("one", "a1")})
+    proxy.ask()
+    proxy.reply()
+    old = proxy.pipes["s1"]
+    proxy.list({"s1": ("one", "a1")}, at={"s1": 9100})
+    assert old.closed
+    proxy.ask(tag="t2")
+    assert proxy.pipes["s1"] is not old
--- /dev/null
+++ b/tests/proxy/test_slow_start.py
@@ -0,0 +1,47 @@
+"""Slow start: servers that warm up."""
+
+from itertools import pairwise
+
+import pytest
+from proxy_fixtures import SEC, ProxyHarness, orders
+
+from rampfront.settings import configuration_reader
+
+
+def test_slow_start_lasts_as_long_as_the_service_says():
+    proxy = ProxyHarness()
+    configuration = configuration_reader.read(orders().replace(b'"3s"', b'"6s"')).ok_value
+    proxy.client_front.apply_caps(configuration.caps)
+    proxy.request_proxy.apply_configuration(configuration)
+    proxy.list({"s1": ("one", "a1")}, cold={"s1": 6000})
+    node = proxy.request_proxy.service_pools["one"].driver.node
+    (server,) = node.servers.values()
+    for tag, wait, cold in (("t1", 4000, True), ("t2", 2500, False)):
+        proxy.wait(wait)
+        proxy.ask(tag=tag)
+        assert (node.ready(server) < 1.0) is cold, tag
+
+
+@pytest.mark.parametrize("back", (False, True))
+def test_a_server_in_slow_start_gets_this_proxys_part(back):
+    """It gets this proxy's part of what it bears, in any second, and its full share once it is warm. So does one whose
+    zone is taken back: it may have become cold, and the list tells that late."""
+    warm = {f"s{k}": ("one", "a1") for k in range(1, 5)}
+    proxy, came = ProxyHarness(warm), []
+    if back:
+        proxy.request_proxy.apply_evacuations(frozenset(["a2"]))
+        proxy.list(warm | {"s9": ("one", "a2")})
+    for k in range(400):
+        if k == 100:
+            proxy.request_proxy.apply_evacuations(frozenset()) if back else proxy.list(
+                warm | {"s9": ("one", "a1")}, cold={"s9": 3000}
+            )
+        proxy.ask(tag=f"t{k}")
+        if proxy.where() == "s9":
+            came.append(proxy.now / SEC)
+        proxy.wait(10)
+        proxy.answer(f"t{k}")
+        proxy.wait(10)
+    early = [at for at in came if at < 5]
+    assert len(early) <= 3 and all(b - a >= 1 for a, b in pairwise(early))
+    assert sum(at > 5.1 for at in came) > 15
--- a/tests/proxy_fixtures.py
+++ b/tests/proxy_fixtures.py
@@ -1,5 +1,6 @@
-"""`Quay`: one pilot with its clients' front on a loop of ours, between scripted clients and servers, on a fake clock;
-nothing here sleeps."""
+"""`ProxyHarness`: one request proxy with its clients' front between scripted clients and servers, on a fake loop.
+
+Nothing here sleeps."""
 
 import json
 import random
@@ -18,7 +19,7 @@
 MS, SEC = 10**6, 10**9
 ZONES = {"a1": "a", "a2": "a", "b1": "b"}
 EPOCH = 10**18  # the fake clock's start
-TWO = {"s1": ("one", "a1"), "s2": ("one", "a2")}  # servers: id to service and zone
+TWO_SERVERS = {"s1": ("one", "a1"), "s2": ("one", "a2")}  # servers: id to service and zone
 READ, WRITE = "/read/x", "/write/x"
 
 
@@ -60,10 +61,10 @@
     rule("/home/", homes=["a"]),
     rule("/split/", shares=[{"Service": "one", "Weight": 0}, {"Service": "two", "Weight": 1}]),
 ]
-TENANTS = [{"Name": "ann", "ApiKeys": ["ann-key"]}, {"Name": "bea", "ApiKeys": ["bea-key"], "HomeRegions": ["b"]}]
+CUSTOMERS = [{"Name": "ann", "ApiKeys": ["ann-key"]}, {"Name": "bea", "ApiKeys": ["bea-key"], "HomeRegions": ["b"]}]
 
 
-def orders(revision=1, rules=RULES, tenants=TENANTS, **caps):
+def orders(revision=1, rules=RULES, tenants=CUSTOMERS, **caps):
     """A configuration as the operator puts it."""
     return json.dumps(
         {
@@ -78,24 +79,26 @@
     ).encode()
 
 
-class Quota:
-    """Stands where the tide does: lets in `left` requests of each tenant."""
+class FakeLimiter:
+    """In place of the limiter: lets in `left` requests, of all customers together."""
 
     def __init__(self, left=1000):
-        self.left, self.back = left, []
+        self.left, self.refunded = left, []
 
     def take(self, name, now):
         self.left -= 1
         return None if self.left >= 0 else 700 * MS
 
     def refund(self, name, now):
-        self.back.append(name)
+        self.refunded.append(name)
 
     def set_quotas(self, named, now):
         self.named = named
 
 
-class Silent(EventLog):
+class SilentEventLog(EventLog):
+    """Counts, and writes no lines."""
+
     def __init__(self):
         super().__init__("n1", 10**10, COUNTERS)
 
@@ -103,8 +106,8 @@
         pass
 
 
-class Line(Pipe):
-    """One connection; keeps what was written to it, and, towards servers, what is there to read."""
+class FakeConnection(Pipe):
+    """One connection, of a client or to a server; keeps what was written to it."""
 
     def __init__(self, *args):
         super().__init__(*args)
@@ -122,8 +125,8 @@
         return data
 
 
-class Reply:
-    """What a client got."""
+class ClientResponse:
+    """A response as a client got it."""
 
     def __init__(self, data):
         head, _, self.body = data.partition(b"\r\n\r\n")
@@ -138,21 +141,21 @@
         return self.fields.get(name)
 
 
-class Quay(Stage):
-    """`servers`: id to (service, zone) or to (service, zone, state). Each stands at an address of its own; `ways[id]` says whether
-    a connect to it comes up, is refused ("refuses") or hangs ("silent")."""
+class ProxyHarness(Stage):
+    """`servers`: id to (service, zone) or to (service, zone, state). Each has an address of its own; `ways[id]` says
+    whether a connect to it succeeds, is refused ("refuses") or hangs ("silent")."""
 
-    def __init__(self, servers=None, rules=RULES, tenants=TENANTS, quota=None, word=True, **caps):
+    def __init__(self, servers=None, rules=RULES, tenants=CUSTOMERS, quota=None, fresh=True, **caps):
         self.now, self.number, self.handles, self.lines = 0, 0, [], []
         self.opening, self.ends, self.ways, self.pipes, self.sockets = [], [], {}, {}, {}
-        self.saved = True  # further tries are saved up to the most
+        self.saved = True  # the retry budget is full
         self.opened = []  # connections to servers, ever
-        self.log, self.quota, self.word = Silent(), quota or Quota(), word
+        self.log, self.quota, self.fresh = SilentEventLog(), quota or FakeLimiter(), fresh
         self.process_settings = settings_reader.read(settings()).ok_value
         self.places, self.numbers = {}, 0
         limits = network_limits(self.process_settings)
         environment = ProxyEnvironment(self, self.clock, self.process_settings, limits, random.Random(5), self.log)
-        self.request_proxy = RequestProxy(environment, self.quota, lambda now: self.word)
+        self.request_proxy = RequestProxy(environment, self.quota, lambda now: self.fresh)
         self.client_front = ClientFront(environment, self.request_proxy)
         self.make = lambda: self.client_front.make_connection()
         if servers is not None:
@@ -163,7 +166,7 @@
         return EPOCH + self.now
 
     def create_connection(self, make, host, port):
-        pipe = Line(self, self.places[host, port], make)
+        pipe = FakeConnection(self, self.places[host, port], make)
         self.opened.append(pipe)
         return pipe
 
@@ -200,7 +203,7 @@
     def client(self, name="c"):
         pipe = self.pipes.get(name)
         if pipe is None or pipe.closed:
-            pipe = self.pipes[name] = Line(self, name, None)
+            pipe = self.pipes[name] = FakeConnection(self, name, None)
             pipe.protocol = self.make()
             pipe.protocol.connection_made(pipe)
         return pipe
@@ -210,9 +213,8 @@
     ):
         """One request; `more` are lines of the head."""
         for service_pool in self.request_proxy.service_pools.values() if self.saved else ():
-            service_pool.driver.node.spare = (
-                service_pool.driver.node.spare_most
-            )  # repeats are not what is tested, if not said otherwise
+            # Retries are not what is tested, unless `saved` is cleared.
+            service_pool.driver.node.spare = service_pool.driver.node.spare_most
         changing = path.startswith(("/write", "/put"))
         method = method or ("POST" if changing else "GET")
         head = f"{method} {path} HTTP/1.1\r\nHost: {host}\r\n"
@@ -224,7 +226,7 @@
     def got(self, client="c"):
         """What the client got since it was last looked at, or None."""
         data = self.pipes[client].take()
-        return Reply(data) if data else None
+        return ClientResponse(data) if data else None
 
     # ---- servers
 
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -5,7 +5,6 @@
 from helper import MS, Play
 
 from rampfront import terms as t
-from rampfront.proxy.priorities import PriorityRanks
 
 
 def test_window_and_others():
@@ -591,12 +590,3 @@
             )
             found.append(p.node.choose(txn) is not None)
         assert found == expected, held
-
-
-def test_a_tenants_priority_goes_before_its_routes():
-    routes = {b"/a/": SimpleNamespace(priority=1), b"/b/": SimpleNamespace(priority=2)}
-    tenants = {name: SimpleNamespace(priority=priority) for name, priority in (("x", 0), ("y", 1), ("z", 1))}
-    rank = PriorityRanks(SimpleNamespace(hosts={b"h": SimpleNamespace(routes=routes)}, customers_by_name=tenants)).rank
-    assert [rank(1, 0), rank(2, 0), rank(1, 1), rank(2, 1)] == [0.0, 1 / 3, 2 / 3, 1.0]
-    assert rank(1, None) == rank(1, 1) and rank(7, 7) == 0.0  # none it does not know yields
-    assert PriorityRanks(SimpleNamespace(hosts={}, customers_by_name={})).rank(0, None) == 0.0
--- a/tests/transport/wire_fixtures.py
+++ b/tests/transport/wire_fixtures.py
@@ -3,7 +3,7 @@
 from types import SimpleNamespace
 
 import cbor2
-from proxy_fixtures import SEC, Silent
+from proxy_fixtures import SEC, SilentEventLog
 
 from rampfront.transport.frames import LENGTH_PREFIX_BYTES
 from rampfront.transport.incoming import IncomingConnection
@@ -21,7 +21,7 @@
     def __init__(self, on_frame=None):
         self.now_ns = START_NS
         self.received = []
-        super().__init__(None, lambda: self.now_ns, (OWN_IP, 7000), Silent(), on_frame or self.keep)
+        super().__init__(None, lambda: self.now_ns, (OWN_IP, 7000), SilentEventLog(), on_frame or self.keep)
 
     def keep(self, ip, message):
         self.received.append((ip, message))
