--- a/rampfront/node/control_calls.py
+++ b/rampfront/node/control_calls.py
@@ -1,6 +1,6 @@
 """The operators' calls that order something: a new configuration, an evacuation, or a read confirmed by the core.
 
-Each call is checked here, submitted as an order to the core's leader, and answered when its verdict comes, or after a
+Each call is checked here, submitted as an order to the core's leader, and answered when its outcome comes, or after a
 time-out with 503. Source of names and bodies: PROTOCOL.md, "The operator".
 """
 
@@ -53,11 +53,11 @@
             message = f"the body is {len(body)} bytes when compressed, {MAX_COMPRESSED_BYTES} are taken"
             return json_response({"Message": message, "Field": ""}, 413)
 
-        def on_done(verdict: str | None, state: State | None) -> None:
+        def on_done(outcome: str | None, state: State | None) -> None:
             """Answer the caller."""
-            if verdict == Outcome.DONE and state is not None:
+            if outcome == Outcome.DONE and state is not None:
                 reply(request, json_response({"Revision": f"r{revision}", "Holds": f"r{state.revision}"}))
-            elif verdict == Outcome.CONFLICT and state is not None:
+            elif outcome == Outcome.CONFLICT and state is not None:
                 self.counts["orders_refused"] += 1
                 reply(request, conflict_answer(revision, body, state))
             else:
@@ -70,9 +70,9 @@
     def read_configuration(self, request: IncomingRequest) -> None:
         """Return the configuration in force, confirmed by a majority of the core."""
 
-        def on_done(verdict: str | None, state: State | None) -> None:
+        def on_done(outcome: str | None, state: State | None) -> None:
             """Answer the caller."""
-            if verdict != Outcome.DONE or state is None:
+            if outcome != Outcome.DONE or state is None:
                 reply(request, NO_ANSWER)
             elif not state.revision:
                 request.respond(404, b'{"Message":"no configuration yet"}')
@@ -98,9 +98,9 @@
         if zone not in self._zones:
             return json_response({"Message": f"of: {zone[:MAX_SHOWN_ZONE]!r} is no zone", "Field": "of"}, 400)
 
-        def on_done(verdict: str | None, state: State | None) -> None:
+        def on_done(outcome: str | None, state: State | None) -> None:
             """Answer the caller."""
-            if verdict == Outcome.DONE and state is not None:
+            if outcome == Outcome.DONE and state is not None:
                 reply(request, json_response(evacuation_view(zone, state)))
             else:
                 reply(request, NO_ANSWER)
--- a/rampfront/node/core_driver.py
+++ b/rampfront/node/core_driver.py
@@ -30,8 +30,8 @@
 class OrderAnswerReceiver(Protocol):
     """Gets the member's answers to orders."""
 
-    def on_core_answer(self, key: OrderKey, verdict: str, state: State | None) -> None:
-        """Take the verdict on the order `key`; `state`: the committed one, with DONE and CONFLICT."""
+    def on_core_answer(self, key: OrderKey, outcome: str, state: State | None) -> None:
+        """Take the outcome of the order `key`; `state`: the committed one, with DONE and CONFLICT."""
 
 
 class StateReceiver(Protocol):
@@ -140,7 +140,7 @@
         self.handle(events.Shutdown())
 
     def submit(self, key: OrderKey, kind: str, body: object) -> None:
-        """Hand the member an order; `OrderAnswerReceiver.on_core_answer` gets its verdict."""
+        """Hand the member an order; `OrderAnswerReceiver.on_core_answer` gets its outcome."""
         self.handle(events.Order(key, kind, body))
 
     def on_frame(self, ip: str, frame: dict[str, Any], now: int) -> None:
--- a/rampfront/node/open_order.py
+++ b/rampfront/node/open_order.py
@@ -4,9 +4,9 @@
 from typing import TypeAlias
 
 from ..consensus.state import State
-from .order_messages import VERDICTS_WITH_STATE, OrderReply, OrderRequest
+from .order_messages import OUTCOMES_WITH_STATE, OrderReply, OrderRequest
 
-# Called once with (verdict, state): verdicts as of `consensus.events`, BUSY, or None for no answer in time; the
+# Called once with (outcome, state): outcomes as of `consensus.events`, BUSY, or None for no answer in time; the
 # committed state comes with DONE and CONFLICT.
 OrderCallback: TypeAlias = Callable[[str | None, State | None], None]
 
@@ -35,12 +35,12 @@
         """Return why a reply that names this order does not end it, or None.
 
         A reply with a state counts from any node that was asked, unless its state is older than what the node had
-        already. Any other verdict counts only from the node asked last: one asked before may have said so before the
+        already. Any other outcome counts only from the node asked last: one asked before may have said so before the
         order came to its successor.
         """
         if ip not in self.sent_to:
             return "not from a node that was asked"
-        if reply.verdict in VERDICTS_WITH_STATE:
+        if reply.outcome in OUTCOMES_WITH_STATE:
             is_older = reply.state is None or reply.state.index < self.state_index
             return "older than what was held when it was asked" if is_older else None
         return None if ip == self.last_sent_to else "another node was asked since"
--- a/rampfront/node/order_executor.py
+++ b/rampfront/node/order_executor.py
@@ -1,4 +1,4 @@
-"""Orders at the core's leader: each is handed to the core's member once, and its verdict goes back to the submitter."""
+"""Orders at the core's leader: each is handed to the core's member once, and its outcome goes back to the submitter."""
 
 from __future__ import annotations
 
@@ -44,12 +44,12 @@
         self.execute(ip, OrderRequest.decode(frame))
 
     def execute(self, ip: str, request: OrderRequest) -> None:
-        """Carry out an order of the node at `ip`, once: a repeat gets the same verdict."""
+        """Carry out an order of the node at `ip`, once: a repeat gets the same outcome."""
         key = OrderKey(ip, request.incarnation, request.number)
-        verdict = self.table.verdict_of(key)
-        if verdict is not None:
+        outcome = self.table.outcome_of(key)
+        if outcome is not None:
             self._context.counts["orders_repeated"] += 1
-            self._reply(key, verdict, self._core.committed_state if verdict == Outcome.DONE else None)
+            self._reply(key, outcome, self._core.committed_state if outcome == Outcome.DONE else None)
         elif not self._core.leads:
             self._reply(key, Outcome.NOT_LEADER)
         else:
@@ -67,19 +67,19 @@
             self._context.counts["orders_busy"] += 1
             self._reply(key, BUSY)
 
-    def on_core_answer(self, key: OrderKey, verdict: str, state: State | None) -> None:
-        """Take the verdict of the core's member beside us, and pass it on to who submitted the order."""
-        body_digest = self.table.answer(key, verdict, self._context.clock())
+    def on_core_answer(self, key: OrderKey, outcome: str, state: State | None) -> None:
+        """Take the outcome of the core's member beside us, and pass it on to who submitted the order."""
+        body_digest = self.table.answer(key, outcome, self._context.clock())
         if body_digest is not None:
             with_body = state is None or state.body_digest != body_digest
-            self._reply(key, verdict, state, with_body)
+            self._reply(key, outcome, state, with_body)
 
     def tick(self, now: int) -> None:
         """Forget what is over; to be called about ten times a second."""
         self._context.counts["orders_abandoned"] += self.table.expire(now)
 
-    def _reply(self, key: OrderKey, verdict: str, state: State | None = None, with_body: bool = True) -> None:
-        reply = OrderReply(key.incarnation, key.number, verdict, state, with_body)
+    def _reply(self, key: OrderKey, outcome: str, state: State | None = None, with_body: bool = True) -> None:
+        reply = OrderReply(key.incarnation, key.number, outcome, state, with_body)
         if key.ip == self._own_ip:
             self._local_replies.on_reply(key.ip, reply)
         else:
--- a/rampfront/node/order_messages.py
+++ b/rampfront/node/order_messages.py
@@ -22,15 +22,15 @@
 NUMBER = "r"
 ORDER_KIND = "o"
 BODY = "b"
-VERDICT = "v"
+OUTCOME = "v"
 STATE = "S"
 
 REQUEST_FRAME = "order"
 REPLY_FRAME = "said"
 
 BUSY = "busy"  # not taken: the table of orders in flight is full, at the leader or here
-VERDICTS = frozenset((Outcome.DONE, Outcome.NOT_LEADER, Outcome.REJECTED, Outcome.UNKNOWN, Outcome.CONFLICT, BUSY))
-VERDICTS_WITH_STATE = frozenset((Outcome.DONE, Outcome.CONFLICT))  # they rest on the committed state, and carry it
+OUTCOMES = frozenset((Outcome.DONE, Outcome.NOT_LEADER, Outcome.REJECTED, Outcome.UNKNOWN, Outcome.CONFLICT, BUSY))
+OUTCOMES_WITH_STATE = frozenset((Outcome.DONE, Outcome.CONFLICT))  # they rest on the committed state, and carry it
 CONFIGURATION_FIELDS = ("revision", "bytes")  # of the body of a configuration's order
 INCARNATION_BITS = 32
 INCARNATION_LIMIT = 1 << INCARNATION_BITS
@@ -89,7 +89,7 @@
 
     incarnation: int
     number: int
-    verdict: str
+    outcome: str
     state: State | None = None
     with_body: bool = True
 
@@ -99,7 +99,7 @@
             FRAME_KIND: REPLY_FRAME,
             INCARNATION: self.incarnation,
             NUMBER: self.number,
-            VERDICT: str(self.verdict),
+            OUTCOME: str(self.outcome),
         }
         if self.state is not None:
             frame[STATE] = self.state.encode(self.with_body)
@@ -112,18 +112,18 @@
         `bodies`: configuration bodies that the caller holds, for a state that comes without its own. Raises
         MalformedMessageError, and the consensus package's own ValueError for a state that is not valid.
         """
-        verdict = frame.get(VERDICT)
-        if type(verdict) is not str or verdict not in VERDICTS:
-            raise MalformedMessageError("reply: verdict")
+        outcome = frame.get(OUTCOME)
+        if type(outcome) is not str or outcome not in OUTCOMES:
+            raise MalformedMessageError("reply: outcome")
         state = None
         if frame.get(STATE) is not None:
             state = decode_state(frame[STATE], bodies)
             if state is None:
                 raise MalformedMessageError("reply: a state without its body")
-        elif verdict in VERDICTS_WITH_STATE:
-            raise MalformedMessageError(f"reply: {verdict}, and no state")
+        elif outcome in OUTCOMES_WITH_STATE:
+            raise MalformedMessageError(f"reply: {outcome}, and no state")
         incarnation, number = decode_identity(frame)
-        return cls(incarnation, number, verdict, state)
+        return cls(incarnation, number, outcome, state)
 
 
 def decode_identity(frame: Message) -> tuple[int, int]:
--- a/rampfront/node/order_submitter.py
+++ b/rampfront/node/order_submitter.py
@@ -123,11 +123,11 @@
         objection = order.objection(ip, reply)
         if objection:
             self._drop(ip, objection)
-        elif reply.verdict == Outcome.NOT_LEADER:
+        elif reply.outcome == Outcome.NOT_LEADER:
             order.resend_at = self._context.clock() + RESEND_AFTER_NOT_LEADER_NS
         else:
             del self.open[reply.number]
-            order.on_done(reply.verdict, reply.state)
+            order.on_done(reply.outcome, reply.state)
 
     def _drop(self, ip: str, reason: str) -> None:
         self._context.counts["replies_unsolicited"] += 1
--- a/rampfront/node/order_table.py
+++ b/rampfront/node/order_table.py
@@ -2,7 +2,7 @@
 
 Submitters repeat a request while they hear nothing, and a datagram may arrive late, when the operator has submitted the
 next order already. So an order is known by its `OrderKey` while it is in flight, when a repeat changes nothing, and for
-`RETENTION_NS` after its answer, when a repeat gets the same verdict. This is the session table of Raft (dissertation,
+`RETENTION_NS` after its answer, when a repeat gets the same outcome. This is the session table of Raft (dissertation,
 section 6.3), bounded by time and by number.
 
 No I/O, no clock; times are ns of a steady clock.
@@ -43,11 +43,11 @@
 class AnsweredOrder:
     """An order that the core has answered."""
 
-    __slots__ = ("verdict", "answered_at")
+    __slots__ = ("outcome", "answered_at")
 
-    def __init__(self, verdict: str, answered_at: int) -> None:
+    def __init__(self, outcome: str, answered_at: int) -> None:
         """`answered_at` in ns."""
-        self.verdict = verdict
+        self.outcome = outcome
         self.answered_at = answered_at
 
 
@@ -59,10 +59,10 @@
         self.in_flight: dict[OrderKey, InFlightOrder] = {}  # emptied by answers and by time
         self.answered: dict[OrderKey, AnsweredOrder] = {}  # oldest first; emptied by time and by number
 
-    def verdict_of(self, key: OrderKey) -> str | None:
-        """Return the verdict of an order that was answered lately, or None."""
+    def outcome_of(self, key: OrderKey) -> str | None:
+        """Return the outcome of an order that was answered lately, or None."""
         found = self.answered.get(key)
-        return found.verdict if found else None
+        return found.outcome if found else None
 
     def admit(self, key: OrderKey, kind: str, now: int, body_digest: bytes = b"") -> Admission:
         """Record an order as in flight, unless it is already or the table is full.
@@ -76,22 +76,22 @@
         self.in_flight[key] = InFlightOrder(kind, now, body_digest)
         return Admission.NEW
 
-    def answer(self, key: OrderKey, verdict: str, now: int) -> bytes | None:
+    def answer(self, key: OrderKey, outcome: str, now: int) -> bytes | None:
         """Record how an order ended.
 
         Returns the digest of its body, or None if it was not in flight, when nobody is owed an answer.
 
-        A verdict that is in force, or may be, is kept: carried out once more the order could undo a later one, or count
+        An outcome that is in force, or may be, is kept: carried out once more the order could undo a later one, or count
         twice. An order that was not taken may arrive anew, and a read changes nothing.
         """
         order = self.in_flight.pop(key, None)
         if order is None:
             return None
-        if order.kind != OrderKind.READ and verdict in (Outcome.DONE, Outcome.UNKNOWN):
+        if order.kind != OrderKind.READ and outcome in (Outcome.DONE, Outcome.UNKNOWN):
             if len(self.answered) >= MAX_ANSWERED:
                 oldest = next(iter(self.answered))
                 del self.answered[oldest]
-            self.answered[key] = AnsweredOrder(verdict, now)
+            self.answered[key] = AnsweredOrder(outcome, now)
         return order.body_digest
 
     def expire(self, now: int) -> int:
--- a/tests/node/test_order_executor.py
+++ b/tests/node/test_order_executor.py
@@ -43,9 +43,9 @@
 def test_an_order_that_was_not_taken_may_be_repeated():
     """AWAY and REFUSED hold nothing back: the caller asks the same node again when it leads once more."""
     node = NodeHarness(leads=True)
-    for at, verdict in enumerate((Outcome.NOT_LEADER, Outcome.REJECTED)):
+    for at, outcome in enumerate((Outcome.NOT_LEADER, Outcome.REJECTED)):
         node.receive_order(CALLER, 1)
-        node.core_answers(at, verdict)
+        node.core_answers(at, outcome)
     node.receive_order(CALLER, 1)
     assert len(node.core.orders) == 3
     node.core_answers(2, Outcome.UNKNOWN)  # it may come into force: not a second time
@@ -67,7 +67,7 @@
     node.core_answers(0)
     assert not node.ended and node.sent_replies() == [(CALLER, 5, 1, "done")]
     node.core_answers(1)
-    assert [verdict for verdict, _ in node.ended] == ["done"]
+    assert [outcome for outcome, _ in node.ended] == ["done"]
 
 
 def test_a_full_table_answers_busy():
@@ -112,5 +112,5 @@
         assert (BODY in cbor2.dumps(reply)) == (body != BODY)
         node.receive(LEADER, reply)
         node.receive(LEADER, reply)  # once more
-        ((verdict, held),) = node.ended
-        assert (verdict, held.body, held.index) == ("done", BODY, 5) and node.counts["replies_unsolicited"] == 1
+        ((outcome, held),) = node.ended
+        assert (outcome, held.body, held.index) == ("done", BODY, 5) and node.counts["replies_unsolicited"] == 1
--- a/tests/node/test_order_submitter.py
+++ b/tests/node/test_order_submitter.py
@@ -13,13 +13,13 @@
     def sent():
         return [(ip, m["r"]) for ip, m in wire.sent if m["k"] == "order"]
 
-    def says(ip, number, verdict, state=None):
+    def says(ip, number, outcome, state=None):
         node_process.frame_dispatcher.dispatch(
-            ip, {"k": "said", "l": node_process.orders.incarnation, "r": number, "v": verdict, "S": state}
+            ip, {"k": "said", "l": node_process.orders.incarnation, "r": number, "v": outcome, "S": state}
         )
 
     receive_update(node_process, 5)
-    node_process.orders.submit("empty", "a1", lambda *verdict: done.append(verdict))
+    node_process.orders.submit("empty", "a1", lambda *outcome: done.append(outcome))
     ((first, number),) = sent()
     assert first == LEADER
     says(LEADER, number, "away")
@@ -33,11 +33,11 @@
     says("10.1.0.8", number, "done", node_process.replicated_state.state.encode())
     assert len(done) == 1 and done[0][0] == "done" and done[0][1].index == 5
     assert node_process.context.counts["replies_unsolicited"] == 1
-    node_process.orders.submit("empty", "a1", lambda *verdict: done.append(verdict))
+    node_process.orders.submit("empty", "a1", lambda *outcome: done.append(outcome))
     loop.wait(1000)
     assert done[1] == (None, None) and 3 <= len(sent()) - 2 <= 4 and not node_process.orders.open
     for _ in range(300):  # nothing grows without bound
-        node_process.orders.submit("empty", "a1", lambda *verdict: done.append(verdict))
+        node_process.orders.submit("empty", "a1", lambda *outcome: done.append(outcome))
     assert len(node_process.orders.open) == 256 and done[2:] == 44 * [("busy", None)]
 
 
@@ -53,21 +53,21 @@
     assert not node.ended and node.counts["replies_unsolicited"] == 3
     node.receive_reply(LEADER, 1)
     node.receive_reply(LEADER, 1)
-    assert [verdict for verdict, _ in node.ended] == ["done"] and node.counts["replies_unsolicited"] == 4
+    assert [outcome for outcome, _ in node.ended] == ["done"] and node.counts["replies_unsolicited"] == 4
 
 
 def test_a_late_refusal_of_the_former_leader_does_not_count():
     """Another one was asked since, and is at it: only that one may say no. A yes of the former one stands."""
-    for verdict in (Outcome.REJECTED, Outcome.UNKNOWN, "busy", Outcome.NOT_LEADER):
+    for outcome in (Outcome.REJECTED, Outcome.UNKNOWN, "busy", Outcome.NOT_LEADER):
         node = NodeHarness()
         node.submit()
         node.process.disseminator.leadership.leader = OTHER
         node.loop.wait(350)
         assert [ip for ip, _ in node.wire.take("order")] == [LEADER, OTHER]
-        node.receive_reply(LEADER, 1, verdict)
+        node.receive_reply(LEADER, 1, outcome)
         assert not node.ended and node.counts["replies_unsolicited"] == 1
         node.receive_reply(LEADER, 1)
-        assert [verdict for verdict, _ in node.ended] == ["done"]
+        assert [outcome for outcome, _ in node.ended] == ["done"]
 
 
 def test_an_answer_older_than_the_state_held_does_not_count():
--- a/tests/node_fixtures.py
+++ b/tests/node_fixtures.py
@@ -98,11 +98,11 @@
         """An order of the node at `ip`."""
         self.receive(ip, OrderRequest(incarnation, number, kind, body).encode())
 
-    def receive_reply(self, ip, number, verdict=Outcome.DONE, incarnation=None, index=5):
+    def receive_reply(self, ip, number, outcome=Outcome.DONE, incarnation=None, index=5):
         """A reply of the node at `ip` to an order of this one."""
         incarnation = self.orders.incarnation if incarnation is None else incarnation
-        state = committed_state(index) if verdict == Outcome.DONE else None
-        self.receive(ip, OrderReply(incarnation, number, verdict, state).encode())
+        state = committed_state(index) if outcome == Outcome.DONE else None
+        self.receive(ip, OrderReply(incarnation, number, outcome, state).encode())
 
     def core_answers(self, at=0, outcome=Outcome.DONE):
         """The core answers the order that it got as number `at`, counted from 0."""
