--- a/rampfront/membership/deltas.py
+++ b/rampfront/membership/deltas.py
@@ -8,6 +8,8 @@
 whose largest part is the body of the operators' configuration.
 """
 
+from __future__ import annotations
+
 import zlib
 from collections.abc import Callable, Iterable, Sequence
 from hashlib import blake2b
@@ -45,7 +47,7 @@
         self.corrupt = corrupt
 
 
-class Delta(NamedTuple, Generic[Row]):
+class Delta(NamedTuple):
     """A difference between two versions of a list of rows.
 
     Attributes:
@@ -55,7 +57,7 @@
         removed: keys of the rows that are gone.
     """
 
-    changed: Sequence[Row]
+    changed: Sequence[Any]
     base: int
     digest: bytes
     removed: Sequence[str]
@@ -74,7 +76,7 @@
         self._key = key
         self._digest_width = digest_width
         self._versions: dict[int, tuple[Row, ...]] = {}  # newest last
-        self._deltas: dict[int, Delta[Row] | None] = {}  # to the newest version, by base
+        self._deltas: dict[int, Delta | None] = {}  # to the newest version, by base
 
     def add(self, version: int, rows: tuple[Row, ...]) -> None:
         """Remembers `rows` as the newest version."""
@@ -87,7 +89,7 @@
         """Whether a node that holds `version` can be sent less than all rows."""
         return version in self._versions
 
-    def delta_since(self, base: int) -> Delta[Row] | None:
+    def delta_since(self, base: int) -> Delta | None:
         """The difference from version `base` to the newest; None where all rows are shorter or `base` is not known."""
         if base not in self._versions:
             return None
@@ -95,7 +97,7 @@
             self._deltas[base] = self._make_delta(base)
         return self._deltas[base]
 
-    def _make_delta(self, base: int) -> Delta[Row] | None:
+    def _make_delta(self, base: int) -> Delta | None:
         key = self._key
         new = next(reversed(self._versions.values()))
         old = self._versions[base]
@@ -107,7 +109,7 @@
             return None
         return Delta(changed, base, digest_rows(new, self._digest_width), removed)
 
-    def apply(self, current_version: int, delta: Delta[Row]) -> tuple[Row, ...]:
+    def apply(self, current_version: int, delta: Delta) -> tuple[Row, ...]:
         """The rows that `delta` makes of those held under `current_version`.
 
         Raises:
--- a/rampfront/membership/dissemination.py
+++ b/rampfront/membership/dissemination.py
@@ -16,6 +16,8 @@
 (`peers.py`), when a new roster is made of them (`roster_builder.py`, `roster.py`).
 """
 
+from __future__ import annotations
+
 from collections.abc import Callable, Iterable, Sequence
 from random import Random
 
--- a/rampfront/membership/dissemination_host.py
+++ b/rampfront/membership/dissemination_host.py
@@ -1,5 +1,7 @@
 """What the dissemination needs of the process around it."""
 
+from __future__ import annotations
+
 from collections.abc import Sequence
 from typing import Any, Protocol
 
--- a/rampfront/membership/endpoint_codec.py
+++ b/rampfront/membership/endpoint_codec.py
@@ -6,6 +6,8 @@
 raises `FieldError`, a `ValueError`.
 """
 
+from __future__ import annotations
+
 from operator import attrgetter
 from typing import NamedTuple
 
--- a/rampfront/membership/endpoint_list.py
+++ b/rampfront/membership/endpoint_list.py
@@ -4,7 +4,6 @@
 numbers each list that differs from the one before, and passes it on to all nodes (`endpoint_codec.py`).
 """
 
-from dataclasses import dataclass
 from socket import AF_INET, inet_pton
 from typing import NamedTuple
 
@@ -46,8 +45,7 @@
     warming_until_ns: int
 
 
-@dataclass(frozen=True, slots=True)
-class EndpointList:
+class EndpointList(NamedTuple):
     """One complete list.
 
     Attributes:
--- a/rampfront/membership/peers.py
+++ b/rampfront/membership/peers.py
@@ -4,7 +4,6 @@
 
 from collections.abc import Iterable, Iterator
 
-from ..terms import slotted
 from .messages import Heartbeat
 from .roster import RosterEntry
 from .versions import ReplicaVersions
@@ -18,7 +17,6 @@
 PREVIOUS_INCARNATION_NS = 3 * SEC
 
 
-@slotted
 class Peer:
     """A node as the leader hears it.
 
@@ -32,13 +30,25 @@
         incarnation_since_ns: when `incarnation` was first heard.
     """
 
-    entry: RosterEntry
-    versions: ReplicaVersions
-    received_at_ns: int
-    sent_at_ns: int = 0
-    incarnation: int | None = None
-    previous_incarnation: int | None = None
-    incarnation_since_ns: int = 0
+    __slots__ = (
+        "entry",
+        "incarnation",
+        "incarnation_since_ns",
+        "previous_incarnation",
+        "received_at_ns",
+        "sent_at_ns",
+        "versions",
+    )
+
+    def __init__(self, entry: RosterEntry, versions: ReplicaVersions, received_at_ns: int) -> None:
+        """Known from a roster: no heartbeat of its process has been received yet."""
+        self.entry = entry
+        self.versions = versions
+        self.received_at_ns = received_at_ns
+        self.sent_at_ns = 0
+        self.incarnation: int | None = None
+        self.previous_incarnation: int | None = None
+        self.incarnation_since_ns = 0
 
     def record(self, heartbeat: Heartbeat, now: int) -> None:
         """Takes over a heartbeat, unless it is an old one."""
--- a/rampfront/membership/responder.py
+++ b/rampfront/membership/responder.py
@@ -1,5 +1,7 @@
 """What a node sends to another that holds less, and whether it may be sent now. No I/O, no clock."""
 
+from __future__ import annotations
+
 from .dissemination_host import DisseminationHost
 from .leadership import Leadership
 from .messages import Heartbeat, StateResponse, encode_roster_update, new_tuple
--- a/rampfront/membership/roster.py
+++ b/rampfront/membership/roster.py
@@ -41,7 +41,7 @@
 
     version: int
     entries: tuple[RosterEntry, ...]
-    delta: Delta[RosterEntry] | None = None
+    delta: Delta | None = None
 
 
 class Roster:
--- a/rampfront/node/server_list_service.py
+++ b/rampfront/node/server_list_service.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-from dataclasses import replace
 from typing import TYPE_CHECKING
 
 from . import log_events
@@ -70,7 +69,7 @@
         is_same = old is not None and old.endpoints == servers.endpoints
         if not disseminator.is_leader or is_same and not disseminator.must_renumber_endpoints:
             return
-        self.install(replace(servers, version=disseminator.number_endpoints()))
+        self.install(servers._replace(version=disseminator.number_endpoints()))
         disseminator.push_updates(now)
 
     def on_poll_failed(self, reason: str) -> None:
--- a/tests/node/test_core_isolation.py
+++ b/tests/node/test_core_isolation.py
@@ -169,7 +169,7 @@
     node_process = old.node_process
     held = node_process.disseminator.endpoints_version
     node_process.server_list.on_polled(
-        replace(node_process.request_proxy.servers, endpoints=node_process.request_proxy.servers.endpoints[1:])
+        node_process.request_proxy.servers._replace(endpoints=node_process.request_proxy.servers.endpoints[1:])
     )
     assert (
         node_process.disseminator.endpoints_version == held and len(node_process.request_proxy.servers.endpoints) == 8
