--- a/tests/quota/test_quota_incarnations.py
+++ b/tests/quota/test_quota_incarnations.py
@@ -3,8 +3,8 @@
 import random
 from types import SimpleNamespace
 
-import cbor2
 import pytest
+from quota_fixtures import carried
 
 from rampfront.quota.counter import QuotaCounter
 from rampfront.quota.limiter import Limiter
@@ -13,11 +13,6 @@
 PROXY = "10.1.0.7"
 
 
-def carried(message):
-    """A message of counts as it comes over the wire."""
-    return cbor2.loads(cbor2.dumps(message))
-
-
 def test_an_answer_to_the_former_incarnation_acknowledges_nothing():
     """A node starts again at once; the counter's answer to its former incarnation must not pass for one to the first
     counts of the new one, which would then never be sent."""
