--- a/rampfront/mqtt/front.py
+++ b/rampfront/mqtt/front.py
@@ -13,7 +13,7 @@
 
 from .. import terms as t
 from ..net.http_status import HttpStatusError
-from ..net.transaction_gateway import TransactionRequest, parse_account
+from ..net.transaction_request import TransactionRequest, parse_account
 from . import codec as c
 from .session import DOUBT, REFUSE, TAKE, TELL, Session, digest
 
--- a/rampfront/net/__init__.py
+++ b/rampfront/net/__init__.py
@@ -9,11 +9,13 @@
 1. `clock`, `timers`, `limits`, `event_log`, `latency_histogram` - what everything else stands on.
 2. The way of a transaction. `exchange` is one transaction on its way. `client_listener` and `client_connection` take
    clients, and `transaction_listener` reads the edge node's transactions from them. `transaction_gateway` (with
-   `call_terms`) accepts transactions and hands their answers back. `decision_driver` (with `decision_ports`) feeds
-   the decision module and carries its effects out; `once_only` records what may run once before it leaves.
-3. The way to servers. `server_connection_pool` has the connections, `server_connection` is one of them, with
-   `server_response_reader`, `server_response` and `socket_calls`. `streaming_connection` and `response_stream` pass
-   on responses that are too large to keep. The pool sends the health checks, too.
+   `transaction_request` and `call_terms`) accepts transactions and hands their answers back. `decision_driver` (with
+   `decision_ports`) feeds the decision module and carries its effects out; `once_only` records what may run once
+   before it leaves.
+3. The way to servers. `server_connection_pool` has the servers (`server`) and the connections to them,
+   `server_connection` is one of them, with `server_response_reader`, `server_response` and `socket_calls`.
+   `streaming_connection` and `response_stream` pass on responses that are too large to keep. The pool sends the
+   health checks, too.
 4. Calls between nodes, operators and the platform. `http_server` serves them, with `http_server_connection`,
    `http_request_reader`, `http_routing` and `http_messages`; `http_client` makes them, with `http_response_reader`.
 5. Shared by the listeners: `connection_timeouts` ends connections that are too slow, `http_status` has the codes.
--- a/rampfront/net/server_connection.py
+++ b/rampfront/net/server_connection.py
@@ -23,6 +23,7 @@
 from .exchange import ExchangeT
 from .http_status import INTERNAL_SERVER_ERROR, OK
 from .limits import NetworkLimits
+from .server import Server
 from .server_response_reader import ServerResponseReader
 from .socket_calls import has_unread_input, shut_down
 from .timers import Timer
@@ -59,35 +60,6 @@
 CLOSED = ConnectionState.CLOSED
 
 
-class Server(Generic[ExchangeT]):
-    """One server as the list names it.
-
-    Attributes:
-        index: its index at the decision module.
-        uid: its id.
-        address: host and port; None once it was removed.
-        up: whether submissions may go there.
-        idle: its idle connections, the one used last at the end.
-        connections: how many connections there are to it.
-    """
-
-    __slots__ = ("index", "uid", "address", "up", "idle", "connections")
-
-    def __init__(self, index: int, uid: str, address: tuple[str, int] | None) -> None:
-        """Has no connection yet."""
-        self.index = index
-        self.uid = uid
-        self.address = address
-        self.up = True
-        self.idle: list[ServerConnection[ExchangeT]] = []
-        self.connections = 0
-
-    def close_idle(self) -> None:
-        """Closes all idle connections."""
-        for connection in list(self.idle):
-            connection.close()
-
-
 class ConnectionPool(Protocol[ExchangeT]):
     """The pool of a connection, as far as the connection needs it."""
 
@@ -138,7 +110,7 @@
     )
     reader_type: type[ServerResponseReader] = ServerResponseReader
 
-    def __init__(self, pool: ConnectionPool[ExchangeT], server: Server[ExchangeT]) -> None:
+    def __init__(self, pool: ConnectionPool[ExchangeT], server: "Server[ServerConnection[ExchangeT]]") -> None:
         """Starts unconnected; see `connecting`."""
         self.pool = pool
         self.server = server
@@ -319,7 +291,7 @@
         if error is not None:
             self.protocol_broken(error)
 
-    # ---- private
+    # ---- for subclasses
 
     def stream_response(self, error: str | None) -> bool:
         """Streams what came of a large response. `error`: how it breaks the protocol. Returns False if it does not."""
@@ -329,6 +301,8 @@
         """Whether a response may be streamed to the client of the submission."""
         return False
 
+    # ---- private
+
     def _connect_ended(self, task: "asyncio.Task[Any]") -> None:
         """The connect has ended; only its failure is of interest here."""
         self._connect_task = None
--- a/rampfront/net/server_connection_pool.py
+++ b/rampfront/net/server_connection_pool.py
@@ -13,7 +13,8 @@
 from .event_log import EventLog
 from .exchange import ExchangeT
 from .limits import NetworkLimits
-from .server_connection import Server, ServerConnection
+from .server import Server
+from .server_connection import ServerConnection
 from .server_response import Report, parse_report
 from .streaming_connection import StreamingServerConnection
 
@@ -64,7 +65,7 @@
         self.counts = log.counts
         self.read_buffer = memoryview(bytearray(limits.read_buffer_bytes))
         self.health_check_request = _LOAD_REQUEST if reports_load else _HEALTH_REQUEST
-        self.servers: dict[int, Server[ExchangeT]] = {}
+        self.servers: dict[int, Server[ServerConnection[ExchangeT]]] = {}
         self.connections = 0
         self._reports_load = reports_load
 
@@ -134,7 +135,7 @@
         load = self._read_report(connection.server, report) if report else {}
         self.driver.health_checked(connection.server.index, how, took_ns, load)
 
-    def _read_report(self, server: Server[ExchangeT], text: bytes) -> Report:
+    def _read_report(self, server: Server[ServerConnection[ExchangeT]], text: bytes) -> Report:
         """The numbers of a report; none if it cannot be read."""
         try:
             return parse_report(text)
@@ -172,7 +173,7 @@
             while server.idle and server.idle[0].idle_since_ns < oldest_ns:
                 server.idle[0].close()
 
-    def _connect(self, server: Server[ExchangeT]) -> ServerConnection[ExchangeT]:
+    def _connect(self, server: Server[ServerConnection[ExchangeT]]) -> ServerConnection[ExchangeT]:
         """Makes a connection, which connects on its own."""
         assert server.address is not None, "a server has an address until it is removed"
         connection = self.connection_type(self, server)
--- a/rampfront/net/transaction_gateway.py
+++ b/rampfront/net/transaction_gateway.py
@@ -6,7 +6,6 @@
 and one whose client would give up before the counter answers is declined in time.
 """
 
-from binascii import unhexlify
 from collections.abc import Callable, Iterable, Mapping
 from functools import partial
 from typing import NamedTuple, Protocol
@@ -16,50 +15,18 @@
 from .decision_driver import DecisionDriver
 from .decision_ports import RetryStormControl
 from .exchange import AnswerReceiver, Exchange, ResponseBody, StreamSource
-from .http_status import BAD_REQUEST, CONFLICT, METHOD_NOT_ALLOWED, HttpStatusError
+from .http_status import BAD_REQUEST, CONFLICT, HttpStatusError
 from .limits import NetworkLimits
+from .transaction_request import TransactionRequest, check_method, encode_head, parse_account
 
 _NS_PER_MS = 10**6
 _NO_UNITS = 1e-9  # of a retry whose units an earlier attempt has taken
 _JOURNAL_RETRY_NS = 1000 * _NS_PER_MS  # a client comes back once the journal has tried to write again
 _MAX_ID_BYTES = 256
-_MAX_ACCOUNT_KEY = (1 << 33).to_bytes(8, "big")  # account keys are below it
 
 TransactionExchange = Exchange[AnswerReceiver]
 
 
-class TransactionRequest(NamedTuple):
-    """A transaction as its listener read it.
-
-    Attributes:
-        id: X-Request-Id.
-        product: X-Class.
-        plan: X-Tier.
-        idempotency_key: Idempotency-Key.
-        account_key: 16 hex digits.
-        expires_in_ns: until its client gives up; 0 if it does not say.
-        call_terms: X-Call-Terms.
-        method: the method to use at the server.
-        target: the request target to use at the server.
-        content_type: of the body.
-        body: the body.
-        is_retry: its client calls it a retry.
-    """
-
-    id: bytes
-    product: bytes | None
-    plan: bytes | None
-    idempotency_key: bytes | None
-    account_key: bytes
-    expires_in_ns: int
-    call_terms: bytes
-    method: bytes
-    target: bytes
-    content_type: bytes | None
-    body: bytes
-    is_retry: bool
-
-
 class OutcomeCounts:
     """What clients were answered for transactions of one product.
 
@@ -193,12 +160,12 @@
             HttpStatusError: it cannot be followed; then nothing was accepted.
         """
         product, plan = self._check_names(request)
-        _check_method(request, product.terms)
+        check_method(request, product.terms)
         account = parse_account(request.account_key)
         if not 0 < request.expires_in_ns <= self._limits.max_expiry_ns:
             raise HttpStatusError(BAD_REQUEST, "X-Deadline-Ms is no time ahead")
         units, spread = self._call_terms.parse(request.call_terms)
-        exchange = Exchange(client, request.id, _encode_head(request), request.body, product.product_index)
+        exchange = Exchange(client, request.id, encode_head(request), request.body, product.product_index)
         exchange.account = account
         once_only = product.terms.kind == t.ONCE_ONLY
         self._check_not_open(exchange, once_only)
@@ -293,36 +260,3 @@
         if exchange.client and not exchange.submissions:
             self.driver.client_left(exchange)
             self.decline(exchange, 0)
-
-
-def parse_account(key: bytes) -> str:
-    """The customer of an account key, spelt alike on all nodes. Raises HttpStatusError."""
-    try:
-        number = unhexlify(key)
-    except ValueError:
-        raise HttpStatusError(BAD_REQUEST, "no cookie key of 16 hex digits") from None
-    if number >= _MAX_ACCOUNT_KEY:
-        raise HttpStatusError(BAD_REQUEST, "the cookie's key is out of range")
-    return key.decode().lower()
-
-
-def _check_method(request: TransactionRequest, product: t.Product) -> None:
-    """Checks the method and the key against the product. Raises HttpStatusError."""
-    if request.method != (b"GET" if product.kind == t.INQUIRY else b"POST"):
-        raise HttpStatusError(METHOD_NOT_ALLOWED, "not the method of its X-Class")
-    if product.kind == t.REFERENCED and not request.idempotency_key:
-        raise HttpStatusError(BAD_REQUEST, "Idempotency-Key is missing")
-
-
-def _encode_head(request: TransactionRequest) -> bytes:
-    """The head that servers get, without what differs between submissions. Raises HttpStatusError."""
-    head = b"%s %s HTTP/1.1\r\nHost: app.svc\r\nX-Request-Id: %s\r\n" % (request.method, request.target, request.id)
-    if request.idempotency_key:
-        head += b"Idempotency-Key: %s\r\n" % request.idempotency_key
-    if request.content_type is not None:
-        head += b"Content-Type: %s\r\n" % request.content_type
-    if request.body and request.method == b"GET":
-        raise HttpStatusError(BAD_REQUEST, "a GET has no body")
-    if request.method == b"POST":
-        head += b"Content-Length: %d\r\n" % len(request.body)
-    return head
--- a/rampfront/net/transaction_listener.py
+++ b/rampfront/net/transaction_listener.py
@@ -13,7 +13,8 @@
 from .exchange import AnyExchange, StreamSource
 from .http_status import BAD_REQUEST, HEADER_FIELDS_TOO_LARGE, HttpStatusError
 from .limits import NetworkLimits
-from .transaction_gateway import TransactionGateway, TransactionRequest
+from .transaction_gateway import TransactionGateway
+from .transaction_request import TransactionRequest
 
 _NS_PER_MS = 10**6
 _NS_PER_S = 10**9
--- a/rampfront/proxy/server_connections.py
+++ b/rampfront/proxy/server_connections.py
@@ -15,7 +15,8 @@
 from .. import terms as t
 from ..net.decision_driver import DecisionDriver
 from ..net.decision_ports import SubmissionEnd
-from ..net.server_connection import AWAITING_RESPONSE, IDLE, Server, ServerConnection
+from ..net.server import Server
+from ..net.server_connection import AWAITING_RESPONSE, IDLE, ServerConnection
 from ..net.server_connection_pool import ServerConnectionPool
 from ..net.server_response import Report
 from ..settings.scalars import MS
@@ -65,7 +66,7 @@
     reader: SystemResponseReader
     reader_type = SystemResponseReader
 
-    def __init__(self, pool: ConnectionPool, server: Server[ProxiedRequest]) -> None:
+    def __init__(self, pool: ConnectionPool, server: Server[ServerConnection[ProxiedRequest]]) -> None:
         """Starts unconnected."""
         super().__init__(pool, server)
         self.reusable_until = NEVER
@@ -193,18 +194,18 @@
                 server.close_idle()  # the newest is too old, so the others are
         return super().connection_to(index)
 
-    def load_reported(self, server: Server[ProxiedRequest], text: bytes) -> None:
+    def load_reported(self, server: Server[ServerConnection[ProxiedRequest]], text: bytes) -> None:
         """A response's `Server-Load`. What cannot be read is left alone."""
         load = parse_server_load(text)
         if load is not None:
             self.events.server_load_reported(server.index, load)
 
-    def address_reused(self, server: Server[ProxiedRequest]) -> None:
+    def address_reused(self, server: Server[ServerConnection[ProxiedRequest]]) -> None:
         """Guards against sending to a server that is gone, whose address is another's, until the list says so too."""
         self.counts["misplaced"] += 1
         self.events.address_reused(server.uid)
 
-    def _close_distrusted(self, server: Server[ProxiedRequest]) -> None:
+    def _close_distrusted(self, server: Server[ServerConnection[ProxiedRequest]]) -> None:
         """Closes idle connections that may have been forgotten by their server."""
         now = self.clock()
         trusted_ns = self.idle_trust.trusted_ns(now)
--- a/tests/net/test_decision_driver.py
+++ b/tests/net/test_decision_driver.py
@@ -1,8 +1,12 @@
 """The decision driver: reminders, faults and tables, in plays of the whole program."""
 
+from typing import get_args
+
 from helper import Stage
 
+from rampfront import choice
 from rampfront import terms as t
+from rampfront.net.decision_driver import Effect, Input
 
 
 def test_reminders_share_a_wake_up():
@@ -47,3 +51,10 @@
         s.reply("s0")
     assert not s.driver.in_flight and s.driver.in_flight.transactions.capacity == 1 and not s.driver.waiting_inputs
     assert len(s.driver.timers) < 300 and s.log.counts["connects"] == 1
+
+
+def test_inputs_and_effects_are_complete():
+    """Each effect of `terms.py` is carried out, and each input taken: the closed sets leave none out."""
+    driver = Stage().driver
+    assert set(driver._carriers) == set(get_args(Effect))
+    assert set(choice.INPUTS) == {*get_args(Input), type(None)}
