--- a/rampfront/node/order_table.py
+++ b/rampfront/node/order_table.py
@@ -81,8 +81,8 @@
 
         Returns the digest of its body, or None if it was not in flight, when nobody is owed an answer.
 
-        An outcome that is in force, or may be, is kept: carried out once more the order could undo a later one, or count
-        twice. An order that was not taken may arrive anew, and a read changes nothing.
+        An outcome that is in force, or may be, is kept: carried out once more the order could undo a later one, or
+        count twice. An order that was not taken may arrive anew, and a read changes nothing.
         """
         order = self.in_flight.pop(key, None)
         if order is None:
