--- a/rampfront/proxy/admission.py
+++ b/rampfront/proxy/admission.py
@@ -12,19 +12,20 @@
 from .outcomes import UNKNOWN_KEY, UNKNOWN_ROUTE, RequestRejectedError
 from .request import Admission, ReceivedRequest
 
-MAX_TRY_ID_BYTES = 256
+_MAX_TRY_ID_BYTES = 256
+_BEARER = b"bearer "  # the scheme of RFC 6750, in any case of letters
 _MAX_TIME_DIGITS = 9  # of `Time-Left-Ms`
 _DEFAULT_TIME_LEFT_NS = 60 * SEC  # of a request that does not say
 
 
-def admit(configuration: Configuration, received: ReceivedRequest, margin_ns: int, now: int) -> Admission:
+def admit(configuration: Configuration, received: ReceivedRequest, margin_ns: int, now_ns: int) -> Admission:
     """Checks a request against the configuration.
 
     Args:
         configuration: the one in force.
         received: the request.
         margin_ns: kept of its time for the way back of the response.
-        now: the time, ns.
+        now_ns: the time.
 
     Raises:
         HttpStatusError: it has no identifier that can be used.
@@ -32,16 +33,16 @@
     """
     header = received.header
     try_id = header.get(b"try-id")
-    if not try_id or len(try_id) > MAX_TRY_ID_BYTES:
+    if not try_id or len(try_id) > _MAX_TRY_ID_BYTES:
         raise HttpStatusError(BAD_REQUEST, "Try-Id is missing or too long")
     route = configuration.route(header[b"host"], received.path)
     if route is None:
         raise RequestRejectedError(UNKNOWN_ROUTE)
     customer = None
     if configuration.requires_key:
-        scheme, _, key = header.get(b"authorization", b"").partition(b" ")
-        if scheme.lower() == b"bearer":
-            customer = configuration.customer(key.strip())
+        credentials = header.get(b"authorization", b"")
+        if credentials[: len(_BEARER)].lower() == _BEARER:
+            customer = configuration.customer(credentials[len(_BEARER) :].strip())
         if customer is None and not route.public:
             raise RequestRejectedError(UNKNOWN_KEY)
     time_text = header.get(b"time-left-ms", b"")
@@ -49,4 +50,4 @@
     time_left_ns = int(time_text) * MS if time_given else _DEFAULT_TIME_LEFT_NS
     if route.timeout_ns and route.timeout_ns < time_left_ns:
         time_left_ns = route.timeout_ns
-    return Admission(try_id, route, customer, now, now + time_left_ns - margin_ns)
+    return Admission(try_id, route, customer, now_ns, now_ns + time_left_ns - margin_ns)
--- a/rampfront/proxy/attempt_policy.py
+++ b/rampfront/proxy/attempt_policy.py
@@ -20,10 +20,10 @@
 
 READ_ONLY = "read_only"  # a route's kind whose requests may run more than once
 _KINDS = {READ_ONLY: t.INQUIRY, "changing": t.ONCE_ONLY, "upload": t.ONCE_ONLY}
-_LATE_VALUE_PART = 0.3  # what a response past its target is taken to earn, of its value: the wire does not say
-_MOST_ATTEMPTS = 8  # whatever a route allows
-_LONGEST_ADVICE_NS = 2 * SEC
-_SHORTEST_STEP_NS = MS  # gap between two inputs of a `choice.Node`
+_OVERDUE_VALUE_PART = 0.3  # what a response past its target is taken to earn, of its value: the wire does not say
+_MAX_ATTEMPTS = 8  # whatever a route allows
+_MAX_RETRY_AFTER_NS = 2 * SEC
+_MIN_STEP_NS = MS  # gap between two inputs of a `choice.Node`
 _SLOW_START_PART = 0.2
 _NO_PLAN = t.Plan(0.0, 0.0, 0, 0.0, 0.0, 0.0, 0.0)  # quotas are the limiter's, not `choice.py`'s
 
@@ -31,7 +31,7 @@
 def product_of(kind: str, target_ns: int) -> t.Product:
     """What requests of a route allow: `kind` is the route's, `target_ns` the time within which a response has its full
     value."""
-    return t.Product(kind=_KINDS[kind], group=t.ALL, sla=target_ns, repeat_window=0, late_share=_LATE_VALUE_PART)
+    return t.Product(kind=_KINDS[kind], group=t.ALL, sla=target_ns, repeat_window=0, late_share=_OVERDUE_VALUE_PART)
 
 
 def node_terms(guarantees: Guarantees, proxy_count: int) -> t.Terms:
@@ -40,15 +40,15 @@
         products=[],
         plans=[_NO_PLAN],
         nodes=1,
-        max_submissions=_MOST_ATTEMPTS,
+        max_submissions=_MAX_ATTEMPTS,
         may_probe=False,
         may_cancel=True,
         has_counter=False,
         counter_wait=0,
         largest=1.0,
         subscribes=False,
-        longest_advice=_LONGEST_ADVICE_NS,
-        tick=_SHORTEST_STEP_NS,
+        longest_advice=_MAX_RETRY_AFTER_NS,
+        tick=_MIN_STEP_NS,
         cold_share=_SLOW_START_PART,
         warm_within=DEFAULT_WARM_UP_NS,
         fall_multiple=2.0,
--- a/rampfront/proxy/budget_shares.py
+++ b/rampfront/proxy/budget_shares.py
@@ -21,15 +21,15 @@
 _RETRY_RATIO_PART = 0.85
 _EXTRA_TRIES_PART = 0.8
 _SLOW_START_PART = 0.8
-_FEWEST_PROXIES = 8  # counted at least: the roster may not be complete yet, and some may be cut off
-_MOST_AT_START = 1.0  # further attempts that a process may make at its start: it has earned next to none
+_MIN_PROXIES = 8  # counted at least: the roster may not be complete yet, and some may be cut off
+_MAX_SAVED_AT_START = 1.0  # further attempts that a process may make at its start: it has earned next to none
 
 
 class RetryBudget(NamedTuple):
     """Further attempts of one proxy."""
 
     earned_per_request: float
-    most_saved: float
+    max_saved: float
 
 
 def retry_budget(guarantees: Guarantees, proxy_count: int) -> RetryBudget:
@@ -37,7 +37,7 @@
     part each."""
     return RetryBudget(
         _RETRY_RATIO_PART * guarantees.retry_ratio,
-        _EXTRA_TRIES_PART * guarantees.extra_tries / max(proxy_count, _FEWEST_PROXIES),
+        _EXTRA_TRIES_PART * guarantees.extra_tries / max(proxy_count, _MIN_PROXIES),
     )
 
 
@@ -45,19 +45,19 @@
     """Requests a second that this proxy may send to one server in slow start."""
     if not service.cold_per_s:
         return inf
-    return _SLOW_START_PART * service.cold_per_s / max(proxy_count, _FEWEST_PROXIES)
+    return _SLOW_START_PART * service.cold_per_s / max(proxy_count, _MIN_PROXIES)
 
 
 def limit_initial_budget(node: Node) -> None:
     """A process that has just started begins with next to no further attempts saved up."""
-    node.spare = min(_MOST_AT_START, node.spare)
+    node.spare = min(_MAX_SAVED_AT_START, node.spare)
 
 
 def set_budgets(node: Node, guarantees: Guarantees, service: Service, proxy_count: int) -> None:
     """The fleet has another number of proxies, or the service other bounds: sets this proxy's parts."""
     budget = retry_budget(guarantees, proxy_count)
     node.spare_rate = budget.earned_per_request
-    node.spare_most = budget.most_saved
+    node.spare_most = budget.max_saved
     node.spare = min(node.spare, node.spare_most)
     node.bear_most = slow_start_per_s(service, proxy_count)
     node.warm_within = service.warmup or DEFAULT_WARM_UP_NS
--- a/rampfront/proxy/client_front.py
+++ b/rampfront/proxy/client_front.py
@@ -37,8 +37,8 @@
 _SINGLE_FIELDS = frozenset(
     (b"host", b"try-id", b"time-left-ms", b"authorization", b"connection", b"content-length", b"expect")
 )
-_MOST_FIELDS = 128  # header fields of a request
-_MOST_BUFFERED_BYTES = 96 << 20  # of bodies, of all clients together
+_MAX_FIELDS = 128  # header fields of a request
+_MAX_BUFFERED_BYTES = 96 << 20  # of bodies, of all clients together
 
 
 class RequestConnection(ClientConnection):
@@ -72,7 +72,7 @@
             self.fields[lowered] = value
         self.header_lines.append((lowered, b"%s: %s\r\n" % (name, value)))
         self.section_bytes += len(name) + len(value) + FIELD_OVERHEAD_BYTES
-        if self.section_bytes > self.listener.limits.max_head_bytes or len(self.header_lines) > _MOST_FIELDS:
+        if self.section_bytes > self.listener.limits.max_head_bytes or len(self.header_lines) > _MAX_FIELDS:
             raise HttpStatusError(HEADER_FIELDS_TOO_LARGE, "the head is too large")
 
     def on_headers_complete(self) -> None:
@@ -87,7 +87,7 @@
         super().on_body(part)
         self.buffered_bytes += len(part)
         self.listener.buffered_bytes += len(part)
-        if self.listener.buffered_bytes > _MOST_BUFFERED_BYTES:
+        if self.listener.buffered_bytes > _MAX_BUFFERED_BYTES:
             # Guards memory against many large bodies at once: nothing of this one was forwarded.
             raise HttpStatusError(SERVICE_UNAVAILABLE, "too much is held")
 
--- a/rampfront/proxy/endpoints.py
+++ b/rampfront/proxy/endpoints.py
@@ -29,11 +29,11 @@
 
     index_by_name: Mapping[str, int]  # servers of other zones get nothing
     evacuated: Collection[str]  # names
-    reopened_at: Mapping[str, int]  # when the evacuation of a zone ended (ns), of those that were evacuated lately
+    reopened_at_ns: Mapping[str, int]  # when the evacuation of a zone ended (ns), of those that were evacuated lately
 
 
 def endpoints_by_service(
-    configuration: Configuration, servers: EndpointList, zones: Zones, process_settings: ProcessSettings, now: int
+    configuration: Configuration, servers: EndpointList, zones: Zones, process_settings: ProcessSettings, now_ns: int
 ) -> dict[str, dict[str, ServerRow]]:
     """The endpoints of every service of the configuration, by service and by server id; `now` ns."""
     listed: dict[str, list[Endpoint]] = {name: [] for name in configuration.services}
@@ -51,7 +51,7 @@
                 zones.index_by_name[endpoint.zone],
                 _ONE_CELL,
                 _FULL_WEIGHT,
-                warm_up_started_at(endpoint, service, zones.reopened_at.get(endpoint.zone), now),
+                warm_up_started_at(endpoint, service, zones.reopened_at_ns.get(endpoint.zone), now_ns),
                 (endpoint.host, endpoint.port),
                 locality[endpoint.id],
             )
--- a/rampfront/proxy/health_observation.py
+++ b/rampfront/proxy/health_observation.py
@@ -21,7 +21,7 @@
         super().__init__()
         self.response_durations = LatencyHistogram()  # from a request handed to a server to its whole response
 
-    def attempt_ended(self, reference: int, server_id: str, outcome: int, lasted_ns: int, now: int) -> None:
+    def attempt_ended(self, reference: int, server_id: str, outcome: int, lasted_ns: int, now_ns: int) -> None:
         """An attempt has ended: `outcome` as `terms` has it, `lasted_ns` since its start."""
         hung = outcome == t.UNREACHED and lasted_ns >= CONNECT_TIMEOUT_NS
-        self.request_ended(reference, server_id, now, CONNECT_TIMED_OUT if hung else _SEEN.get(outcome))
+        self.request_ended(reference, server_id, now_ns, CONNECT_TIMED_OUT if hung else _SEEN.get(outcome))
--- a/rampfront/proxy/idle_reuse.py
+++ b/rampfront/proxy/idle_reuse.py
@@ -20,12 +20,12 @@
 _DISTRUST_DIVISOR = 8  # the next bound is the forgotten one's idle time by this
 
 
-def reusable_until(keep_alive: bytes, now: int) -> int:
+def reusable_until(keep_alive: bytes, now_ns: int) -> int:
     """Until when (ns) a connection may be reused, by the `Keep-Alive` field of its last response."""
     found = _KEEP_ALIVE.search(keep_alive)
     if found is None:
         return NEVER
-    return now + int(found.group(1)) * SEC - _CLOSED_EARLY_NS
+    return now_ns + int(found.group(1)) * SEC - _CLOSED_EARLY_NS
 
 
 class IdleTrust:
@@ -35,19 +35,19 @@
         """`most_idle_ns`: with which every connection is trusted."""
         self._most_idle_ns = most_idle_ns
         self._trusted_ns = most_idle_ns
-        self._distrusted_at = 0
+        self._distrusted_at_ns = 0
 
-    def trusted_ns(self, now: int) -> int:
+    def trusted_ns(self, now_ns: int) -> int:
         """The longest idle time that is trusted now."""
-        if now - self._distrusted_at > _DISTRUST_NS:
+        if now_ns - self._distrusted_at_ns > _DISTRUST_NS:
             self._trusted_ns = self._most_idle_ns
         return self._trusted_ns
 
-    def connection_ended(self, idle_ns: int, lasted_ns: int, now: int) -> None:
+    def connection_ended(self, idle_ns: int, lasted_ns: int, now_ns: int) -> None:
         """A reused connection ended under a request, without a byte of a response.
 
         `idle_ns`: how long it had been idle; `lasted_ns`: from the request to its end. One that ended at once had been
         forgotten by its server."""
         if lasted_ns < _AT_ONCE_NS:
             self._trusted_ns = max(_ALWAYS_TRUSTED_NS, min(self._trusted_ns, idle_ns // _DISTRUST_DIVISOR))
-            self._distrusted_at = now
+            self._distrusted_at_ns = now_ns
--- a/rampfront/proxy/outcomes.py
+++ b/rampfront/proxy/outcomes.py
@@ -38,6 +38,7 @@
 
     def __init__(self, response: LocalResponse) -> None:
         """`response`: what the client gets."""
+        assert response.execution is Execution.NOT_EXECUTED, "a request that was not admitted has not run"
         super().__init__(response.reason.decode())
         self.response = response
 
--- a/rampfront/proxy/request.py
+++ b/rampfront/proxy/request.py
@@ -1,9 +1,8 @@
 """A request's forms: as a client sent it, as it was admitted, and as it is under way.
 
 `ReceivedRequest` is what the client's connection read, `Admission` what the checks found of it, both immutable. From
-then on `ProxiedRequest` stands for it
-until the client has its one response. What it may still be answered depends on what its attempts have left behind, so
-its life is one state and a table of transitions; nothing else may set the state:
+then on `ProxiedRequest` stands for it until the client has its one response. What it may still be answered depends on
+what its attempts have left behind, so its life is one state and a table of transitions; nothing else may set the state:
 
     UNEXECUTED --attempt uncertain--> POSSIBLY_EXECUTED --failure response--> FAILURE_RETAINED
         |                                     |                                     |
@@ -46,19 +45,19 @@
         route: the route by host and longest prefix.
         customer: whose key the request shows; None where the configuration has no customers, or where the route is
             public and the request shows no valid key.
-        received_at: ns of the clock.
-        deadline_at: when the response has to be out, ns of the clock.
+        received_at_ns: ns of the clock.
+        deadline_at_ns: when the response has to be out, ns of the clock.
     """
 
     try_id: bytes
     route: Route
     customer: Customer | None
-    received_at: int
-    deadline_at: int
+    received_at_ns: int
+    deadline_at_ns: int
 
 
 class RequestState(IntEnum):
-    """Where a request stands."""
+    """Where a request stands. (Hashing a plain `Enum` is slow.)"""
 
     UNEXECUTED = 0  # no server can have run it
     POSSIBLY_EXECUTED = 1  # a server may have run it; no response is at hand
@@ -75,23 +74,39 @@
     CLOSE = 2  # the client got its response, or went away
 
 
-# By state, then by event, in the order of their numbers: looked up for each request.
-_TRANSITIONS: tuple[tuple[RequestState, RequestState, RequestState], ...] = (
-    (RequestState.POSSIBLY_EXECUTED, RequestState.FAILURE_RETAINED, RequestState.CLOSED_UNEXECUTED),  # UNEXECUTED
-    (RequestState.POSSIBLY_EXECUTED, RequestState.FAILURE_RETAINED, RequestState.CLOSED),  # POSSIBLY_EXECUTED
-    (RequestState.FAILURE_RETAINED, RequestState.FAILURE_RETAINED, RequestState.CLOSED),  # FAILURE_RETAINED
-    (RequestState.CLOSED, RequestState.CLOSED, RequestState.CLOSED_UNEXECUTED),  # CLOSED_UNEXECUTED
-    (RequestState.CLOSED, RequestState.CLOSED, RequestState.CLOSED),  # CLOSED
-)
+_TRANSITIONS: dict[RequestState, dict[RequestEvent, RequestState]] = {
+    RequestState.UNEXECUTED: {
+        RequestEvent.ATTEMPT_UNCERTAIN: RequestState.POSSIBLY_EXECUTED,
+        RequestEvent.FAILURE_RESPONSE: RequestState.FAILURE_RETAINED,
+        RequestEvent.CLOSE: RequestState.CLOSED_UNEXECUTED,
+    },
+    RequestState.POSSIBLY_EXECUTED: {
+        RequestEvent.ATTEMPT_UNCERTAIN: RequestState.POSSIBLY_EXECUTED,
+        RequestEvent.FAILURE_RESPONSE: RequestState.FAILURE_RETAINED,
+        RequestEvent.CLOSE: RequestState.CLOSED,
+    },
+    RequestState.FAILURE_RETAINED: {
+        RequestEvent.ATTEMPT_UNCERTAIN: RequestState.FAILURE_RETAINED,
+        RequestEvent.FAILURE_RESPONSE: RequestState.FAILURE_RETAINED,
+        RequestEvent.CLOSE: RequestState.CLOSED,
+    },
+    RequestState.CLOSED_UNEXECUTED: {
+        RequestEvent.ATTEMPT_UNCERTAIN: RequestState.CLOSED,
+        RequestEvent.FAILURE_RESPONSE: RequestState.CLOSED,
+        RequestEvent.CLOSE: RequestState.CLOSED_UNEXECUTED,
+    },
+    RequestState.CLOSED: dict.fromkeys(RequestEvent, RequestState.CLOSED),
+}
 
 ACCOUNT = "all"  # `choice.py` counts no accounts here
+# Looked up once: they are needed for each request.
 _UNEXECUTED = RequestState.UNEXECUTED
 _CLOSE = RequestEvent.CLOSE
 _NOT_EXECUTED = (RequestState.UNEXECUTED, RequestState.CLOSED_UNEXECUTED)
 
 
 class RequestingClient(Protocol):
-    """The client's side of a request: `client_front.ClientConnection`."""
+    """The client's side of a request: `client_front.RequestConnection`."""
 
     def accepted(self, exchange: "ProxiedRequest") -> None:
         """The request was admitted; the client is owed its response."""
--- a/rampfront/proxy/request_proxy.py
+++ b/rampfront/proxy/request_proxy.py
@@ -51,8 +51,8 @@
     """Takes requests and gives each its response."""
 
     def __init__(self, environment: ProxyEnvironment, limiter: Limiter, is_fresh: Callable[[int], bool]) -> None:
-        """`limiter`: judges the customers' quotas; `is_fresh(now)`: whether the core confirmed the configuration lately
-        enough for requests to go by it."""
+        """`limiter`: judges the customers' quotas; `is_fresh(now_ns)`: whether the core confirmed the configuration
+        lately enough for requests to go by it."""
         self.environment = environment
         self.clock = environment.clock
         self.counts = environment.log.counts
@@ -69,9 +69,8 @@
         # What follows from them.
         self._priority_ranks: PriorityRanks | None = None
         self._home_zones = HomeZones(environment.process_settings.zones)
-        self.service_pools: dict[
-            str, ServicePool
-        ] = {}  # of all configurations so far: a service that returns has its own
+        # Of the services of all configurations so far: a service that returns has its own.
+        self.service_pools: dict[str, ServicePool] = {}
         # What is observed.
         self._observer = ServerObserver()
         self.health_reporter: HealthReporter = self._observer
@@ -105,9 +104,9 @@
     def apply_evacuations(self, evacuated_zones: frozenset[str]) -> None:
         """`evacuated_zones`, by name: their servers get nothing new. Servers of one that is no longer evacuated may
         have become cold, so they begin a slow start."""
-        now = self.clock()
+        now_ns = self.clock()
         for zone in self.evacuated_zones - evacuated_zones:
-            self.reopened_zones[zone] = now
+            self.reopened_zones[zone] = now_ns
         self.evacuated_zones = evacuated_zones
         self.update_endpoints()
 
@@ -172,15 +171,15 @@
         Raises:
             HttpStatusError: it cannot be followed; then nothing was begun.
         """
-        now = self.clock()
+        now_ns = self.clock()
         try:
-            if self.configuration is None or not self.is_fresh(now):
+            if self.configuration is None or not self.is_fresh(now_ns):
                 # Guards revocations and routes: who does not know what is in force lets nothing run, and says so.
                 raise RequestRejectedError(outcomes.NO_CONFIGURATION)
-            admission = admit(self.configuration, received, self._margin_ns, now)
+            admission = admit(self.configuration, received, self._margin_ns, now_ns)
             service_pool = self._pick_service_pool(admission)
             if admission.customer:
-                self._use_quota(admission.customer, now)
+                self._use_quota(admission.customer, now_ns)
         except RequestRejectedError as rejection:
             self.counts[rejection.response.counter] += 1
             client.respond(rejection.response)
@@ -194,14 +193,14 @@
     def _pick_service_pool(self, admission: Admission) -> ServicePool:
         """The pool of the request's service. Raises RequestRejectedError where it has no server, or it is too late."""
         service_pool = self.service_pools.get(pick_service(admission.route.service_weights, self.environment.draw))
-        too_late = admission.deadline_at <= admission.received_at
-        if too_late or service_pool is None or not service_pool.has_server_up():
+        expired = admission.deadline_at_ns <= admission.received_at_ns
+        if expired or service_pool is None or not service_pool.has_server_up():
             raise RequestRejectedError(outcomes.NO_SERVER)
         return service_pool
 
-    def _use_quota(self, customer: Customer, now: int) -> None:
+    def _use_quota(self, customer: Customer, now_ns: int) -> None:
         """Counts a request to the customer's quota. Raises RequestRejectedError where it is used up."""
-        retry_after_ns = self.limiter.take(customer.name, now)
+        retry_after_ns = self.limiter.take(customer.name, now_ns)
         self._on_quota_used()
         if retry_after_ns is not None:
             raise RequestRejectedError(outcomes.OVER_QUOTA._replace(retry_after_ns=retry_after_ns))
@@ -211,28 +210,30 @@
         shares. Raises HttpStatusError."""
         for service_pool in self.service_pools.values():
             if request in service_pool.open_requests:
-                self._return_quota(request, request.admission.received_at)
+                self._return_quota(request, request.admission.received_at_ns)
                 raise HttpStatusError(CONFLICT, "its Try-Id is open")
 
-    def _return_quota(self, request: ProxiedRequest, now: int) -> None:
+    def _return_quota(self, request: ProxiedRequest, now_ns: int) -> None:
         """A request that was not executed does not use the quota."""
         if customer := request.admission.customer:
-            self.limiter.refund(customer.name, now)
+            self.limiter.refund(customer.name, now_ns)
 
     def _begin(self, request: ProxiedRequest) -> None:
         """Hands the request to the decisions of its service, which make its attempts."""
-        _, route, customer, received_at, deadline_at = request.admission
+        admission = request.admission
+        route = admission.route
+        customer = admission.customer
         driver = request.driver
         ranks = self._priority_ranks
         assert ranks is not None, "a request is admitted by a configuration"
         driver.post(
-            t.Arrival(
+            t.Arrival(  # in the order of its fields: their names here would cost each request
                 driver.open(request),
                 request.product,
                 _NO_PLAN,
                 ACCOUNT,
                 _ONE_UNIT,
-                deadline_at - received_at,
+                admission.deadline_at_ns - admission.received_at_ns,
                 _ONE_NODE,
                 self._home_zones.allowed(route, customer),
                 route.max_attempts,
@@ -271,7 +272,7 @@
             return
         if failure:
             client.forward(failure)
-        elif self.clock() >= request.admission.deadline_at - _ALMOST_DUE_NS:
+        elif self.clock() >= request.admission.deadline_at_ns - _ALMOST_DUE_NS:
             client.respond(outcomes.TIMED_OUT)
         else:
             client.respond(outcomes.FAILED)
@@ -280,7 +281,7 @@
         """Who is owed the response; None if the client is gone."""
         client = request.close()
         if client:
-            self.request_durations.record(self.clock() - request.admission.received_at)
+            self.request_durations.record(self.clock() - request.admission.received_at_ns)
         return client
 
 
--- a/rampfront/proxy/server_connections.py
+++ b/rampfront/proxy/server_connections.py
@@ -56,12 +56,12 @@
     """One connection to one server.
 
     Attributes:
-        reusable_until: until when (ns) it may be used again, once it is idle.
+        reusable_until_ns: until when it may be used again, once it is idle.
         idle_ns: how long it had been idle when the present attempt began; None for the first one on it.
         observation: the reference of the present attempt at the observer.
     """
 
-    __slots__ = ("reusable_until", "idle_ns", "observation")
+    __slots__ = ("reusable_until_ns", "idle_ns", "observation")
     pool: ConnectionPool
     reader: SystemResponseReader
     reader_type = SystemResponseReader
@@ -69,19 +69,19 @@
     def __init__(self, pool: ConnectionPool, server: Server[ServerConnection[ProxiedRequest]]) -> None:
         """Starts unconnected."""
         super().__init__(pool, server)
-        self.reusable_until = NEVER
+        self.reusable_until_ns = NEVER
         self.idle_ns: int | None = None
         self.observation = 0
 
     def begin(self, exchange: ProxiedRequest | None, attempt: int, allow_ns: int) -> None:
         """Starts an attempt, or a health check (`exchange` None), that may take `allow_ns`."""
         pool = self.pool
-        now = pool.clock()
-        self.idle_ns = now - self.idle_since_ns if self.state is IDLE else None
+        now_ns = pool.clock()
+        self.idle_ns = now_ns - self.idle_since_ns if self.state is IDLE else None
         self.reader.expects_no_body = exchange is not None and exchange.head[:5] == b"HEAD "
         if exchange:
             mean_ns = pool.driver.node.lines[exchange.product].mean
-            self.observation = pool.observer.request_started(self.server.uid, mean_ns, now)
+            self.observation = pool.observer.request_started(self.server.uid, mean_ns, now_ns)
         super().begin(exchange, attempt, allow_ns)
 
     def write_request(self, exchange: ProxiedRequest, left_ns: int) -> None:
@@ -93,8 +93,8 @@
     def connection_lost(self, error: Exception | None) -> None:
         """Of the loop: the connection has ended."""
         if self.state is AWAITING_RESPONSE and not self.reader.received_bytes and self.idle_ns is not None:
-            now = self.pool.clock()
-            self.pool.idle_trust.connection_ended(self.idle_ns, now - self.sent_at_ns, now)
+            now_ns = self.pool.clock()
+            self.pool.idle_trust.connection_ended(self.idle_ns, now_ns - self.sent_at_ns, now_ns)
         super().connection_lost(error)
 
     def conclude(self, intact: bool) -> None:
@@ -130,12 +130,12 @@
 
     def finish(self, how: int, keep: bool = False) -> None:
         """The attempt has ended as `how` of `terms` says; `keep`: the connection may be used again."""
-        now = self.pool.clock()
+        now_ns = self.pool.clock()
         keep_alive = self.reader.fields.get(b"keep-alive") if keep else None
-        self.reusable_until = reusable_until(keep_alive, now) if keep_alive else NEVER
+        self.reusable_until_ns = reusable_until(keep_alive, now_ns) if keep_alive else NEVER
         if self.exchange:
-            lasted_ns = now - self.sent_at_ns
-            self.pool.observer.attempt_ended(self.observation, self.server.uid, how, lasted_ns, now)
+            lasted_ns = now_ns - self.sent_at_ns
+            self.pool.observer.attempt_ended(self.observation, self.server.uid, how, lasted_ns, now_ns)
         super().finish(how, keep)
 
     def submission_end(self, exchange: ProxiedRequest, how: int, took_ns: int) -> SubmissionEnd[ProxiedRequest]:
@@ -190,7 +190,7 @@
         server = self.servers.get(index)
         if server and server.idle:
             newest = cast(ForwardingConnection, server.idle[-1])
-            if newest.reusable_until <= self.clock():
+            if newest.reusable_until_ns <= self.clock():
                 server.close_idle()  # the newest is too old, so the others are
         return super().connection_to(index)
 
@@ -207,7 +207,7 @@
 
     def _close_distrusted(self, server: Server[ServerConnection[ProxiedRequest]]) -> None:
         """Closes idle connections that may have been forgotten by their server."""
-        now = self.clock()
-        trusted_ns = self.idle_trust.trusted_ns(now)
-        while server.idle and now - server.idle[-1].idle_since_ns > trusted_ns:
+        now_ns = self.clock()
+        trusted_ns = self.idle_trust.trusted_ns(now_ns)
+        while server.idle and now_ns - server.idle[-1].idle_since_ns > trusted_ns:
             server.idle[-1].close()
--- a/rampfront/proxy/server_response.py
+++ b/rampfront/proxy/server_response.py
@@ -38,8 +38,8 @@
     body: bytes
 
 
-_LOAD_PARTS = 3
-_LONGEST_LOAD_NUMBER = 6  # digits
+_LOAD_NAMES = ("running", "waiting", "slots")  # of the parts, as `choice.py` reads them
+_MAX_LOAD_DIGITS = 6
 
 
 def parse_server_load(text: bytes) -> Report | None:
@@ -47,10 +47,9 @@
 
     None where it is not three small whole numbers."""
     parts = text.split(b",")
-    if len(parts) != _LOAD_PARTS:
+    if len(parts) != len(_LOAD_NAMES):
         return None
     for part in parts:
-        if not part.strip().isdigit() or len(part) > _LONGEST_LOAD_NUMBER:
+        if not part.strip().isdigit() or len(part) > _MAX_LOAD_DIGITS:
             return None
-    running, waiting, slots = map(int, parts)
-    return {"running": running, "waiting": waiting, "slots": slots}
+    return dict(zip(_LOAD_NAMES, map(int, parts), strict=True))
--- a/rampfront/proxy/service_pool.py
+++ b/rampfront/proxy/service_pool.py
@@ -6,12 +6,9 @@
 
 from __future__ import annotations
 
-from typing import Protocol
-
 from .. import terms as t
 from ..net.decision_driver import DecisionDriver
-from ..net.decision_ports import ServerRow
-from ..net.exchange import StreamSource
+from ..net.decision_ports import Gateway, ServerRow
 from ..net.server_response import Report
 from ..net.timers import TimerQueue
 from ..settings.configuration import Route
@@ -21,40 +18,34 @@
 from .health_observation import ServerObserver
 from .request import ProxiedRequest, ServiceLine
 from .server_connections import ConnectionPool
-from .server_response import ServerResponse
 
 _SEED_BITS = 63
 
 
-class RequestOutcomes(Protocol):
-    """Who gives clients their responses: `request_proxy.RequestProxy`. Called by `DecisionDriver`."""
-
-    def complete(self, request: ProxiedRequest, response: ServerResponse, stream: StreamSource | None) -> None:
-        """A server's response is the request's."""
-
-    def decline(self, request: ProxiedRequest, retry_after_ns: int) -> None:
-        """No server is to run it any more; `retry_after_ns` of advice."""
-
-    def void(self, request: ProxiedRequest) -> None:
-        """It may have run, and no response will come."""
-
-
 class ServicePool:
     """One service's decisions (`driver`) and connections (`connection_pool`)."""
 
     def __init__(
         self,
         environment: ProxyEnvironment,
-        outcomes: RequestOutcomes,
+        gateway: Gateway[ProxiedRequest],
         health_path: bytes,
         observer: ServerObserver,
         proxy_count: int,
     ) -> None:
-        """Has no servers yet. `health_path`: asked by health checks; `proxy_count`: proxies that share its budgets."""
+        """Has no servers yet.
+
+        Args:
+            environment: of the proxy; its `draw` seeds the decisions.
+            gateway: gives clients their responses.
+            health_path: asked by health checks.
+            observer: takes the begin and the end of every attempt.
+            proxy_count: proxies that share the budgets.
+        """
         self.driver = _make_driver(environment, proxy_count)
         self.connection_pool = ConnectionPool(environment, self.driver, health_path, self, observer)
         self.has_server_up = self.connection_pool.any_up  # asked for each request
-        self.driver.gateway = outcomes
+        self.driver.gateway = gateway
         self.driver.servers = self.connection_pool
         self.driver.start()
         limit_initial_budget(self.driver.node)
--- a/rampfront/proxy/slow_start.py
+++ b/rampfront/proxy/slow_start.py
@@ -19,12 +19,12 @@
 _WARMED_UP = 0  # `choice.py`'s form of "long ago"
 
 
-def warm_up_started_at(endpoint: Endpoint, service: Service, zone_reopened_at: int | None, now: int) -> int:
+def warm_up_started_at(endpoint: Endpoint, service: Service, zone_reopened_at_ns: int | None, now_ns: int) -> int:
     """When the server came up as `choice.py` counts it (ns): 0 for long ago, else so that its slow start ends in time.
 
-    `zone_reopened_at`: when the evacuation of its zone ended, None if it was not evacuated lately."""
-    until = endpoint.warming_until_ns
-    if zone_reopened_at is not None and zone_reopened_at + service.warmup > now:
+    `zone_reopened_at_ns`: when the evacuation of its zone ended, None if it was not evacuated lately."""
+    until_ns = endpoint.warming_until_ns
+    if zone_reopened_at_ns is not None and zone_reopened_at_ns + service.warmup > now_ns:
         # Guards the servers of a zone that was evacuated: they may have become cold, and the list says so late.
-        until = max(until, zone_reopened_at + service.warmup)
-    return until - service.warmup if until > now else _WARMED_UP
+        until_ns = max(until_ns, zone_reopened_at_ns + service.warmup)
+    return until_ns - service.warmup if until_ns > now_ns else _WARMED_UP
