--- a/rampfront/settings/errors.py
+++ b/rampfront/settings/errors.py
@@ -3,13 +3,12 @@
 Readers raise `FieldError` on their way down; the public functions catch it and return the `Fault` that it becomes.
 """
 
-from dataclasses import dataclass
+from typing import NamedTuple
 
 MAX_QUOTE_CHARS = 60  # of a value that a reason quotes
 
 
-@dataclass(frozen=True, slots=True)
-class Fault:
+class Fault(NamedTuple):
     """Why something could not be read: the path of the field (empty: the whole text), and the reason."""
 
     field: str
--- a/rampfront/settings/field_types.py
+++ b/rampfront/settings/field_types.py
@@ -65,7 +65,14 @@
 
     Dataclasses compile each method at every start of a process; these classes take 12 ms of 42 less without
     `__eq__`, `__hash__` and `__repr__`."""
-    return dataclass(frozen=True, slots=True, eq=False, repr=False)(cls)
+    return dataclass(frozen=True, slots=True, eq=False, repr=False, match_args=False)(cls)
+
+
+@dataclass_transform(eq_default=False, field_specifiers=(described,))
+def table(cls: type[Table]) -> type[Table]:
+    """A dataclass as `frozen` makes it, for tables that are read and handed on at once: they do without the methods
+    that forbid assignment, which cost 2 ms of every start."""
+    return dataclass(slots=True, eq=False, repr=False, match_args=False)(cls)
 
 
 def key_of(name: str) -> str:
--- a/rampfront/settings/route_reader.py
+++ b/rampfront/settings/route_reader.py
@@ -1,7 +1,6 @@
 """Reads the hosts and routes of a configuration (`Sockets[]` and their `Rulebook[]`)."""
 
 from collections.abc import Mapping
-from typing import NamedTuple
 
 from .configuration import HostRoutes, Route, Service, normalize_host
 from .errors import FieldError, quoted
@@ -20,13 +19,19 @@
 REQUEST_TYPES = frozenset(("read_only", "changing", "upload"))
 
 
-class _Action(NamedTuple):
+class _Action:
     """What `ThenDo` of a route says."""
 
-    timeout_ns: int
-    service_weights: tuple[tuple[str, float], ...]
-    max_attempts: int
-    home_regions: frozenset[str]
+    __slots__ = "timeout_ns", "service_weights", "max_attempts", "home_regions"
+
+    def __init__(self, action: Mapping[str, Json], services: Mapping[str, Service]) -> None:
+        """Reads and checks the table. Raises `FieldError`."""
+        self.timeout_ns = read_duration(action, "GiveUp")
+        if not self.timeout_ns:
+            raise FieldError("missing, or no time at all", "GiveUp")
+        self.service_weights = _read_service_weights(action, services)
+        self.max_attempts = read_integer(action, "Tries", 1) or 1
+        self.home_regions = read_home_regions(action)
 
 
 def read_hosts(rows: list[Json], services: Mapping[str, Service]) -> dict[bytes, HostRoutes]:
@@ -110,15 +115,7 @@
 
 def _read_action(action: Json, services: Mapping[str, Service]) -> _Action:
     try:
-        timeout_ns = read_duration(check_table(action), "GiveUp")
-        if not timeout_ns:
-            raise FieldError("missing, or no time at all", "GiveUp")
-        return _Action(
-            timeout_ns=timeout_ns,
-            service_weights=_read_service_weights(action, services),
-            max_attempts=read_integer(action, "Tries", 1) or 1,
-            home_regions=read_home_regions(action),
-        )
+        return _Action(check_table(action), services)
     except FieldError as error:
         error.add_parent("ThenDo")
         raise
--- a/rampfront/settings/settings_file.py
+++ b/rampfront/settings/settings_file.py
@@ -4,11 +4,11 @@
 The rest of the system does not see these tables, but the flat `ProcessSettings`; only `Guarantees` is handed on.
 """
 
-from .field_types import Address, Duration, Integer, Real, described, frozen
+from .field_types import Address, Duration, Integer, Real, described, frozen, table
 from .scalars import MS, SEC
 
 
-@frozen
+@table
 class Caps:
     """`Self.Caps`: what the machine gives to the process."""
 
@@ -20,7 +20,7 @@
     )
 
 
-@frozen
+@table
 class Identity:
     """`Self`: who the process is."""
 
@@ -41,7 +41,7 @@
     caps: Caps = described("limits of the machine", default=Caps())
 
 
-@frozen
+@table
 class ListenOn:
     """`Network.ListenOn`: addresses that the process serves at; what is absent is not served."""
 
@@ -51,7 +51,7 @@
     directory: Address | None = described("where clients look fronts up", default=None)
 
 
-@frozen
+@table
 class Network:
     """`Network`: where it listens, and whom it asks first."""
 
@@ -63,7 +63,7 @@
     zones: dict[str, str] = described("the region of every zone", default_factory=dict)
 
 
-@frozen
+@table
 class PlatformApi:
     """`Hosting.PlatformApi`: the platform's list of servers."""
 
@@ -72,14 +72,14 @@
     max_lag: Duration = described("how far the list of servers may lag behind", default=Duration(SEC))
 
 
-@frozen
+@table
 class Hosting:
     """`Hosting`: what the platform offers."""
 
     platform_api: PlatformApi | None = described("the API that lists servers, where there is one", default=None)
 
 
-@frozen
+@table
 class Survive:
     """`AgreedTerms.Survive`: what may be lost at once, with all rules kept."""
 
@@ -142,7 +142,7 @@
     ttl_max: Duration = described("longest `Ttl` of a directory answer that is honoured", default=Duration(5 * SEC))
 
 
-@frozen
+@table
 class AgreedTerms:
     """`AgreedTerms`: the rules in force."""
 
@@ -151,7 +151,7 @@
     guarantees: Guarantees = described("their figures", default=Guarantees())
 
 
-@frozen
+@table
 class SettingsFile:
     """The complete settings file."""
 
--- a/rampfront/transport/__init__.py
+++ b/rampfront/transport/__init__.py
@@ -9,6 +9,6 @@
 - `wire`: `Wire`, which the node uses: `send` and `send_all` out, the handler `on_frame` in.
 - `datagram`: the UDP endpoint for small frames.
 - `transfer_scheduler`: which large frame goes to whom next. It does no I/O.
-- `outgoing`, `incoming`: the two ends of the TCP connection that carries one large frame.
-- `connections`: the bounded set in which `Wire` keeps these connections.
+- `connections`: what the ends of a transfer's TCP connection have in common, and the bounded set that `Wire` keeps.
+- `outgoing`, `incoming`: the sender's and the receiver's end.
 """
--- a/rampfront/transport/incoming.py
+++ b/rampfront/transport/incoming.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from typing import cast
 
-from .connections import ConnectionSet
+from .connections import ConnectionSet, TransferConnection
 from .frames import LENGTH_PREFIX_BYTES, MAX_FRAME_BYTES, read_length_prefix
 from .transfer_scheduler import TRANSFER_TIMEOUT_NS
 
@@ -12,12 +12,12 @@
 ACKNOWLEDGEMENT = b"."
 
 
-class IncomingConnection(asyncio.Protocol):
+class IncomingConnection(TransferConnection):
     """Gathers one frame, hands it over and acknowledges it; the sender then closes."""
 
     def __init__(
         self,
-        open_connections: "ConnectionSet[IncomingConnection]",
+        open_connections: ConnectionSet,
         clock: Callable[[], int],
         counts: dict[str, int],
         on_frame: Callable[[str, bytes], None],
@@ -32,7 +32,7 @@
         self._chunks: list[bytes] = []
         self._received_bytes = 0
         self._expected_bytes: int | None = None  # length prefix included; None: the prefix is not there yet
-        self.deadline_ns = clock() + RECEIVE_TIMEOUT_NS
+        self._deadline_ns = clock() + RECEIVE_TIMEOUT_NS
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """A peer connected."""
@@ -41,7 +41,7 @@
 
     def data_received(self, data: bytes) -> None:
         """Gathers a chunk. A frame that is too long, or followed by more, ends the connection."""
-        self.deadline_ns = self._clock() + RECEIVE_TIMEOUT_NS
+        self._deadline_ns = self._clock() + RECEIVE_TIMEOUT_NS
         self._chunks.append(data)
         self._received_bytes += len(data)
         if self._expected_bytes is None and self._received_bytes >= LENGTH_PREFIX_BYTES:
@@ -69,6 +69,10 @@
         if was_open and self._received_bytes and self._received_bytes != self._expected_bytes:
             self._counts["frames_truncated"] += 1
 
+    def deadline_ns(self) -> int:
+        """Returns when it is given up if no byte comes until then."""
+        return self._deadline_ns
+
     def close(self) -> None:
         """Ends the connection at once."""
         self._open_connections.remove(self)
--- a/rampfront/transport/outgoing.py
+++ b/rampfront/transport/outgoing.py
@@ -4,18 +4,18 @@
 from collections.abc import Callable
 from typing import cast
 
-from .connections import ConnectionSet
+from .connections import ConnectionSet, TransferConnection
 from .frames import with_length_prefix
 from .transfer_scheduler import Transfer
 
 
-class OutgoingConnection(asyncio.Protocol):
+class OutgoingConnection(TransferConnection):
     """Connects, writes the frame, and ends as soon as the receiver acknowledges it with any byte."""
 
     def __init__(
         self,
         transfer: Transfer,
-        open_connections: "ConnectionSet[OutgoingConnection]",
+        open_connections: ConnectionSet,
         counts: dict[str, int],
         on_end: Callable[[Transfer], None],
     ) -> None:
@@ -30,9 +30,8 @@
         self._connecting: asyncio.Task[object] | None = None
         transfer.abort = self.close
 
-    @property
     def deadline_ns(self) -> int:
-        """When it is given up."""
+        """Returns when the transfer is given up."""
         return self._transfer.deadline_ns
 
     def connect(self, loop: asyncio.AbstractEventLoop, port: int, local_ip: str) -> None:
--- a/rampfront/transport/wire.py
+++ b/rampfront/transport/wire.py
@@ -48,8 +48,8 @@
         self.log = log
         self.counts = log.counts
         self.on_frame = on_frame
-        self.outgoing: ConnectionSet[OutgoingConnection] = ConnectionSet(MAX_OUTGOING_CONNECTIONS)
-        self.incoming: ConnectionSet[IncomingConnection] = ConnectionSet(MAX_INCOMING_CONNECTIONS)
+        self.outgoing = ConnectionSet(MAX_OUTGOING_CONNECTIONS)
+        self.incoming = ConnectionSet(MAX_INCOMING_CONNECTIONS)
         self.transfer_scheduler = TransferScheduler(self.start_transfer, self.counts)
         self.datagram_transport: asyncio.DatagramTransport | None = None  # None: `listen` was not called yet
 
@@ -113,10 +113,7 @@
     def sweep(self) -> None:
         """Closes the connections whose deadline has passed; to be called a few times a second."""
         now_ns = self.clock()
-        expired: list[OutgoingConnection | IncomingConnection] = [
-            *self.outgoing.expired(now_ns),
-            *self.incoming.expired(now_ns),
-        ]
+        expired = [*self.outgoing.expired(now_ns), *self.incoming.expired(now_ns)]
         for connection in expired:
             self.counts["frames_lost"] += 1
             connection.close()
