--- a/rampfront/proxy/admission.py
+++ b/rampfront/proxy/admission.py
@@ -1,5 +1,4 @@
-"""The checks that a request passes before a server is looked for: pure functions of the request and the
-configuration.
+"""The checks that a request passes before a server is looked for, by the request and the configuration alone.
 
 In this order, and the first that fails decides the response: identifier, route, key, time left. What they refuse was
 seen by no server. The checks that need more than the configuration (a server that is up, the quota, an identifier
--- a/rampfront/proxy/attempt_policy.py
+++ b/rampfront/proxy/attempt_policy.py
@@ -18,8 +18,8 @@
 if TYPE_CHECKING:
     from ..settings.settings_file import Guarantees
 
-READ_ONLY = "read_only"  # a route's kind whose requests may run more than once
-_KINDS = {READ_ONLY: t.INQUIRY, "changing": t.ONCE_ONLY, "upload": t.ONCE_ONLY}
+READ_ONLY = "read_only"  # a request type whose requests may run more than once
+_KIND_BY_REQUEST_TYPE = {READ_ONLY: t.INQUIRY, "changing": t.ONCE_ONLY, "upload": t.ONCE_ONLY}
 _OVERDUE_VALUE_PART = 0.3  # what a response past its target is taken to earn, of its value: the wire does not say
 _MAX_ATTEMPTS = 8  # whatever a route allows
 _MAX_RETRY_AFTER_NS = 2 * SEC
@@ -28,10 +28,15 @@
 _NO_PLAN = t.Plan(0.0, 0.0, 0, 0.0, 0.0, 0.0, 0.0)  # quotas are the limiter's, not `choice.py`'s
 
 
-def product_of(kind: str, target_ns: int) -> t.Product:
-    """What requests of a route allow: `kind` is the route's, `target_ns` the time within which a response has its full
-    value."""
-    return t.Product(kind=_KINDS[kind], group=t.ALL, sla=target_ns, repeat_window=0, late_share=_OVERDUE_VALUE_PART)
+def product_of(request_type: str, latency_target_ns: int) -> t.Product:
+    """What requests of a route allow. `latency_target_ns`: the time within which a response has its full value."""
+    return t.Product(
+        kind=_KIND_BY_REQUEST_TYPE[request_type],
+        group=t.ALL,
+        sla=latency_target_ns,
+        repeat_window=0,
+        late_share=_OVERDUE_VALUE_PART,
+    )
 
 
 def node_terms(guarantees: Guarantees, proxy_count: int) -> t.Terms:
--- a/rampfront/proxy/client_front.py
+++ b/rampfront/proxy/client_front.py
@@ -1,4 +1,4 @@
-"""Clients of the system: requests read whole and checked, responses written, on the listener of `net`.
+"""Clients of the system: requests read completely and checked, responses written, on the listener of `net`.
 
 It owns the client connections. It must never choose a response: it writes what it is given, a server's (`forward`) or
 this proxy's (`respond`). A request is handed on only once it is complete, so a client that is slow or leaves midway
@@ -42,7 +42,7 @@
 
 
 class RequestConnection(ClientConnection):
-    """One client's connection: a request at a time, read whole. The methods `on_...` are called by the parser."""
+    """One client's connection: a request at a time, read completely. The methods `on_...` are called by the parser."""
 
     __slots__ = ("header_lines", "buffered_bytes", "is_head_complete", "expects_no_body")
     listener: ClientFront
@@ -53,7 +53,7 @@
         self.buffered_bytes = 0  # of its request's body
         self.expects_no_body = False  # its response has no body, as HEAD asks for
 
-    # ---- of the parser
+    # ---- called by the parser
 
     def on_message_begin(self) -> None:
         """A request begins."""
@@ -102,7 +102,7 @@
     # ---- the request's end
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Of the loop: the connection has ended."""
+        """Called by the event loop: the connection has ended."""
         super().connection_lost(error)
         self.release_body()
 
@@ -131,9 +131,8 @@
         """Writes a server's response."""
         self.release_body()
         phrase = _REASON_PHRASES.get(response.status, _OTHER_REASON_PHRASE)
-        self.write_response(
-            b"HTTP/1.1 %d %s\r\n%s" % (response.status, phrase, b"".join(response.header_lines)), response.body
-        )
+        fields = b"".join(response.header_lines)
+        self.write_response(b"HTTP/1.1 %d %s\r\n%s" % (response.status, phrase, fields), response.body)
 
 
 class ClientFront(ClientListener):
--- a/rampfront/proxy/endpoints.py
+++ b/rampfront/proxy/endpoints.py
@@ -25,7 +25,7 @@
 
 
 class Zones(NamedTuple):
-    """What is known of the zones."""
+    """What decides on servers by their zone."""
 
     index_by_name: Mapping[str, int]  # servers of other zones get nothing
     evacuated: Collection[str]  # names
@@ -35,7 +35,7 @@
 def endpoints_by_service(
     configuration: Configuration, servers: EndpointList, zones: Zones, process_settings: ProcessSettings, now_ns: int
 ) -> dict[str, dict[str, ServerRow]]:
-    """The endpoints of every service of the configuration, by service and by server id; `now` ns."""
+    """The endpoints of every service of the configuration, by service and by server id."""
     listed: dict[str, list[Endpoint]] = {name: [] for name in configuration.services}
     for endpoint in servers.endpoints:
         if endpoint.service in listed and endpoint.zone in zones.index_by_name:
--- a/rampfront/proxy/idle_reuse.py
+++ b/rampfront/proxy/idle_reuse.py
@@ -31,16 +31,16 @@
 class IdleTrust:
     """How long a connection may have been idle to carry a request that may run only once."""
 
-    def __init__(self, most_idle_ns: int) -> None:
-        """`most_idle_ns`: with which every connection is trusted."""
-        self._most_idle_ns = most_idle_ns
-        self._trusted_ns = most_idle_ns
+    def __init__(self, max_idle_ns: int) -> None:
+        """`max_idle_ns`: with which every connection is trusted."""
+        self._max_idle_ns = max_idle_ns
+        self._trusted_ns = max_idle_ns
         self._distrusted_at_ns = 0
 
     def trusted_ns(self, now_ns: int) -> int:
         """The longest idle time that is trusted now."""
         if now_ns - self._distrusted_at_ns > _DISTRUST_NS:
-            self._trusted_ns = self._most_idle_ns
+            self._trusted_ns = self._max_idle_ns
         return self._trusted_ns
 
     def connection_ended(self, idle_ns: int, lasted_ns: int, now_ns: int) -> None:
--- a/rampfront/proxy/locality.py
+++ b/rampfront/proxy/locality.py
@@ -46,6 +46,7 @@
 
 
 def _distance(endpoint: Endpoint, process_settings: ProcessSettings) -> _Distance:
+    """How far a server is from this proxy."""
     if endpoint.zone == process_settings.zone:
         return _OWN_ZONE
     if process_settings.zones.get(endpoint.zone) == process_settings.region:
@@ -54,6 +55,5 @@
 
 
 def distance_exponent(body_bytes: int) -> float:
-    """How much the path weighs for a request with a body of this size: the power to which a server's weight is
-    raised."""
+    """The power to which a server's weight is raised for a request with a body of this size."""
     return _USUAL_EXPONENT if body_bytes < _LARGE_BODY_BYTES else _LARGE_BODY_EXPONENT
--- a/rampfront/proxy/request_head.py
+++ b/rampfront/proxy/request_head.py
@@ -22,14 +22,14 @@
 
 def build_request_head(received: ReceivedRequest, customer: Customer | None) -> bytes:
     """The request line and the fields, each with its line end; the empty line is not in it."""
-    rows = [b"%s %s HTTP/1.1\r\n" % (received.method, received.target)]
+    lines = [b"%s %s HTTP/1.1\r\n" % (received.method, received.target)]
     dropped = _dropped_fields(received.header) if b"connection" in received.header else _DROPPED_FIELDS
-    rows += [line for name, line in received.header_lines if name not in dropped]
+    lines += [line for name, line in received.header_lines if name not in dropped]
     if customer:
-        rows.append(b"Customer: %s\r\n" % customer.name.encode())
+        lines.append(b"Customer: %s\r\n" % customer.name.encode())
     if received.body or received.method not in _METHODS_WITHOUT_BODY:
-        rows.append(b"Content-Length: %d\r\n" % len(received.body))
-    return b"".join(rows)
+        lines.append(b"Content-Length: %d\r\n" % len(received.body))
+    return b"".join(lines)
 
 
 def _dropped_fields(header: dict[bytes, bytes]) -> frozenset[bytes]:
--- a/rampfront/proxy/request_proxy.py
+++ b/rampfront/proxy/request_proxy.py
@@ -140,6 +140,7 @@
             service_pool.update(endpoints.get(name, {}))
 
     def _add_service_pools(self, configuration: Configuration) -> None:
+        """Makes the pools of services that are new, in the order of the configuration: each takes a random seed."""
         for name, service in configuration.services.items():
             if name not in self.service_pools:
                 self.service_pools[name] = ServicePool(
--- a/rampfront/proxy/routing.py
+++ b/rampfront/proxy/routing.py
@@ -1,4 +1,4 @@
-"""Where a request may go: the service by the route's shares, the zones by home regions. No I/O.
+"""Where a request may go: the service by the route's weights, the zones by home regions. No I/O.
 
 The server itself is picked by `choice.py`, among those of the service that stand in these zones.
 """
@@ -9,11 +9,11 @@
 from ..settings.configuration import Customer, Route
 
 
-def pick_service(shares: Sequence[tuple[str, float]], draw: Random) -> str:
-    """The service of one request, by weight. Draws once where the route has several shares, otherwise not at all."""
-    if len(shares) == 1:
-        return shares[0][0]
-    return draw.choices([name for name, _ in shares], [weight for _, weight in shares])[0]
+def pick_service(service_weights: Sequence[tuple[str, float]], draw: Random) -> str:
+    """The service of one request, by weight. Draws once if there are several, otherwise not at all."""
+    if len(service_weights) == 1:
+        return service_weights[0][0]
+    return draw.choices([name for name, _ in service_weights], [weight for _, weight in service_weights])[0]
 
 
 class HomeZones:
@@ -43,6 +43,7 @@
         return found
 
     def _intersect(self, homes: tuple[frozenset[str], frozenset[str]]) -> frozenset[int]:
+        """The zones in all of these sets of regions; an empty set stands for all regions."""
         allowed = set(self.zone_index.values())
         for regions in homes:
             if regions:
--- a/rampfront/proxy/server_connections.py
+++ b/rampfront/proxy/server_connections.py
@@ -1,4 +1,4 @@
-"""Connections to the servers of one service: the system's own protocol on the pool of `net/upstream.py`.
+"""Connections to the servers of one service: the system's own protocol on the pool of `net`.
 
 A request leaves with `Wanted-Server`, `Customer` and the time left. A response is believed only when it carries the
 request's `Try-Id` and, where it is a success, the server's seal; that a request has not run is believed only from a
@@ -91,7 +91,7 @@
         self.transport.writelines((exchange.head, fields, exchange.body))
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Of the loop: the connection has ended."""
+        """Called by the event loop: the connection has ended."""
         if self.state is AWAITING_RESPONSE and not self.reader.received_bytes and self.idle_ns is not None:
             now_ns = self.pool.clock()
             self.pool.idle_trust.connection_ended(self.idle_ns, now_ns - self.sent_at_ns, now_ns)
@@ -103,12 +103,12 @@
         reader.complete = False
         status = reader.status
         request = self.exchange
-        if text := reader.fields.get(b"server-load"):
-            self.pool.load_reported(self.server, text)
+        fields = reader.fields
+        if load_text := fields.get(b"server-load"):
+            self.pool.load_reported(self.server, load_text)
         if request is None:
             self.finish(t.DONE if status == _OK else t.ERROR, intact and reader.keep_alive)
             return
-        fields = reader.fields
         try_id = fields.get(b"try-id")
         rejected = reader.not_run or status == MISDIRECTED
         if try_id != request.id and not (rejected and try_id is None and self.idle_ns is None):
@@ -119,9 +119,7 @@
             if status == MISDIRECTED:
                 self.pool.address_reused(self.server)
             self.finish(t.UNSEEN, intact and reader.keep_alive)
-        elif (
-            b"content-encoding" in reader.fields or status in SUCCESS_STATUSES and not reader.fields.get(b"server-seal")
-        ):
+        elif b"content-encoding" in fields or status in SUCCESS_STATUSES and not fields.get(b"server-seal"):
             # Guards against responses that are not the server's: none of it reaches a client.
             self.protocol_broken("not the server's answer")
         else:
--- a/rampfront/proxy/slow_start.py
+++ b/rampfront/proxy/slow_start.py
@@ -1,5 +1,4 @@
-"""Slow start: when a server began to warm up, and how many requests a second this proxy may send it meanwhile. No
-I/O.
+"""Slow start: when a server began to warm up. No I/O.
 
 A server that is warming up takes `ColdPerS` requests a second from all proxies together (RULES, FAILBACK). No proxy
 asks another: each keeps an even part (`budget_shares.py`), and `choice.py` spends it.
