--- a/rampfront/membership/__init__.py
+++ b/rampfront/membership/__init__.py
@@ -1,5 +1,4 @@
-"""What every node knows of the fleet: the core's state, the other nodes, the servers and their health; and how it
-learns.
+"""What every node knows of the fleet, and how it learns: the core's state, the other nodes, servers and their health.
 
 Nothing here does I/O, apart from `Poller`; times are ns of the own steady clock, unless a name says otherwise.
 
--- a/rampfront/membership/dissemination.py
+++ b/rampfront/membership/dissemination.py
@@ -1,5 +1,6 @@
-"""Keeps every node up to date with the core: its state, the endpoint list, the roster, and the lease's age. No I/O, no
-clock.
+"""Keeps every node up to date with the core: its state, the endpoint list, the roster, and the lease's age.
+
+No I/O, no clock.
 
 This is anti-entropy with a leader. Every node sends heartbeats to the leader of the core and tells by numbers what it
 holds (`versions.py`). The leader answers how long ago a majority stood behind it, and sends what the node lacks; a
--- a/rampfront/membership/peers.py
+++ b/rampfront/membership/peers.py
@@ -1,5 +1,6 @@
-"""The nodes as the leader hears them: who they are, what they hold, when they last sent a heartbeat. No I/O, no
-clock.
+"""The nodes as the leader hears them: who they are, what they hold, when they last sent a heartbeat.
+
+No I/O, no clock.
 """
 
 from collections.abc import Iterable, Iterator
@@ -52,14 +53,14 @@
 
     def record(self, heartbeat: Heartbeat, now: int) -> None:
         """Takes over a heartbeat, unless it is an old one."""
-        if self._is_newer(heartbeat.incarnation or 0, heartbeat.sent_at_ns, now):
+        if self._accept(heartbeat.incarnation or 0, heartbeat.sent_at_ns, now):
             self.entry = _updated_entry(self.entry, heartbeat)
             self.versions = heartbeat.versions
             self.received_at_ns = now
             self.sent_at_ns = heartbeat.sent_at_ns
 
-    def _is_newer(self, incarnation: int, sent_at_ns: int, now: int) -> bool:
-        """Whether a heartbeat is newer than what is known.
+    def _accept(self, incarnation: int, sent_at_ns: int, now: int) -> bool:
+        """Notes the process that a heartbeat comes from; returns whether the heartbeat is newer than what is known.
 
         Guards the roster against a late one of a node that has announced its end since, or of the process before a
         restart, by whose clock it may look newer.
