--- a/rampfront/node/status_views.py
+++ b/rampfront/node/status_views.py
@@ -42,7 +42,7 @@
     "over_quota": "over_quota",
     "unknown_key": "unknown_key",
     "unknown_route": "unknown_route",
-    "no_word": "no_word",
+    "no_word": "no_lease",
     "no_server": "no_server",
     "taken": "taken",
     "settled": "settled",
--- a/rampfront/proxy/outcomes.py
+++ b/rampfront/proxy/outcomes.py
@@ -43,7 +43,7 @@
         self.response = response
 
 
-NO_CONFIGURATION = LocalResponse(503, b"no configuration yet", Execution.NOT_EXECUTED, 300 * MS, "no_word")
+NO_CONFIGURATION = LocalResponse(503, b"no configuration yet", Execution.NOT_EXECUTED, 300 * MS, "no_lease")
 UNKNOWN_ROUTE = LocalResponse(404, b"no such route", Execution.NOT_EXECUTED, counter="unknown_route")
 UNKNOWN_KEY = LocalResponse(401, b"no such key", Execution.NOT_EXECUTED, counter="unknown_key")
 NO_SERVER = LocalResponse(503, b"no server", Execution.NOT_EXECUTED, 500 * MS, "no_server")
--- a/rampfront/proxy/server_connections.py
+++ b/rampfront/proxy/server_connections.py
@@ -200,7 +200,7 @@
 
     def address_reused(self, server: Server[ServerConnection[ProxiedRequest]]) -> None:
         """Guards against sending to a server that is gone, whose address is another's, until the list says so too."""
-        self.counts["misplaced"] += 1
+        self.counts["misdirected"] += 1
         self.events.address_reused(server.uid)
 
     def _close_distrusted(self, server: Server[ServerConnection[ProxiedRequest]]) -> None:
--- a/tests/proxy/test_service_endpoints.py
+++ b/tests/proxy/test_service_endpoints.py
@@ -100,7 +100,7 @@
     for k in range(8):
         proxy.ask(client=f"c{k}", tag=f"t{k}")
     assert len(proxy.out()) == 1 and gone not in proxy.out()
-    assert proxy.log.counts["misplaced"] == 1 and proxy.log.counts["unseen"] == 1
+    assert proxy.log.counts["misdirected"] == 1 and proxy.log.counts["unseen"] == 1
     proxy.list({"s1": ("one", "a1"), "s2": ("one", "a2")}, at={gone: 9100})
     for k in range(8):
         proxy.ask(client=f"d{k}", tag=f"u{k}")
