--- a/rampfront/consensus/electorate.py
+++ b/rampfront/consensus/electorate.py
@@ -41,7 +41,7 @@
         """
         entry, committed = self._persistent.entry, self._persistent.committed
         assert entry is not None
-        if self.sole_survivor_of == entry.position:
+        if self.sole_survivor_of is not None and self.sole_survivor_of == entry.position:
             name = self._context.settings.name
             return entry.next_entry(members={name: entry.members[name]}, previous_members=None)
         if entry.previous_members is None:
--- a/rampfront/consensus/leader.py
+++ b/rampfront/consensus/leader.py
@@ -78,7 +78,7 @@
     @property
     def may_step_down(self) -> bool:
         """Whether a leader that is about to end gives up now."""
-        return self._transfer.is_due(self._is_entry_committed(), self.context.now)
+        return self._transfer.has_begun and self._transfer.is_due(self._is_entry_committed(), self.context.now)
 
     @property
     def excludes_itself(self) -> bool:
--- a/rampfront/consensus/member.py
+++ b/rampfront/consensus/member.py
@@ -125,9 +125,10 @@
             self._announce_committed()
         else:
             self._handle(event)
-        if self.roles.leader is not None and self.roles.leader.may_step_down:
+        leader = self.roles.leader
+        if leader is not None and leader.may_step_down:
             self.roles.step_down()
-        elif self.roles.leader is not None and self.roles.leader.excludes_itself:
+        elif leader is not None and leader.excludes_itself:
             self.roles.step_down()
             self.roles.rejoin(None)
         if (store := self._persistent.next_store()) is not None:
--- a/rampfront/consensus/state.py
+++ b/rampfront/consensus/state.py
@@ -95,10 +95,12 @@
 
     def has_member(self, name: str, incarnation: int) -> bool:
         """Whether this incarnation is a member by either list."""
-        if self.members and _incarnation_of(self.members, name) == incarnation:
-            return True
-        previous = self.previous_members
-        return previous is not None and bool(previous) and _incarnation_of(previous, name) == incarnation
+        for members in (self.members, self.previous_members):
+            if members:
+                address = members.get(name)
+                if (address[1] if address is not None else 0) == incarnation:
+                    return True
+        return False
 
     def has_quorum(self, keys: Collection[tuple[str, int]]) -> bool:
         """Whether the members of `keys` are a majority of each list."""
@@ -171,12 +173,6 @@
     )
 
 
-def _incarnation_of(members: MemberList, name: str) -> int:
-    """Of the member of that name; 0 if there is none."""
-    address = members.get(name)
-    return address[1] if address is not None else 0
-
-
 def _check_numbers(*numbers: object) -> None:
     if any(type(number) is not int or not 0 <= number < MAX_NUMBER for number in numbers):
         raise RemoteProtocolError("state's numbers")
