--- a/rampfront/node/assembly.py
+++ b/rampfront/node/assembly.py
@@ -80,6 +80,14 @@
     return assembly.node()
 
 
+def _front_text(settings: ProcessSettings) -> str:
+    """Return the address at which clients reach this node, as the roster has it; empty: it serves none."""
+    if settings.front is None:
+        return ""
+    host, port = settings.front
+    return f"{host}:{port}"
+
+
 class _Assembly:
     """The parts that exist so far."""
 
@@ -94,8 +102,7 @@
         """Make what keeps nodes in step: the core's state, the list of servers, the roster."""
         settings = self.settings
         self.adapter = DisseminationAdapter(self.context)
-        front = "{}:{}".format(*settings.front) if settings.front else ""
-        own_entry = RosterEntry(settings.name, settings.ip, settings.zone, front, False)
+        own_entry = RosterEntry(settings.name, settings.ip, settings.zone, _front_text(settings), ready=False)
         seeds = [host for host, _ in settings.seed_nodes]
         self.disseminator = Disseminator(own_entry, seeds, self.context.rng, self.adapter)
         self.lease = Lease(self.context, self.disseminator)
--- a/rampfront/node/node_process.py
+++ b/rampfront/node/node_process.py
@@ -94,6 +94,7 @@
         self.request_proxy.sweep()
 
     def close(self) -> None:
-        """End all timers and listeners at once. For a host of several nodes; a process just ends."""
+        """End all timers, polls and listeners at once. For a host of several nodes; a process just ends."""
         self.context.scheduler.close()
+        self.server_list.poll_while(False)
         self.shutdown.listeners.close()
--- a/rampfront/node/status_views.py
+++ b/rampfront/node/status_views.py
@@ -11,6 +11,7 @@
 
 from __future__ import annotations
 
+from operator import attrgetter
 from typing import TYPE_CHECKING, Any
 
 from ..net.http_messages import error_response, json_response
@@ -124,7 +125,7 @@
         """The roster. All machines use the same ports (DEPLOY.md), so a node's control address follows from its ip."""
         control = self._node.context.process_settings.control
         assert control is not None  # it is the address that this call came to
-        entries, next_id = page_of(request, self._node.disseminator.roster, lambda entry: entry.name)
+        entries, next_id = page_of(request, self._node.disseminator.roster, attrgetter("name"))
         views = [
             {
                 "Name": entry.name,
@@ -147,7 +148,7 @@
             return error_response(503, "no list of servers has come to this node yet", RETRY_SHORTLY)
         service = request.query.get("of")
         matching = [row for row in servers.endpoints if service in (None, row.service)]
-        rows, next_id = page_of(request, matching, lambda row: row.id)
+        rows, next_id = page_of(request, matching, attrgetter("id"))
         links = open_links(request_proxy)
         views = [server_view(request_proxy, row, links, now) for row in rows]
         changed_ms = max(0, now - servers.read_at_ns) // MS
@@ -158,7 +159,7 @@
         """Tenants with a quota, as this node counts them; `AskedPerS`: of all nodes."""
         quota_exchange, now = self._node.quota_exchange, self._node.context.clock()
         limiter = quota_exchange.limiter
-        rows, next_id = page_of(request, limiter.tenants.values(), lambda row: row.name)
+        rows, next_id = page_of(request, limiter.tenants.values(), attrgetter("name"))
         is_isolated = limiter.is_isolated(now)
         views = [tenant_view(limiter, row, now) for row in rows]
         holder = quota_exchange.placement.counter_ip
