--- a/tests/pins/adapter.py
+++ b/tests/pins/adapter.py
@@ -22,10 +22,13 @@
 from rampfront.consensus.record_store import RecordStore
 from rampfront.membership import endpoint_codec, messages
 from rampfront.net.http_routing import RoutingTable
+from rampfront.node import quota_frames
 from rampfront.node.endpoints import ReadyCheck, build_control_calls, build_directory
 from rampfront.node.order_messages import OrderReply, OrderRequest
 from rampfront.node.status_views import StatusViews
 from rampfront.operator_cli import explanation, snapshot_file, system_status
+from rampfront.quota import codec as quota_codec
+from rampfront.quota.messages import CounterUpdate, Farewell, Probe
 from rampfront.settings import configuration_reader
 from rampfront.simulation.schedule import Run
 from rampfront.simulation.system_run import SystemRun
@@ -139,11 +142,31 @@
     return messages.encode_health_verdicts(messages.decode_health_verdicts(plain))
 
 
-MEMBERSHIP_CODECS: dict[str, Callable[[dict[str, Any]], dict[str, Any]]] = {
+def add_again(plain: dict[str, Any]) -> dict[str, Any]:
+    """What a proxy sends to the counter of quotas."""
+    match request := quota_codec.decode_request(plain["m"]):
+        case CounterUpdate():
+            return quota_frames.quota_add(quota_codec.encode_update(request))
+        case Probe():
+            return quota_frames.quota_add(quota_codec.encode_probe(request))
+        case Farewell():
+            return quota_frames.quota_add(quota_codec.encode_farewell(request))
+
+
+def sum_again(plain: dict[str, Any]) -> dict[str, Any]:
+    """What the counter of quotas sends to a proxy."""
+    if probe := quota_codec.decode_probe_answer(plain["m"]):
+        return quota_frames.quota_sum(quota_codec.encode_probe(probe))
+    return quota_frames.quota_sum(quota_codec.encode_totals(quota_codec.decode_totals(plain["m"])))
+
+
+MAP_CODECS: dict[str, Callable[[dict[str, Any]], dict[str, Any]]] = {
     "hail": heartbeat_again,
     "word": response_again,
     "sight": reports_again,
     "dim": verdicts_again,
+    "add": add_again,
+    "sum": sum_again,
 }
 
 
@@ -154,14 +177,14 @@
     kind = plain["k"]
     if kind in CORE_KINDS:
         return cbor2.dumps(encode(decode(plain)))
-    if kind in MEMBERSHIP_CODECS:
-        return cbor2.dumps(MEMBERSHIP_CODECS[kind](plain))
+    if kind in MAP_CODECS:
+        return cbor2.dumps(MAP_CODECS[kind](plain))
     if kind == "order":
         return cbor2.dumps(OrderRequest.decode(plain).encode())
     if kind == "said":
         whole = "S" not in plain or plain["S"][3] is not None
         return cbor2.dumps(OrderReply.decode(plain, bodies)._replace(with_body=whole).encode())
-    return cbor2.dumps(plain)
+    raise ValueError(f"no codec of kind {kind}")
 
 
 # Stored data.
