--- a/tests/consensus/test_catch_up.py
+++ b/tests/consensus/test_catch_up.py
@@ -9,6 +9,7 @@
 from rampfront.consensus.errors import RemoteProtocolError
 from rampfront.consensus.frame_encoder import encode
 from rampfront.consensus.messages import AppendEntry
+from rampfront.consensus.wire_names import APPEND_ACKNOWLEDGED, KIND, POSITION
 from rampfront.simulation.world import MS, SEC
 
 
@@ -109,16 +110,22 @@
     node, led = core.follower(), core.leader
     node.disk.hangs = True
     core.burst(3)
-    core.freeze(led)  # no beat asks for it
+    core.freeze(led)  # no heartbeat asks for it
     core.go(20 * MS)
-    told = []
-    core.send = lambda node, ip, message: told.append(message)
+    sent = []
+    core.send = lambda node, ip, message: sent.append(message)
+
+    def acknowledged():
+        return [tuple(frame[POSITION]) for frame in sent if frame[KIND] == APPEND_ACKNOWLEDGED]
+
     stamp = node.core_member.roles.persistent.in_flight.entry.position
     core.stored(node, node.life, node.disk, node.core_member.roles.persistent.in_flight.version)
-    assert [tuple(m["e"]) for m in told if m["k"] == "ack"] == []
+    assert acknowledged() == []
     node.disk.hangs = False
     core.stored(node, node.life, node.disk, node.core_member.roles.persistent.in_flight.version)
-    assert [tuple(m["e"]) for m in told if m["k"] == "ack"] == [stamp] and node.core_member.entry.position > stamp
+    assert [tuple(frame[POSITION]) for frame in sent if frame[KIND] == APPEND_ACKNOWLEDGED] == [
+        stamp
+    ] and node.core_member.entry.position > stamp
 
 
 def test_a_full_disk_in_a_burst_of_changes():
--- a/tests/consensus/test_commitment.py
+++ b/tests/consensus/test_commitment.py
@@ -1,9 +1,12 @@
 """What an acknowledgement rests on: the disks of a majority, and votes that outlive a kill."""
 
-from core_fixtures import Core, done
+from core_fixtures import Core, done, frame_of
 
 from rampfront.consensus import events
 from rampfront.consensus.events import Outcome
+from rampfront.consensus.identifiers import LogPosition, MemberKey
+from rampfront.consensus.messages import Heartbeat, VoteRequest
+from rampfront.consensus.wire_names import KIND, TERM_REJECTED, VOTE_GRANTED
 from rampfront.simulation.world import MS, SEC
 
 
@@ -41,23 +44,14 @@
     voter.disk.full = True
     voter.core_member.roles.discovery.forget_leader()
     entry = voter.core_member.entry
-    told = events.MessageReceived(
-        "10.0.0.9",
-        {
-            "k": "run",
-            "n": "x",
-            "i": 5,
-            "j": voter.core_member.incarnation,
-            "t": 99,
-            "e": [98, entry.index + 1],
-        },
-    )
-    (store,) = voter.core_member.take(core.now + voter.offset, told)
+    newer = LogPosition(98, entry.index + 1)
+    request = VoteRequest(MemberKey("x", 5), voter.core_member.incarnation, 99, newer)
+    (store,) = voter.core_member.take(core.now + voter.offset, frame_of("10.0.0.9", request))
     assert voter.core_member.take(core.now + voter.offset, events.RecordStored(store.version, False)) == []
     later = core.now + voter.offset + SEC
     (store,) = [each for each in voter.core_member.take(later, events.Tick()) if type(each) is events.StoreRecord]
     sent = voter.core_member.take(later, events.RecordStored(store.version, True))
-    assert [each.message["k"] for each in sent if type(each) is events.SendMessage] == ["aye"]
+    assert [each.message[KIND] for each in sent if type(each) is events.SendMessage] == [VOTE_GRANTED]
 
 
 def test_a_vote_and_its_term_outlive_a_kill():
@@ -67,20 +61,21 @@
     core.go(2 * SEC)
     entry = voter.core_member.entry
 
-    def say(kind, name, number, term, **more):
-        message = {"k": kind, "n": name, "i": number, "j": voter.core_member.incarnation, "t": term, **more}
+    def answers(message):
         sent = core.sent = []
-        core.send = lambda node, ip, message: sent.append((ip, message["k"]))
-        core.tell(voter, events.MessageReceived("10.0.0.9", message))
+        core.send = lambda node, ip, message: sent.append((ip, message[KIND]))
+        core.tell(voter, frame_of("10.0.0.9", message))
         core.go(50 * MS)
         return [kind for ip, kind in sent if ip == "10.0.0.9"]
 
-    assert say("run", "x", 5, 99, e=tuple(entry.position)) == ["aye"]
+    incarnation = voter.core_member.incarnation
+    request = VoteRequest(MemberKey("x", 5), incarnation, 99, entry.position)
+    assert answers(request) == [VOTE_GRANTED]
     core.stop(voter, power=True)
     core.start(voter)
-    assert say("run", "y", 6, 99, e=tuple(entry.position)) == []
-    assert say("run", "x", 5, 99, e=tuple(entry.position)) == ["aye"]
-    assert say("beat", "z", 7, 98, s=1, c=0) == ["nay"]
+    assert answers(VoteRequest(MemberKey("y", 6), incarnation, 99, entry.position)) == []
+    assert answers(request) == [VOTE_GRANTED]
+    assert answers(Heartbeat(MemberKey("z", 7), incarnation, 98, 1, 0)) == [TERM_REJECTED]
 
 
 def test_a_leader_killed_right_after_its_acknowledgement_is_followed_by_one_that_has_the_entry():
--- a/tests/consensus/test_consensus_messages.py
+++ b/tests/consensus/test_consensus_messages.py
@@ -9,6 +9,8 @@
 from rampfront.consensus.errors import RemoteProtocolError
 from rampfront.consensus.events import OrderKind
 from rampfront.consensus.frame_decoder import decode
+from rampfront.consensus.state import BODY_COLUMN
+from rampfront.consensus.wire_names import APPEND_ENTRY, ENTRY, KIND, VERSIONS
 from rampfront.simulation.world import MS, SEC
 
 
@@ -19,7 +21,7 @@
     core.send = lambda node, ip, message: (sent.append(message), send(node, ip, message))
     body = os.urandom(50_000)
     core.config(1, body=body), core.go(SEC)
-    assert sum(message["k"] == "full" and message["x"][3] is not None for message in sent) == 3
+    assert sum(message[KIND] == APPEND_ENTRY and message[ENTRY][BODY_COLUMN] is not None for message in sent) == 3
     del sent[:]
     core.ask(core.leader, OrderKind.EVACUATE, "zone"), core.go(SEC)
     core.stop(core.leader)
@@ -27,7 +29,7 @@
     assert (
         core.leader.core_member.committed.evacuated_zones == {"zone"} and core.leader.core_member.committed.body == body
     )
-    assert all(message["x"][3] is None for message in sent if message["k"] == "full")
+    assert all(message[ENTRY][BODY_COLUMN] is None for message in sent if message[KIND] == APPEND_ENTRY)
 
 
 @pytest.mark.parametrize(
@@ -70,11 +72,11 @@
     core.go(SEC)
     del sent[:]
     core.config(200), core.ask(core.leader, OrderKind.EVACUATE, "zone"), core.go(SEC)
-    full = [message for message in sent if message["k"] == "full"]
-    assert full and all(len(message["v"][1]) <= v.ROW.size for message in full)
+    entries = [message for message in sent if message[KIND] == APPEND_ENTRY]
+    assert entries and all(len(message[VERSIONS][1]) <= v.ROW.size for message in entries)
     core.stop(core.leader)
     del sent[:]
     core.go(4 * SEC)  # nor does a leader's first entry
-    full = [message for message in sent if message["k"] == "full"]
-    assert full and all(not message["v"][1] for message in full)
+    entries = [message for message in sent if message[KIND] == APPEND_ENTRY]
+    assert entries and all(not message[VERSIONS][1] for message in entries)
     assert core.leader.core_member.committed.versions.rows[0][0] == 1
--- a/tests/consensus/test_elections.py
+++ b/tests/consensus/test_elections.py
@@ -8,6 +8,17 @@
 from rampfront.consensus.events import OrderKind
 from rampfront.consensus.frame_encoder import encode
 from rampfront.consensus.messages import VoteRequest
+from rampfront.consensus.wire_names import (
+    APPEND_ACKNOWLEDGED,
+    APPEND_ENTRY,
+    HEARTBEAT,
+    KIND,
+    PRE_VOTE_GRANTED,
+    RECEIVER_INCARNATION,
+    SENDER_INCARNATION,
+    TERM,
+    VOTE_GRANTED,
+)
 from rampfront.simulation.world import MS, SEC
 
 
@@ -100,9 +111,9 @@
         )
         core.tell(other, events.MessageReceived(node.ip, encode(request)))
     core.go(3 * SEC)
-    assert not [
-        m for sender, m in told if m["k"] in ("may", "aye") and m["i"] and m["j"] == node.core_member.incarnation
-    ]
+    incarnation = node.core_member.incarnation
+    granted = [frame for _, frame in told if frame[KIND] in (PRE_VOTE_GRANTED, VOTE_GRANTED)]
+    assert not [frame for frame in granted if frame[SENDER_INCARNATION] and frame[RECEIVER_INCARNATION] == incarnation]
     assert core.leader is not node and core.held(node) == core.rev
 
 
@@ -120,8 +131,8 @@
     core.start(old)
     core.go(2 * SEC)
     core.send, term = send, core.leader.core_member.term
-    stale = [row for row in kept if row[2].get("t", 0) < term]
-    assert {"beat", "full", "ack"} <= {message["k"] for *_, message in stale}
+    stale = [row for row in kept if row[2].get(TERM, 0) < term]
+    assert {HEARTBEAT, APPEND_ENTRY, APPEND_ACKNOWLEDGED} <= {message[KIND] for *_, message in stale}
 
     def standing():
         return [
--- a/tests/consensus/test_excluded_members.py
+++ b/tests/consensus/test_excluded_members.py
@@ -1,9 +1,13 @@
 """Members that were removed though they were merely cut off: they come back as other incarnations."""
 
 import pytest
+from core_fixtures import frame_of
 from replacement_fixtures import CATCH_UP, SIZES, cut_off_and_taken_out, site
 
 from rampfront.consensus import events
+from rampfront.consensus.identifiers import MemberKey
+from rampfront.consensus.messages import LeaderHint, LeaderQuery
+from rampfront.consensus.wire_names import IS_EXCLUDED
 from rampfront.simulation.world import MS, SEC
 
 
@@ -79,8 +83,8 @@
     core.cut([away], core.others(away))
     core.go(2 * SEC)
     incarnation, term = away.core_member.incarnation, away.core_member.term
-    word = {"k": "at", "t": term, "l": core.leader.ip, "m": [], "x": 1, "o": 1}
-    core.tell(away, events.MessageReceived(core.leader.ip, {**word, "j": incarnation + 1}))
+    hint = LeaderHint(term, core.leader.ip, [], 1, True, incarnation + 1)
+    core.tell(away, frame_of(core.leader.ip, hint))
     assert away.core_member.incarnation == incarnation
 
 
@@ -93,6 +97,8 @@
         node.disk.hangs = True
     core.go(3 * SEC)
     assert away.name not in leader.core_member.entry.members and away.name in core.members()
-    ask = {"k": "seek", "n": away.name, "i": incarnation}
-    sent = leader.core_member.take(core.now + leader.offset, events.MessageReceived(away.ip, ask))
-    assert [each.message["o"] for each in sent if type(each) is events.SendMessage and each.ip == away.ip] == [0]
+    query = LeaderQuery(MemberKey(away.name, incarnation))
+    sent = leader.core_member.take(core.now + leader.offset, frame_of(away.ip, query))
+    assert [each.message[IS_EXCLUDED] for each in sent if type(each) is events.SendMessage and each.ip == away.ip] == [
+        0
+    ]
--- a/tests/consensus/test_lost_disks.py
+++ b/tests/consensus/test_lost_disks.py
@@ -1,10 +1,13 @@
 """Members that lose their disks: they come back as other incarnations, and no majority forgets."""
 
 import pytest
-from core_fixtures import Core, done
+from core_fixtures import Core, done, frame_of
 from replacement_fixtures import SIZES, site
 
 from rampfront.consensus import events
+from rampfront.consensus.identifiers import LogPosition, MemberKey
+from rampfront.consensus.messages import Heartbeat, JoinRequest, PreVoteRequest, VoteRequest
+from rampfront.consensus.wire_names import JOIN_REQUEST, KIND, PASSWORD, SENDER_INCARNATION
 from rampfront.simulation.world import MS, SEC
 
 
@@ -42,9 +45,13 @@
     core.start(lost)
     core.go(SEC)
     assert lost.core_member.incarnation != before
-    for kind, more in (("run", {"e": [9, 9]}), ("ask", {"e": [9, 9]}), ("beat", {"s": 1, "c": 0})):
-        message = {"k": kind, "n": "x", "i": 1, "j": before, "t": 50, **more}
-        assert lost.core_member.take(core.now + lost.offset, events.MessageReceived("10.0.0.9", message)) == []
+    sender, position = MemberKey("x", 1), LogPosition(9, 9)
+    for message in (
+        VoteRequest(sender, before, 50, position),
+        PreVoteRequest(sender, before, 50, position),
+        Heartbeat(sender, before, 50, 1, 0),
+    ):
+        assert lost.core_member.take(core.now + lost.offset, frame_of("10.0.0.9", message)) == []
     assert lost.core_member.term == 0
 
 
@@ -75,30 +82,36 @@
 def test_a_late_join_request_does_not_remove_a_member():
     core = Core()
     leader, lost = core.leader, core.others(core.leader)[0]
-    knocks = []
+    requests = []
     send = core.send
-    core.send = lambda node, ip, message: (message["k"] == "knock" and knocks.append(message), send(node, ip, message))
+
+    def recorded(node, ip, message):
+        if message[KIND] == JOIN_REQUEST:
+            requests.append(message)
+        send(node, ip, message)
+
+    core.send = recorded
     for _ in range(2):
         core.wipe(lost)
         core.start(lost)
         core.go(2 * SEC)
-    knocks = [knock for knock in knocks if knock["i"] != lost.core_member.incarnation]
-    assert any(knock["x"] == leader.core_member.roles.leader.password for knock in knocks)
-    for knock in knocks:
-        core.tell(leader, events.MessageReceived(lost.ip, knock))
+    requests = [request for request in requests if request[SENDER_INCARNATION] != lost.core_member.incarnation]
+    assert any(request[PASSWORD] == leader.core_member.roles.leader.password for request in requests)
+    for request in requests:
+        core.tell(leader, events.MessageReceived(lost.ip, request))
     core.go(SEC)
     assert leader.core_member.committed.members[lost.name][1] == lost.core_member.incarnation
 
 
 def test_a_forged_join_request_removes_nobody():
-    """It bears the password and another incarnation, but nothing is on its disk. Whoever was taken out by agreement
-    comes back as another: `test_hardening_replacement.py`."""
+    """It has the password and another incarnation, but nothing is on its disk. Whoever was removed by agreement comes
+    back as another: `test_excluded_members.py`."""
     core = Core()
     leader, out = core.leader, core.others(core.leader)[0]
     before = out.core_member.incarnation
     core.cut([out], core.others(out))
-    knock = {"k": "knock", "n": out.name, "i": 77, "x": leader.core_member.roles.leader.password}
-    core.tell(leader, events.MessageReceived(out.ip, knock))
+    request = JoinRequest(MemberKey(out.name, 77), leader.core_member.roles.leader.password)
+    core.tell(leader, frame_of(out.ip, request))
     core.go(2 * SEC)
     assert leader.core_member.committed.members[out.name][1] == before
     core.heal()
@@ -131,13 +144,13 @@
     """Nor while it hears a leader, nor for a silent other one, nor in a core of more."""
     core = Core(2)
     leader, other = core.leader, core.others(core.leader)[0]
-    knock = {"k": "knock", "n": leader.name, "i": 77, "x": 0}
+    request = JoinRequest(MemberKey(leader.name, 77), 0)
     for _ in range(20):
-        core.tell(other, events.MessageReceived(leader.ip, knock)), core.go(100 * MS)
+        core.tell(other, frame_of(leader.ip, request)), core.go(100 * MS)
     assert other.core_member.roles.electorate.sole_survivor_of is None and core.leader is leader
     core.stop(leader)
     core.go(2 * SEC)
-    core.tell(other, events.MessageReceived(leader.ip, knock))
+    core.tell(other, frame_of(leader.ip, request))
     core.go(3 * SEC)
     assert not core.leaders
     core = Core(3)
--- a/tests/consensus/test_member_shutdown.py
+++ b/tests/consensus/test_member_shutdown.py
@@ -1,13 +1,14 @@
 """Members that shut down in order: leadership transfer, and replacement while they still answer."""
 
 import pytest
-from core_fixtures import done
+from core_fixtures import done, frame_of
 from replacement_fixtures import CATCH_UP, SIZES, site
 
 from rampfront.consensus import events
 from rampfront.consensus.events import Outcome
 from rampfront.consensus.identifiers import MemberAddress, MemberKey
 from rampfront.consensus.membership_change import UNANSWERED_NS, MembershipChange
+from rampfront.consensus.messages import VoteRequest
 from rampfront.consensus.replica_progress import ReplicaProgress
 from rampfront.consensus.state import State
 from rampfront.simulation.world import MS, SEC
@@ -128,10 +129,10 @@
     core = site(4, 1)
     voter = core.others(core.leader)[0]
     entry, term = voter.core_member.entry, voter.core_member.term
-    run = {"k": "run", "n": "x", "i": 5, "j": voter.core_member.incarnation, "t": term + 1, "e": tuple(entry.position)}
-    voter.core_member.take(core.now + voter.offset, events.MessageReceived("10.0.0.9", run))
+    request = VoteRequest(MemberKey("x", 5), voter.core_member.incarnation, term + 1, entry.position)
+    voter.core_member.take(core.now + voter.offset, frame_of("10.0.0.9", request))
     assert voter.core_member.term == term
-    voter.core_member.take(core.now + voter.offset, events.MessageReceived("10.0.0.9", {**run, "h": 1}))
+    voter.core_member.take(core.now + voter.offset, frame_of("10.0.0.9", request._replace(is_named_successor=True)))
     assert voter.core_member.term == term + 1 and voter.core_member.roles.persistent.vote == ("x", 5)
 
 
--- a/tests/core_fixtures.py
+++ b/tests/core_fixtures.py
@@ -5,6 +5,7 @@
 
 from rampfront.consensus import events
 from rampfront.consensus.events import OrderKind, Outcome
+from rampfront.consensus.frame_encoder import encode
 from rampfront.simulation.world import MS, SEC, World
 
 
@@ -70,6 +71,11 @@
     return call.verdict == Outcome.DONE
 
 
+def frame_of(ip, message):
+    """A message of the member at `ip`, as a member gets it."""
+    return events.MessageReceived(ip, encode(message))
+
+
 SMALL = {
     "Revision": "r5",
     "Caps": {},
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -12,6 +12,7 @@
 from rampfront.consensus.leader import Leader
 from rampfront.consensus.order_queue import OrderQueue
 from rampfront.consensus.version_history import VersionHistory
+from rampfront.consensus.wire_names import KIND, VOTE_GRANTED
 from rampfront.node.lease import Lease
 from rampfront.simulation.checks import Broken
 from rampfront.simulation.linearizability import Kind, Verdict
@@ -99,7 +100,7 @@
     core.cut([old], core.others(old))
 
     def held(node: Node, ip: str, message: dict) -> None:
-        late.append((node, core.by_ip[ip], message)) if message["k"] == "aye" else send(node, ip, message)
+        late.append((node, core.by_ip[ip], message)) if message[KIND] == VOTE_GRANTED else send(node, ip, message)
 
     core.send = held
     while not late and old.core_member.is_leader:
