--- a/rampfront/net/__init__.py
+++ b/rampfront/net/__init__.py
@@ -18,7 +18,8 @@
    health checks, too.
 4. Calls between nodes, operators and the platform. `http_server` serves them, with `http_server_connection`,
    `http_request_reader`, `http_routing` and `http_messages`; `http_client` makes them, with `http_response_reader`.
-5. Shared by the listeners: `connection_timeouts` ends connections that are too slow, `http_status` has the codes.
+5. Shared by these: `connection_timeouts` ends connections of both listeners that are too slow, `http_status` has the
+   codes, `http_parsing` the errors of the parser.
 
 A request that is given up may have run. Every error says whether it may: `http_client.RequestError`, the ends of
 submissions in `server_connection`, and the three answers of `exchange.AnswerReceiver`.
--- a/rampfront/net/client_connection.py
+++ b/rampfront/net/client_connection.py
@@ -12,6 +12,7 @@
 
 from .connection_timeouts import Phase
 from .exchange import AnyExchange
+from .http_parsing import CONTINUE_RESPONSE, feed_request
 from .http_status import (
     BAD_REQUEST,
     CONTENT_TOO_LARGE,
@@ -21,9 +22,7 @@
 )
 from .limits import NetworkLimits
 
-FIELD_OVERHEAD_BYTES = 4  # ": " and the line's end
 _MAX_LENGTH_DIGITS = 9
-_CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 _NO_FIELDS: dict[bytes, bytes] = {}  # shared, and never written to
 _NO_PARTS: list[bytes] = []
 
@@ -186,7 +185,11 @@
         if self.ignores_input:
             return
         self._received_bytes += nbytes
-        error = self._parse(nbytes)
+        assert self.parser is not None
+        error = feed_request(self.parser, self.listener.read_buffer[:nbytes])
+        if self.message_begun and error is None and self._received_bytes > self.listener.max_request_bytes:
+            # A field without an end reaches no callback, so the raw bytes are limited as well.
+            error = HttpStatusError(HEADER_FIELDS_TOO_LARGE, "the head is too large")
         complete = self._message_complete
         self._message_complete = False
         if error is not None:  # a request that is complete in front of it is refused too: its length may be the lie
@@ -235,7 +238,7 @@
         if len(length) > _MAX_LENGTH_DIGITS or int(length) > self.listener.limits.max_body_bytes:
             raise HttpStatusError(CONTENT_TOO_LARGE, "the body is too large")
         if b"expect" in self.fields:
-            self.transport.write(_CONTINUE)
+            self.transport.write(CONTINUE_RESPONSE)
 
     def on_body(self, part: bytes) -> None:
         """A part of the body."""
@@ -323,18 +326,3 @@
 
     def _drop_stream(self) -> None:
         """Ends a stream to the client, which has gone. Nothing to do here; see `TransactionConnection`."""
-
-    def _parse(self, nbytes: int) -> HttpStatusError | None:
-        """Parses bytes of the buffer. Returns why they cannot be followed, or None."""
-        assert self.parser is not None
-        try:
-            self.parser.feed_data(self.listener.read_buffer[:nbytes])
-        except httptools.HttpParserUpgrade:
-            return HttpStatusError(BAD_REQUEST, "no upgrades here")
-        except httptools.HttpParserError as error:
-            cause = error.__context__  # of a callback
-            return cause if isinstance(cause, HttpStatusError) else HttpStatusError(BAD_REQUEST, "not HTTP/1.1")
-        if self.message_begun and self._received_bytes > self.listener.max_request_bytes:
-            # A field without an end reaches no callback, so the raw bytes are limited as well.
-            return HttpStatusError(HEADER_FIELDS_TOO_LARGE, "the head is too large")
-        return None
--- a/rampfront/net/http_request_reader.py
+++ b/rampfront/net/http_request_reader.py
@@ -9,6 +9,7 @@
 
 import httptools
 
+from .http_parsing import FIELD_OVERHEAD_BYTES, FRAMING_SHIFT, feed_request
 from .http_status import (
     BAD_REQUEST,
     CONTENT_TOO_LARGE,
@@ -17,8 +18,6 @@
     HttpStatusError,
 )
 
-_FIELD_OVERHEAD_BYTES = 4  # ": " and the line's end
-_FRAMING_SHIFT = 3  # chunk framing may add an eighth to a body
 _MAX_LENGTH_DIGITS = 20
 
 
@@ -127,14 +126,7 @@
         """
         assert self._parser is not None
         self._received_bytes += len(data)
-        try:
-            self._parser.feed_data(data)
-        except httptools.HttpParserUpgrade:
-            return HttpStatusError(BAD_REQUEST, "no upgrades here")
-        except httptools.HttpParserError as error:
-            cause = error.__context__  # of a callback
-            return cause if isinstance(cause, HttpStatusError) else HttpStatusError(BAD_REQUEST, "not HTTP/1.1")
-        return self._check_received()
+        return feed_request(self._parser, data) or self._check_received()
 
     def take(self) -> RawRequest:
         """Hands over the complete request. Its part of the budget stays reserved until `release_body`."""
@@ -177,7 +169,7 @@
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """One header field."""
-        self._count_head(len(name) + len(value) + _FIELD_OVERHEAD_BYTES)
+        self._count_head(len(name) + len(value) + FIELD_OVERHEAD_BYTES)
         name = name.lower()
         if name == b"content-length":
             digits = value[:_MAX_LENGTH_DIGITS]
@@ -190,7 +182,7 @@
         self.head_complete = True
         self._section_bytes = 0
         self._max_body_bytes = self._body_limit(self._target)
-        framing_bytes = self._max_body_bytes >> _FRAMING_SHIFT
+        framing_bytes = self._max_body_bytes >> FRAMING_SHIFT
         self._max_received_bytes = self._max_head_bytes + self._max_body_bytes + framing_bytes
         if self._content_length > self._max_body_bytes:
             raise HttpStatusError(CONTENT_TOO_LARGE, "the body is too large")
--- a/rampfront/net/http_response_reader.py
+++ b/rampfront/net/http_response_reader.py
@@ -8,10 +8,9 @@
 
 import httptools
 
+from .http_parsing import FIELD_OVERHEAD_BYTES, FIRST_FINAL_STATUS, FRAMING_SHIFT
+
 _MAX_HEAD_BYTES = 64 << 10  # 1xx responses in front of it included
-_FIELD_OVERHEAD_BYTES = 4  # ": " and the line's end
-_FRAMING_SHIFT = 3  # chunk framing may add an eighth to a body
-_FIRST_FINAL_STATUS = 200  # below it a response is only announced (RFC 9110, section 15.2)
 _STATUSES_WITHOUT_BODY = (204, 304)
 
 
@@ -112,7 +111,7 @@
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """One header field."""
-        self._section_bytes += len(name) + len(value) + _FIELD_OVERHEAD_BYTES
+        self._section_bytes += len(name) + len(value) + FIELD_OVERHEAD_BYTES
         if self._section_bytes > _MAX_HEAD_BYTES:
             raise ResponseError("a head too large")
         name = name.lower()
@@ -124,7 +123,7 @@
         """The head is complete."""
         self._status = self._parser.get_status_code()
         self._section_bytes = 0
-        if self._status >= _FIRST_FINAL_STATUS and not self._has_length and self._status not in _STATUSES_WITHOUT_BODY:
+        if self._status >= FIRST_FINAL_STATUS and not self._has_length and self._status not in _STATUSES_WITHOUT_BODY:
             # Without a length, a response cut short could not be told from a complete one.
             raise ResponseError("an answer without a length")
 
@@ -137,7 +136,7 @@
 
     def on_message_complete(self) -> None:
         """The response is complete, or it was a 1xx and the final one follows."""
-        if self._status >= _FIRST_FINAL_STATUS:
+        if self._status >= FIRST_FINAL_STATUS:
             self.keep_alive = self._parser.should_keep_alive()
             self._response = HttpResponse(self._status, self._headers, b"".join(self._parts))
 
@@ -150,4 +149,4 @@
 
     def _max_received_bytes(self) -> int:
         """Bytes that a response may have as it comes, with all framing."""
-        return _MAX_HEAD_BYTES + self._max_body_bytes + (self._max_body_bytes >> _FRAMING_SHIFT)
+        return _MAX_HEAD_BYTES + self._max_body_bytes + (self._max_body_bytes >> FRAMING_SHIFT)
--- a/rampfront/net/http_server_connection.py
+++ b/rampfront/net/http_server_connection.py
@@ -13,12 +13,12 @@
 
 from .connection_timeouts import Phase
 from .http_messages import JSON, TEXT, IncomingRequest, Response
+from .http_parsing import CONTINUE_RESPONSE
 from .http_request_reader import BodyBudget, RequestReader
 from .http_status import REASON_PHRASES, REQUEST_TIMEOUT, SERVICE_UNAVAILABLE, HttpStatusError
 from .limits import HttpServerLimits
 
 RETRY_AFTER_S = b"0.3"  # of a response with 503
-_CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 _UNNAMED_REASON = b"Said"  # the phrase of a status code that has none
 
 
@@ -139,7 +139,7 @@
             self.phase_since_ns = self._owner.clock()
         if reader.continue_wanted:
             reader.continue_wanted = False
-            self.transport.write(_CONTINUE)
+            self.transport.write(CONTINUE_RESPONSE)
         complete = reader.complete
         reader.complete = False
         if error is not None:
--- a/rampfront/net/server_response_reader.py
+++ b/rampfront/net/server_response_reader.py
@@ -8,13 +8,12 @@
 
 import httptools
 
+from .http_parsing import FIRST_FINAL_STATUS
 from .http_status import OK
 from .limits import NetworkLimits
 from .response_stream import ResponseStream, StreamTooLargeError
 from .server_response import parse_quota_use, parse_units
 
-_FIRST_FINAL_STATUS = 200  # below it a response is only announced (RFC 9110, section 15.2)
-
 
 class RemoteProtocolError(Exception):
     """The server broke the protocol. The submission that is out may have run."""
@@ -155,7 +154,7 @@
         """The head is complete."""
         assert self._parser is not None
         self.status = self._parser.get_status_code()
-        self.head_complete = self.status >= _FIRST_FINAL_STATUS
+        self.head_complete = self.status >= FIRST_FINAL_STATUS
         limits = self._limits
         self.is_large = (
             self.status == OK
--- a/rampfront/net/transaction_listener.py
+++ b/rampfront/net/transaction_listener.py
@@ -7,10 +7,11 @@
 import asyncio
 import re
 
-from .client_connection import FIELD_OVERHEAD_BYTES, ClientConnection
+from .client_connection import ClientConnection
 from .client_listener import ClientListener
 from .event_log import EventLog
 from .exchange import AnyExchange, StreamSource
+from .http_parsing import FIELD_OVERHEAD_BYTES
 from .http_status import BAD_REQUEST, HEADER_FIELDS_TOO_LARGE, HttpStatusError
 from .limits import NetworkLimits
 from .transaction_gateway import TransactionGateway
--- a/rampfront/proxy/client_front.py
+++ b/rampfront/proxy/client_front.py
@@ -9,9 +9,10 @@
 
 from typing import TYPE_CHECKING, cast
 
-from ..net.client_connection import FIELD_OVERHEAD_BYTES, ClientConnection, ConnectionListener
+from ..net.client_connection import ClientConnection, ConnectionListener
 from ..net.client_listener import ClientListener
 from ..net.exchange import AnyExchange
+from ..net.http_parsing import FIELD_OVERHEAD_BYTES
 from ..net.http_status import (
     BAD_REQUEST,
     HEADER_FIELDS_TOO_LARGE,
