--- a/tests/fake_fleet.py
+++ b/tests/fake_fleet.py
@@ -133,6 +133,13 @@
         self.leader, self.term = k, term
         self[k].state_changed(max(index, self[k].state_index))
 
+    def start_ready(self):
+        """Runs for 3 s with node 1 in the lead and all nodes ready."""
+        self.lead(1)
+        for host in self.hosts.values():
+            host.disseminator.ready = True
+        self.run(3000)
+
     def is_cut(self, sender, receiver):
         """Whether nothing gets through between two addresses."""
         one_is_silent = sender in self.silent or receiver in self.silent
--- a/tests/membership/test_leader_change.py
+++ b/tests/membership/test_leader_change.py
@@ -56,10 +56,7 @@
 def test_a_new_leader_keeps_the_roster():
     """It has heard nobody yet: the old roster stands until nodes are silent for too long; then they are dropped."""
     fleet = FakeFleet(6)
-    fleet.lead(1)
-    for k in range(1, 7):
-        fleet[k].ready = True
-    fleet.run(3000)
+    fleet.start_ready()
     fleet.silent |= {"10.0.0.1", "10.0.0.6"}
     fleet[1].leadership.is_leader, sent = False, fleet.record_frames()
     fleet.lead(2, term=2)
--- a/tests/membership/test_membership_roster.py
+++ b/tests/membership/test_membership_roster.py
@@ -12,10 +12,7 @@
 def test_silent_nodes_leave_the_roster_and_return():
     """Not at the first lost heartbeat, but soon; and they are taken in again."""
     fleet = FakeFleet(6)
-    fleet.lead(1)
-    for k in range(1, 7):
-        fleet[k].ready = True
-    fleet.run(3000)
+    fleet.start_ready()
     assert names(fleet[4]) == ["n1", "n2", "n3", "n4", "n5", "n6"]
     fleet.silent.add("10.0.0.5")
     fleet.run((PEER_TIMEOUT_NS - 6 * HEARTBEAT_INTERVAL_NS // 5) // MS)
@@ -30,10 +27,7 @@
 def test_a_node_that_stops_serving_leaves_the_roster_at_once():
     """It is out of every roster in two hops; a late heartbeat does not bring it back."""
     fleet = FakeFleet(6)
-    fleet.lead(1)
-    for k in range(1, 7):
-        fleet[k].ready = True
-    fleet.run(3000)
+    fleet.start_ready()
     late = heartbeat_frame(fleet[5], fleet.now)
     fleet.run(10)
     fleet[5].set_ready(False)  # as the station does
