--- a/rampfront/in_flight.py
+++ b/rampfront/in_flight.py
@@ -6,7 +6,7 @@
 decides nothing and knows no protocol.
 """
 
-from collections.abc import Hashable, Iterable
+from collections.abc import Hashable, Iterable, KeysView
 from typing import Generic, TypeVar
 
 from . import terms as t
@@ -36,6 +36,10 @@
         """How many indices were ever needed at once."""
         return len(self._keys)
 
+    def keys(self) -> KeysView[Key]:
+        """A view of the keys that have an index: for who looks into many tables, at less than `in` the table costs."""
+        return self._indices.keys()
+
     def indices(self) -> Iterable[int]:
         """All indices that are taken."""
         return self._indices.values()
--- a/rampfront/proxy/client_front.py
+++ b/rampfront/proxy/client_front.py
@@ -7,7 +7,7 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, cast
+from typing import TYPE_CHECKING
 
 from ..net.client_connection import ClientConnection, ConnectionListener
 from ..net.client_listener import ClientListener
@@ -73,7 +73,7 @@
             self.fields[lowered] = value
         self.header_lines.append((lowered, b"%s: %s\r\n" % (name, value)))
         self.section_bytes += len(name) + len(value) + FIELD_OVERHEAD_BYTES
-        if self.section_bytes > self.listener.limits.max_head_bytes or len(self.header_lines) > _MAX_FIELDS:
+        if self.section_bytes > self.listener.max_head_bytes or len(self.header_lines) > _MAX_FIELDS:
             raise HttpStatusError(HEADER_FIELDS_TOO_LARGE, "the head is too large")
 
     def on_headers_complete(self) -> None:
@@ -145,6 +145,7 @@
         """`request_proxy` takes the requests. The environment's limits hold until the configuration's are known."""
         super().__init__(environment.loop, environment.clock, environment.limits, environment.log)
         self.buffered_bytes = 0  # of bodies that came in and are still needed
+        self.max_head_bytes = self.limits.max_head_bytes  # looked at for each field of a request
         self._request_proxy = request_proxy
 
     def apply_caps(self, caps: Caps) -> None:
@@ -155,6 +156,7 @@
             client_idle_timeout_ns=caps.idle,
             request_read_timeout_ns=max(caps.header_wait, self.limits.request_read_timeout_ns),
         )
+        self.max_head_bytes = caps.header_bytes
         self.max_request_bytes = self.limits.max_head_bytes + self.limits.max_body_bytes
 
     def ready(self) -> bool:
@@ -163,26 +165,28 @@
 
     def client_left(self, exchange: AnyExchange) -> None:
         """The client of a request is gone, or sent what cannot be followed: the request is cancelled."""
-        cast(ProxiedRequest, exchange).cancel()
+        assert isinstance(exchange, ProxiedRequest)
+        exchange.cancel()
 
     def request_received(self, connection: ClientConnection) -> None:
         """A request is complete: it is handed on or refused."""
-        client = cast(RequestConnection, connection)
+        assert isinstance(connection, RequestConnection)
         if self.active_clients > self.limits.max_active_clients:
-            self.shed_idle_client(client)
+            self.shed_idle_client(connection)
         self.counts["taken"] += 1
-        received = client.received_request()
-        client.expects_no_body = received.method == b"HEAD"
-        if client.over_limit:
+        received = connection.received_request()
+        connection.expects_no_body = received.method == b"HEAD"
+        if connection.over_limit:
             self.counts[TOO_MANY_CONNECTIONS.counter] += 1
-            client.respond(TOO_MANY_CONNECTIONS)
+            connection.respond(TOO_MANY_CONNECTIONS)
             return
         try:
-            self._request_proxy.handle_request(client, received)
+            self._request_proxy.handle_request(connection, received)
         except HttpStatusError as error:
-            client.refuse(error)
+            connection.refuse(error)
 
     def request_refused(self, connection: ClientConnection, error: HttpStatusError) -> None:
         """What came is no request that can be followed."""
-        cast(RequestConnection, connection).release_body()
+        assert isinstance(connection, RequestConnection)
+        connection.release_body()
         super().request_refused(connection, error)
--- a/rampfront/proxy/request.py
+++ b/rampfront/proxy/request.py
@@ -162,14 +162,16 @@
         self.failure_response = response
         self.apply(RequestEvent.FAILURE_RESPONSE)
 
-    def close(self) -> RequestingClient | None:
-        """Nothing is owed any more. Returns who waits for the response, once; None where the client is gone."""
-        self.apply(_CLOSE)
-        return self.detach_client()
+    def detach_client(self) -> RequestingClient | None:
+        """Nothing is owed any more: the request is closed. Returns who waits for the response, once; None where the
+        client is gone or has it."""
+        self.state = _TRANSITIONS[self.state][_CLOSE]
+        client = self.client
+        self.client = None
+        return client
 
     def cancel(self) -> None:
-        """The client is gone: ends every attempt, by the one path there is for it."""
-        self.close()
+        """Ends every attempt of a request whose client is gone, by the one path there is for it."""
         self.driver.client_left(self)
 
 
--- a/rampfront/proxy/request_head.py
+++ b/rampfront/proxy/request_head.py
@@ -22,13 +22,15 @@
 
 def build_request_head(received: ReceivedRequest, customer: Customer | None) -> bytes:
     """The request line and the fields, each with its line end; the empty line is not in it."""
-    lines = [b"%s %s HTTP/1.1\r\n" % (received.method, received.target)]
+    method = received.method
+    body = received.body
+    lines = [b"%s %s HTTP/1.1\r\n" % (method, received.target)]
     dropped = _dropped_fields(received.header) if b"connection" in received.header else _DROPPED_FIELDS
     lines += [line for name, line in received.header_lines if name not in dropped]
     if customer:
         lines.append(b"Customer: %s\r\n" % customer.name.encode())
-    if received.body or received.method not in _METHODS_WITHOUT_BODY:
-        lines.append(b"Content-Length: %d\r\n" % len(received.body))
+    if body or method not in _METHODS_WITHOUT_BODY:
+        lines.append(b"Content-Length: %d\r\n" % len(body))
     return b"".join(lines)
 
 
--- a/rampfront/proxy/request_proxy.py
+++ b/rampfront/proxy/request_proxy.py
@@ -179,13 +179,14 @@
                 raise RequestRejectedError(outcomes.NO_CONFIGURATION)
             admission = admit(self.configuration, received, self._margin_ns, now_ns)
             service_pool = self._pick_service_pool(admission)
-            if admission.customer:
-                self._use_quota(admission.customer, now_ns)
+            customer = admission.customer
+            if customer:
+                self._use_quota(customer, now_ns)
         except RequestRejectedError as rejection:
             self.counts[rejection.response.counter] += 1
             client.respond(rejection.response)
             return
-        head = build_request_head(received, admission.customer)
+        head = build_request_head(received, customer)
         request = ProxiedRequest(client, admission, service_pool.line(admission.route), head, received.body)
         self._check_not_open(request)
         client.accepted(request)
@@ -210,7 +211,8 @@
         """Guards against a second run of a try whose first one is under way, be it at another service of a route in
         shares. Raises HttpStatusError."""
         for service_pool in self.service_pools.values():
-            if request in service_pool.open_requests:
+            open_requests = service_pool.open_requests
+            if open_requests and request in open_requests:  # most are empty, and hashing a request costs
                 self._return_quota(request, request.admission.received_at_ns)
                 raise HttpStatusError(CONFLICT, "its Try-Id is open")
 
@@ -280,7 +282,7 @@
 
     def _close(self, request: ProxiedRequest) -> RequestingClient | None:
         """Who is owed the response; None if the client is gone."""
-        client = request.close()
+        client = request.detach_client()
         if client:
             self.request_durations.record(self.clock() - request.admission.received_at_ns)
         return client
--- a/rampfront/proxy/server_connections.py
+++ b/rampfront/proxy/server_connections.py
@@ -10,7 +10,7 @@
 
 from __future__ import annotations
 
-from typing import Protocol, cast
+from typing import Protocol
 
 from .. import terms as t
 from ..net.decision_driver import DecisionDriver
@@ -187,7 +187,8 @@
         """A connection to a server: the idle one used last, or a new one. None: there can be none."""
         server = self.servers.get(index)
         if server and server.idle:
-            newest = cast(ForwardingConnection, server.idle[-1])
+            newest = server.idle[-1]
+            assert isinstance(newest, ForwardingConnection)
             if newest.reusable_until_ns <= self.clock():
                 server.close_idle()  # the newest is too old, so the others are
         return super().connection_to(index)
--- a/rampfront/proxy/server_response_reader.py
+++ b/rampfront/proxy/server_response_reader.py
@@ -62,7 +62,7 @@
     def on_headers_complete(self) -> None:
         """The head is complete."""
         fields = self.fields
-        self.not_run = fields.get(b"not-run", b"").strip() not in _FALSE
+        self.not_run = b"not-run" in fields and fields[b"not-run"].strip() not in _FALSE
         self.chunked = b"transfer-encoding" in fields
         if b"content-length" in fields:
             self.length = int(fields[b"content-length"])  # the parser has checked it
--- a/rampfront/proxy/service_pool.py
+++ b/rampfront/proxy/service_pool.py
@@ -49,7 +49,7 @@
         self.driver.servers = self.connection_pool
         self.driver.start()
         limit_initial_budget(self.driver.node)
-        self.open_requests = self.driver.in_flight.transactions  # by their identifiers
+        self.open_requests = self.driver.in_flight.transactions.keys()  # a view; equal by their identifiers
         self._endpoints: dict[str, ServerRow] = {}  # what was handed on of each server last
         self._lines: dict[tuple[str, int], ServiceLine] = {}  # by request type and latency target
 
