--- a/tests/pins/mixed_versions.py
+++ b/tests/pins/mixed_versions.py
@@ -12,10 +12,8 @@
 import argparse
 import asyncio
 import json
-import os
 import re
 import signal
-import subprocess
 import sys
 import time
 from collections import Counter
@@ -27,7 +25,7 @@
 
 import uvloop  # noqa: E402
 
-from rampfront.operator_cli import local_system  # noqa: E402
+from rampfront.operator_cli.local_system import LocalSystem, SystemSize  # noqa: E402
 
 OK, TOO_MANY, SERVER_ERROR = 200, 429, 500
 SILENCE_S = 1.2  # behind which an operator turns to another node
@@ -35,6 +33,7 @@
 PUBLIC, UNDER_QUOTA = "/page", "/read/1"  # 20 a second and 20 at once of the latter
 CLIENT_PAUSE_S, EAGER_PAUSE_S, OPERATOR_PAUSE_S = 0.02, 0.01, 0.25
 GRACE_S = 12.0  # for a node to end
+READY_S = 20.0  # for a node to become ready
 BASE = "127.0.0.61"
 ZONE = "south-b"
 
@@ -68,35 +67,28 @@
         return 0, b""
 
 
-class MixedSystem(local_system.LocalSystem):
+class MixedSystemError(Exception):
+    """The course could not be played to its end."""
+
+
+class MixedSystem(LocalSystem):
     """A local system of which each node has a text of its own."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, text: Path) -> None:
         """All of one text."""
-        super().__init__(loop, count=4, base=BASE)
-        self.text, self.texts = text, {}
-
-    def launch(self, node: Any, first: bool = True) -> None:
-        """Starts a node as the text that it has."""
-        told = self.process_settings(node, first)
-        os.makedirs(told["Self"]["DataFolder"], exist_ok=True)
-        path = self.folder / f"{node.name}.json"
-        path.write_text(json.dumps(told, indent=1))
-        root = self.texts.setdefault(node.name, self.text)
-        with open(self.folder / f"{node.name}.log", "ab") as log:
-            self.children[node.name] = subprocess.Popen(
-                [sys.executable, "-m", "rampfront.node"],
-                cwd=root,
-                stdin=subprocess.DEVNULL,
-                stdout=log,
-                stderr=log,
-                env={
-                    **os.environ,
-                    "PYTHONPATH": str(root),
-                    "PYTHONDONTWRITEBYTECODE": "1",
-                    "RAMPFRONT_SETTINGS": str(path),
-                },
-            )
+        super().__init__(loop, SystemSize(nodes=4, base=BASE))
+        self.text = text
+        self.texts: dict[str, Path] = {}  # by node; of those that differ from `text`
+
+    def text_of(self, node: Any) -> Path:
+        """The text that a node runs."""
+        return self.texts.get(node.name, self.text)
+
+    def program(self, node: Any) -> list[str]:
+        """A node of the text that it has."""
+        text = self.text_of(node)
+        within = ["env", f"--chdir={text}", f"PYTHONPATH={text}", "PYTHONDONTWRITEBYTECODE=1"]
+        return [*within, sys.executable, "-m", "rampfront.node"]
 
     async def stop(self, node: Any) -> int:
         """SIGTERM; the exit status, or -9 if it had to be killed."""
@@ -110,10 +102,12 @@
         return child.wait()
 
     async def become_ready(self, node: Any) -> float:
-        """s until it is ready. Raises Stranded if it is not."""
+        """s until it is ready. Raises MixedSystemError if it is not."""
         began = time.monotonic()
-        while not await self.is_ready(node):
-            await self.wait(began + 20.0, f"{node.name} does not become ready")
+        while (await ask(node.ready, "GET", "/api/ready"))[0] != OK:
+            if time.monotonic() - began > READY_S:
+                raise MixedSystemError(f"{node.name} does not become ready")
+            await asyncio.sleep(0.05)
         return time.monotonic() - began
 
     async def change(self, node: Any, text: Path) -> dict[str, Any]:
@@ -139,7 +133,8 @@
 
     async def clients(self, path: str, pause_s: float) -> None:
         """Requests to all fronts in turn, until this is cancelled; those to a node that is being started again fail."""
-        host, _, key = self.system.sample()
+        told = json.loads(self.system.body)
+        host, key = told["Sockets"][0]["Hostname"], told["Customers"][0]["ApiKeys"][0]
         number = 0
         while True:
             node = self.system.nodes[number % len(self.system.nodes)]
@@ -196,17 +191,17 @@
             if leading:
                 return next(node for node in self.system.nodes if node.name == leading[0])
             await asyncio.sleep(0.1)
-        raise local_system.Stranded("nobody leads")
+        raise MixedSystemError("nobody leads")
 
     async def lead_by(self, text: Path) -> dict[str, Any]:
         """Restarts leaders, on their own texts, until a node of `text` leads."""
         changes = []
         for _ in range(12):
             leader = await self.leader()
-            if self.system.texts[leader.name] == text:
+            if self.system.text_of(leader) == text:
                 return {"leader": leader.name, "restarted": changes}
-            changes.append((await self.system.change(leader, self.system.texts[leader.name]))["exit"])
-        raise local_system.Stranded("no node of that text comes to lead")
+            changes.append((await self.system.change(leader, self.system.text_of(leader)))["exit"])
+        raise MixedSystemError("no node of that text comes to lead")
 
     async def agree(self) -> dict[str, Any]:
         """Stops orders for a moment; whether all nodes hold the same and read the same configuration back."""
