--- a/tests/edge/test_discovery_watch.py
+++ b/tests/edge/test_discovery_watch.py
@@ -22,7 +22,7 @@
     s.check("discovery")
 
 
-def test_a_full_discovery_is_asked_ever_more_rarely():
+def test_a_full_discovery_is_polled_ever_more_rarely():
     """Discovery turns every watch away, as when most nodes come at once: the node serves on from its last list and
     asks ever more rarely, at drawn moments; what is told again ends that."""
     s = Stage(servers=1)
--- a/tests/edge/test_edge_process.py
+++ b/tests/edge/test_edge_process.py
@@ -87,32 +87,32 @@
             self.transport = transport
 
         def data_received(self, data):
-            asked.append(data)
+            received.append(data)
             self.transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n\x00raw\xff")
 
-    asked, told = [], config(1)
+    received, configuration = [], config(1)
     server = loop.run_until_complete(loop.create_server(AppServer, "127.0.0.1", 0))
-    told["known"]["targets"][0]["endpoint"] = address_of(server.sockets[0])
+    configuration["known"]["targets"][0]["endpoint"] = address_of(server.sockets[0])
     with socket.create_server(("127.0.0.1", 0)) as free:
-        told["listen"] = address_of(free)
-    driver = start(loop, Clock(), launch.read(told, {}), Log("n0", 0, io.BytesIO()))
+        configuration["listen"] = address_of(free)
+    driver = start(loop, Clock(), launch.read(configuration, {}), Log("n0", 0, io.BytesIO()))
 
-    async def ask(head):
-        read, write = await asyncio.open_connection(*launch.address(told["listen"]))
+    async def send_request(head):
+        read, write = await asyncio.open_connection(*launch.address(configuration["listen"]))
         write.write(b"POST /api?a=%20b HTTP/1.1\r\n" + head + b"Content-Length: 2\r\n\r\n\x00\x01")
         write.write_eof() if not head else None
-        said = await read.readuntil(b"\r\n\r\n"), await read.read(5)
+        response = await read.readuntil(b"\r\n\r\n"), await read.read(5)
         write.close()
-        return said
+        return response
 
     fields = (
         b"X-Request-Id: 1\r\nX-Class: ledger\r\nX-Tier: open\r\nCookie: a=b; key=00000000B4D65521\r\n"
         b"X-Deadline-Ms: 900\r\nX-Call-Terms: units=1,spread=2,first=0\r\n"
     )
-    head, body = loop.run_until_complete(ask(fields))
+    head, body = loop.run_until_complete(send_request(fields))
     assert head == b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n" and body == b"\x00raw\xff"
-    assert asked[0].startswith(b"POST /api?a=%20b HTTP/1.1\r\n") and asked[0].endswith(b"\r\n\r\n\x00\x01")
-    assert loop.run_until_complete(ask(b"X-Class: ledger\r\n"))[0].startswith(b"HTTP/1.1 400 ")
+    assert received[0].startswith(b"POST /api?a=%20b HTTP/1.1\r\n") and received[0].endswith(b"\r\n\r\n\x00\x01")
+    assert loop.run_until_complete(send_request(b"X-Class: ledger\r\n"))[0].startswith(b"HTTP/1.1 400 ")
     assert list(driver.node.accounts) == ["0|00000000b4d65521"]
     driver.gateway.listeners[0].retire(loop.stop)
     server.close()
@@ -152,30 +152,31 @@
 def test_an_inherited_listener_loses_no_connection(loop):
     """Upgrades: the socket that the platform holds is served on, nothing is bound; a connection that waits in
     its queue when the old process retires is taken by the next one, whose address stays as it was."""
-    told, held = config(1), socket.create_server(("127.0.0.1", 0))
-    told["listen"] = address_of(held)  # bound already: binding it again would fail
-    old = start(
-        loop, Clock(), launch.read(told, {"RELAY_LISTEN_FD": str(os.dup(held.fileno()))}), Log("n0", 0, io.BytesIO())
-    )
-    waiting = socket.create_connection(held.getsockname())
+    configuration, listening = config(1), socket.create_server(("127.0.0.1", 0))
+    configuration["listen"] = address_of(listening)  # bound already: binding it again would fail
+
+    def start_process():
+        environment = {"RELAY_LISTEN_FD": str(os.dup(listening.fileno()))}
+        return start(loop, Clock(), launch.read(configuration, environment), Log("n0", 0, io.BytesIO()))
+
+    old = start_process()
+    waiting = socket.create_connection(listening.getsockname())
     old.gateway.listeners[0].retire(lambda: None)
     loop.run_until_complete(asyncio.sleep(0.01))
-    new = start(
-        loop, Clock(), launch.read(told, {"RELAY_LISTEN_FD": str(os.dup(held.fileno()))}), Log("n0", 0, io.BytesIO())
-    )
+    new = start_process()
     waiting.sendall(b"GET /-/ready HTTP/1.1\r\n\r\n")
     waiting.setblocking(False)
     for _ in range(100):
         loop.run_until_complete(asyncio.sleep(0.005))
         with contextlib.suppress(BlockingIOError):
-            said = waiting.recv(100)
+            response = waiting.recv(100)
             break
-    assert said.startswith(b"HTTP/1.1 200 OK\r\n")
+    assert response.startswith(b"HTTP/1.1 200 OK\r\n")
     waiting.close()
     new.gateway.listeners[0].retire(lambda: None)
-    held.close()
+    listening.close()
     with pytest.raises(launch.Faulty):
-        launch.read(told, {"RELAY_LISTEN_FD": "four"})
+        launch.read(configuration, {"RELAY_LISTEN_FD": "four"})
 
 
 @pytest.mark.slow(3)
@@ -190,37 +191,37 @@
         def data_received(self, data):
             self.transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 
-    told = config(1)
+    configuration = config(1)
     server = loop.run_until_complete(loop.create_server(AppServer, "127.0.0.1", 0))
-    told["known"]["targets"][0]["endpoint"] = address_of(server.sockets[0])
+    configuration["known"]["targets"][0]["endpoint"] = address_of(server.sockets[0])
     for key in ("listen", "admin_addr"):
         with socket.create_server(("127.0.0.1", 0)) as free:
-            told[key] = address_of(free)
-    driver = start(loop, Clock(), launch.read(told, {}), Log("n0", 0, io.BytesIO()))
+            configuration[key] = address_of(free)
+    driver = start(loop, Clock(), launch.read(configuration, {}), Log("n0", 0, io.BytesIO()))
     run = loop.run_until_complete
 
     async def call(where, text, keep=None):
-        read, write = await asyncio.open_connection(*launch.address(told[where]))
+        read, write = await asyncio.open_connection(*launch.address(configuration[where]))
         write.write(text)
-        said = await asyncio.wait_for(read.read(), 3)
+        response = await asyncio.wait_for(read.read(), 3)
         write.close()
-        return said.split(b"\r\n")[0], said.partition(b"\r\n\r\n")[2]
+        return response.split(b"\r\n")[0], response.partition(b"\r\n\r\n")[2]
 
     fields = (
         b"X-Request-Id: %d\r\nX-Class: ledger\r\nX-Tier: open\r\nCookie: key=00000000B4D65521\r\n"
         b"X-Deadline-Ms: 900\r\nX-Call-Terms: units=1,spread=2,first=0\r\nContent-Length: 0\r\n\r\n"
     )
-    ask = b"POST /api HTTP/1.1\r\nConnection: close\r\n" + fields
-    said = [
-        run(call("listen", ask % 1)),
-        run(call("listen", ask.replace(b"X-Tier: open", b"X-Tier: z") % 2)),
+    transaction = b"POST /api HTTP/1.1\r\nConnection: close\r\n" + fields
+    responses = [
+        run(call("listen", transaction % 1)),
+        run(call("listen", transaction.replace(b"X-Tier: open", b"X-Tier: z") % 2)),
         run(call("admin_addr", b"GET /v1/readyz HTTP/1.1\r\n\r\n")),
     ]
-    said.append(run(call("admin_addr", b"GET /v1/metrics HTTP/1.1\r\n\r\n")))
-    idle = run(asyncio.open_connection(*launch.address(told["listen"])))
+    responses.append(run(call("admin_addr", b"GET /v1/metrics HTTP/1.1\r\n\r\n")))
+    idle = run(asyncio.open_connection(*launch.address(configuration["listen"])))
     idle[1].write(b"POST /api HTTP/1.1\r\n" + fields % 3)
     run(idle[0].readuntil(b"ok"))
-    said += [
+    responses += [
         run(call("admin_addr", b"POST /v1/edge-node/drain HTTP/1.1\r\n\r\n")),
         run(call("listen", b"GET /-/ready HTTP/1.1\r\n\r\n")),
         (run(idle[0].read()),),  # the idle one is closed
@@ -231,13 +232,13 @@
         run(call("admin_addr", b"POST /v1/metrics HTTP/1.1\r\n\r\n")),
         run(call("admin_addr", b"HELLO\r\n\r\n")),
     ]
-    silent = [run(asyncio.open_connection(*launch.address(told["admin_addr"]))) for _ in range(3)]
+    silent = [run(asyncio.open_connection(*launch.address(configuration["admin_addr"]))) for _ in range(3)]
     silent[1][1].write(b"GET /v1/rea")
     began = loop.time()
     ends = [run(asyncio.wait_for(read.read(), 3)) for read, _ in silent]  # ended by the sweep
     assert ends[0] == ends[2] == b"" and ends[1].startswith(b"HTTP/1.1 408 ")  # who sent half a head is told why
     assert 0.9 < loop.time() - began < 2.5
-    status = [line[0].split(b" ")[1] if line[0] else b"closed" for line in said]
+    status = [line[0].split(b" ")[1] if line[0] else b"closed" for line in responses]
     assert status == [
         b"200",
         b"400",
@@ -253,7 +254,7 @@
         b"405",
         b"400",
     ]
-    figures = orjson.loads(said[3][1])
+    figures = orjson.loads(responses[3][1])
     assert figures["success"] == {"fetch": 0, "publish": 0, "ledger": 1} and figures["error"]["ledger"] == 1
     assert figures["dispatches"] == 1 and figures["targets"] == 1 and not figures["targets_disabled"]
     driver.gateway.listeners[0].retire(loop.stop)
--- a/tests/net/test_decision_driver.py
+++ b/tests/net/test_decision_driver.py
@@ -9,7 +9,7 @@
 from rampfront.net.decision_driver import Effect, Input
 
 
-def test_reminders_share_a_wake_up():
+def test_reminders_share_an_activation():
     """A tick goes along with the next wake, and wakes the node by itself only when none comes soon; a first
     reading is not kept waiting, for an account unread is held to its split of the quota."""
     for wakes in (False, True):
--- a/tests/net/test_http_server.py
+++ b/tests/net/test_http_server.py
@@ -134,7 +134,7 @@
 ]
 
 
-def test_rejected_requests_are_named_and_hold_nothing(stage):
+def test_rejected_requests_are_explained_and_leave_nothing_buffered(stage):
     """Each is named in JSON; whoever keeps sending behind it reads the response all the same."""
     for text, status, message in REJECTED:
         read, write = stage.connect(text)
--- a/tests/net/test_response_stream.py
+++ b/tests/net/test_response_stream.py
@@ -56,33 +56,33 @@
                 self.transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(big) + big[:200000])
                 loop.call_later(0.01, self.transport.abort)
 
-    told = config(1)
+    configuration = config(1)
     server = loop.run_until_complete(loop.create_server(AppServer, "127.0.0.1", 0))
-    told["known"]["targets"][0]["endpoint"] = address_of(server.sockets[0])
+    configuration["known"]["targets"][0]["endpoint"] = address_of(server.sockets[0])
     with socket.create_server(("127.0.0.1", 0)) as free:
-        told["listen"] = address_of(free)
-    driver = start(loop, Clock(), launch.read(told, {}), Log("n0", 0, io.BytesIO()))
+        configuration["listen"] = address_of(free)
+    driver = start(loop, Clock(), launch.read(configuration, {}), Log("n0", 0, io.BytesIO()))
 
-    async def ask(way):
-        read, write = await asyncio.open_connection(*launch.address(told["listen"]))
+    async def send_request(way):
+        read, write = await asyncio.open_connection(*launch.address(configuration["listen"]))
         write.write(
             b"GET /a HTTP/1.1\r\nX-Request-Id: %d\r\nX-Class: fetch\r\nX-Tier: open\r\nCookie: key=0000000000000001"
             b"\r\nX-Deadline-Ms: 900\r\nX-Call-Terms: units=1,spread=2,first=0\r\nConnection: close\r\n\r\n" % way
         )
-        said = await asyncio.wait_for(read.read(), 5)
+        response = await asyncio.wait_for(read.read(), 5)
         write.close()
-        return said.partition(b"\r\n\r\n")
+        return response.partition(b"\r\n\r\n")
 
-    head, _, body = loop.run_until_complete(ask(1))
+    head, _, body = loop.run_until_complete(send_request(1))
     assert head == b"HTTP/1.1 200 OK\r\nContent-Length: 1048576\r\nConnection: close" and body == big
     for way in (2, 4):
-        head, _, body = loop.run_until_complete(ask(way))
+        head, _, body = loop.run_until_complete(send_request(way))
         assert head.endswith(b"Transfer-Encoding: chunked\r\nConnection: close")
         taker = Taker()
         parser = httptools.HttpResponseParser(taker)
         parser.feed_data(head + b"\r\n\r\n" + body)
         assert b"".join(taker.parts) == big and body.endswith(b"\r\n0\r\n\r\n")
-    head, _, body = loop.run_until_complete(ask(3))
+    head, _, body = loop.run_until_complete(send_request(3))
     assert head.startswith(b"HTTP/1.1 200 OK\r\nContent-Length: 1048576") and len(body) < len(big)
     assert driver.log.counts["relayed"] == 4 and not driver.gateway.listeners[0].clients
     driver.gateway.listeners[0].retire(loop.stop)
