--- a/rampfront/net/server_response_reader.py
+++ b/rampfront/net/server_response_reader.py
@@ -1,7 +1,7 @@
 """Reads the responses of one server connection, without I/O: bytes go in, responses and breaches of the protocol out.
 
 The syntax is `httptools`'s matter. This module keeps the limits, and reads the header fields of the platform's
-protocol; the system's proxy has its own (`proxy/server_connections.py`).
+protocol; the system's proxy has its own (`proxy/server_response_reader.py`).
 """
 
 from collections.abc import Callable
