--- a/rampfront/node/core_driver.py
+++ b/rampfront/node/core_driver.py
@@ -2,7 +2,8 @@
 
 `consensus.member.Member` is a protocol without I/O (the pattern of h11): it decides, and returns what is to be done.
 This module alone sends its messages, stores its record and hands its news to the parts that wait for them. A node
-without a disk has no member, and for it everything here does nothing.
+without a disk has no member, and for it everything here does nothing; nor does its process load the member's modules,
+as the memory of every process is paid for.
 """
 
 from __future__ import annotations
@@ -11,9 +12,7 @@
 from typing import TYPE_CHECKING, Any, Protocol, assert_never, cast
 
 from ..consensus import events
-from ..consensus.context import MemberSettings
 from ..consensus.errors import RemoteProtocolError
-from ..consensus.member import Member
 from ..membership.leadership import CoreStatus
 from . import log_events
 
@@ -21,6 +20,7 @@
     from asyncio import Future
 
     from ..consensus.core_strength import CoreStrength
+    from ..consensus.member import Member
     from ..consensus.record_store import RecordStore
     from ..consensus.state import State
     from .context import NodeContext
@@ -75,6 +75,9 @@
         and the record stays as it is. This guards the core against a member that does not know what it promised, or
         that reads what another machine promised.
         """
+        from ..consensus.context import MemberSettings  # loaded only where there is a disk: see the module's text
+        from ..consensus.member import Member
+
         settings = self._context.process_settings
         self.record_store = record_store
         try:
--- a/rampfront/node/metrics_page.py
+++ b/rampfront/node/metrics_page.py
@@ -9,7 +9,6 @@
 
 from typing import TYPE_CHECKING
 
-from ..consensus.core_strength import MemberCondition
 from ..net.http_messages import Response
 from ..net.http_routing import endpoint
 from ..net.latency_histogram import BUCKET_BOUNDS_NS
@@ -125,6 +124,8 @@
     strength = node.core.strength(now)
     if strength is None:
         return
+    from ..consensus.core_strength import MemberCondition  # loaded only at members of the core: see `core_driver`
+
     conditions = [row.condition for row in strength.members]
     yield "core_members_target", strength.wanted
     yield (
--- a/rampfront/node/ports.py
+++ b/rampfront/node/ports.py
@@ -5,11 +5,11 @@
 switch for tests. (Ports in the sense of Cockburn's "ports and adapters".)
 """
 
+from __future__ import annotations
+
 from collections.abc import Callable
-from concurrent.futures import ThreadPoolExecutor
-from typing import Any, NamedTuple
+from typing import TYPE_CHECKING, Any, NamedTuple
 
-from ..consensus.record_store import RecordStore
 from ..membership.endpoint_list_poller import Poller
 from ..net.clock import Clock
 from ..proxy.request_proxy import RequestProxy
@@ -17,15 +17,34 @@
 from ..transport.wire import Wire
 from .node_process import NodeProcess
 
+if TYPE_CHECKING:
+    from concurrent.futures import Executor
+
+    from ..consensus.record_store import RecordStore
+
+
+def open_record_store(folder: str) -> RecordStore:
+    """Return the store of the core's record in `folder`. Its modules are loaded only where there is a disk."""
+    from ..consensus.record_store import RecordStore
+
+    return RecordStore(folder)
+
+
+def start_disk_executor(threads: int) -> Executor:
+    """Return an executor of that many threads for calls that block. Loaded only where there is a disk, too."""
+    from concurrent.futures import ThreadPoolExecutor
+
+    return ThreadPoolExecutor(threads)
+
 
 class Ports(NamedTuple):
     """Factories. Each is called once by `assembly.build_node_process`, with the arguments of its default."""
 
     clock: Callable[..., Any] = Clock
     wire: Callable[..., Any] = Wire
-    record_store: Callable[..., Any] = RecordStore
+    record_store: Callable[..., Any] = open_record_store
     # Of the disk: a disk that hangs holds up nobody but the member of the core.
-    disk_executor: Callable[..., Any] = ThreadPoolExecutor
+    disk_executor: Callable[..., Any] = start_disk_executor
     poller: Callable[..., Any] = Poller
     limiter: Callable[..., Any] = Limiter
     request_proxy: Callable[..., Any] = RequestProxy
