--- a/tests/node/test_node_metrics.py
+++ b/tests/node/test_node_metrics.py
@@ -13,9 +13,9 @@
     receive_update(node_process, 1, servers=(1, ["s1"]))
     loop.wait(1000)
     assert sum(node_process.lease.sampled_ages.counts) in (10, 11) and node_process.lease.sampled_ages.counts[-1] == 0
-    loop.ask()
+    loop.send_request()
     loop.wait(30)
-    loop.reply()
+    loop.respond()
     assert (
         node_process.request_proxy.request_durations.counts[5]
         == node_process.request_proxy.response_durations.counts[5]
--- a/tests/node/test_replicated_state.py
+++ b/tests/node/test_replicated_state.py
@@ -22,17 +22,17 @@
     )
     for index in (4, 5):
         receive_update(node_process, index, revision=2, servers=(index, ["s3"]))
-    loop.ask(key="ann-key")
+    loop.send_request(key="ann-key")
     assert (
-        loop.got().status == 401
+        loop.response().status == 401
         and node_process.replicated_state.state.revision == 3
         and node_process.request_proxy.evacuated_zones == {"b1"}
     )
-    loop.ask(key="new")
-    assert loop.where() != "s3"
+    loop.send_request(key="new")
+    assert loop.pending_server() != "s3"
     receive_update(node_process, 6, revision=3, zones=["a1"])  # the same configuration, another evacuation
-    loop.ask(key="new", client="d", tag="t2")
-    assert loop.got("d").status == 503
+    loop.send_request(key="new", client="d", tag="t2")
+    assert loop.response("d").status == 503
 
 
 def test_a_malformed_update_is_not_applied(node_process):
@@ -45,5 +45,5 @@
         with pytest.raises((ValueError, TypeError, KeyError, IndexError, AttributeError)):
             node_process.frame_dispatcher.dispatch(LEADER, {"k": "word", "l": LEADER, "e": 1, "t": 0} | more)
     assert node_process.replicated_state.state.revision == 1 and node_process.disseminator.endpoints_version == 7
-    loop.ask()
-    assert loop.where() == "s1"
+    loop.send_request()
+    assert loop.pending_server() == "s1"
--- a/tests/node/test_settings_reload.py
+++ b/tests/node/test_settings_reload.py
@@ -11,7 +11,7 @@
     """SIGHUP: new seeds are taken over; a faulty file changes nothing; nothing is cut."""
     loop = node_process.context.loop
     receive_update(node_process, 5, servers=(7, ["s1"]))
-    loop.ask()
+    loop.send_request()
     path = tmp_path / "local.json"
     path.write_text("{")
     node_process.core.member = SimpleNamespace(seeds=[])
@@ -23,5 +23,5 @@
     node_process.settings_reloader.reload(str(path))
     core_member, node_process.core.member = node_process.core.member, None
     assert node_process.disseminator.schedule.seeds == core_member.seeds == ["10.1.0.5"]
-    loop.answer("t1")
-    assert loop.got().status == 200
+    loop.respond_to("t1")
+    assert loop.response().status == 200
--- a/tests/proxy/test_client_front.py
+++ b/tests/proxy/test_client_front.py
@@ -7,8 +7,8 @@
 def test_a_client_that_disconnects_cancels_its_request():
     """What it asked for is called off at the server, at once; its body is no longer counted as held."""
     proxy = ProxyHarness(TWO_SERVERS)
-    proxy.ask(WRITE, body=b"x" * 1000)
-    server = proxy.pipes[proxy.where()]
+    proxy.send_request(WRITE, body=b"x" * 1000)
+    server = proxy.pipes[proxy.pending_server()]
     proxy.client().cut()
     assert (
         server.closed
@@ -61,9 +61,9 @@
     proxy = ProxyHarness(TWO_SERVERS, MaxHeaderBytes=2000, MaxBodyBytes=5000)
     proxy.client().feed(data)
     assert (
-        proxy.got().status == status
+        proxy.response().status == status
         and proxy.pipes["c"].closed
-        and not proxy.out()
+        and not proxy.pending()
         and proxy.client_front.buffered_bytes == 0
     )
 
@@ -73,9 +73,9 @@
     proxy = ProxyHarness(TWO_SERVERS, Idle="4s")
     proxy.client().feed(b"GET /read/x HTTP/1.1\r\nHost: host.exam")
     proxy.client("idle")
-    proxy.ask(client="kept")
-    proxy.reply()
+    proxy.send_request(client="kept")
+    proxy.respond()
     for _ in range(60):
         proxy.wait(250)
         proxy.client_front.sweep()
-    assert proxy.got().status == 408 and proxy.pipes["kept"].closed and proxy.pipes["idle"].closed
+    assert proxy.response().status == 408 and proxy.pipes["kept"].closed and proxy.pipes["idle"].closed
--- a/tests/proxy/test_connection_reuse.py
+++ b/tests/proxy/test_connection_reuse.py
@@ -7,26 +7,26 @@
     """They belong to no request: the answer stands, the connection goes, the next request finds a clean one."""
     for then in (b"junk", b"HTTP/1.1 200 OK\r\nTry-Id: t2\r\nServer-Seal: x\r\nContent-Length: 3\r\n\r\nbad"):
         proxy = ProxyHarness({"s1": ("one", "a1")})
-        proxy.ask()
+        proxy.send_request()
         old = proxy.pipes["s1"]
-        proxy.reply(then=then)
-        assert proxy.got().body == b"yes" and old.closed
-        proxy.ask(tag="t2")
+        proxy.respond(then=then)
+        assert proxy.response().body == b"yes" and old.closed
+        proxy.send_request(tag="t2")
         assert proxy.pipes["s1"] is not old
-        proxy.reply(tag="t2", body=b"good")
-        assert proxy.got().body == b"good"
+        proxy.respond(tag="t2", body=b"good")
+        assert proxy.response().body == b"good"
 
 
 def test_bytes_on_an_idle_connection_close_it():
     """A late second answer, as what is unread there or as it comes: the connection goes before it can pass for
     another's."""
     proxy = ProxyHarness({"s1": ("one", "a1")})
-    proxy.ask()
-    proxy.reply()
+    proxy.send_request()
+    proxy.respond()
     old = proxy.pipes["s1"]
     old.feed(b"HTTP/1.1 200 OK\r\nTry-Id: t2\r\nServer-Seal: x\r\nContent-Length: 3\r\n\r\nbad")
     assert old.closed
-    proxy.ask(tag="t2")
+    proxy.send_request(tag="t2")
     assert proxy.pipes["s1"] is not old
 
 
@@ -34,8 +34,8 @@
     """One after the other on the same connection, but not behind `Connection: close`, nor past the idle bound."""
     proxy = ProxyHarness({"s1": ("one", "a1")})
     for k in range(3):
-        proxy.ask(tag=f"t{k}")
-        proxy.reply(tag=f"t{k}", more="Connection: close\r\n" if k == 1 else "")
+        proxy.send_request(tag=f"t{k}")
+        proxy.respond(tag=f"t{k}", more="Connection: close\r\n" if k == 1 else "")
     assert proxy.log.counts["connects"] == 2
     proxy.wait(7500)
     for service_pool in proxy.request_proxy.service_pools.values():
@@ -58,22 +58,22 @@
         )
     ):
         proxy.wait(wait)
-        proxy.ask(tag=f"t{k}")
-        proxy.reply(tag=f"t{k}", more=f"Keep-Alive: {more}\r\n" if more else "")
-        assert proxy.got().status == 200 and proxy.log.counts["connects"] == connects, k
+        proxy.send_request(tag=f"t{k}")
+        proxy.respond(tag=f"t{k}", more=f"Keep-Alive: {more}\r\n" if more else "")
+        assert proxy.response().status == 200 and proxy.log.counts["connects"] == connects, k
 
 
 def test_after_a_forgotten_connection_idle_ones_are_distrusted():
     """A server that forgets idle connections without a word costs one request that may run once, not one for each of
     them."""
     proxy = ProxyHarness({"s1": ("one", "a1")})
-    proxy.ask(WRITE)
-    proxy.reply()
-    assert proxy.got().status == 200
+    proxy.send_request(WRITE)
+    proxy.respond()
+    assert proxy.response().status == 200
     proxy.wait(3000)
-    proxy.ask(WRITE, tag="t2")
+    proxy.send_request(WRITE, tag="t2")
     reset(proxy)
-    assert proxy.got().status == 502 and proxy.log.counts["connects"] == 1
+    assert proxy.response().status == 502 and proxy.log.counts["connects"] == 1
     for tag, rest, connects in (
         ("t3", 0, 2),
         ("t4", 300, 2),
@@ -82,6 +82,6 @@
         ("t7", 5500, 4),
     ):  # and is, later
         proxy.wait(rest)
-        proxy.ask(WRITE, tag=tag)
-        proxy.reply(tag=tag)
-        assert proxy.got().status == 200 and proxy.log.counts["connects"] == connects, tag
+        proxy.send_request(WRITE, tag=tag)
+        proxy.respond(tag=tag)
+        assert proxy.response().status == 200 and proxy.log.counts["connects"] == connects, tag
--- a/tests/proxy/test_hedged_requests.py
+++ b/tests/proxy/test_hedged_requests.py
@@ -8,18 +8,18 @@
     must run once never gets one."""
     proxy = ProxyHarness(TWO_SERVERS)
     for k in range(20):
-        proxy.ask(READ, tag=f"r{k}", client="r")
-        proxy.ask(WRITE, tag=f"w{k}", client="w")
+        proxy.send_request(READ, tag=f"r{k}", client="r")
+        proxy.send_request(WRITE, tag=f"w{k}", client="w")
         proxy.wait(50)
-        proxy.answer(f"r{k}")
-        proxy.answer(f"w{k}")
-    proxy.got("r"), proxy.got("w")
-    proxy.ask(READ, tag="r", client="r")
-    proxy.ask(WRITE, tag="w", client="w")
+        proxy.respond_to(f"r{k}")
+        proxy.respond_to(f"w{k}")
+    proxy.response("r"), proxy.response("w")
+    proxy.send_request(READ, tag="r", client="r")
+    proxy.send_request(WRITE, tag="w", client="w")
     proxy.wait(1500)
-    copies = [pipe for pipe in proxy.waiting() if b"Try-Id: r\r\n" in pipe.data]
+    copies = [pipe for pipe in proxy.pending_connections() if b"Try-Id: r\r\n" in pipe.data]
     assert {pipe.name for pipe in copies} == {"s1", "s2"}
-    assert sum(b"Try-Id: w\r\n" in pipe.data for pipe in proxy.waiting()) == 1
+    assert sum(b"Try-Id: w\r\n" in pipe.data for pipe in proxy.pending_connections()) == 1
     copies[1].feed("HTTP/1.1 200 OK\r\nTry-Id: r\r\nServer-Seal: x\r\nContent-Length: 3\r\n\r\nyes")
-    assert proxy.got("r").body == b"yes" and all(pipe.closed for pipe in copies if pipe is not copies[1])
-    assert proxy.got("r") is None
+    assert proxy.response("r").body == b"yes" and all(pipe.closed for pipe in copies if pipe is not copies[1])
+    assert proxy.response("r") is None
--- a/tests/proxy/test_once_only_requests.py
+++ b/tests/proxy/test_once_only_requests.py
@@ -29,29 +29,29 @@
 # ---- one request, one end
 
 
-def reset(q):
-    q.pipes[q.where()].cut()
+def reset(proxy):
+    proxy.pipes[proxy.pending_server()].cut()
 
 
-def partial_then_close(q):
-    name = q.where()
-    q.say_raw(whole("t1")[:-1])
-    q.pipes[name].cut()
+def partial_then_close(proxy):
+    name = proxy.pending_server()
+    proxy.respond_raw(whole("t1")[:-1])
+    proxy.pipes[name].cut()
 
 
-def silence(q):
-    for pipe in q.out().values():
+def silence(proxy):
+    for pipe in proxy.pending().values():
         pipe.take()
-    q.wait(6000)
+    proxy.wait(6000)
 
 
-def late_answer_of_another(q):
-    q.say_raw(whole("t0"))
+def late_answer_of_another(proxy):
+    proxy.respond_raw(whole("t0"))
 
 
-def late_not_run_without_id(q):
+def late_not_run_without_id(proxy):
     """On a connection that served another request before: it may be that one's second answer."""
-    q.say_raw(whole(None, 503, None, b"", NOT_RUN))
+    proxy.respond_raw(whole(None, 503, None, b"", NOT_RUN))
 
 
 ENDS = {
@@ -59,15 +59,15 @@
     "closed behind part of an answer": partial_then_close,
     "silence": silence,
     "an answer of an earlier request": late_answer_of_another,
-    "a Not-Run of an earlier request": lambda q: q.say_raw(whole("t0", 503, None, b"", NOT_RUN)),
-    "a 421 of an earlier request": lambda q: q.say_raw(whole("t0", 421, None, b"")),
+    "a Not-Run of an earlier request": lambda proxy: proxy.respond_raw(whole("t0", 503, None, b"", NOT_RUN)),
+    "a 421 of an earlier request": lambda proxy: proxy.respond_raw(whole("t0", 421, None, b"")),
     "a Not-Run that names no request": late_not_run_without_id,
-    "a 421 that names no request": lambda q: q.say_raw(whole(None, 421, None, b"")),
-    "garbage": lambda q: q.say_raw(b"\x16\x03\x01 no answer\r\n\r\n"),
-    "no seal": lambda q: q.say_raw(whole("t1", seal=None)),
-    "a 503 that does not say that it has not run": lambda q: q.say_raw(whole("t1", 503)),
-    "a 429 that does not say so": lambda q: q.say_raw(whole("t1", 429)),
-    "a 408 that does not say so": lambda q: q.say_raw(whole("t1", 408)),
+    "a 421 that names no request": lambda proxy: proxy.respond_raw(whole(None, 421, None, b"")),
+    "garbage": lambda proxy: proxy.respond_raw(b"\x16\x03\x01 no answer\r\n\r\n"),
+    "no seal": lambda proxy: proxy.respond_raw(whole("t1", seal=None)),
+    "a 503 that does not say that it has not run": lambda proxy: proxy.respond_raw(whole("t1", 503)),
+    "a 429 that does not say so": lambda proxy: proxy.respond_raw(whole("t1", 429)),
+    "a 408 that does not say so": lambda proxy: proxy.respond_raw(whole("t1", 408)),
 }
 
 
@@ -75,56 +75,56 @@
 @pytest.mark.parametrize("end", ENDS)
 def test_a_once_only_request_that_may_have_run_is_sent_once(end, path):
     """On a connection that was used before, and with other servers free: one dispatch, and no promise."""
-    q = ProxyHarness(SERVERS)
-    q.ask(path, tag="t0", body=b"0")
-    first = q.where()
-    q.answer("t0")
-    q.list({first: SERVERS[first]})  # the next one takes the same connection
-    q.got()
-    sent = q.log.counts["dispatches"]
-    q.ask(path, body=b"1")
-    q.list(SERVERS)
-    ENDS[end](q)
-    q.wait(6000)
-    got = q.got()
+    proxy = ProxyHarness(SERVERS)
+    proxy.send_request(path, tag="t0", body=b"0")
+    first = proxy.pending_server()
+    proxy.respond_to("t0")
+    proxy.set_servers({first: SERVERS[first]})  # the next one takes the same connection
+    proxy.response()
+    sent = proxy.log.counts["dispatches"]
+    proxy.send_request(path, body=b"1")
+    proxy.set_servers(SERVERS)
+    ENDS[end](proxy)
+    proxy.wait(6000)
+    got = proxy.response()
     assert got.status in (502, 504) and not got["retry-after"] and not got["server-seal"]
-    assert q.log.counts["dispatches"] == sent + 1 and not q.out()
+    assert proxy.log.counts["dispatches"] == sent + 1 and not proxy.pending()
 
 
 @pytest.mark.parametrize("end", ["a Not-Run that names no request", "a 421 that names no request"])
 def test_a_not_run_without_an_id_counts_on_a_fresh_connection(end):
     """Nothing else was ever asked there, so it can only be the answer to this request."""
-    q = ProxyHarness(SERVERS)
-    q.ask(WRITE, body=b"1")
-    first = q.where()
-    ENDS[end](q)
-    assert q.where() != first
-    q.reply()
-    assert q.got().status == 200
+    proxy = ProxyHarness(SERVERS)
+    proxy.send_request(WRITE, body=b"1")
+    first = proxy.pending_server()
+    ENDS[end](proxy)
+    assert proxy.pending_server() != first
+    proxy.respond()
+    assert proxy.response().status == 200
 
 
 def test_a_request_whose_client_left_is_not_sent_again():
     """Whatever its server then says, nothing is sent again for it."""
-    for end in (reset, partial_then_close, lambda q: q.not_run()):
-        q = ProxyHarness(SERVERS)
-        q.ask(WRITE, body=b"1")
-        pipe = next(iter(q.out().values()))
-        q.pipes["c"].cut()
+    for end in (reset, partial_then_close, lambda proxy: proxy.reject()):
+        proxy = ProxyHarness(SERVERS)
+        proxy.send_request(WRITE, body=b"1")
+        pipe = next(iter(proxy.pending().values()))
+        proxy.pipes["c"].cut()
         assert pipe.closed
-        if q.out():
-            end(q)
-        q.wait(3000)
-        assert q.log.counts["dispatches"] == 1 and not q.out()
+        if proxy.pending():
+            end(proxy)
+        proxy.wait(3000)
+        assert proxy.log.counts["dispatches"] == 1 and not proxy.pending()
 
 
 def test_an_id_that_is_open_at_one_service_is_open_at_all():
     """Of a route in shares, the same try may be drawn to another service: it is not run there beside the first."""
     shares = [{"Service": "one", "Weight": 1}, {"Service": "two", "Weight": 1}]
-    q = ProxyHarness(SERVERS | {"s9": ("two", "a1")}, rules=[*RULES, rule("/both/", "changing", shares=shares)])
+    proxy = ProxyHarness(SERVERS | {"s9": ("two", "a1")}, rules=[*RULES, rule("/both/", "changing", shares=shares)])
     for k in range(12):  # the draws fall on both
-        q.ask("/both/x", method="POST", client=f"a{k}", body=b"1")
-    assert q.log.counts["dispatches"] == 1
-    assert [q.got(f"a{k}").status for k in range(1, 12)] == 11 * [409]
+        proxy.send_request("/both/x", method="POST", client=f"a{k}", body=b"1")
+    assert proxy.log.counts["dispatches"] == 1
+    assert [proxy.response(f"a{k}").status for k in range(1, 12)] == 11 * [409]
 
 
 # ---- the rules on failures, tries and holding
@@ -133,16 +133,16 @@
 @pytest.mark.parametrize("path", [READ, WRITE])
 def test_a_failure_carries_the_seal_of_its_own_server(path):
     """MIXED: a sealed failure goes back with the status, seal and body that one server gave; our own have no seal."""
-    q = ProxyHarness(SERVERS)
-    q.ask(path)
+    proxy = ProxyHarness(SERVERS)
+    proxy.send_request(path)
     said = []
-    while q.out():
-        name = q.where()
+    while proxy.pending():
+        name = proxy.pending_server()
         status = 500 + len(said)
         said.append((status, f"seal-{name}", f"of {name}".encode()))
-        q.reply(status=status, seal=said[-1][1], body=said[-1][2])
-    q.wait(6000)
-    got = q.got()
+        proxy.respond(status=status, seal=said[-1][1], body=said[-1][2])
+    proxy.wait(6000)
+    got = proxy.response()
     if got["server-seal"]:
         assert (got.status, got["server-seal"], got.body) in said
     else:
@@ -153,26 +153,26 @@
 @pytest.mark.parametrize("how", ["silent", "reset", "not run", "500"])
 def test_no_more_servers_are_asked_than_the_route_has_attempts(tries, how):
     """BUDGET: copies of what is late, repeats of what failed and of what was turned away all count."""
-    q = ProxyHarness(SERVERS, rules=[rule("/read/", tries=tries, give_up="4s")])
+    proxy = ProxyHarness(SERVERS, rules=[rule("/read/", tries=tries, give_up="4s")])
     for k in range(30):  # its usual time is known, so what is late gets copies
-        q.ask(tag=f"w{k}", client=f"w{k}")
-        q.wait(20)
-        q.answer(f"w{k}")
-    before = q.log.counts["dispatches"]
-    q.ask()
+        proxy.send_request(tag=f"w{k}", client=f"w{k}")
+        proxy.wait(20)
+        proxy.respond_to(f"w{k}")
+    before = proxy.log.counts["dispatches"]
+    proxy.send_request()
     seen = set()
     for _ in range(200):
-        for name in list(q.out()):
+        for name in list(proxy.pending()):
             seen.add(name)
             if how == "reset":
-                q.pipes[name].cut()
+                proxy.pipes[name].cut()
             elif how == "not run":
-                q.not_run(name)
+                proxy.reject(name)
             elif how == "500":
-                q.reply(name, status=500)
-        q.wait(25)
-    assert len(seen) <= tries and q.log.counts["dispatches"] - before <= tries
-    assert q.got().status in (500, 502, 503, 504)
+                proxy.respond(name, status=500)
+        proxy.wait(25)
+    assert len(seen) <= tries and proxy.log.counts["dispatches"] - before <= tries
+    assert proxy.response().status in (500, 502, 503, 504)
 
 
 @pytest.mark.parametrize("path", [READ, WRITE])
@@ -180,18 +180,18 @@
     """Neither by silence, nor by an answer that drips, nor by tries behind each other: it is told by GiveUp."""
     for way in ("silence", "drips", "again"):
         kind = "changing" if path == WRITE else "read_only"
-        q = ProxyHarness(SERVERS, rules=[rule(path[:-1], kind, give_up="2s")])
-        q.ask(path, more="Time-Left-Ms: 60000\r\n")
-        began, data, at = q.now, whole("t1", body=b"x" * 4000), 0
-        while q.pipes["c"].data == b"" and q.now - began < 3000 * MS:
-            q.wait(40)
-            for name, pipe in list(q.out().items()):
+        proxy = ProxyHarness(SERVERS, rules=[rule(path[:-1], kind, give_up="2s")])
+        proxy.send_request(path, more="Time-Left-Ms: 60000\r\n")
+        began, data, at = proxy.now, whole("t1", body=b"x" * 4000), 0
+        while proxy.pipes["c"].data == b"" and proxy.now - began < 3000 * MS:
+            proxy.wait(40)
+            for name, pipe in list(proxy.pending().items()):
                 if way == "drips":
                     pipe.feed(data[at : at + 40])
                     at += 40
-                elif way == "again" and q.now - began > 400 * MS:
-                    q.pipes[name].cut()
-        assert q.got().status in (502, 504) and q.now - began <= 2040 * MS
+                elif way == "again" and proxy.now - began > 400 * MS:
+                    proxy.pipes[name].cut()
+        assert proxy.response().status in (502, 504) and proxy.now - began <= 2040 * MS
 
 
 # ---- around planned work
@@ -201,23 +201,26 @@
     """LOST: a new configuration that drops the route, its service's servers leaving the list, an evacuation, SIGTERM:
     what was passed on by then gets its server's answer."""
     works = {
-        "a configuration without the route": lambda q: q.order(2, rules=[rule("/other/", service="two")]),
-        "its servers leave the list": lambda q: q.list({"s9": ("two", "a1")}),
-        "its zone is emptied": lambda q: q.request_proxy.apply_evacuations(frozenset(["a1"])),
-        "lower caps": lambda q: q.order(2, MaxBodyBytes=1, MaxHeaderBytes=64),
-        "drained": lambda q: q.client_front.drain(),
-        "retired": lambda q: (setattr(q.client_front, "server", q), q.client_front.retire(lambda: None)),
+        "a configuration without the route": lambda proxy: proxy.configure(2, rules=[rule("/other/", service="two")]),
+        "its servers leave the list": lambda proxy: proxy.set_servers({"s9": ("two", "a1")}),
+        "its zone is emptied": lambda proxy: proxy.request_proxy.apply_evacuations(frozenset(["a1"])),
+        "lower caps": lambda proxy: proxy.configure(2, MaxBodyBytes=1, MaxHeaderBytes=64),
+        "drained": lambda proxy: proxy.client_front.drain(),
+        "retired": lambda proxy: (
+            setattr(proxy.client_front, "server", proxy),
+            proxy.client_front.retire(lambda: None),
+        ),
     }
     for work in works.values():
         for path in (READ, WRITE):
-            q = ProxyHarness(SERVERS)
-            q.ask(path, body=b"" if path == READ else b"x")
-            pipe = next(iter(q.out().values()))
-            work(q)
-            q.wait(200)
-            assert not pipe.closed and q.log.counts["dispatches"] == 1
-            q.answer("t1")
-            assert q.got().status == 200
+            proxy = ProxyHarness(SERVERS)
+            proxy.send_request(path, body=b"" if path == READ else b"x")
+            pipe = next(iter(proxy.pending().values()))
+            work(proxy)
+            proxy.wait(200)
+            assert not pipe.closed and proxy.log.counts["dispatches"] == 1
+            proxy.respond_to("t1")
+            assert proxy.response().status == 200
 
 
 # ---- anything at once
@@ -229,7 +232,7 @@
     ways = ("ok", "ok", "ok", "reset", "part", "not run", "421", "late", "extra", "500", "odd", "hang")
 
     def __init__(self, seed):
-        self.q, self.draw = ProxyHarness(SERVERS | {"s5": ("one", "a2")}), random.Random(seed)
+        self.proxy, self.draw = ProxyHarness(SERVERS | {"s5": ("one", "a2")}), random.Random(seed)
         self.asked, self.once = {}, set()  # client to the id that it waits for; ids of what may run only once
         self.sent, self.unrun = {}, {}  # id to the servers that it reached; id to how often it was turned away there
         self.seals = {}  # seal to the status that came with it
@@ -241,7 +244,7 @@
     def look(self):
         """Notes requests as they arrive; returns those that wait: (pipe, id)."""
         waiting = []
-        for pipe in self.q.waiting():
+        for pipe in self.proxy.pending_connections():
             tag = pipe.data.partition(b"Try-Id: ")[2].split(b"\r\n")[0].decode()
             if getattr(pipe, "noted", None) != tag:
                 pipe.noted = tag
@@ -266,7 +269,7 @@
         elif way == "odd":
             pipe.feed(draw.choice((b"junk\r\n\r\n", whole(tag, seal=None), whole(tag, 503))))
         else:
-            self.answer(pipe, tag, way)
+            self.respond_to(pipe, tag, way)
 
     def answer(self, pipe, tag, way):
         """An answer to the very request."""
@@ -279,9 +282,9 @@
 
     def check(self, client):
         """Whether the client has its answer, which must be its own."""
-        tag, got = self.asked[client], self.q.got(client)
+        tag, got = self.asked[client], self.proxy.response(client)
         if got is None:
-            return self.q.pipes[client].closed
+            return self.proxy.pipes[client].closed
         seal = got["server-seal"]
         assert got.status >= 400 if seal is None else self.seals[seal] == got.status
         if seal is not None:
@@ -296,13 +299,13 @@
             self.once.add(tag)
         self.asked[client] = tag
         body = b"" if path == READ else b"x" * self.draw.choice((1, 3000))
-        self.q.ask(path, tag=tag, client=client, body=body)
+        self.proxy.send_request(path, tag=tag, client=client, body=body)
 
     def step(self, client, tag):
         if client not in self.asked:
             self.ask(client, tag)
         if self.draw.random() < 0.05:
-            self.q.pipes[self.draw.choice(list(self.asked))].cut()
+            self.proxy.pipes[self.draw.choice(list(self.asked))].cut()
         for pipe, at in self.look():
             if self.draw.random() < 0.5 and not pipe.closed:
                 self.end(pipe, at)
@@ -310,7 +313,7 @@
         self.pass_by(self.draw.choice((1, 20, 120)))
 
     def pass_by(self, ms):
-        self.q.wait(ms)
+        self.proxy.wait(ms)
         self.look()
         self.asked = {client: tag for client, tag in self.asked.items() if not self.check(client)}
 
@@ -323,6 +326,6 @@
     for k in range(120):
         scene.step(f"c{k % 12}", f"r{k}")
     scene.pass_by(8000)
-    assert len(scene.once) > 20 and scene.q.log.counts["resent"] > 2 and not scene.asked
+    assert len(scene.once) > 20 and scene.proxy.log.counts["resent"] > 2 and not scene.asked
     for tag in scene.once:
         assert scene.may_have_run(tag) <= 1, f"{tag} may have run at {scene.sent[tag]}"
--- a/tests/proxy/test_retry_budget.py
+++ b/tests/proxy/test_retry_budget.py
@@ -8,12 +8,12 @@
     proxy = ProxyHarness(TWO_SERVERS)
     proxy.saved = False
     for k in range(400):  # calm: what is saved up has an end
-        proxy.ask(tag=f"c{k}")
-        proxy.reply(tag=f"c{k}")
+        proxy.send_request(tag=f"c{k}")
+        proxy.respond(tag=f"c{k}")
         proxy.wait(20)
     for k in range(100):
-        proxy.ask(client=f"f{k}", tag=f"f{k}")
-        while proxy.out():
+        proxy.send_request(client=f"f{k}", tag=f"f{k}")
+        while proxy.pending():
             reset(proxy)
         proxy.wait(20)
     terms, again = proxy.process_settings.guarantees, proxy.log.counts["resent"] + proxy.log.counts["copies"]
--- a/tests/proxy/test_service_endpoints.py
+++ b/tests/proxy/test_service_endpoints.py
@@ -10,33 +10,33 @@
     for path, key, allowed in (("/home/x", "ann-key", {"s1", "s2"}), (READ, "bea-key", {"s3", "s4"})):
         seen = set()
         for k in range(12):
-            proxy.ask(path, key=key, client=f"c{k}", tag=f"{path}{k}")
-            seen |= set(proxy.out())
+            proxy.send_request(path, key=key, client=f"c{k}", tag=f"{path}{k}")
+            seen |= set(proxy.pending())
         assert seen and seen <= allowed
         for name in seen:
-            proxy.reply(name, tag=None)  # fails: the next try stays at home too
-        assert set(proxy.out()) <= allowed
+            proxy.respond(name, tag=None)  # fails: the next try stays at home too
+        assert set(proxy.pending()) <= allowed
         for k in range(12):
             proxy.client(f"c{k}").cut()
         proxy.wait(100)
-    proxy.ask("/home/x", key="bea-key", client="d")  # no zone is a home of both
-    assert proxy.got("d").status == 503
+    proxy.send_request("/home/x", key="bea-key", client="d")  # no zone is a home of both
+    assert proxy.response("d").status == 503
 
 
 def test_draining_servers_get_nothing():
     proxy = ProxyHarness(TWO_SERVERS)
-    proxy.list({"s1": ("one", "a1", "emptying"), "s2": ("one", "a2")})
+    proxy.set_servers({"s1": ("one", "a1", "emptying"), "s2": ("one", "a2")})
     for k in range(8):
-        proxy.ask(client=f"c{k}", tag=f"t{k}")
-    assert set(proxy.out()) == {"s2"}
+        proxy.send_request(client=f"c{k}", tag=f"t{k}")
+    assert set(proxy.pending()) == {"s2"}
     proxy = ProxyHarness(TWO_SERVERS)
-    proxy.list({"s1": ("one", "a1", "emptying"), "s2": ("one", "a2", "emptying")})
-    proxy.ask()
-    assert proxy.got().status == 503 and not proxy.client_front.ready()
+    proxy.set_servers({"s1": ("one", "a1", "emptying"), "s2": ("one", "a2", "emptying")})
+    proxy.send_request()
+    assert proxy.response().status == 503 and not proxy.client_front.ready()
 
 
 def empty(proxy):
-    proxy.list({"s1": ("one", "a1", "emptying")})
+    proxy.set_servers({"s1": ("one", "a1", "emptying")})
 
 
 def evacuate(proxy):
@@ -44,24 +44,24 @@
 
 
 def gone(proxy):
-    proxy.list({"s2": ("two", "a1")})
+    proxy.set_servers({"s2": ("two", "a1")})
 
 
 @pytest.mark.parametrize("ends", (empty, evacuate, gone))
-def test_nothing_is_sent_on_a_connect_that_its_server_outlived(ends):
+def test_a_connect_that_outlasts_the_use_of_its_server_sends_nothing(ends):
     """The connect was waiting when its server's use ended: it comes up and sends nothing, and what ran before ends
     well."""
     proxy = ProxyHarness({"s1": ("one", "a1")})
-    proxy.ask(client="old", tag="t0")
+    proxy.send_request(client="old", tag="t0")
     running = proxy.pipes["s1"]
     proxy.ways["s1"] = "silent"
-    proxy.ask(WRITE)
+    proxy.send_request(WRITE)
     ends(proxy)
     proxy.ways.clear()
     proxy.settle()
-    assert set(proxy.out().values()) == {running}
+    assert set(proxy.pending().values()) == {running}
     proxy.wait(5000)
-    assert proxy.got().status == 503
+    assert proxy.response().status == 503
 
 
 def test_an_evacuated_zone_gets_nothing_until_it_is_reopened():
@@ -70,50 +70,50 @@
     proxy = ProxyHarness(TWO_SERVERS)
     proxy.request_proxy.apply_evacuations(frozenset(["a2"]))
     for k in range(8):
-        proxy.ask(client=f"c{k}", tag=f"t{k}")
-    assert set(proxy.out()) == {"s1"}
+        proxy.send_request(client=f"c{k}", tag=f"t{k}")
+    assert set(proxy.pending()) == {"s1"}
     proxy = ProxyHarness({"s1": ("one", "a1")})
-    proxy.ask()
+    proxy.send_request()
     proxy.request_proxy.apply_evacuations(frozenset(["a1"]))
-    proxy.reply()
-    assert proxy.got().status == 200 and proxy.pipes["s1"].closed
-    proxy.ask(tag="t2")
-    assert proxy.got().status == 503
-    proxy.list({"s1": ("one", "a1"), "s2": ("one", "a1")})  # a new list does not undo it
-    proxy.ask(tag="t2")
-    assert proxy.got().status == 503
+    proxy.respond()
+    assert proxy.response().status == 200 and proxy.pipes["s1"].closed
+    proxy.send_request(tag="t2")
+    assert proxy.response().status == 503
+    proxy.set_servers({"s1": ("one", "a1"), "s2": ("one", "a1")})  # a new list does not undo it
+    proxy.send_request(tag="t2")
+    assert proxy.response().status == 503
     proxy.request_proxy.apply_evacuations(frozenset())
     proxy.wait(3100)  # its servers may have become cold
-    proxy.ask(tag="t3")
-    assert proxy.out()
+    proxy.send_request(tag="t3")
+    assert proxy.pending()
 
 
 def test_a_server_whose_address_was_reused_gets_nothing():
     """A 421 says that another server has the address: it goes elsewhere, that server is asked no more, and its idle
     connections are closed, until the list says something new of it."""
     proxy = ProxyHarness(TWO_SERVERS)
-    proxy.ask()
-    gone = proxy.where()
-    proxy.reply(status=421, seal=None)
-    assert proxy.where() != gone
-    proxy.reply()
+    proxy.send_request()
+    gone = proxy.pending_server()
+    proxy.respond(status=421, seal=None)
+    assert proxy.pending_server() != gone
+    proxy.respond()
     for k in range(8):
-        proxy.ask(client=f"c{k}", tag=f"t{k}")
-    assert len(proxy.out()) == 1 and gone not in proxy.out()
+        proxy.send_request(client=f"c{k}", tag=f"t{k}")
+    assert len(proxy.pending()) == 1 and gone not in proxy.pending()
     assert proxy.log.counts["misdirected"] == 1 and proxy.log.counts["unseen"] == 1
-    proxy.list({"s1": ("one", "a1"), "s2": ("one", "a2")}, at={gone: 9100})
+    proxy.set_servers({"s1": ("one", "a1"), "s2": ("one", "a2")}, at={gone: 9100})
     for k in range(8):
-        proxy.ask(client=f"d{k}", tag=f"u{k}")
-    assert gone in proxy.out()
+        proxy.send_request(client=f"d{k}", tag=f"u{k}")
+    assert gone in proxy.pending()
 
 
 def test_connections_to_a_former_address_are_closed():
     """Connections to where a server stood are not used for where it stands now."""
     proxy = ProxyHarness({"s1": ("one", "a1")})
-    proxy.ask()
-    proxy.reply()
+    proxy.send_request()
+    proxy.respond()
     old = proxy.pipes["s1"]
-    proxy.list({"s1": ("one", "a1")}, at={"s1": 9100})
+    proxy.set_servers({"s1": ("one", "a1")}, at={"s1": 9100})
     assert old.closed
-    proxy.ask(tag="t2")
+    proxy.send_request(tag="t2")
     assert proxy.pipes["s1"] is not old
--- a/tests/proxy/test_slow_start.py
+++ b/tests/proxy/test_slow_start.py
@@ -13,12 +13,12 @@
     configuration = configuration_reader.read(orders().replace(b'"3s"', b'"6s"')).ok_value
     proxy.client_front.apply_caps(configuration.caps)
     proxy.request_proxy.apply_configuration(configuration)
-    proxy.list({"s1": ("one", "a1")}, cold={"s1": 6000})
+    proxy.set_servers({"s1": ("one", "a1")}, cold={"s1": 6000})
     node = proxy.request_proxy.service_pools["one"].driver.node
     (server,) = node.servers.values()
     for tag, wait, cold in (("t1", 4000, True), ("t2", 2500, False)):
         proxy.wait(wait)
-        proxy.ask(tag=tag)
+        proxy.send_request(tag=tag)
         assert (node.ready(server) < 1.0) is cold, tag
 
 
@@ -30,17 +30,17 @@
     proxy, came = ProxyHarness(warm), []
     if back:
         proxy.request_proxy.apply_evacuations(frozenset(["a2"]))
-        proxy.list(warm | {"s9": ("one", "a2")})
+        proxy.set_servers(warm | {"s9": ("one", "a2")})
     for k in range(400):
         if k == 100:
-            proxy.request_proxy.apply_evacuations(frozenset()) if back else proxy.list(
+            proxy.request_proxy.apply_evacuations(frozenset()) if back else proxy.set_servers(
                 warm | {"s9": ("one", "a1")}, cold={"s9": 3000}
             )
-        proxy.ask(tag=f"t{k}")
-        if proxy.where() == "s9":
+        proxy.send_request(tag=f"t{k}")
+        if proxy.pending_server() == "s9":
             came.append(proxy.now / SEC)
         proxy.wait(10)
-        proxy.answer(f"t{k}")
+        proxy.respond_to(f"t{k}")
         proxy.wait(10)
     early = [at for at in came if at < 5]
     assert len(early) <= 3 and all(b - a >= 1 for a, b in pairwise(early))
--- a/tests/proxy_fixtures.py
+++ b/tests/proxy_fixtures.py
@@ -159,8 +159,8 @@
         self.client_front = ClientFront(environment, self.request_proxy)
         self.make = lambda: self.client_front.make_connection()
         if servers is not None:
-            self.order(rules=rules, tenants=tenants, **caps)
-            self.list(servers)
+            self.configure(rules=rules, tenants=tenants, **caps)
+            self.set_servers(servers)
 
     def clock(self):
         return EPOCH + self.now
@@ -170,13 +170,13 @@
         self.opened.append(pipe)
         return pipe
 
-    def order(self, revision=1, **other):
+    def configure(self, revision=1, **other):
         configuration = configuration_reader.read(orders(revision, **other)).ok_value
         self.client_front.apply_caps(configuration.caps)
         self.request_proxy.apply_configuration(configuration)
         self.settle()
 
-    def list(self, servers, at=None, cold=None):
+    def set_servers(self, servers, at=None, cold=None):
         """`at`: id to port, where it is not the id's own; `cold`: id to the ms that it stays so."""
         rows = []
         for uid, (service, zone, *state) in servers.items():
@@ -208,7 +208,7 @@
             pipe.protocol.connection_made(pipe)
         return pipe
 
-    def ask(
+    def send_request(
         self, path="/read/x", tag="t1", client="c", key="ann-key", method=None, body=b"", host="host.example", more=""
     ):
         """One request; `more` are lines of the head."""
@@ -223,56 +223,56 @@
         head += more + (f"Content-Length: {len(body)}\r\n" if body else "")
         self.client(client).feed(head.encode() + b"\r\n" + body)
 
-    def got(self, client="c"):
+    def response(self, client="c"):
         """What the client got since it was last looked at, or None."""
         data = self.pipes[client].take()
         return ClientResponse(data) if data else None
 
     # ---- servers
 
-    def out(self):
+    def pending(self):
         """Ids of the servers at which something stands unanswered, with the newest such connection."""
-        return {pipe.name: pipe for pipe in self.waiting()}
+        return {pipe.name: pipe for pipe in self.pending_connections()}
 
-    def waiting(self):
+    def pending_connections(self):
         return [pipe for pipe in self.opened if pipe.protocol and not pipe.closed and pipe.data]
 
-    def where(self):
+    def pending_server(self):
         """The one server that holds the request."""
-        ((name, pipe),) = self.out().items()
+        ((name, pipe),) = self.pending().items()
         return name
 
-    def sent(self, name=None):
+    def forwarded(self, name=None):
         """What the server got: its head's lines as a dict, and the body."""
-        request = self.out()[name or self.where()].data
+        request = self.pending()[name or self.pending_server()].data
         head, _, body = request.partition(b"\r\n\r\n")
         lines = head.decode().split("\r\n")
         fields = dict(line.split(": ", 1) for line in lines[1:])
         assert len(fields) == len(lines) - 1, "a field twice"
         return lines[0], fields, body
 
-    def reply(self, name=None, status=200, body=b"yes", tag="t1", seal="stamp", more="", then=b""):
+    def respond(self, name=None, status=200, body=b"yes", tag="t1", seal="stamp", more="", then=b""):
         """A server's answer; `tag` and `seal` None leave their field out, `then` is what follows it."""
         head = f"HTTP/1.1 {status} Said\r\nContent-Length: {len(body)}\r\n{more}"
         head += f"Try-Id: {tag}\r\n" if tag else ""
         head += f"Server-Seal: {seal}\r\n" if seal else ""
-        self.say_raw(head.encode() + b"\r\n" + body + then, name)
+        self.respond_raw(head.encode() + b"\r\n" + body + then, name)
 
-    def say_raw(self, data, name=None):
-        pipe = self.out()[name or self.where()]
+    def respond_raw(self, data, name=None):
+        pipe = self.pending()[name or self.pending_server()]
         pipe.take()
         pipe.feed(data)
 
-    def answer(self, tag):
+    def respond_to(self, tag):
         """The server that holds the request of this id answers it."""
-        pipe = next(pipe for pipe in self.waiting() if b"Try-Id: %s\r\n" % tag.encode() in pipe.data)
+        pipe = next(pipe for pipe in self.pending_connections() if b"Try-Id: %s\r\n" % tag.encode() in pipe.data)
         pipe.take()
         pipe.feed(f"HTTP/1.1 200 OK\r\nTry-Id: {tag}\r\nServer-Seal: x\r\nContent-Length: 2\r\n\r\nok")
 
-    def not_run(self, name=None, status=503, tag="t1"):
-        self.reply(name, status, b"", tag, None, "Not-Run: 1\r\n")
+    def reject(self, name=None, status=503, tag="t1"):
+        self.respond(name, status, b"", tag, None, "Not-Run: 1\r\n")
 
 
-def reset(q):
+def reset(proxy):
     """The connection on which the last request went is reset."""
-    q.pipes[q.where()].cut()
+    proxy.pipes[proxy.pending_server()].cut()
