--- a/rampfront/consensus/frame_decoder.py
+++ b/rampfront/consensus/frame_decoder.py
@@ -7,6 +7,7 @@
 from collections.abc import Callable
 from typing import NamedTuple, TypeAlias
 
+from . import wire_names as wire
 from .errors import RemoteProtocolError
 from .identifiers import LogPosition, MemberKey
 from .messages import (
@@ -25,39 +26,7 @@
     VoteRequest,
 )
 from .state import MAX_NAMES
-from .wire_names import (
-    APPEND_ACKNOWLEDGED,
-    APPEND_ENTRY,
-    BODY_DIGEST,
-    COMMIT_INDEX,
-    COUNTS_TOWARDS_SIZE,
-    ENTRY,
-    HEARTBEAT,
-    IS_EXCLUDED,
-    IS_SHUTTING_DOWN,
-    JOIN_REQUEST,
-    KIND,
-    LEADER_HINT,
-    LEADER_IP,
-    LEADER_QUERY,
-    LEADERSHIP_ENDED,
-    MEMBER_IPS,
-    PASSWORD,
-    POSITION,
-    PRE_VOTE_GRANTED,
-    PRE_VOTE_REQUEST,
-    RECEIVER_INCARNATION,
-    ROUND,
-    SENDER_INCARNATION,
-    SENDER_NAME,
-    SUCCESSOR,
-    TERM,
-    TERM_REJECTED,
-    VERSIONS,
-    VOTE_GRANTED,
-    VOTE_REQUEST,
-    Frame,
-)
+from .wire_names import Frame
 
 MAX_KEYS = 16
 MAX_NUMBER = 1 << 53
@@ -106,90 +75,92 @@
 
 
 def _sender(frame: Frame) -> MemberKey:
-    return MemberKey(frame[SENDER_NAME], frame[SENDER_INCARNATION])
+    return MemberKey(frame[wire.SENDER_NAME], frame[wire.SENDER_INCARNATION])
 
 
 def _position(frame: Frame) -> LogPosition:
-    position = frame[POSITION]
+    position = frame[wire.POSITION]
     return LogPosition(position[0], position[1])
 
 
 def _join_request(frame: Frame) -> JoinRequest:
-    founding = bool(frame.get(COUNTS_TOWARDS_SIZE))
-    return JoinRequest(_sender(frame), frame[PASSWORD], founding, frame.get(RECEIVER_INCARNATION))
+    founding = bool(frame.get(wire.COUNTS_TOWARDS_SIZE))
+    return JoinRequest(_sender(frame), frame[wire.PASSWORD], founding, frame.get(wire.RECEIVER_INCARNATION))
 
 
 def _leader_query(frame: Frame) -> LeaderQuery:
-    is_member = SENDER_NAME in frame and SENDER_INCARNATION in frame
-    return LeaderQuery(_sender(frame) if is_member else None, frame.get(RECEIVER_INCARNATION))
+    is_member = wire.SENDER_NAME in frame and wire.SENDER_INCARNATION in frame
+    return LeaderQuery(_sender(frame) if is_member else None, frame.get(wire.RECEIVER_INCARNATION))
 
 
 def _leader_hint(frame: Frame) -> LeaderHint:
     return LeaderHint(
-        frame[TERM],
-        frame[LEADER_IP],
-        frame[MEMBER_IPS],
-        frame[PASSWORD],
-        bool(frame[IS_EXCLUDED]),
-        frame.get(RECEIVER_INCARNATION),
+        frame[wire.TERM],
+        frame[wire.LEADER_IP],
+        frame[wire.MEMBER_IPS],
+        frame[wire.PASSWORD],
+        bool(frame[wire.IS_EXCLUDED]),
+        frame.get(wire.RECEIVER_INCARNATION),
     )
 
 
 def _pre_vote_request(frame: Frame) -> PreVoteRequest:
     position = _position(frame)
-    return PreVoteRequest(_sender(frame), frame[RECEIVER_INCARNATION], frame[TERM], position)
+    return PreVoteRequest(_sender(frame), frame[wire.RECEIVER_INCARNATION], frame[wire.TERM], position)
 
 
 def _pre_vote_granted(frame: Frame) -> PreVoteGranted:
-    return PreVoteGranted(_sender(frame), frame[RECEIVER_INCARNATION], frame[TERM])
+    return PreVoteGranted(_sender(frame), frame[wire.RECEIVER_INCARNATION], frame[wire.TERM])
 
 
 def _vote_request(frame: Frame) -> VoteRequest:
     position = _position(frame)
-    is_successor = bool(frame.get(SUCCESSOR))
-    return VoteRequest(_sender(frame), frame[RECEIVER_INCARNATION], frame[TERM], position, is_successor)
+    is_successor = bool(frame.get(wire.SUCCESSOR))
+    return VoteRequest(_sender(frame), frame[wire.RECEIVER_INCARNATION], frame[wire.TERM], position, is_successor)
 
 
 def _vote_granted(frame: Frame) -> VoteGranted:
-    return VoteGranted(_sender(frame), frame[RECEIVER_INCARNATION], frame[TERM])
+    return VoteGranted(_sender(frame), frame[wire.RECEIVER_INCARNATION], frame[wire.TERM])
 
 
 def _term_rejected(frame: Frame) -> TermRejected:
-    return TermRejected(frame[TERM], frame.get(RECEIVER_INCARNATION))
+    return TermRejected(frame[wire.TERM], frame.get(wire.RECEIVER_INCARNATION))
 
 
 def _heartbeat(frame: Frame) -> Heartbeat:
-    return Heartbeat(_sender(frame), frame[RECEIVER_INCARNATION], frame[TERM], frame[ROUND], frame[COMMIT_INDEX])
+    return Heartbeat(
+        _sender(frame), frame[wire.RECEIVER_INCARNATION], frame[wire.TERM], frame[wire.ROUND], frame[wire.COMMIT_INDEX]
+    )
 
 
 def _append_entry(frame: Frame) -> AppendEntry:
     return AppendEntry(
         _sender(frame),
-        frame[RECEIVER_INCARNATION],
-        frame[TERM],
-        frame[ROUND],
-        frame[COMMIT_INDEX],
-        frame[ENTRY],
-        frame.get(VERSIONS),
+        frame[wire.RECEIVER_INCARNATION],
+        frame[wire.TERM],
+        frame[wire.ROUND],
+        frame[wire.COMMIT_INDEX],
+        frame[wire.ENTRY],
+        frame.get(wire.VERSIONS),
     )
 
 
 def _append_acknowledged(frame: Frame) -> AppendAcknowledged:
     return AppendAcknowledged(
         _sender(frame),
-        frame[RECEIVER_INCARNATION],
-        frame[TERM],
-        frame[ROUND],
+        frame[wire.RECEIVER_INCARNATION],
+        frame[wire.TERM],
+        frame[wire.ROUND],
         _position(frame),
-        frame[BODY_DIGEST],
-        bool(frame.get(IS_SHUTTING_DOWN)),
+        frame[wire.BODY_DIGEST],
+        bool(frame.get(wire.IS_SHUTTING_DOWN)),
     )
 
 
 def _leadership_ended(frame: Frame) -> LeadershipEnded:
-    named = frame.get(SUCCESSOR)
+    named = frame.get(wire.SUCCESSOR)
     hands_over = None if named is None else bool(named)
-    return LeadershipEnded(_sender(frame), frame[RECEIVER_INCARNATION], frame[TERM], hands_over)
+    return LeadershipEnded(_sender(frame), frame[wire.RECEIVER_INCARNATION], frame[wire.TERM], hands_over)
 
 
 class _Form(NamedTuple):
@@ -200,33 +171,37 @@
     build: Callable[[Frame], Message]
 
 
-_NAMED: dict[str, FieldCheck] = {SENDER_NAME: _is_name}
-_BOUND = (SENDER_INCARNATION, RECEIVER_INCARNATION, TERM)
-_ROUND = (*_BOUND, ROUND, COMMIT_INDEX)
-_ACKNOWLEDGEMENT: dict[str, FieldCheck] = {**_NAMED, POSITION: _is_position, BODY_DIGEST: _is_digest}
+_NAMED: dict[str, FieldCheck] = {wire.SENDER_NAME: _is_name}
+_BOUND = (wire.SENDER_INCARNATION, wire.RECEIVER_INCARNATION, wire.TERM)
+_ROUND = (*_BOUND, wire.ROUND, wire.COMMIT_INDEX)
+_ACKNOWLEDGEMENT: dict[str, FieldCheck] = {**_NAMED, wire.POSITION: _is_position, wire.BODY_DIGEST: _is_digest}
 _FORMS: dict[str, _Form] = {
-    JOIN_REQUEST: _Form((SENDER_INCARNATION, PASSWORD), _NAMED, _join_request),
-    LEADER_QUERY: _Form((), {}, _leader_query),
-    LEADER_HINT: _Form((TERM, PASSWORD, IS_EXCLUDED), {LEADER_IP: _is_ip, MEMBER_IPS: _is_ip_list}, _leader_hint),
-    PRE_VOTE_REQUEST: _Form(_BOUND, {**_NAMED, POSITION: _is_position}, _pre_vote_request),
-    PRE_VOTE_GRANTED: _Form(_BOUND, _NAMED, _pre_vote_granted),
-    VOTE_REQUEST: _Form(_BOUND, {**_NAMED, POSITION: _is_position}, _vote_request),
-    VOTE_GRANTED: _Form(_BOUND, _NAMED, _vote_granted),
-    TERM_REJECTED: _Form((TERM,), {}, _term_rejected),
-    HEARTBEAT: _Form(_ROUND, _NAMED, _heartbeat),
-    APPEND_ENTRY: _Form(_ROUND, {**_NAMED, ENTRY: _is_list}, _append_entry),
-    APPEND_ACKNOWLEDGED: _Form((*_BOUND, ROUND), _ACKNOWLEDGEMENT, _append_acknowledged),
-    LEADERSHIP_ENDED: _Form(_BOUND, _NAMED, _leadership_ended),
+    wire.JOIN_REQUEST: _Form((wire.SENDER_INCARNATION, wire.PASSWORD), _NAMED, _join_request),
+    wire.LEADER_QUERY: _Form((), {}, _leader_query),
+    wire.LEADER_HINT: _Form(
+        (wire.TERM, wire.PASSWORD, wire.IS_EXCLUDED),
+        {wire.LEADER_IP: _is_ip, wire.MEMBER_IPS: _is_ip_list},
+        _leader_hint,
+    ),
+    wire.PRE_VOTE_REQUEST: _Form(_BOUND, {**_NAMED, wire.POSITION: _is_position}, _pre_vote_request),
+    wire.PRE_VOTE_GRANTED: _Form(_BOUND, _NAMED, _pre_vote_granted),
+    wire.VOTE_REQUEST: _Form(_BOUND, {**_NAMED, wire.POSITION: _is_position}, _vote_request),
+    wire.VOTE_GRANTED: _Form(_BOUND, _NAMED, _vote_granted),
+    wire.TERM_REJECTED: _Form((wire.TERM,), {}, _term_rejected),
+    wire.HEARTBEAT: _Form(_ROUND, _NAMED, _heartbeat),
+    wire.APPEND_ENTRY: _Form(_ROUND, {**_NAMED, wire.ENTRY: _is_list}, _append_entry),
+    wire.APPEND_ACKNOWLEDGED: _Form((*_BOUND, wire.ROUND), _ACKNOWLEDGEMENT, _append_acknowledged),
+    wire.LEADERSHIP_ENDED: _Form(_BOUND, _NAMED, _leadership_ended),
 }
 # May be left out of any kind, but must be right where they are.
 _OPTIONAL: dict[str, FieldCheck] = {
-    COUNTS_TOWARDS_SIZE: _is_number,
-    IS_SHUTTING_DOWN: _is_number,
-    SUCCESSOR: _is_number,
-    RECEIVER_INCARNATION: _is_number,
-    SENDER_INCARNATION: _is_number,
-    SENDER_NAME: _is_name,
-    VERSIONS: _is_list,
+    wire.COUNTS_TOWARDS_SIZE: _is_number,
+    wire.IS_SHUTTING_DOWN: _is_number,
+    wire.SUCCESSOR: _is_number,
+    wire.RECEIVER_INCARNATION: _is_number,
+    wire.SENDER_INCARNATION: _is_number,
+    wire.SENDER_NAME: _is_name,
+    wire.VERSIONS: _is_list,
 }
 
 
@@ -237,7 +212,7 @@
     """
     if not isinstance(frame, dict) or len(frame) > MAX_KEYS:
         raise RemoteProtocolError("no map")
-    kind = frame.get(KIND)
+    kind = frame.get(wire.KIND)
     form = _FORMS.get(kind) if type(kind) is str else None
     if form is None:
         raise RemoteProtocolError("kind")
--- a/rampfront/consensus/frame_encoder.py
+++ b/rampfront/consensus/frame_encoder.py
@@ -6,6 +6,7 @@
 
 from typing import TypeAlias, assert_never
 
+from . import wire_names as wire
 from .messages import (
     AppendAcknowledged,
     AppendEntry,
@@ -24,39 +25,7 @@
     VoteGranted,
     VoteRequest,
 )
-from .wire_names import (
-    APPEND_ACKNOWLEDGED,
-    APPEND_ENTRY,
-    BODY_DIGEST,
-    COMMIT_INDEX,
-    COUNTS_TOWARDS_SIZE,
-    ENTRY,
-    HEARTBEAT,
-    IS_EXCLUDED,
-    IS_SHUTTING_DOWN,
-    JOIN_REQUEST,
-    KIND,
-    LEADER_HINT,
-    LEADER_IP,
-    LEADER_QUERY,
-    LEADERSHIP_ENDED,
-    MEMBER_IPS,
-    PASSWORD,
-    POSITION,
-    PRE_VOTE_GRANTED,
-    PRE_VOTE_REQUEST,
-    RECEIVER_INCARNATION,
-    ROUND,
-    SENDER_INCARNATION,
-    SENDER_NAME,
-    SUCCESSOR,
-    TERM,
-    TERM_REJECTED,
-    VERSIONS,
-    VOTE_GRANTED,
-    VOTE_REQUEST,
-    Frame,
-)
+from .wire_names import Frame
 
 
 def encode(message: Message) -> Frame:
@@ -75,7 +44,7 @@
 def _replication_frame(message: ReplicationMessage) -> Frame:
     match message:
         case Heartbeat():
-            return _round_frame(HEARTBEAT, message)
+            return _round_frame(wire.HEARTBEAT, message)
         case AppendAcknowledged():
             return _append_acknowledged_frame(message)
         case AppendEntry():
@@ -89,15 +58,15 @@
 def _election_frame(message: ElectionMessage) -> Frame:
     match message:
         case PreVoteRequest():
-            return {**_bound_frame(PRE_VOTE_REQUEST, message), POSITION: list(message.position)}
+            return {**_bound_frame(wire.PRE_VOTE_REQUEST, message), wire.POSITION: list(message.position)}
         case PreVoteGranted():
-            return _bound_frame(PRE_VOTE_GRANTED, message)
+            return _bound_frame(wire.PRE_VOTE_GRANTED, message)
         case VoteRequest():
             return _vote_request_frame(message)
         case VoteGranted():
-            return _bound_frame(VOTE_GRANTED, message)
+            return _bound_frame(wire.VOTE_GRANTED, message)
         case TermRejected():
-            return {KIND: TERM_REJECTED, TERM: message.term}
+            return {wire.KIND: wire.TERM_REJECTED, wire.TERM: message.term}
         case _:
             assert_never(message)
 
@@ -129,11 +98,11 @@
 def _bound_frame(kind: str, message: _Bound) -> Frame:
     """Of a kind that is bound to its sender, to one incarnation of its receiver, and to a term."""
     return {
-        KIND: kind,
-        SENDER_NAME: message.sender.name,
-        SENDER_INCARNATION: message.sender.incarnation,
-        RECEIVER_INCARNATION: message.receiver_incarnation,
-        TERM: message.term,
+        wire.KIND: kind,
+        wire.SENDER_NAME: message.sender.name,
+        wire.SENDER_INCARNATION: message.sender.incarnation,
+        wire.RECEIVER_INCARNATION: message.receiver_incarnation,
+        wire.TERM: message.term,
     }
 
 
@@ -141,78 +110,78 @@
     """Of a message with which a leader counts a round."""
     sender = message.sender
     return {
-        KIND: kind,
-        SENDER_NAME: sender.name,
-        SENDER_INCARNATION: sender.incarnation,
-        RECEIVER_INCARNATION: message.receiver_incarnation,
-        TERM: message.term,
-        ROUND: message.round,
-        COMMIT_INDEX: message.commit_index,
+        wire.KIND: kind,
+        wire.SENDER_NAME: sender.name,
+        wire.SENDER_INCARNATION: sender.incarnation,
+        wire.RECEIVER_INCARNATION: message.receiver_incarnation,
+        wire.TERM: message.term,
+        wire.ROUND: message.round,
+        wire.COMMIT_INDEX: message.commit_index,
     }
 
 
 def _append_entry_frame(message: AppendEntry) -> Frame:
-    frame = _round_frame(APPEND_ENTRY, message)
-    frame[ENTRY] = message.entry
+    frame = _round_frame(wire.APPEND_ENTRY, message)
+    frame[wire.ENTRY] = message.entry
     if message.versions is not None:
-        frame[VERSIONS] = message.versions
+        frame[wire.VERSIONS] = message.versions
     return frame
 
 
 def _append_acknowledged_frame(message: AppendAcknowledged) -> Frame:
-    frame = _bound_frame(APPEND_ACKNOWLEDGED, message)
-    frame[ROUND] = message.round
-    frame[POSITION] = list(message.position)
-    frame[BODY_DIGEST] = message.body_digest
+    frame = _bound_frame(wire.APPEND_ACKNOWLEDGED, message)
+    frame[wire.ROUND] = message.round
+    frame[wire.POSITION] = list(message.position)
+    frame[wire.BODY_DIGEST] = message.body_digest
     if message.is_shutting_down:
-        frame[IS_SHUTTING_DOWN] = 1
+        frame[wire.IS_SHUTTING_DOWN] = 1
     return frame
 
 
 def _vote_request_frame(message: VoteRequest) -> Frame:
-    frame = _bound_frame(VOTE_REQUEST, message)
-    frame[POSITION] = list(message.position)
+    frame = _bound_frame(wire.VOTE_REQUEST, message)
+    frame[wire.POSITION] = list(message.position)
     if message.is_named_successor:
-        frame[SUCCESSOR] = 1
+        frame[wire.SUCCESSOR] = 1
     return frame
 
 
 def _leadership_ended_frame(message: LeadershipEnded) -> Frame:
-    frame = _bound_frame(LEADERSHIP_ENDED, message)
+    frame = _bound_frame(wire.LEADERSHIP_ENDED, message)
     if message.hands_over_to_receiver is not None:
-        frame[SUCCESSOR] = int(message.hands_over_to_receiver)
+        frame[wire.SUCCESSOR] = int(message.hands_over_to_receiver)
     return frame
 
 
 def _join_request_frame(message: JoinRequest) -> Frame:
     frame: Frame = {
-        KIND: JOIN_REQUEST,
-        SENDER_NAME: message.sender.name,
-        SENDER_INCARNATION: message.sender.incarnation,
-        PASSWORD: message.password,
+        wire.KIND: wire.JOIN_REQUEST,
+        wire.SENDER_NAME: message.sender.name,
+        wire.SENDER_INCARNATION: message.sender.incarnation,
+        wire.PASSWORD: message.password,
     }
     if message.counts_towards_size:
-        frame[COUNTS_TOWARDS_SIZE] = 1
+        frame[wire.COUNTS_TOWARDS_SIZE] = 1
     return frame
 
 
 def _leader_query_frame(message: LeaderQuery) -> Frame:
-    frame: Frame = {KIND: LEADER_QUERY}
+    frame: Frame = {wire.KIND: wire.LEADER_QUERY}
     if message.sender is not None:
-        frame[SENDER_NAME] = message.sender.name
-        frame[SENDER_INCARNATION] = message.sender.incarnation
+        frame[wire.SENDER_NAME] = message.sender.name
+        frame[wire.SENDER_INCARNATION] = message.sender.incarnation
     return frame
 
 
 def _leader_hint_frame(message: LeaderHint) -> Frame:
     frame: Frame = {
-        KIND: LEADER_HINT,
-        TERM: message.term,
-        LEADER_IP: message.leader_ip,
-        MEMBER_IPS: message.member_ips,
-        PASSWORD: message.password,
-        IS_EXCLUDED: int(message.receiver_is_excluded),
+        wire.KIND: wire.LEADER_HINT,
+        wire.TERM: message.term,
+        wire.LEADER_IP: message.leader_ip,
+        wire.MEMBER_IPS: message.member_ips,
+        wire.PASSWORD: message.password,
+        wire.IS_EXCLUDED: int(message.receiver_is_excluded),
     }
     if message.receiver_is_excluded:
-        frame[RECEIVER_INCARNATION] = message.receiver_incarnation
+        frame[wire.RECEIVER_INCARNATION] = message.receiver_incarnation
     return frame
--- a/rampfront/consensus/leader.py
+++ b/rampfront/consensus/leader.py
@@ -25,7 +25,7 @@
 from .identifiers import SEC, MemberKey, TimeNs
 from .leader_discovery import LeaderDiscovery
 from .leadership_transfer import LeadershipTransfer, most_caught_up
-from .membership_change import MembershipChange, Step
+from .membership_change import MembershipChange, MembershipView, Step
 from .messages import AppendAcknowledged, JoinRequest, LeadershipEnded
 from .order_application import OrderApplication, PendingOrder, pending_order
 from .order_queue import OrderQueue
@@ -227,10 +227,12 @@
         return True
 
     def _next_step(self) -> Step | None:
-        first_committed_at = self.replication.first_committed_at
-        assert first_committed_at is not None
-        replicas, confirmed_at = self.replication.replicas, self.rounds.confirmed_at
-        return self.membership.next_step(self._entry(), replicas, confirmed_at, first_committed_at)
+        replication = self.replication
+        assert replication.first_committed_at is not None
+        view = MembershipView(
+            self._entry(), replication.replicas, self.rounds.confirmed_at, replication.first_committed_at
+        )
+        return self.membership.next_step(view)
 
     def _reopen_zone(self, entry: State) -> bool:
         """Opens a zone that nobody certain keeps evacuated any more; returns whether there was one."""
--- a/rampfront/consensus/membership_change.py
+++ b/rampfront/consensus/membership_change.py
@@ -73,6 +73,31 @@
     name: str
 
 
+class MembershipView(NamedTuple):
+    """What a leader knows of its members at one moment.
+
+    `state`: its newest entry. `replicas`: the other members. `confirmed_at`: when the newest round was sent that a
+    majority answered. `first_committed_at`: when the first entry of this term was committed.
+    """
+
+    state: State
+    replicas: Mapping[MemberKey, ReplicaProgress]
+    confirmed_at: TimeNs
+    first_committed_at: TimeNs
+
+    def misses_answers(self) -> bool:
+        """Whether some member has not answered the last rounds."""
+        return any(self._is_unanswered(replica) for replica in self.replicas.values())
+
+    def answers_and_stays(self, key: MemberKey) -> bool:
+        """Whether a member answers, and is not about to end."""
+        replica = self.replicas.get(key)
+        return replica is not None and not self._is_unanswered(replica) and not replica.is_shutting_down
+
+    def _is_unanswered(self, replica: ReplicaProgress) -> bool:
+        return self.confirmed_at - replica.last_contact_at > UNANSWERED_NS
+
+
 def wanted_size(state: State, survive: int) -> int:
     """How many members must be left: as many as at the first start, and a majority of them after `survive` losses."""
     return max(state.target_size, 2 * survive + 1)
@@ -129,34 +154,16 @@
 
     # Changes.
 
-    def next_step(
-        self,
-        state: State,
-        replicas: Mapping[MemberKey, ReplicaProgress],
-        confirmed_at: TimeNs,
-        first_committed_at: TimeNs,
-    ) -> Step | None:
-        """The next change towards the list that is wanted, or None.
-
-        Parameters:
-            state: a committed entry of this term.
-            replicas: the other members.
-            confirmed_at: when the newest round was sent that a majority answered.
-            first_committed_at: when the first entry of this term was committed.
-        """
-        removal = self.removal(state, replicas, confirmed_at, first_committed_at)
-        return removal or self._admission(state, replicas, confirmed_at)
-
-    def _admission(
-        self, state: State, replicas: Mapping[MemberKey, ReplicaProgress], confirmed_at: TimeNs
-    ) -> Step | None:
+    def next_step(self, view: MembershipView) -> Step | None:
+        """The next change towards the list that is wanted, or None. The state of `view` is committed, in this term."""
+        return self.removal(view) or self._admission(view)
+
+    def _admission(self, view: MembershipView) -> Step | None:
         """Adds one learner that has caught up, in place of its own former incarnation if there is one."""
-        members = state.members
+        state, members = view.state, view.state.members
         # Guards a majority that is met barely: while one too many is in the list and some do not answer, another
         # newcomer would raise what a majority takes. It waits until the silent one is removed, or answers again.
-        is_crowded = len(members) > wanted_size(state, self._survive) and any(
-            confirmed_at - replica.last_contact_at > UNANSWERED_NS for replica in replicas.values()
-        )
+        is_crowded = len(members) > wanted_size(state, self._survive) and view.misses_answers()
         for learner in list(self.learners.values()):
             former = members.get(learner.name)
             with_learner = {**members, learner.name: learner.address}
@@ -172,24 +179,18 @@
                     return Step(with_learner, members, state.target_size + learner.counts_towards_size)
         return None
 
-    def removal(
-        self,
-        state: State,
-        replicas: Mapping[MemberKey, ReplicaProgress],
-        confirmed_at: TimeNs,
-        first_committed_at: TimeNs,
-    ) -> Step | None:
+    def removal(self, view: MembershipView) -> Step | None:
         """Removes one member, if enough are left: one silent for long, one that shuts down, or else a silent one."""
-        members = state.members
-        if len(members) <= wanted_size(state, self._survive):
+        members = view.state.members
+        if len(members) <= wanted_size(view.state, self._survive):
             return None
         candidates: list[RemovalCandidate] = []
         for name, (_, incarnation) in members.items():
-            replica = replicas.get(MemberKey(name, incarnation))
+            replica = view.replicas.get(MemberKey(name, incarnation))
             if replica is None:
                 continue
-            silence = confirmed_at - max(replica.last_contact_at, first_committed_at)
-            may_leave = replica.is_shutting_down and self._bears_loss(members, name, replicas, confirmed_at)
+            silence = view.confirmed_at - max(replica.last_contact_at, view.first_committed_at)
+            may_leave = replica.is_shutting_down and self._bears_loss(view, name)
             if may_leave or silence >= SILENCE_NS:
                 candidates.append(RemovalCandidate(silence >= LONG_SILENCE_NS, may_leave, silence, name))
         if not candidates:
@@ -197,25 +198,15 @@
         gone = max(candidates).name
         self._retire(members[gone].incarnation)
         remaining = {name: address for name, address in members.items() if name != gone}
-        return Step(remaining, members, state.target_size)
-
-    def _bears_loss(
-        self,
-        members: MemberList,
-        without: str,
-        replicas: Mapping[MemberKey, ReplicaProgress],
-        confirmed_at: TimeNs,
-    ) -> bool:
+        return Step(remaining, members, view.state.target_size)
+
+    def _bears_loss(self, view: MembershipView, without: str) -> bool:
         """Whether those that answer and stay are a majority of the list without one member, which still answers, and
         would be one if `survive` of them were lost at once."""
+        members = view.state.members
         staying = 0
         for name, (_, incarnation) in members.items():
-            replica = replicas.get(MemberKey(name, incarnation))
-            answers = (
-                replica is not None
-                and confirmed_at - replica.last_contact_at <= UNANSWERED_NS
-                and not replica.is_shutting_down
-            )
+            answers = view.answers_and_stays(MemberKey(name, incarnation))
             staying += name != without and (answers or name == self._own.name)
         return 2 * (staying - self._survive) > len(members) - 1
 
--- a/rampfront/lab/system/configuration_cost.py
+++ b/rampfront/lab/system/configuration_cost.py
@@ -20,6 +20,7 @@
 import click
 
 from ...consensus.body_history import apply_delta, make_delta
+from ...consensus.identifiers import MemberAddress
 from ...consensus.record_store import RecordStore
 from ...consensus.state import State
 from ...proxy.priorities import PriorityRanks
@@ -193,7 +194,7 @@
     asked, keys = (found * LOOKED_UP)[:LOOKED_UP], (list(read.customers_by_key) * LOOKED_UP)[:LOOKED_UP]
     yield measure(f"{LOOKED_UP} requests: routes found", lambda: [read.route(*one) for one in asked])
     yield measure(f"{LOOKED_UP} requests: tenants found", lambda: [read.customer(key) for key in keys])
-    entry = State(1, 1, 1, packed, members={"n": ("127.0.0.1", 1)})
+    entry = State(1, 1, 1, packed, members={"n": MemberAddress("127.0.0.1", 1)})
     with tempfile.TemporaryDirectory() as folder:
         store = RecordStore(folder)
         yield measure("member: `RecordStore.save` (processor time alone)", lambda: store.save(entry.body))
--- a/rampfront/simulation/fleet_growth.py
+++ b/rampfront/simulation/fleet_growth.py
@@ -16,6 +16,7 @@
 
 import click
 
+from ..consensus.identifiers import MemberAddress
 from ..consensus.state import State, digest
 from ..membership import messages
 from ..membership.dissemination import Disseminator
@@ -151,7 +152,7 @@
         self.ships = {self.ip(k): Ship(self, k) for k in range(1, count + 1)}
         self.said, self.rule = orders(self.draw, tenants, 12)
         self.lead = self.ships[self.ip(1)]
-        self.lead.apply(self.entry(State(1, 1, 0, members={"n1": (self.ip(1), 1)})))
+        self.lead.apply(self.entry(State(1, 1, 0, members={"n1": MemberAddress(self.ip(1), 1)})))
         self.rows = [
             Endpoint(
                 f"i-{self.draw.getrandbits(40):010x}",
