--- a/tests/proxy/test_once_only_requests.py
+++ b/tests/proxy/test_once_only_requests.py
@@ -269,7 +269,7 @@
         elif way == "odd":
             pipe.feed(draw.choice((b"junk\r\n\r\n", whole(tag, seal=None), whole(tag, 503))))
         else:
-            self.respond_to(pipe, tag, way)
+            self.answer(pipe, tag, way)
 
     def answer(self, pipe, tag, way):
         """An answer to the very request."""
