--- a/rampfront/proxy/__init__.py
+++ b/rampfront/proxy/__init__.py
@@ -17,7 +17,7 @@
 5. `server_connections.ForwardingConnection` sends an attempt and reads the response (`server_response_reader`,
    `server_response`). `idle_reuse` says which idle connections may carry it. How it ended goes three ways: to the node,
    to the request's state, and by `health_observation` to the fleet's view of the servers' health.
-6. The node's effects come back to `RequestProxy`: `settle` forwards a server's response, `decline` and `void` respond
+6. The node's effects come back to `RequestProxy`: `complete` forwards a server's response, `decline` and `void` respond
    for the proxy. A client that goes before that cancels its request (`ProxiedRequest.cancel`), and with it every
    attempt.
 
--- a/rampfront/proxy/health_observation.py
+++ b/rampfront/proxy/health_observation.py
@@ -19,7 +19,7 @@
     def __init__(self) -> None:
         """Nothing was observed yet."""
         super().__init__()
-        self.response_durations = LatencyHistogram()  # from a request handed to a server to its whole response
+        self.response_durations = LatencyHistogram()  # from a request handed to a server to its complete response
 
     def attempt_ended(self, reference: int, server_id: str, outcome: int, lasted_ns: int, now_ns: int) -> None:
         """An attempt has ended: `outcome` as `terms` has it, `lasted_ns` since its start."""
--- a/rampfront/proxy/request.py
+++ b/rampfront/proxy/request.py
@@ -23,11 +23,11 @@
 from .outcomes import LocalResponse
 from .server_response import ServerResponse
 
-HeaderLine = tuple[bytes, bytes]  # a field's name in lower case, and the whole field as it came, with its line end
+HeaderLine = tuple[bytes, bytes]  # a field's name in lower case, and the complete field as it came, with its line end
 
 
 class ReceivedRequest(NamedTuple):
-    """A client's whole request, its framing checked."""
+    """A client's complete request, its framing checked."""
 
     method: bytes
     target: bytes  # as it came: a path, or an absolute URL
@@ -70,7 +70,7 @@
     """What changes a request's state."""
 
     ATTEMPT_UNCERTAIN = 0  # an attempt ended, and its server may have run it
-    FAILURE_RESPONSE = 1  # likewise, and the server gave a response that tells of a failure
+    FAILURE_RESPONSE = 1  # likewise, and the server gave a response that reports a failure
     CLOSE = 2  # the client got its response, or went away
 
 
--- a/rampfront/proxy/request_proxy.py
+++ b/rampfront/proxy/request_proxy.py
@@ -74,7 +74,7 @@
         # What is observed.
         self._observer = ServerObserver()
         self.health_reporter: HealthReporter = self._observer
-        self.request_durations = LatencyHistogram()  # from a whole request to its response
+        self.request_durations = LatencyHistogram()  # from a complete request to its response
         self.response_durations = self._observer.response_durations
 
     def call_on_quota_use(self, callback: Callable[[], None]) -> None:
@@ -103,7 +103,7 @@
 
     def apply_evacuations(self, evacuated_zones: frozenset[str]) -> None:
         """`evacuated_zones`, by name: their servers get nothing new. Servers of one that is no longer evacuated may
-        have become cold, so they begin a slow start."""
+        have cooled down, so they begin a slow start."""
         now_ns = self.clock()
         for zone in self.evacuated_zones - evacuated_zones:
             self.reopened_zones[zone] = now_ns
--- a/rampfront/proxy/server_connections.py
+++ b/rampfront/proxy/server_connections.py
@@ -41,7 +41,7 @@
 
 
 class ServiceEvents(Protocol):
-    """Who is told what responses say of their servers: `service_pool.ServicePool`."""
+    """Who is notified of what responses say of their servers: `service_pool.ServicePool`."""
 
     def server_load_reported(self, index: int, load: Report) -> None:
         """A response says how busy its server is."""
@@ -137,7 +137,7 @@
         super().finish(how, keep)
 
     def submission_end(self, exchange: ProxiedRequest, how: int, took_ns: int) -> SubmissionEnd[ProxiedRequest]:
-        """What the driver is told of an attempt that ended as `how` after `took_ns`: its response, and nothing of costs
+        """What the driver gets of an attempt that ended as `how` after `took_ns`: its response, and nothing of costs
         or quotas."""
         if how not in _NOT_EXECUTED:
             exchange.apply(_ATTEMPT_UNCERTAIN)
@@ -169,7 +169,7 @@
         events: ServiceEvents,
         observer: ServerObserver,
     ) -> None:
-        """`events` is told what responses say of their servers, `observer` of every attempt."""
+        """`events` is notified of what responses say of their servers, `observer` of every attempt."""
         super().__init__(environment.loop, driver, environment.limits, False, environment.log)
         self.events = events
         self.observer = observer
--- a/rampfront/proxy/server_response.py
+++ b/rampfront/proxy/server_response.py
@@ -21,7 +21,7 @@
         b"proxy-authenticate",
         b"proxy-authorization",
     )
-)  # `content-length` too: bodies are passed on whole, so their length is written anew
+)  # `content-length` too: bodies are passed on complete, so their length is written anew
 
 MISDIRECTED = 421  # another server has the address
 # A client takes these to say that the request has not run; without `Not-Run` it may have.
@@ -45,7 +45,7 @@
 def parse_server_load(text: bytes) -> Report | None:
     """The figures of a `Server-Load` field: requests that run there, that wait there, and how many it runs at once.
 
-    None where it is not three small whole numbers."""
+    None where it is not three small integers."""
     parts = text.split(b",")
     if len(parts) != len(_LOAD_NAMES):
         return None
--- a/rampfront/proxy/slow_start.py
+++ b/rampfront/proxy/slow_start.py
@@ -24,6 +24,6 @@
     `zone_reopened_at_ns`: when the evacuation of its zone ended, None if it was not evacuated lately."""
     until_ns = endpoint.warming_until_ns
     if zone_reopened_at_ns is not None and zone_reopened_at_ns + service.warmup > now_ns:
-        # Guards the servers of a zone that was evacuated: they may have become cold, and the list says so late.
+        # Guards the servers of a zone that was evacuated: they may have cooled down, and the list says so late.
         until_ns = max(until_ns, zone_reopened_at_ns + service.warmup)
     return until_ns - service.warmup if until_ns > now_ns else _WARMED_UP
