--- a/rampfront/consensus/core_strength.py
+++ b/rampfront/consensus/core_strength.py
@@ -65,9 +65,9 @@
     def strength(self, entry: State, now: TimeNs) -> CoreStrength:
         """The strength at this moment."""
         full_for = None if self.full_since is None else max(0, now - self.full_since)
-        return CoreStrength(wanted_size(entry, self._survive), self.member_statuses(entry), full_for)
+        return CoreStrength(wanted_size(entry, self._survive), self._member_statuses(entry), full_for)
 
-    def member_statuses(self, entry: State) -> list[MemberStatus]:
+    def _member_statuses(self, entry: State) -> list[MemberStatus]:
         """Each member and then each learner, by name."""
         replicas, silent = self._replication.replicas, self._replication.silent_keys()
         is_surplus = len(entry.members) > wanted_size(entry, self._survive)
--- a/rampfront/consensus/leader.py
+++ b/rampfront/consensus/leader.py
@@ -18,7 +18,7 @@
 from typing import Unpack
 
 from .context import MemberContext
-from .core_strength import CoreStrength, MemberStatus, StrengthMonitor
+from .core_strength import CoreStrength, StrengthMonitor
 from .electorate import Electorate
 from .events import Order, OrderKind, Outcome
 from .heartbeat_rounds import HeartbeatRounds
@@ -38,7 +38,7 @@
 
 
 class Leader:
-    """One member's leadership in one term."""
+    """One member's leadership in one term. Its parts are public for tests alone."""
 
     def __init__(
         self,
@@ -255,7 +255,7 @@
         self._orders.add(pending)
         is_read = pending.kind is OrderKind.READ
         if is_read or (is_first and self._changes_nothing_under_way(pending)):
-            pending.outcome = self._application.outcome(entry, pending)
+            pending.ends_as(self._application.outcome(entry, pending))
             self._application.note(pending, entry, entry, now)
             self._await_round([pending], 0 if is_read else entry.index)
         else:
@@ -264,12 +264,9 @@
     def _takes_orders(self) -> bool:
         """Guards against an acknowledgement by a core that is still too small to bear a loss."""
         entry = self._entry()
-        return (
-            entry.revision > 0
-            or bool(entry.evacuated_zones)
-            or len(entry.members) > 2 * self.context.settings.survive
-            or self.context.now - self._began_at >= FOUNDING_NS
-        )
+        has_orders = entry.revision > 0 or bool(entry.evacuated_zones)
+        bears_loss = len(entry.members) > 2 * self.context.settings.survive
+        return has_orders or bears_loss or self.context.now - self._began_at >= FOUNDING_NS
 
     def _changes_nothing_under_way(self, order: PendingOrder) -> bool:
         """Whether an entry is under way that already has what the order wants."""
@@ -317,8 +314,7 @@
             self._discovery.send_hint(ip)
             return
         learner = self.membership.enrol(sender, ip, request.counts_towards_size)
-        learner.replica.ip = ip
-        learner.replica.last_contact_at = self.context.now
+        learner.replica.requested_to_join(ip, self.context.now)
         if not learner.replica.sent_at:
             self.replication.send_entry(learner.key, learner.replica)
         self._go_on()
@@ -328,7 +324,3 @@
     def strength(self, now: TimeNs) -> CoreStrength:
         """The strength of the core at this moment."""
         return self.strength_monitor.strength(self._entry(), now)
-
-    def member_statuses(self) -> list[MemberStatus]:
-        """The condition of each member and learner."""
-        return self.strength_monitor.member_statuses(self._entry())
--- a/rampfront/consensus/order_application.py
+++ b/rampfront/consensus/order_application.py
@@ -51,6 +51,15 @@
         """Whether an entry or a round is under way for it."""
         return bool(self.entry_index or self.round)
 
+    def await_commit(self, index: LogIndex, number: RoundNumber = 0) -> None:
+        """It is answered once that entry is committed (0: any), and that round is confirmed (0: none)."""
+        self.entry_index = index
+        self.round = number
+
+    def ends_as(self, outcome: Outcome) -> None:
+        """What it will be answered."""
+        self.outcome = outcome
+
 
 class Batch(NamedTuple):
     """Orders that go into one entry together. `unchanged`: those that change nothing need no entry, but a round."""
@@ -142,7 +151,7 @@
             zone = order.change
             if isinstance(zone, str) and kinds.setdefault(zone, order.kind) is not order.kind:
                 break
-            order.outcome = self.outcome(state, order)
+            order.ends_as(self.outcome(state, order))
             after = self.apply(state, order, now)
             self.note(order, state, after, now)
             (unchanged if after is entry else carried).append(order)
--- a/rampfront/consensus/order_queue.py
+++ b/rampfront/consensus/order_queue.py
@@ -49,13 +49,12 @@
         """These change nothing: they are answered once that round is confirmed, and the entry of that index is
         committed (0: any)."""
         for order in orders:
-            order.entry_index = index
-            order.round = number
+            order.await_commit(index, number)
 
     def await_entry(self, orders: list[PendingOrder], index: LogIndex) -> None:
         """The entry of that index carries these."""
         for order in orders:
-            order.entry_index = index
+            order.await_commit(index)
 
     def answer(self, commit_index: LogIndex, confirmed: RoundNumber) -> None:
         """Answers what rests on a committed entry and a confirmed round. `commit_index`: 0 before the first one."""
--- a/rampfront/consensus/replica_progress.py
+++ b/rampfront/consensus/replica_progress.py
@@ -64,7 +64,17 @@
             self.match_position = position
             self.body_digest = body_digest
 
-    def contacted(self, now: TimeNs, is_shutting_down: bool) -> None:
-        """It has answered."""
+    def reached_at(self, ip: str) -> None:
+        """It has that address now."""
+        self.ip = ip
+
+    def requested_to_join(self, ip: str, now: TimeNs) -> None:
+        """A request to join came from it."""
+        self.ip = ip
+        self.last_contact_at = now
+
+    def answered(self, number: RoundNumber, now: TimeNs, is_shutting_down: bool) -> None:
+        """It has answered a round."""
+        self.acknowledged_round = max(self.acknowledged_round, number)
         self.last_contact_at = now
         self.is_shutting_down = is_shutting_down
--- a/rampfront/consensus/replication.py
+++ b/rampfront/consensus/replication.py
@@ -88,7 +88,7 @@
             key = MemberKey(name, incarnation)
             if name != self._context.settings.name:
                 replica = before.get(key) or learners.get(key) or ReplicaProgress(ip)
-                replica.ip = ip
+                replica.reached_at(ip)
                 self.replicas[key] = replica
         return bool(before)
 
@@ -141,8 +141,7 @@
         if replica is None or message.round > self._rounds.current:
             return False
         now, entry = self._context.now, self._entry()
-        replica.acknowledged_round = max(replica.acknowledged_round, message.round)
-        replica.contacted(now, message.is_shutting_down)
+        replica.answered(message.round, now, message.is_shutting_down)
         replica.acknowledged(message.position, message.body_digest)
         was_sent = replica.sent_position == entry.position
         may_send = replica.is_overdue(now) if was_sent else not replica.is_receiving(now)
--- a/tests/consensus/test_core_strength.py
+++ b/tests/consensus/test_core_strength.py
@@ -2,13 +2,16 @@
 
 from replacement_fixtures import site
 
-from rampfront.consensus.core_strength import MemberCondition
+from rampfront.consensus.core_strength import MemberCondition, MemberStatus
 from rampfront.simulation.world import MS, SEC
 
 
 def test_the_leader_tells_the_condition_of_each_member_and_since_when_the_core_is_at_full_strength() -> None:
     core = site(4, 1)
-    report = core.leader.core_member.roles.leader.member_statuses
+
+    def report() -> list[MemberStatus]:
+        return core.leader.core_member.core_strength(core.now).members
+
     assert {row.condition for row in report()} == {MemberCondition.VOTER} and core.strong()
     gone = core.others(core.leader)[0]
     core.lose(gone)
--- a/tests/consensus/test_learners.py
+++ b/tests/consensus/test_learners.py
@@ -16,7 +16,7 @@
     new.disk.hangs = True
     core.go(5 * SEC)
     assert new.name not in core.members() and core.leader.core_member.entry.previous_members is None
-    report = {row.name: row.condition for row in core.leader.core_member.roles.leader.member_statuses()}
+    report = {row.name: row.condition for row in core.leader.core_member.core_strength(core.now).members}
     assert report.pop(new.name) == MemberCondition.LEARNER and set(report.values()) == {MemberCondition.VOTER}
     new.disk.hangs = False
     core.go(SEC)
