--- a/tests/consensus/test_lost_disks.py
+++ b/tests/consensus/test_lost_disks.py
@@ -191,7 +191,7 @@
     assert sizes == {members}
 
 
-def test_a_machine_that_lost_its_disk_and_is_told_of_a_first_start_counts_once() -> None:
+def test_a_machine_that_lost_its_disk_counts_once_towards_the_target_size() -> None:
     core = site(4, 1)
     lost = core.others(core.leader, core.nodes[0])[0]
     core.wipe(lost)
--- a/tests/core_fixtures.py
+++ b/tests/core_fixtures.py
@@ -38,7 +38,7 @@
 
     def ask(self, node, kind, body=None):
         """Places an order at one node, once; its verdict is read off the call."""
-        call = Order(kind, body, self.ledger.newest())
+        call = PlacedOrder(kind, body, self.ledger.newest())
         self.tell(node, events.Order((call, 0), kind, body))
         return call
 
@@ -62,9 +62,17 @@
         self.cuts.clear()
 
 
-class Order:
+class PlacedOrder:
+    """An order that was placed at one node, and how it ended there. The ledger of the simulation reads it."""
+
     def __init__(self, kind, body, floor):
-        self.kind, self.body, self.floor, self.alone, self.verdict, self.state = kind, body, floor, False, None, None
+        self.kind = kind
+        self.body = body
+        self.floor = floor
+        self.alone = False
+        self.verdict = None
+        self.state = None
+        self.leader_ip = None
 
 
 def done(call):
