--- a/rampfront/consensus/deferred_responses.py
+++ b/rampfront/consensus/deferred_responses.py
@@ -40,10 +40,14 @@
         """Sends it now; an acknowledgement names the entry that is on disk."""
         if isinstance(response, AppendAcknowledged):
             entry = self._persistent.durable.entry
-            response = response._replace(
-                position=entry.position if entry else NO_POSITION,
-                body_digest=entry.body_digest if entry else b"",
-                is_shutting_down=self._context.is_shutting_down,
+            response = AppendAcknowledged(
+                response.sender,
+                response.receiver_incarnation,
+                response.term,
+                response.round,
+                entry.position if entry else NO_POSITION,
+                entry.body_digest if entry else b"",
+                self._context.is_shutting_down,
             )
         self._context.send(ip, response)
 
--- a/rampfront/consensus/frame_encoder.py
+++ b/rampfront/consensus/frame_encoder.py
@@ -20,7 +20,6 @@
     Message,
     PreVoteGranted,
     PreVoteRequest,
-    ReplicationMessage,
     TermRejected,
     VoteGranted,
     VoteRequest,
@@ -30,19 +29,7 @@
 
 def encode(message: Message) -> Frame:
     """The map that the transport carries."""
-    match message:
-        case Heartbeat() | AppendAcknowledged() | AppendEntry() | LeadershipEnded():
-            return _replication_frame(message)
-        case PreVoteRequest() | PreVoteGranted() | VoteRequest() | VoteGranted() | TermRejected():
-            return _election_frame(message)
-        case JoinRequest() | LeaderQuery() | LeaderHint():
-            return _discovery_frame(message)
-        case _:
-            assert_never(message)
-
-
-def _replication_frame(message: ReplicationMessage) -> Frame:
-    match message:
+    match message:  # what goes with every round first
         case Heartbeat():
             return _round_frame(wire.HEARTBEAT, message)
         case AppendAcknowledged():
@@ -51,6 +38,10 @@
             return _append_entry_frame(message)
         case LeadershipEnded():
             return _leadership_ended_frame(message)
+        case PreVoteRequest() | PreVoteGranted() | VoteRequest() | VoteGranted() | TermRejected():
+            return _election_frame(message)
+        case JoinRequest() | LeaderQuery() | LeaderHint():
+            return _discovery_frame(message)
         case _:
             assert_never(message)
 
@@ -129,10 +120,17 @@
 
 
 def _append_acknowledged_frame(message: AppendAcknowledged) -> Frame:
-    frame = _bound_frame(wire.APPEND_ACKNOWLEDGED, message)
-    frame[wire.ROUND] = message.round
-    frame[wire.POSITION] = list(message.position)
-    frame[wire.BODY_DIGEST] = message.body_digest
+    sender = message.sender
+    frame: Frame = {
+        wire.KIND: wire.APPEND_ACKNOWLEDGED,
+        wire.SENDER_NAME: sender.name,
+        wire.SENDER_INCARNATION: sender.incarnation,
+        wire.RECEIVER_INCARNATION: message.receiver_incarnation,
+        wire.TERM: message.term,
+        wire.ROUND: message.round,
+        wire.POSITION: list(message.position),
+        wire.BODY_DIGEST: message.body_digest,
+    }
     if message.is_shutting_down:
         frame[wire.IS_SHUTTING_DOWN] = 1
     return frame
--- a/rampfront/consensus/message_handler.py
+++ b/rampfront/consensus/message_handler.py
@@ -1,8 +1,8 @@
 """What a member does with each message of another one.
 
-A message is dispatched by its class, in three groups: what a leader and its followers say (`ReplicationMessage`), what
-candidates and voters say (`ElectionMessage`), and who leads (`DiscoveryMessage`). Each method below is what the
-protocol demands of one message; the parts that it calls say why.
+A message is dispatched by its class: what a leader and its followers say (`ReplicationMessage`) first, as it comes most
+often, then what candidates and voters say (`ElectionMessage`), and who leads (`DiscoveryMessage`). Each method below is
+what the protocol demands of one message; the parts that it calls say why.
 
 Invariants:
 
@@ -30,7 +30,6 @@
     Message,
     PreVoteGranted,
     PreVoteRequest,
-    ReplicationMessage,
     TermRejected,
     VoteGranted,
     VoteRequest,
@@ -67,18 +66,7 @@
             self._discovery.note_leader(ip)
 
     def _dispatch(self, ip: str, message: Message) -> None:
-        match message:
-            case Heartbeat() | AppendAcknowledged() | AppendEntry() | LeadershipEnded():
-                self._receive_replication(ip, message)
-            case PreVoteRequest() | PreVoteGranted() | VoteRequest() | VoteGranted() | TermRejected():
-                self._receive_election(ip, message)
-            case JoinRequest() | LeaderQuery() | LeaderHint():
-                self._receive_discovery(ip, message)
-            case _:
-                assert_never(message)
-
-    def _receive_replication(self, ip: str, message: ReplicationMessage) -> None:
-        match message:
+        match message:  # what comes with every round first
             case Heartbeat():
                 self._receive_heartbeat(ip, message)
             case AppendAcknowledged():
@@ -87,6 +75,10 @@
                 self._receive_entry(ip, message)
             case LeadershipEnded():
                 self._receive_leadership_ended(ip, message)
+            case PreVoteRequest() | PreVoteGranted() | VoteRequest() | VoteGranted() | TermRejected():
+                self._receive_election(ip, message)
+            case JoinRequest() | LeaderQuery() | LeaderHint():
+                self._receive_discovery(ip, message)
             case _:
                 assert_never(message)
 
--- a/rampfront/membership/messages.py
+++ b/rampfront/membership/messages.py
@@ -164,12 +164,21 @@
     roster_version = message[ROSTER_VERSION]
     sent_at_ns = message[SENT_AT]
     incarnation = message.get(INCARNATION, 0)
-    _check_integers(state_index, endpoints_version, roster_version, sent_at_ns, incarnation)
+    if not (  # in line, as every node sends one to the leader about once a second
+        type(state_index) is type(endpoints_version) is type(roster_version) is int
+        and type(sent_at_ns) is type(incarnation) is int
+        and 0 <= state_index < INTEGER_LIMIT
+        and 0 <= endpoints_version < INTEGER_LIMIT
+        and 0 <= roster_version < INTEGER_LIMIT
+        and 0 <= sent_at_ns < INTEGER_LIMIT
+        and 0 <= incarnation < INTEGER_LIMIT
+    ):
+        raise ValueError("not an integer in range")
     versions = new_tuple(ReplicaVersions, (state_index, endpoints_version, roster_version))
     if INCARNATION not in message:
         incarnation = None  # an older version sends none
     if not with_sender:
-        return Heartbeat(versions, sent_at_ns, incarnation)
+        return new_tuple(Heartbeat, (versions, sent_at_ns, incarnation, "", "", "", False))
     name = message[NODE_NAME]
     zone = message[NODE_ZONE]
     front = message[NODE_FRONT]
@@ -211,8 +220,16 @@
     get = message.get
     age_ns = get(AGE, 0)
     incarnation = get(INCARNATION, 0)
-    _check_texts(leader)
-    _check_integers(term, requested_at_ns, age_ns, incarnation)
+    if type(leader) is not str or len(leader) > MAX_TEXT_CHARACTERS:
+        raise ValueError("not a short text")
+    if not (
+        type(term) is type(requested_at_ns) is type(age_ns) is type(incarnation) is int
+        and 0 <= term < INTEGER_LIMIT
+        and 0 <= requested_at_ns < INTEGER_LIMIT
+        and 0 <= age_ns < INTEGER_LIMIT
+        and 0 <= incarnation < INTEGER_LIMIT
+    ):
+        raise ValueError("not an integer in range")
     if None in message.values():
         raise ValueError("a key without a value")
     if AGE not in message:
--- a/rampfront/node/assembly.py
+++ b/rampfront/node/assembly.py
@@ -150,7 +150,7 @@
         self.dispatcher.attach(
             self.core,
             {
-                messages.HEARTBEAT: self.adapter.on_heartbeat,
+                messages.HEARTBEAT: self.disseminator.on_heartbeat,
                 messages.STATE_RESPONSE: self.adapter.on_state_response,
                 quota_frames.QUOTA_ADD: self.quota_exchange.on_add,
                 quota_frames.QUOTA_SUM: self.quota_exchange.on_sum,
--- a/rampfront/node/dissemination_adapter.py
+++ b/rampfront/node/dissemination_adapter.py
@@ -9,8 +9,6 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from collections.abc import Sequence
-
     from ..membership.deltas import Packed
     from ..membership.dissemination import Disseminator
     from ..transport.frames import Message
@@ -26,7 +24,8 @@
 
     def __init__(self, context: NodeContext) -> None:
         """The disseminator needs its host to be built, and the other parts need the disseminator: see `attach`."""
-        self._wire = context.wire
+        self.send = context.wire.send  # a frame to one node, and to many: as often as heartbeats, so without a detour
+        self.send_all = context.wire.send_all
         self._snapshots = context.snapshots
         self._disseminator: Disseminator
         self._replicated_state: ReplicatedState
@@ -49,27 +48,13 @@
         self._quota_exchange = quota_exchange
         self._readiness = readiness
 
-    # ---- frames to the disseminator
-
-    def on_heartbeat(self, ip: str, frame: Message, now: int) -> None:
-        """Another node says that it lives, and asks for what it lacks."""
-        self._disseminator.on_heartbeat(ip, frame, now)
+    # ---- frames to the disseminator (heartbeats go to it directly)
 
     def on_state_response(self, ip: str, frame: Message, now: int) -> None:
         """Another node answers with what we lack, which may make this node ready."""
         self._disseminator.on_state_response(ip, frame, now)
         self._readiness.update(now)
 
-    # ---- what the disseminator sends
-
-    def send(self, ip: str, message: Message) -> None:
-        """Send a frame."""
-        self._wire.send(ip, message)
-
-    def send_all(self, ips: Sequence[str], message: Message) -> None:
-        """Send one frame to many."""
-        self._wire.send_all(ips, message)
-
     # ---- what it passes on
 
     def encode_state(self, since: int) -> Packed:
--- a/rampfront/transport/wire.py
+++ b/rampfront/transport/wire.py
@@ -65,7 +65,7 @@
 
     def send(self, ip: str, message: Message) -> None:
         """Sends a message to the node at `ip`."""
-        self.send_all((ip,), message)
+        self.send_frame(ip, encode_frame(message), message[KIND_KEY])
 
     def send_all(self, ips: Iterable[str], message: Message) -> None:
         """Sends the same message to several nodes; it is encoded once."""
