--- a/rampfront/edge/node.py
+++ b/rampfront/edge/node.py
@@ -9,6 +9,7 @@
 import random
 import signal
 import sys
+from pathlib import Path
 
 import uvloop
 
@@ -60,13 +61,23 @@
         gate = driver.once_only_gate = OnceOnlyGate(keeper, driver.timers, servers, driver.submission_ended)
         keeper.send, keeper.refuse = gate.send, gate.refuse
     if launch.syslog:
-        from ..syslog.recorder import Recorder
-        from ..syslog.sink import Sink
-
-        told = dict(launch.syslog)
-        settled = told.pop("settled")
-        sink = Sink(loop, driver.timers, clock, log, name=launch.name, draw=draw, **told).start()
-        driver.recorder = Recorder(sink, launch.names, settled)
+        from ..syslog.decision_recorder import SyslogDecisionRecorder
+        from ..syslog.syslog_sender import SyslogSender
+        from ..syslog.syslog_settings import SyslogSettings
+
+        table = launch.syslog
+        sender_settings = SyslogSettings(
+            collector_address=table["address"],
+            node_name=launch.name,
+            buffer_folder=Path(table["spill"]) if table["spill"] else None,
+            max_buffer_bytes=table["spill_most"],
+            max_queued_messages=table["memory"],
+            enterprise_number=table["enterprise"],
+            udp=table["udp"],
+        )
+        sender = SyslogSender(loop, driver.timers, log, sender_settings, draw)
+        sender.start()
+        driver.recorder = SyslogDecisionRecorder(sender, launch.names.products, table["settled"])
     if launch.mqtt:
         from ..mqtt.front import Front as Mqtt
         from ..mqtt.topics import Routes
@@ -141,7 +152,7 @@
     gc.set_threshold(20000, 20, 100)
     loop.run_forever()
     if driver.recorder:
-        driver.recorder.sink.close()
+        driver.recorder.close()
     if driver.once_only_gate:
         driver.once_only_gate.journal.close()
     log.record_counters("exit")
--- a/rampfront/lab/collector.py
+++ b/rampfront/lab/collector.py
@@ -9,13 +9,14 @@
 import orjson
 import uvloop
 
-from ..syslog import codec
+from ..syslog.message_parser import MessageParseError, parse_message
+from ..syslog.octet_counting import FrameDecoder, FramingError
 from .http import Listener, reset, run_until_stopped
 
 
 class Side(asyncio.Protocol):
     def __init__(self, collector):
-        self.collector, self.frames, self.transport = collector, codec.Unframer(), None
+        self.collector, self.frames, self.transport = collector, FrameDecoder(), None
 
     def connection_made(self, transport):
         self.transport = transport
@@ -25,7 +26,7 @@
 
     def connection_lost(self, trouble):
         self.collector.sides.pop(self, None)
-        if self.frames.rest:
+        if self.frames.has_incomplete_frame:
             self.collector.counts["torn"] += 1
 
     def eof_received(self):
@@ -35,7 +36,7 @@
         try:
             for said in self.frames.feed(data):
                 self.collector.took(said)
-        except codec.Malformed as trouble:
+        except FramingError as trouble:
             self.collector.odd(trouble)
             reset(self.transport)
 
@@ -53,12 +54,14 @@
 
     def took(self, said):
         try:
-            message = codec.parse(said)
-        except codec.Malformed as trouble:
+            message = parse_message(said)
+        except MessageParseError as trouble:
             return self.odd(trouble)
-        number = next((int(value) for key, value in message.data.get("meta", ()) if key == "sequenceId"), None)
+        number = next(
+            (int(value) for key, value in message.structured_data.get("meta", ()) if key == "sequenceId"), None
+        )
         if number is not None:
-            mine = self.seen.setdefault((message.hostname, message.app, message.procid), set())
+            mine = self.seen.setdefault((message.hostname, message.app_name, message.process_id), set())
             if number in mine:
                 self.counts["repeats"] += 1
                 return
@@ -69,10 +72,10 @@
             self.out.write(
                 orjson.dumps(
                     {
-                        "at": message.at,
-                        "msgid": message.msgid,
+                        "at": message.timestamp_ns,
+                        "msgid": message.message_id,
                         "host": message.hostname,
-                        "data": message.data,
+                        "data": message.structured_data,
                         "text": message.text,
                     }
                 )
--- a/rampfront/lab/emulator.py
+++ b/rampfront/lab/emulator.py
@@ -414,7 +414,7 @@
 
     def told(self):
         for message in self.messages:
-            key = f"msgid_{message.msgid}"
+            key = f"msgid_{message.message_id}"
             self.counts[key] = self.counts.get(key, 0) + 1
         self.messages.clear()
         return {**self.counts, "missing": sum(self.missing().values()), "troubles": self.troubles[:5]}
--- a/rampfront/net/decision_driver.py
+++ b/rampfront/net/decision_driver.py
@@ -14,7 +14,15 @@
 from .. import terms as t
 from ..choice import Line, Node
 from ..in_flight import InFlight
-from .decision_ports import Gateway, QuotaCounter, RetryStormControl, ServerPool, ServerRow, SubmissionEnd
+from .decision_ports import (
+    DecisionRecorder,
+    Gateway,
+    QuotaCounter,
+    RetryStormControl,
+    ServerPool,
+    ServerRow,
+    SubmissionEnd,
+)
 from .event_log import EventLog
 from .exchange import ExchangeT
 from .limits import NetworkLimits
@@ -56,7 +64,7 @@
         servers: sends submissions to servers.
         counter: the shared counter of quotas.
         once_only_gate: holds once-only submissions until they are recorded.
-        recorder: takes decisions for the syslog sink.
+        recorder: reports decisions as syslog messages.
         storm: damps retry storms.
     """
 
@@ -82,7 +90,7 @@
         self.now_ns = 0
         self.counter: QuotaCounter | None = None
         self.once_only_gate: OnceOnlyGate | None = None
-        self.recorder: Callable[..., None] | None = None
+        self.recorder: DecisionRecorder | None = None
         self.storm: RetryStormControl | None = None
         self._limits = limits
         self._once_only = [product.kind == t.ONCE_ONLY for product in terms.products]
@@ -148,7 +156,7 @@
             self.once_only_gate.record_outcome(exchange, end.how)
         if done:
             if self.recorder:
-                self.recorder("settled", exchange)
+                self.recorder.record_transaction("settled", exchange)
             if exchange.client:
                 self.gateway.complete(exchange, end.body, end.stream)
         self.post(t.Ended(exchange.txn, end.server, end.how, end.took_ns, final, end.units, end.attempt, end.use))
@@ -171,7 +179,7 @@
                 continue
             listed.append(t.Listed(index, row.state, row.zone, row.cell, row.weight, row.came_up_ns, row.near))
             if self.recorder:
-                self.recorder(None, row.uid, state=row.state)
+                self.recorder.record_server_state(row.uid, row.state)
             self.servers.list_server(index, row)
         if complete:
             self.in_flight.retain_servers(listed)
@@ -273,7 +281,7 @@
         exchange = self.in_flight.transactions.key(effect.txn)
         self.in_flight.finish(effect.txn)
         if self.recorder:
-            self.recorder(
+            self.recorder.record_transaction(
                 "declined",
                 exchange,
                 back_in=effect.back_in // _NS_PER_MS,
@@ -289,7 +297,7 @@
         exchange = self.in_flight.transactions.key(effect.txn)
         self.in_flight.finish(effect.txn)
         if self.recorder:
-            self.recorder("voided", exchange)
+            self.recorder.record_transaction("voided", exchange)
         self.gateway.void(exchange)
 
     def _remind(self, effect: t.Remind) -> None:
@@ -314,7 +322,7 @@
         self.counts[f"counter_{effect.what}"] += 1
         self.log.record("counter", news=effect.what, heard=effect.heard)
         if self.recorder:
-            self.recorder("counter", None, news=effect.what, heard=effect.heard)
+            self.recorder.record_counter_notice(effect.what, effect.heard)
 
     def _subscribe(self, effect: t.Subscribe) -> None:
         """Nothing is to be done: the subscription to the server list runs from the start and repairs itself."""
--- a/rampfront/net/decision_ports.py
+++ b/rampfront/net/decision_ports.py
@@ -1,11 +1,11 @@
 """What the decision driver exchanges with its neighbours: rows of the server list, ends of submissions, and the ports.
 
 A port is the neighbour as far as the driver needs it. `TransactionGateway` and the system's `RequestProxy` are
-gateways, `ServerConnectionPool` is a server pool, `edge/counter.py` has the counter, and `rampfront/storm.py` the
-control of retry storms.
+gateways, `ServerConnectionPool` is a server pool, `edge/counter.py` has the counter, `rampfront/storm.py` the control
+of retry storms, and `rampfront/syslog/` the recorder of decisions.
 """
 
-from typing import Generic, NamedTuple, Protocol, TypeVar
+from typing import Generic, Literal, NamedTuple, Protocol, TypeVar
 
 from .exchange import AnyExchange, ExchangeT, ResponseBody, StreamSource
 
@@ -150,3 +150,25 @@
     def connected(self, now_ns: int) -> bool:
         """Whether a new connection is within the rate at which connections are accepted."""
         raise NotImplementedError
+
+
+class DecisionRecorder(Protocol):
+    """Reports decisions to the operators' systems."""
+
+    def record_transaction(
+        self, decision: Literal["settled", "declined", "voided"], exchange: AnyExchange, **parameters: object
+    ) -> None:
+        """A transaction has ended. `parameters`: what more is reported of it."""
+        raise NotImplementedError
+
+    def record_counter_notice(self, notice: str, nodes: int) -> None:
+        """News of the counter. `nodes`: how many nodes it hears of."""
+        raise NotImplementedError
+
+    def record_server_state(self, uid: str, state: int) -> None:
+        """The server list gives the state of a server."""
+        raise NotImplementedError
+
+    def close(self) -> None:
+        """At the end of the process: sends or stores what waits."""
+        raise NotImplementedError
