--- a/rampfront/node/assembly.py
+++ b/rampfront/node/assembly.py
@@ -12,7 +12,6 @@
 
 from ..membership import messages
 from ..membership.dissemination import Disseminator
-from ..membership.endpoint_list_poller import PollCallbacks, PollSettings
 from ..membership.health_registry import HealthRegistry
 from ..membership.roster import RosterEntry
 from ..proxy.client_front import ClientFront
@@ -45,6 +44,7 @@
 if TYPE_CHECKING:
     from asyncio import AbstractEventLoop
 
+    from ..membership.endpoint_list_poller import Poller
     from ..net.event_log import EventLog
     from ..settings.process_settings import ProcessSettings
 
@@ -171,13 +171,20 @@
     def open_disk_and_platform(self) -> None:
         """Read the core's record, where there is a disk, and name the platform's address, where there is one."""
         context, settings = self.context, self.settings
+        if settings.platform_address:
+            self.server_list.use_platform(settings.platform_address, self._make_poller)
         if settings.data_folder:
             context.scheduler.use_disk_executor(self.ports.disk_executor(DISK_THREADS))
             self.core.recover(self.ports.record_store(settings.data_folder))
-        if settings.platform_address:
-            polling = PollSettings(settings.platform_address, settings.platform_calls_per_s, POLL_INTERVAL_NS)
-            callbacks = PollCallbacks(self.server_list.on_polled, self.server_list.on_poll_failed)
-            self.server_list.use_poller(self.ports.poller(context.loop, context.clock, polling, callbacks))
+            self.server_list.prepare_to_poll()
+
+    def _make_poller(self, address: tuple[str, int]) -> Poller:
+        from ..membership.endpoint_list_poller import PollCallbacks, PollSettings  # see `ServerListService.poller`
+
+        polling = PollSettings(address, self.settings.platform_calls_per_s, POLL_INTERVAL_NS)
+        callbacks = PollCallbacks(self.server_list.on_polled, self.server_list.on_poll_failed)
+        poller: Poller = self.ports.poller(self.context.loop, self.context.clock, polling, callbacks)
+        return poller
 
     def node(self) -> NodeProcess:
         """Return the node of these parts."""
--- a/rampfront/node/ports.py
+++ b/rampfront/node/ports.py
@@ -10,7 +10,6 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any, NamedTuple
 
-from ..membership.endpoint_list_poller import Poller
 from ..net.clock import Clock
 from ..proxy.request_proxy import RequestProxy
 from ..quota.limiter import Limiter
@@ -18,9 +17,11 @@
 from .node_process import NodeProcess
 
 if TYPE_CHECKING:
+    from asyncio import AbstractEventLoop
     from concurrent.futures import Executor
 
     from ..consensus.record_store import RecordStore
+    from ..membership.endpoint_list_poller import PollCallbacks, Poller, PollSettings
 
 
 def open_record_store(folder: str) -> RecordStore:
@@ -37,6 +38,15 @@
     return ThreadPoolExecutor(threads)
 
 
+def make_poller(
+    loop: AbstractEventLoop, clock: Callable[[], int], settings: PollSettings, callbacks: PollCallbacks
+) -> Poller:
+    """Return what polls the platform. Its modules are loaded only where a node may come to lead."""
+    from ..membership.endpoint_list_poller import Poller
+
+    return Poller(loop, clock, settings, callbacks)
+
+
 class Ports(NamedTuple):
     """Factories. Each is called once by `assembly.build_node_process`, with the arguments of its default."""
 
@@ -45,7 +55,7 @@
     record_store: Callable[..., Any] = open_record_store
     # Of the disk: a disk that hangs holds up nobody but the member of the core.
     disk_executor: Callable[..., Any] = start_disk_executor
-    poller: Callable[..., Any] = Poller
+    poller: Callable[..., Any] = make_poller
     limiter: Callable[..., Any] = Limiter
     request_proxy: Callable[..., Any] = RequestProxy
     node_process: Callable[..., Any] = NodeProcess
--- a/rampfront/node/quota_exchange.py
+++ b/rampfront/node/quota_exchange.py
@@ -45,6 +45,7 @@
         self._scheduler = context.scheduler
         self._wire = context.wire
         self._disseminator = disseminator
+        self._leadership = disseminator.leadership
         self._snapshots = context.snapshots
         self._request_proxy: RequestProxy
         self._flush_due = NOT_SET
@@ -92,7 +93,7 @@
         A node that starts knows no tenants, or those of an old record. It does not answer: its answer would make every
         tenant appear idle.
         """
-        if self._request_proxy.configuration is None or self._disseminator.confirmed_at_ns is None:
+        if self._request_proxy.configuration is None or self._leadership.confirmed_at_ns is None:
             return
         answer = self.counter.receive(now, ip, frame[MESSAGE])
         if answer is not None:
--- a/rampfront/node/server_health_exchange.py
+++ b/rampfront/node/server_health_exchange.py
@@ -28,6 +28,7 @@
         self._own_ip = context.process_settings.ip
         self._wire = context.wire
         self._disseminator = disseminator
+        self._leadership = disseminator.leadership
         self._request_proxy = request_proxy
         self.registry = registry
 
@@ -41,7 +42,7 @@
     def on_report(self, ip: str, frame: messages.Message, now: int) -> None:
         """Take a node's report at the leader; what several nodes bear out goes to all, this node too."""
         disseminator = self._disseminator
-        if not disseminator.is_leader:
+        if not self._leadership.is_leader:
             return
         reports = messages.decode_health_reports(frame).reports
         verdicts = self.registry.add_reports(ip, reports, self._request_proxy.proxy_count, now)
@@ -54,8 +55,8 @@
 
     def on_verdict(self, ip: str, frame: messages.Message, now: int) -> None:
         """Act by the leader's verdicts. Verdicts of the leader of an older term are dropped."""
-        if ip != self._disseminator.leader:
+        if ip != self._leadership.leader:
             return
         health = messages.decode_health_verdicts(frame)
-        if health.term >= self._disseminator.term:
+        if health.term >= self._leadership.term:
             self._request_proxy.apply_health_verdicts(health.verdicts)
--- a/rampfront/node/server_list_service.py
+++ b/rampfront/node/server_list_service.py
@@ -7,6 +7,8 @@
 from . import log_events
 
 if TYPE_CHECKING:
+    from collections.abc import Callable
+
     from ..membership.deltas import Packed
     from ..membership.dissemination import Disseminator
     from ..membership.endpoint_list import EndpointList
@@ -28,7 +30,7 @@
         request_proxy: RequestProxy,
         health_registry: HealthRegistry,
     ) -> None:
-        """Build it over the parts that act by the list. `use_poller` gives it the platform, where there is one."""
+        """Build it over the parts that act by the list. `use_platform` names the platform, where there is one."""
         self._context = context
         self._snapshots = context.snapshots
         self._core = core
@@ -36,26 +38,42 @@
         self._request_proxy = request_proxy
         self._health_registry = health_registry
         self._is_polling = False
-        self.poller: Poller | None = None
+        self._address: tuple[str, int]
+        self._make_poller: Callable[[tuple[str, int]], Poller] | None = None
+        self._poller: Poller | None = None
+
+    def use_platform(self, address: tuple[str, int], make_poller: Callable[[tuple[str, int]], Poller]) -> None:
+        """Poll the platform at this address. A poller calls `on_polled` and `on_poll_failed`."""
+        self._address = address
+        self._make_poller = make_poller
+
+    @property
+    def poller(self) -> Poller | None:
+        """What polls the platform, made when first asked for: only a member of the core ever leads, and the modules
+        need not be loaded elsewhere. None where there is no platform."""
+        self.prepare_to_poll()
+        return self._poller
 
-    def use_poller(self, poller: Poller) -> None:
-        """Poll the platform with this one; it calls `on_polled` and `on_poll_failed`."""
-        self.poller = poller
+    def prepare_to_poll(self) -> None:
+        """Make the poller now, at a node that may come to lead: a new leader has no time to load modules."""
+        if self._poller is None and self._make_poller is not None:
+            self._poller = self._make_poller(self._address)
 
     def poll_while(self, leads: bool) -> None:
         """Start or stop polling, where that has to change."""
-        if self.poller is None or leads == self._is_polling:
+        if leads == self._is_polling or (poller := self.poller) is None:
             return
         self._is_polling = leads
         if leads:
-            self.poller.start()
+            poller.start()
         else:
-            self.poller.stop()
+            poller.stop()
 
     def move_platform(self, address: tuple[str, int]) -> None:
         """Poll at another address from now on."""
-        if self.poller is not None:
-            self.poller.change_address(address)
+        self._address = address
+        if self._poller is not None:
+            self._poller.change_address(address)
 
     def on_polled(self, servers: EndpointList) -> None:
         """Take a complete list from the platform: the leader numbers it, and passes on what differs.
--- a/rampfront/quota/codec.py
+++ b/rampfront/quota/codec.py
@@ -118,12 +118,20 @@
         return Probe(_check_integer(fields[PROBE_NUMBER]))
     if fields.get(FAREWELL):
         return Farewell(_check_integer(fields.get(INCARNATION)))
-    lived_ms = _check_integer(fields.get(LIVED_MS, 0))
-    counts = fields.get(COUNTS)
+    lived_ms = fields.get(LIVED_MS, 0)
+    incarnation = fields.get(INCARNATION)
+    sequence = fields.get(SEQUENCE)
+    if not (
+        type(lived_ms) is type(incarnation) is type(sequence) is int
+        and 0 <= lived_ms <= MOST
+        and 0 <= incarnation <= MOST
+        and 1 <= sequence <= MOST
+    ):
+        _refuse(BAD_FIGURE)
     return CounterUpdate(
-        _check_integer(fields.get(INCARNATION)),
-        _check_integer(fields.get(SEQUENCE), 1),
-        _decode_counts(counts, _new_full_count if lived_ms else _new_count_delta),
+        incarnation,
+        sequence,
+        _decode_counts(fields.get(COUNTS), _new_full_count if lived_ms else _new_count_delta),
         fields.get(COUNTER_INCARNATION),
         lived_ms,
         bool(fields.get(WANTS_ALL)),
@@ -134,13 +142,19 @@
 def decode_totals(wire_map: object) -> CounterTotals:
     """Decodes what a counter sent to a proxy, other than a probe's answer. Raises `InvalidMessageError`."""
     fields = _check_map(wire_map)
+    incarnation = fields.get(COUNTER_INCARNATION)
+    sequence = fields.get(SEQUENCE)
+    time_ms = fields.get(COUNTER_TIME_MS)
+    if not (
+        type(incarnation) is type(sequence) is type(time_ms) is int
+        and 0 <= incarnation <= MOST
+        and 0 <= sequence <= MOST
+        and 0 <= time_ms <= MOST_TIME_MS
+    ):
+        _refuse(BAD_FIGURE)
+    rows = _decode_totals_rows(fields.get(TOTALS))
     return CounterTotals(
-        _check_integer(fields.get(COUNTER_INCARNATION)),
-        _check_integer(fields.get(SEQUENCE)),
-        _check_integer(fields.get(COUNTER_TIME_MS), 0, MOST_TIME_MS),
-        _decode_totals_rows(fields.get(TOTALS)),
-        bool(fields.get(LISTS_ALL)),
-        bool(fields.get(UNSOLICITED)),
+        incarnation, sequence, time_ms, rows, bool(fields.get(LISTS_ALL)), bool(fields.get(UNSOLICITED))
     )
 
 
@@ -167,9 +181,9 @@
     return value
 
 
-def _check_integer(value: object, least: int = 0, most: int = MOST) -> int:
-    """`value`, if it is an integer within the bounds, both included."""
-    if type(value) is not int or not least <= value <= most:
+def _check_integer(value: object) -> int:
+    """`value`, if it is an integer from 0 to `MOST`."""
+    if type(value) is not int or not 0 <= value <= MOST:
         _refuse(BAD_FIGURE)
     return value
 
