--- a/rampfront/node/frame_dispatch.py
+++ b/rampfront/node/frame_dispatch.py
@@ -32,6 +32,7 @@
         """Handle a frame of the node at `ip`. Raises ValueError and the like for a frame whose fields aren't valid:
         the wire counts and drops it."""
         now = self._clock()
-        kind = frame[KIND]
-        self._core.step_down_if_overdue(now)
-        self._handlers.get(kind, self._core.on_frame)(ip, frame, now)
+        core = self._core
+        if core.member is not None:
+            core.step_down_if_overdue(now)
+        self._handlers.get(frame[KIND], core.on_frame)(ip, frame, now)
--- a/rampfront/node/quota_exchange.py
+++ b/rampfront/node/quota_exchange.py
@@ -103,7 +103,9 @@
     def on_sum(self, ip: str, frame: Message, now: int) -> None:
         """Take a counter's totals."""
         pending = self.limiter.link.pending
-        self._send_adds(self.placement.receive(now, ip, frame[MESSAGE]))
+        outgoing = self.placement.receive(now, ip, frame[MESSAGE])
+        if outgoing:
+            self._send_adds(outgoing)
         if pending and self.limiter.link.pending is not pending:
             self.round_trips.record(now - pending.first_sent_at)
         self.schedule_flush()  # what came due meanwhile need not wait for the timer that sends again
--- a/rampfront/quota/codec.py
+++ b/rampfront/quota/codec.py
@@ -160,8 +160,9 @@
 
 def decode_probe_answer(wire_map: object) -> Probe | None:
     """The answer to a probe, or None for another message. Raises `InvalidMessageError` for what is no map."""
-    fields = _check_map(wire_map)
-    return Probe(fields[PROBE_NUMBER]) if PROBE_NUMBER in fields else None
+    if type(wire_map) is not dict:
+        _refuse("no message")
+    return Probe(wire_map[PROBE_NUMBER]) if PROBE_NUMBER in wire_map else None
 
 
 def check_name(value: object) -> str:
--- a/rampfront/quota/tenant_table.py
+++ b/rampfront/quota/tenant_table.py
@@ -91,7 +91,7 @@
         what was in the last one is in the totals."""
         for total in totals:
             if tenant := self.tenants.get(total.tenant):
-                self.roll(tenant, now)
+                roll(tenant, self.clock.time(now))
                 tenant.read(total, now, acknowledges)
 
     def forget_acknowledged(self, now: int) -> None:
--- a/rampfront/quota/update_schedule.py
+++ b/rampfront/quota/update_schedule.py
@@ -58,7 +58,7 @@
     def end_retry(self) -> None:
         """No update is under way any more."""
         self.retry_at = None
-        self._update()
+        self.next_at = min(self.flush_at, self.tick_at)
 
     def _jittered(self, now: int, gap_ns: int) -> int:
         return now + int(self.random.uniform(1 - JITTER, 1 + JITTER) * gap_ns)
