--- a/rampfront/cli/journal.py
+++ b/rampfront/cli/journal.py
@@ -10,7 +10,7 @@
 from .common import EXIT_FAILED, EXIT_INVALID, fail
 
 if TYPE_CHECKING:
-    from ..journal.reader import Journal
+    from ..journal.journal_reader import JournalContents
 
 app = typer.Typer(
     help="The journal of once-only transactions: what was sent, where and when, and how it ended.", no_args_is_help=True
@@ -19,26 +19,27 @@
 JournalFolder = Annotated[Path, typer.Argument(help="The journal's folder.", show_default=False)]
 
 
-def read_journal(folder: Path) -> tuple[ModuleType, "Journal"]:
+def read_journal(folder: Path) -> tuple[ModuleType, "JournalContents"]:
     """The reader's module and the journal; a folder without a journal ends the command."""
-    from ..journal import reader
+    from ..journal import journal_reader as reader
+    from ..journal.segment_store import segment_paths
 
-    if not reader.segments(folder):
+    if not segment_paths(folder):
         fail(f"{folder} holds no journal", EXIT_INVALID)
-    return reader, reader.read(folder)
+    return reader, reader.read_journal(folder)
 
 
 @app.command("show")
 def journal_show(folder: JournalFolder) -> None:
     """Every submission in order, the starts of the node, and what is damaged."""
     reader, found = read_journal(folder)
-    for at, node in found.starts:
-        typer.echo(f"{reader.stamp(at)} start of {node}")
+    for start in found.starts:
+        typer.echo(f"{reader.format_time(start.at_ns)} start of {start.node}")
     for entry in found.entries.values():
         typer.echo(entry.line())
-    for line in reader.damages(found):
+    for line in found.damage_lines():
         typer.echo(line)
-    typer.echo(reader.summary(found))
+    typer.echo(found.summary())
 
 
 @app.command("query")
@@ -55,7 +56,7 @@
 ) -> None:
     """The submissions that match every option. Exit 1 if there is none."""
     reader, found = read_journal(folder)
-    rows = reader.chosen(found, txn, account, server, may_have_run, _unix_ns(since), _unix_ns(until))
+    rows = found.select(reader.EntryFilter(txn, account, server, may_have_run, _unix_ns(since), _unix_ns(until)))
     for entry in rows:
         typer.echo(entry.line())
     raise typer.Exit(0 if rows else EXIT_FAILED)
@@ -69,8 +70,8 @@
 @app.command("verify")
 def journal_verify(folder: JournalFolder) -> None:
     """Check every record. Exit 1 if one is damaged; torn or corrupt ones are named with file and offset."""
-    reader, found = read_journal(folder)
-    for line in reader.damages(found):
+    _, found = read_journal(folder)
+    for line in found.damage_lines():
         typer.echo(line)
-    typer.echo(reader.summary(found))
+    typer.echo(found.summary())
     raise typer.Exit(EXIT_FAILED if found.damage else 0)
--- a/rampfront/edge/node.py
+++ b/rampfront/edge/node.py
@@ -48,18 +48,24 @@
 
         gateway.storm = driver.storm = listener.storm = Storm(draw=draw, counts=log.counts, **launch.storm)
     if launch.journal:
-        from ..journal.keeper import Keeper
-        from ..journal.store import Store
+        from ..journal.durable_intent_journal import DurableIntentJournal
+        from ..journal.journal_settings import JournalSettings
 
-        told = dict(launch.journal)
-        batch = told.pop("batch")
+        table = launch.journal
+        journal_settings = JournalSettings(
+            folder=Path(table["folder"]),
+            node_name=launch.name,
+            batch_delay_ns=table["batch"],
+            max_segment_bytes=table["segment"],
+            max_total_bytes=table["most"],
+            retention_s=table["keep"],
+        )
         try:
-            store = Store(name=launch.name, **told)
+            journal = DurableIntentJournal(loop, driver.timers, log, journal_settings, launch.names.products)
         except OSError as trouble:
             raise Faulty("journal.dir", "a folder that this process alone may write to", str(trouble)) from None
-        keeper = Keeper(loop, driver.timers, clock, log, store, launch.names, batch)
-        gate = driver.once_only_gate = OnceOnlyGate(keeper, driver.timers, servers, driver.submission_ended)
-        keeper.send, keeper.refuse = gate.send, gate.refuse
+        gate = driver.once_only_gate = OnceOnlyGate(journal, driver.timers, servers, driver.submission_ended)
+        journal.send, journal.refuse = gate.send, gate.refuse
     if launch.syslog:
         from ..syslog.decision_recorder import SyslogDecisionRecorder
         from ..syslog.syslog_sender import SyslogSender
--- /dev/null
+++ b/rampfront/journal/durable_intent_journal.py
@@ -0,0 +1,248 @@
+"""The node's side of the journal: intents pend until they are durable, outcomes are recorded, doubts are known.
+
+It owns what waits for the next write. It never sends: it hands over what `write_ahead_rule` lets go, and reports what
+it does not. Records are numbered here; a batch is written on the store's thread, and its end comes back to the event
+loop.
+"""
+
+from asyncio import AbstractEventLoop
+from collections.abc import Callable, Iterable, Sequence
+from concurrent.futures import Future
+from functools import partial
+from typing import assert_never, cast
+
+from .. import terms
+from ..net.event_log import EventLog
+from ..net.exchange import AnyExchange
+from ..net.once_only import PendingIntent
+from ..net.timers import Timer, TimerQueue
+from .journal_settings import JournalSettings
+from .records import Ending, Intent, Outcome, Record, Start, encode_record
+from .segment_store import SegmentStore
+from .write_ahead_rule import IntentEffect, JournalState, WriteAheadRule, WriteResult
+
+_NS_PER_S = 10**9
+_RETRY_DELAY_NS = _NS_PER_S  # between writes while they fail
+_MAX_QUEUED_RECORDS = 65536
+_MAX_REPORTED_DAMAGE = 20
+_ENDS_WITHOUT_RUN = (terms.UNSEEN, terms.UNSENT, terms.UNREACHED)
+
+
+class DurableIntentJournal:
+    """Records the intents and outcomes of once-only submissions: the `IntentJournal` of the once-only gate.
+
+    The program sets `send` and `refuse` before the first intent.
+
+    Attributes:
+        in_doubt_ids: ids of transactions that may have run before this start; they are not accepted again.
+        send: called with number and submission once an intent is durable.
+        refuse: called with the submission of an intent that cannot be recorded.
+    """
+
+    send: Callable[[int, PendingIntent], None]
+    refuse: Callable[[PendingIntent], None]
+
+    def __init__(
+        self,
+        loop: AbstractEventLoop,
+        timers: TimerQueue,
+        log: EventLog,
+        settings: JournalSettings,
+        product_names: Iterable[str],
+    ) -> None:
+        """Opens the journal and reads it.
+
+        Args:
+            loop: the event loop.
+            timers: the timers, and the clock of the records.
+            log: the event log.
+            settings: where and how the journal is written.
+            product_names: the names of the products, in the order of their indices.
+
+        Raises:
+            OSError: the folder cannot be used, or another process writes there.
+        """
+        self._loop = loop
+        self._timers = timers
+        self._clock = timers.clock
+        self._log = log
+        self._settings = settings
+        self._product_names = list(product_names)
+        self._store = SegmentStore(settings)
+        self._rule = WriteAheadRule()
+        self._last_number = self._store.index.last_number
+        self._pending: dict[int, PendingIntent] = {}  # by number; emptied by the ends of writes
+        self._queue: list[Record] = []  # of the next write; bounded by the rule and `_MAX_QUEUED_RECORDS`
+        self._writing = False
+        self._timer: Timer | None = None  # for the next write
+        self.in_doubt_ids = {intent.transaction_id.encode("latin-1") for intent in self._store.index.in_doubt.values()}
+        self._report_start()
+
+    # ---- called by the once-only gate
+
+    def accepts_intents(self) -> bool:
+        """Whether intents can be recorded now."""
+        return self._rule.accepts_intents()
+
+    def record_intent(
+        self, exchange: AnyExchange, attempt: int, server: str | None, pending: PendingIntent
+    ) -> int | None:
+        """Records an intent.
+
+        Args:
+            exchange: the transaction.
+            attempt: the number of the submission among those of the transaction.
+            server: the id of the server that it goes to.
+            pending: the submission, which `send` or `refuse` is called with.
+
+        Returns:
+            The number of the intent; None if it is refused at once.
+        """
+        self._last_number += 1
+        number = self._last_number
+        if not self._rule.add(number):
+            return None
+        self._pending[number] = pending
+        self._enqueue(
+            Intent(
+                number=number,
+                at_ns=self._clock(),
+                transaction_id=exchange.id.decode("latin-1"),
+                product=self._product_names[exchange.product],
+                account=exchange.account,
+                server=cast(str, server),  # a submission goes to a server that is listed
+                attempt=attempt,
+            )
+        )
+        return number
+
+    def withdraw(self, number: int) -> bool:
+        """Withdraws an intent that is not durable yet. Returns whether its submission now never leaves."""
+        return self._rule.withdraw(number)
+
+    def record_outcome(self, number: int, how: int) -> None:
+        """A submission ended, for the reason `how` of `terms.py`. What may have run stays in doubt.
+
+        Past the most records the outcome is not recorded: the transaction is in doubt after a crash, which is safe.
+        """
+        if len(self._queue) < _MAX_QUEUED_RECORDS:
+            self._enqueue(Outcome(number, self._clock(), _ending(how)))
+
+    def close(self) -> None:
+        """Writes the outcomes that are left.
+
+        The event loop has stopped, so an intent that still waits never leaves.
+        """
+        self._store.stop_thread()
+        try:
+            if outcomes := [encode_record(record) for record in self._queue if not isinstance(record, Intent)]:
+                self._store.append(outcomes)
+        except OSError as error:
+            self._log.record("journal", state=JournalState.FULL.value, why=str(error))
+        self._store.close()
+
+    # ---- writes
+
+    def _report_start(self) -> None:
+        """Logs what the journal held."""
+        damage = self._store.damage
+        index = self._store.index
+        for span in damage[:_MAX_REPORTED_DAMAGE]:
+            self._log.record(
+                "journal damaged", segment=span.segment, offset=span.offset, bytes=span.size_bytes, why=span.reason
+            )
+        self._log.record(
+            "journal read",
+            last=self._last_number,
+            doubts=len(self.in_doubt_ids),
+            settled=index.succeeded,
+            not_run=index.not_run,
+            damaged=len(damage),
+        )
+
+    def _enqueue(self, record: Record) -> None:
+        """Puts a record into the next write."""
+        self._queue.append(record)
+        if not self._writing:
+            self._schedule_write()
+
+    def _schedule_write(self) -> None:
+        """Sets the timer of the next write, unless it is set."""
+        if self._timer is None:
+            full = self._rule.state == JournalState.FULL
+            delay_ns = _RETRY_DELAY_NS if full else self._settings.batch_delay_ns
+            self._timer = self._timers.after(delay_ns, self._write)
+
+    def _write(self) -> None:
+        """The timer: gives the queue to the store's thread."""
+        self._timer = None
+        self._writing = True
+        batch = self._queue
+        self._queue = []
+        numbers = [record.number for record in batch if isinstance(record, Intent)]
+        future = self._store.start_append([encode_record(record) for record in batch], numbers)
+        future.add_done_callback(partial(self._return_to_loop, batch, numbers))
+
+    def _return_to_loop(self, batch: Sequence[Record], numbers: Sequence[int], future: Future[None]) -> None:
+        """Called on the store's thread when a write has ended."""
+        self._loop.call_soon_threadsafe(self._write_ended, batch, numbers, future.exception())
+
+    def _write_ended(self, batch: Sequence[Record], numbers: Sequence[int], error: BaseException | None) -> None:
+        """A write has ended: its intents are let go or refused.
+
+        Args:
+            batch: its records.
+            numbers: of the intents among them.
+            error: why it failed; None if it is durable.
+        """
+        self._writing = False
+        if error is None:
+            self._count_durable(batch)
+        elif not isinstance(error, OSError):
+            self._log.record_limited("fault", "journal", trouble=repr(error))
+        end = self._rule.write_ended(WriteResult.FAILED if error else WriteResult.DURABLE, numbers)
+        if end.state_changed:
+            self._log.record("journal", state=self._rule.state.value, why=str(error or ""))
+        if error:
+            self._requeue(batch)
+        for number, effect in end.effects:
+            self._carry_out(number, effect)
+        for number in numbers:
+            self._pending.pop(number, None)
+        if self._queue:
+            self._schedule_write()
+
+    def _count_durable(self, batch: Sequence[Record]) -> None:
+        """Takes records into the index; not sooner, as compaction goes by what stands on the disk."""
+        self._log.counts["journal_records"] += len(batch)
+        self._log.counts["journal_writes"] += 1
+        for record in batch:
+            self._store.index.add(record)
+
+    def _requeue(self, batch: Sequence[Record]) -> None:
+        """A write failed: its intents are nowhere, and none has left; its outcomes are tried again."""
+        others: list[Record] = [record for record in batch if not isinstance(record, Intent)]
+        self._queue = others[:_MAX_QUEUED_RECORDS] + self._queue
+        if not self._queue:  # guards against a journal that is never tried again for want of anything to write
+            self._queue.append(Start(self._clock(), self._settings.node_name))
+
+    def _carry_out(self, number: int, effect: IntentEffect) -> None:
+        """Does with an intent what the rule says."""
+        pending = self._pending.pop(number)
+        match effect:
+            case IntentEffect.SEND:
+                self.send(number, pending)
+            case IntentEffect.REFUSE:
+                self._log.counts["journal_refused"] += 1
+                self.refuse(pending)
+            case IntentEffect.RECORD_NOT_RUN:
+                self.record_outcome(number, terms.UNSENT)
+            case _:
+                assert_never(effect)
+
+
+def _ending(how: int) -> Ending:
+    """The ending that is recorded, of the reason `how` of `terms.py`."""
+    if how == terms.DONE:
+        return Ending.SUCCEEDED
+    return Ending.NOT_RUN if how in _ENDS_WITHOUT_RUN else Ending.DOUBT
--- a/rampfront/journal/records.py
+++ b/rampfront/journal/records.py
@@ -1,110 +1,127 @@
-"""Records of the journal: bytes and back, and what a damaged file still holds. No I/O.
+"""Records of the journal, and their bytes. No I/O.
 
-A record is `MARK`, length, CRC-32 of the body, body; the body is a msgpack array. The mark lets a reader find the next
-record behind a damaged one. Kinds, with what they hold:
-
-    START    at, node                                          a process began to write
-    INTENT   number, at, txn, product, account, box, attempt   a submission is about to leave
-    OUTCOME  number, at, how                                    it ended: settled, not_run, doubt (it may have run)
-
-`number` counts on over restarts. An INTENT without OUTCOME is in doubt: it may have run.
+A record is `RECORD_MARK`, length, CRC-32 of the body, body; the body is a msgpack array whose first element is the
+kind. The mark lets a reader find the next record behind a damaged one. Submissions are numbered; the number counts
+on over restarts. An intent without an outcome is in doubt: it may have run.
 """
 
 import struct
 import zlib
-from dataclasses import dataclass, field
+from enum import IntEnum
 
 import msgspec
 
-MARK = b"\xabRJ1"
-HEAD = struct.Struct("<4sII")
-MOST = 1 << 16  # bytes of a body; a longer length is damage
-START, INTENT, OUTCOME = range(3)
-SETTLED, NOT_RUN, DOUBT = range(3)
-WORDS = ("settled", "not_run", "doubt")
-SHAPES = {START: (int, str), INTENT: (int, int, str, str, str, str, int), OUTCOME: (int, int, int)}
+RECORD_MARK = b"\xabRJ1"
+_LENGTH_AND_CHECKSUM = struct.Struct("<II")  # bytes of the body, CRC-32 of the body
+_HEADER_BYTES = len(RECORD_MARK) + _LENGTH_AND_CHECKSUM.size
+_MAX_BODY_BYTES = 1 << 16  # a longer length is damage
+
+
+class Ending(IntEnum):
+    """How a submission ended."""
+
+    SUCCEEDED = 0  # a complete response came
+    NOT_RUN = 1
+    DOUBT = 2  # it may have run
+
+
+class Start(msgspec.Struct, frozen=True, array_like=True, tag=0, forbid_unknown_fields=True, gc=False):
+    """A process began to write.
+
+    Attributes:
+        at_ns: Unix time in ns.
+        node: its name.
+    """
+
+    at_ns: int
+    node: str
+
+
+class Intent(msgspec.Struct, frozen=True, array_like=True, tag=1, forbid_unknown_fields=True, gc=False):
+    """A submission is about to leave.
+
+    Attributes:
+        number: of the submission.
+        at_ns: Unix time in ns.
+        transaction_id: the id that the client gave, in Latin-1.
+        product: the name of its product.
+        account: the customer.
+        server: the id of the server that it goes to.
+        attempt: its number among the submissions of the transaction, from 0.
+    """
 
-encode, decode = msgspec.msgpack.Encoder().encode, msgspec.msgpack.Decoder(list).decode
+    number: int
+    at_ns: int
+    transaction_id: str
+    product: str
+    account: str
+    server: str
+    attempt: int
 
 
-def pack(record):
-    """`record`: (kind, ...) as above."""
-    body = encode(record)
-    return HEAD.pack(MARK, len(body), zlib.crc32(body)) + body
+class Outcome(msgspec.Struct, frozen=True, array_like=True, tag=2, forbid_unknown_fields=True, gc=False):
+    """A submission ended.
 
+    Attributes:
+        number: of its intent.
+        at_ns: Unix time in ns.
+        ending: how.
+    """
 
-@dataclass(slots=True)
-class Scan:
-    """What a file holds: `records` in order, as (offset, record); `damage` as (offset, bytes, why)."""
+    number: int
+    at_ns: int
+    ending: Ending
 
-    records: list = field(default_factory=list)
-    damage: list = field(default_factory=list)
 
+Record = Start | Intent | Outcome
 
-def body_at(data, at):
-    """(record, next offset), or (None, why it is none)."""
-    if at + HEAD.size > len(data):
-        return None, "torn: the file ends within a record's head"
-    mark, size, crc = HEAD.unpack_from(data, at)
-    if mark != MARK:
-        return None, "no record begins here"
-    if size > MOST:
-        return None, "a length that no record has"
-    end = at + HEAD.size + size
+_encode_body = msgspec.msgpack.Encoder().encode
+_decode_body = msgspec.msgpack.Decoder(Record).decode
+
+
+class DamagedRecordError(ValueError):
+    """No complete record stands at an offset; the text says why."""
+
+
+def encode_record(record: Record) -> bytes:
+    """The bytes of a record."""
+    body = _encode_body(record)
+    return RECORD_MARK + _LENGTH_AND_CHECKSUM.pack(len(body), zlib.crc32(body)) + body
+
+
+def decode_record(data: bytes, offset: int) -> tuple[Record, int]:
+    """Reads the record at an offset.
+
+    Returns:
+        The record, and the offset behind it.
+
+    Raises:
+        DamagedRecordError: there is none, or it is torn or damaged.
+    """
+    body_start = offset + _HEADER_BYTES
+    if body_start > len(data):
+        raise DamagedRecordError("torn: the file ends within a record's head")
+    if not data.startswith(RECORD_MARK, offset):
+        raise DamagedRecordError("no record begins here")
+    length, checksum = _LENGTH_AND_CHECKSUM.unpack_from(data, offset + len(RECORD_MARK))
+    if length > _MAX_BODY_BYTES:
+        raise DamagedRecordError("a length that no record has")
+    end = body_start + length
     if end > len(data):
-        return None, "torn: the file ends within a record"
-    body = data[at + HEAD.size : end]
-    if zlib.crc32(body) != crc:
-        return None, "its checksum is wrong"
+        raise DamagedRecordError("torn: the file ends within a record")
+    body = data[body_start:end]
+    if zlib.crc32(body) != checksum:
+        raise DamagedRecordError("its checksum is wrong")
+    try:
+        return _decode_body(body), end
+    except msgspec.DecodeError:
+        raise DamagedRecordError(_reason_of_bad_body(body)) from None
+
+
+def _reason_of_bad_body(body: bytes) -> str:
+    """Why a body with the right checksum is no record."""
     try:
-        record = decode(body)
+        msgspec.msgpack.decode(body, type=list)
     except msgspec.DecodeError:
-        return None, "no record under its checksum"
-    shape = SHAPES.get(record[0]) if record and type(record[0]) is int else None
-    if shape is None or tuple(map(type, record[1:])) != shape or record[0] == OUTCOME and not 0 <= record[3] <= DOUBT:
-        return None, "a record of no kind that there is"
-    return record, end
-
-
-def scan(data):
-    found, at = Scan(), 0
-    while at < len(data):
-        record, then = body_at(data, at)
-        if record is not None:
-            found.records.append((at, record))
-            at = then
-            continue
-        following = data.find(MARK, at + 1)
-        while following >= 0 and body_at(data, following)[0] is None:
-            following = data.find(MARK, following + 1)
-        end = following if following >= 0 else len(data)
-        found.damage.append((at, end - at, then))
-        at = end
-    return found
-
-
-class Index:
-    """Once-only txns by what their records say. `doubts`: number to INTENT of those whose outcome is not known, the
-    newest `most`: older ones stand in the files alone."""
-
-    def __init__(self, most=100_000):
-        self.last, self.doubts, self.settled, self.not_run, self.starts = 0, {}, 0, 0, 0
-        self.most, self.past = most, 0
-
-    def add(self, record):
-        kind, *rest = record
-        if kind == START:
-            self.starts += 1
-            return
-        number = rest[0]
-        self.last = max(self.last, number)
-        if kind == INTENT:
-            self.doubts[number] = record
-            if len(self.doubts) > self.most:  # guards memory against outages that leave all in doubt
-                del self.doubts[next(iter(self.doubts))]
-                self.past += 1
-        elif rest[2] == DOUBT:
-            pass  # known to be in doubt: it stays so
-        elif self.doubts.pop(number, None):
-            self.settled += rest[2] == SETTLED
-            self.not_run += rest[2] == NOT_RUN
+        return "no record under its checksum"
+    return "a record of no kind that there is"
--- a/rampfront/lab/crash.py
+++ b/rampfront/lab/crash.py
@@ -18,7 +18,8 @@
 import msgspec
 import uvloop
 
-from ..journal import reader, records
+from ..journal.journal_reader import EntryFilter, read_journal
+from ..journal.records import Ending
 from .emulator import Lab, customer
 from .nodes import Node
 from .plan import Boxes, Experiment, Latency, Load, Plan, Product, Stream, Topology
@@ -66,14 +67,14 @@
     """What the journal `found`, the boxes `ran` (txn to times) and clients were `told` (txn to status) say apart."""
     by_txn = {}
     for entry in found.entries.values():
-        by_txn.setdefault(entry.txn, []).append(entry)
+        by_txn.setdefault(entry.intent.transaction_id, []).append(entry)
     odd = [f"{txn} ran {times} times" for txn, times in ran.items() if times > 1]
     odd += [f"{txn} ran without an intent" for txn in ran if txn not in by_txn]
     for txn, entries in by_txn.items():
-        words = [entry.outcome for entry in entries]
-        if records.SETTLED in words and ran.get(txn) != 1:
+        words = [entry.outcome and entry.outcome.ending for entry in entries]
+        if Ending.SUCCEEDED in words and ran.get(txn) != 1:
             odd.append(f"{txn} is settled in the journal and ran {ran.get(txn, 0)} times")
-        if all(word == records.NOT_RUN for word in words) and ran.get(txn):
+        if all(word == Ending.NOT_RUN for word in words) and ran.get(txn):
             odd.append(f"{txn} is not run in the journal and ran")
     odd += [
         f"{txn} was settled for its client and ran {ran.get(txn, 0)} times"
@@ -117,10 +118,11 @@
         await self.loop.run_in_executor(None, self.node.process.wait)
         await asyncio.gather(*tasks)
         await asyncio.sleep(0.03)  # what had left by then has reached the boxes and runs
-        found = reader.read(self.folder / "journal-0")
+        found = read_journal(self.folder / "journal-0")
         odd += disagreements(found, dict(self.lab.runs.once), self.told)
-        odd += [f"damage that is no torn tail: {row}" for row in found.damage if not row[3].startswith("torn")]
-        self.left = [e.txn for e in reader.chosen(found, doubt=True) if e.txn.startswith(f"r{run}-")]
+        odd += [f"damage that is no torn tail: {row}" for row in found.damage if not row.reason.startswith("torn")]
+        doubts = [e.intent.transaction_id for e in found.select(EntryFilter(in_doubt=True))]
+        self.left = [mark for mark in doubts if mark.startswith(f"r{run}-")]
         self.doubts += len(self.left)
         return odd
 
--- a/rampfront/lab/journals.py
+++ b/rampfront/lab/journals.py
@@ -9,19 +9,16 @@
 import uvloop
 
 from ..edge.log import Log
-from ..journal import records as r
-from ..journal.keeper import Keeper
-from ..journal.store import Store
+from ..journal.durable_intent_journal import DurableIntentJournal
+from ..journal.journal_settings import JournalSettings
+from ..journal.records import Ending, Intent, Outcome, encode_record
+from ..journal.segment_store import SegmentStore
 from ..net.clock import Clock
 from ..net.timers import TimerQueue
 
 MS, SEC = 10**6, 10**9
 
 
-class Names:
-    products = {"ledger-entry": 0}
-
-
 class Exchange:
     id, product, account = b"6b0f6a4e-6c0b-4d3a-9f57-3f2d8a0b9c11", 0, "00000000b4d65521"
 
@@ -32,16 +29,17 @@
     shutil.rmtree(folder, ignore_errors=True)
     loop, clock, waits = uvloop.new_event_loop(), Clock(), []
     log = Log("lab", 10**10, open("/dev/null", "wb"))
-    keeper = Keeper(loop, TimerQueue(loop, clock), clock, log, Store(folder, "lab"), Names, round(batch_ms * MS))
+    settings = JournalSettings(Path(folder), "lab", batch_delay_ns=round(batch_ms * MS))
+    keeper = DurableIntentJournal(loop, TimerQueue(loop, clock), log, settings, ["ledger-entry"])
     end = clock() + round(seconds * SEC)
 
     def begin():
-        keeper.intend(Exchange, 0, "box-1", clock())
+        keeper.record_intent(Exchange, 0, "box-1", clock())
 
     def sent(number, since):
         now = clock()
         waits.append((now - since) / MS)
-        keeper.outcome(number, 0)
+        keeper.record_outcome(number, 0)
         begin() if now < end else loop.stop()
 
     keeper.send, keeper.refuse = sent, lambda since: loop.stop()
@@ -66,7 +64,7 @@
     """Batches a second made durable one behind the other, `size` intents each: our segments, and SQLite in WAL mode
     with synchronous=FULL."""
     shutil.rmtree(folder, ignore_errors=True)
-    store = Store(Path(folder) / "own", "lab")
+    store = SegmentStore(JournalSettings(Path(folder) / "own", "lab"))
     base = sqlite3.connect(Path(folder) / "journal.db", isolation_level=None)
     base.execute("PRAGMA journal_mode=WAL")
     base.execute("PRAGMA synchronous=FULL")
@@ -77,7 +75,7 @@
     rows = [(k, k, Exchange.id.decode(), "ledger-entry", Exchange.account, "box-1", 0) for k in range(size)]
 
     def own(k):
-        store.append([r.pack((r.INTENT, k * size + row[0], *row[1:])) for row in rows])
+        store.append([encode_record(Intent(k * size + row[0], *row[1:])) for row in rows])
 
     def sqlite(k):
         base.execute("BEGIN")
@@ -102,20 +100,23 @@
 def start_time(folder, count, doubts=100):
     """Seconds that a start reads a journal of `count` records; `doubts` of them intents without an outcome."""
     shutil.rmtree(folder, ignore_errors=True)
-    store = Store(folder, "lab", most=1 << 40)
+    settings = JournalSettings(Path(folder), "lab", max_total_bytes=1 << 40)
+    store = SegmentStore(settings)
     for first in range(0, count, 2000):
         packed = []
         for number in range(first // 2, min(count, first + 2000) // 2):
             packed.append(
-                r.pack((r.INTENT, number, number, Exchange.id.decode(), "ledger-entry", Exchange.account, "box-1", 0))
+                encode_record(
+                    Intent(number, number, Exchange.id.decode(), "ledger-entry", Exchange.account, "box-1", 0)
+                )
             )
             if number >= doubts:
-                packed.append(r.pack((r.OUTCOME, number, number + MS, r.SETTLED)))
+                packed.append(encode_record(Outcome(number, number + MS, Ending.SUCCEEDED)))
         store.append(packed)
     store.close()
     size, begun = sum(path.stat().st_size for path in Path(folder).iterdir()), time.perf_counter()
-    again = Store(folder, "lab", most=1 << 40)
+    again = SegmentStore(settings)
     took = time.perf_counter() - begun
-    assert len(again.index.doubts) == min(doubts, count // 2)
+    assert len(again.index.in_doubt) == min(doubts, count // 2)
     again.close()
     return {"records": count, "mb": round(size / 1e6, 1), "start_s": round(took, 3)}
--- a/rampfront/net/once_only.py
+++ b/rampfront/net/once_only.py
@@ -19,24 +19,26 @@
 class IntentJournal(Protocol):
     """Records once-only submissions before they leave (`rampfront/journal`)."""
 
-    def intend(self, exchange: AnyExchange, attempt: int, server: str | None, pending: "PendingIntent") -> int | None:
+    def record_intent(
+        self, exchange: AnyExchange, attempt: int, server: str | None, pending: "PendingIntent"
+    ) -> int | None:
         """Records an intent. Returns its number, or None if it cannot be recorded."""
         raise NotImplementedError
 
-    def call_off(self, number: int) -> bool:
+    def withdraw(self, number: int) -> bool:
         """Withdraws an intent that is not durable yet. Returns whether it was withdrawn."""
         raise NotImplementedError
 
-    def outcome(self, number: int, how: int) -> None:
+    def record_outcome(self, number: int, how: int) -> None:
         """Records how a submission ended."""
         raise NotImplementedError
 
-    def may_take(self) -> bool:
+    def accepts_intents(self) -> bool:
         """Whether intents can be recorded now."""
         raise NotImplementedError
 
     @property
-    def doubted(self) -> set[bytes]:
+    def in_doubt_ids(self) -> set[bytes]:
         """Ids of transactions that may have run before this process started."""
         raise NotImplementedError
 
@@ -104,16 +106,16 @@
 
     def may_have_run(self, exchange_id: bytes) -> bool:
         """Whether a transaction of this id may have run before this process started."""
-        return exchange_id in self.journal.doubted
+        return exchange_id in self.journal.in_doubt_ids
 
     def accepts_intents(self) -> bool:
         """Whether intents can be recorded now."""
-        return self.journal.may_take()
+        return self.journal.accepts_intents()
 
     def submit(self, exchange: AnyExchange, attempt: int, effect: t.Submit) -> None:
         """Records the intent of a submission."""
         pending = PendingIntent(self, exchange, attempt, effect)
-        pending.number = self.journal.intend(exchange, attempt, self._servers.uid(effect.server), pending)
+        pending.number = self.journal.record_intent(exchange, attempt, self._servers.uid(effect.server), pending)
         if pending.number is None:
             self.refuse(pending)
         else:
@@ -133,14 +135,14 @@
 
     def withdraw(self, pending: PendingIntent, how: int) -> None:
         """Ends an intent that waits, if the journal can still withdraw it."""
-        if pending.number is not None and self.journal.call_off(pending.number):
+        if pending.number is not None and self.journal.withdraw(pending.number):
             pending.release()
             self._end_unsent(pending, how)
 
     def record_outcome(self, exchange: AnyExchange, how: int) -> None:
         """Records how a submission ended, if it was recorded."""
         if exchange.intent_number is not None:
-            self.journal.outcome(exchange.intent_number, how)
+            self.journal.record_outcome(exchange.intent_number, how)
             exchange.intent_number = None
 
     def _end_unsent(self, pending: PendingIntent, how: int) -> None:
--- /dev/null
+++ b/tests/journal/test_node_crashes.py
@@ -0,0 +1,70 @@
+"""Real nodes that are killed, or whose disk is full."""
+
+import http.client
+import resource
+import threading
+import time
+
+import pytest
+
+from rampfront.journal.journal_reader import read_journal
+from rampfront.lab.crash import Harness
+
+
+@pytest.mark.slow(33)
+def test_killed_nodes_and_servers_agree_on_every_once_only_transaction(tmp_path):
+    done = Harness(tmp_path, 7).play(50)
+    assert done["disagreements"] == [] and done["in_doubt"] > 20 and done["refused_again"] > 20
+    assert done["settled"] > 500
+
+
+def ask(call, transaction_id, product="ledger-entry"):
+    """Sends one transaction; returns its answer, read."""
+    call.request(
+        "POST",
+        f"/api?a=0&u=1&p=0&x={transaction_id}",
+        headers={
+            "X-Request-Id": transaction_id,
+            "X-Class": product,
+            "X-Tier": "open",
+            "Cookie": "key=00000000b4d65521",
+            "X-Deadline-Ms": "2000",
+            "X-Call-Terms": "units=1,spread=1,first=0",
+        },
+    )
+    answer = call.getresponse()
+    answer.read()
+    return answer
+
+
+@pytest.mark.slow(3)
+def test_a_full_disk_declines_once_only_transactions_serves_the_others_and_recovers(tmp_path):
+    harness = Harness(tmp_path, 3)
+    thread = threading.Thread(target=harness.loop.run_forever)
+    node = harness.node.start().ready()
+    thread.start()
+    try:
+        call = http.client.HTTPConnection(node.listen, timeout=5)
+        assert ask(call, "a").status == 200
+        resource.prlimit(node.process.pid, resource.RLIMIT_FSIZE, (4096, resource.RLIM_INFINITY))
+        answers = [ask(call, f"b{number}") for number in range(60)]
+        refused = [answer for answer in answers if answer.status == 429]
+        assert len(refused) > 10 and {answer.status for answer in answers} == {200, 429}
+        assert answers[-1].getheader("Retry-After") and answers[-1].status == 429
+        ran = dict(harness.lab.runs.once)
+        assert all(f"b{number}" not in ran for number, answer in enumerate(answers) if answer.status == 429)
+        resource.prlimit(node.process.pid, resource.RLIMIT_FSIZE, (resource.RLIM_INFINITY, resource.RLIM_INFINITY))
+        until = time.monotonic() + 5
+        while ask(call, f"c{until - time.monotonic():.3f}").status != 200:
+            assert time.monotonic() < until
+            time.sleep(0.1)
+        node.end()
+        assert max(harness.lab.runs.once.values()) == 1 and node.totals()["journal_refused"] >= 1
+        found = read_journal(tmp_path / "journal-0")
+        assert not found.damage
+        recorded = {entry.intent.transaction_id for entry in found.entries.values()}
+        assert recorded >= set(harness.lab.runs.once)
+    finally:
+        node.end()
+        harness.loop.call_soon_threadsafe(harness.loop.stop)
+        thread.join()
