--- a/rampfront/consensus/frame_decoder.py
+++ b/rampfront/consensus/frame_decoder.py
@@ -129,7 +129,11 @@
 
 def _heartbeat(frame: Frame) -> Heartbeat:
     return Heartbeat(
-        _sender(frame), frame[wire.RECEIVER_INCARNATION], frame[wire.TERM], frame[wire.ROUND], frame[wire.COMMIT_INDEX]
+        MemberKey(frame[wire.SENDER_NAME], frame[wire.SENDER_INCARNATION]),
+        frame[wire.RECEIVER_INCARNATION],
+        frame[wire.TERM],
+        frame[wire.ROUND],
+        frame[wire.COMMIT_INDEX],
     )
 
 
@@ -146,12 +150,13 @@
 
 
 def _append_acknowledged(frame: Frame) -> AppendAcknowledged:
+    position = frame[wire.POSITION]
     return AppendAcknowledged(
-        _sender(frame),
+        MemberKey(frame[wire.SENDER_NAME], frame[wire.SENDER_INCARNATION]),
         frame[wire.RECEIVER_INCARNATION],
         frame[wire.TERM],
         frame[wire.ROUND],
-        _position(frame),
+        LogPosition(position[0], position[1]),
         frame[wire.BODY_DIGEST],
         bool(frame.get(wire.IS_SHUTTING_DOWN)),
     )
--- a/rampfront/consensus/leader_discovery.py
+++ b/rampfront/consensus/leader_discovery.py
@@ -58,8 +58,10 @@
 
     def heartbeat_received(self, ip: str) -> None:
         """The member at `ip` leads in this term."""
-        self._note_leader(ip)
-        self._heartbeat_at = self._context.now
+        now = self._context.now
+        self.leader_ip = ip
+        self._leader_known_at = now
+        self._heartbeat_at = now
 
     def note_leader(self, ip: str) -> None:
         """The member at `ip` leads, though it does not count this one as a member."""
--- a/rampfront/consensus/member.py
+++ b/rampfront/consensus/member.py
@@ -119,18 +119,19 @@
     def take(self, now: TimeNs, event: Input | None) -> list[Effect]:
         """Handles one input and returns what is to be done, in order. None comes first of all, at the start."""
         self._context.begin(now)
-        if self.is_leadership_expired(now):
-            self.roles.step_down()
+        roles = self.roles
+        if roles.leader is not None and roles.leader.is_expired(now):
+            roles.step_down()
         if event is None:
             self._announce_committed()
         else:
             self._handle(event)
-        leader = self.roles.leader
+        leader = roles.leader
         if leader is not None and leader.may_step_down:
-            self.roles.step_down()
+            roles.step_down()
         elif leader is not None and leader.excludes_itself:
-            self.roles.step_down()
-            self.roles.rejoin(None)
+            roles.step_down()
+            roles.rejoin(None)
         if (store := self._persistent.next_store()) is not None:
             self._context.emit(store)
         return self._context.effects
