--- a/rampfront/node/__init__.py
+++ b/rampfront/node/__init__.py
@@ -16,6 +16,7 @@
 
 * `frame_dispatch`: the table of handlers by kind of frame;
 * `core_driver`: inputs to the core's member, its effects carried out; `leadership`: what hangs on leading;
+* `receivers`: the interfaces by which the core's news are passed on, for the type checker alone;
 * `dissemination_adapter`: frames and news of the disseminator; `snapshots`: this node's versions of state and list;
 * `replicated_state`: a committed state comes into force; `server_list_service`: so does a list of servers;
 * `server_health_exchange`, `quota_exchange` (with `quota_frames`): what proxies tell each other.
--- a/rampfront/node/core_driver.py
+++ b/rampfront/node/core_driver.py
@@ -9,7 +9,7 @@
 from __future__ import annotations
 
 from functools import partial
-from typing import TYPE_CHECKING, Any, Protocol, assert_never, cast
+from typing import TYPE_CHECKING, Any, assert_never, cast
 
 from ..consensus import events
 from ..consensus.errors import RemoteProtocolError
@@ -25,27 +25,7 @@
     from ..consensus.state import State
     from .context import NodeContext
     from .order_messages import OrderKey
-
-
-class OrderAnswerReceiver(Protocol):
-    """Gets the member's answers to orders."""
-
-    def on_core_answer(self, key: OrderKey, outcome: str, state: State | None) -> None:
-        """Take the outcome of the order `key`; `state`: the committed one, with DONE and CONFLICT."""
-
-
-class StateReceiver(Protocol):
-    """Gets states that are known to be committed."""
-
-    def apply(self, state: State) -> None:
-        """Bring a state into force at this node."""
-
-
-class LeadershipObserver(Protocol):
-    """Is called after each input to the member, whose role may have changed."""
-
-    def update(self, now: int) -> None:
-        """Look at the member's role; `now` in ns."""
+    from .receivers import LeadershipObserver, OrderAnswerReceiver, StateReceiver
 
 
 class CoreDriver:
--- a/rampfront/node/order_executor.py
+++ b/rampfront/node/order_executor.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, Protocol
+from typing import TYPE_CHECKING
 
 from ..consensus.events import Outcome
 from ..consensus.state import digest
@@ -14,13 +14,7 @@
     from ..transport.frames import Message
     from .context import NodeContext
     from .core_driver import CoreDriver
-
-
-class ReplyReceiver(Protocol):
-    """Gets the replies to orders of this node itself."""
-
-    def on_reply(self, ip: str, reply: OrderReply) -> None:
-        """Take what the node at `ip` says has become of an order."""
+    from .receivers import ReplyReceiver
 
 
 class OrderExecutor:
