--- a/rampfront/membership/messages.py
+++ b/rampfront/membership/messages.py
@@ -183,7 +183,13 @@
     zone = message[NODE_ZONE]
     front = message[NODE_FRONT]
     ready = bool(message[NODE_READY])
-    _check_texts(name, zone, front)
+    if not (
+        type(name) is type(zone) is type(front) is str
+        and len(name) <= MAX_TEXT_CHARACTERS
+        and len(zone) <= MAX_TEXT_CHARACTERS
+        and len(front) <= MAX_TEXT_CHARACTERS
+    ):
+        raise ValueError("not a short text")
     return new_tuple(Heartbeat, (versions, sent_at_ns, incarnation, name, zone, front, ready))
 
 
