--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -1,6 +1,7 @@
 """The house: imports go one way, and no process reaches into another's folders. Read off the sources, nothing is imported."""
 
 import ast
+import tomllib
 from pathlib import Path
 
 ROOT = Path(__file__).parents[1]
@@ -105,3 +106,8 @@
     tops = {top(name) for name in modules()} - {"", "__main__"}
     assert tops == EDGE | SYSTEM | TOOLS | SHARED
     assert [name for name in sorted(tops) if f"{name}/" not in page and f"{name}.py" not in page] == []
+
+
+def test_the_deploy_file_names_what_exists():
+    deploy = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())
+    assert [path for path in deploy["policy"] + deploy["node"] if not (ROOT / path).exists()] == []
