--- a/rampfront/membership/messages.py
+++ b/rampfront/membership/messages.py
@@ -150,14 +150,11 @@
 
 
 def decode_heartbeat(message: Message, with_sender: bool) -> Heartbeat:
-    """The heartbeat in a frame.
+    """The heartbeat in a frame. Raises ValueError and LookupError: see the module's text.
 
     Args:
         message: the frame.
         with_sender: whether a roster is made here; else the sender's description is not read.
-
-    Raises:
-        ValueError, LookupError: see the module's text.
     """
     state_index = message[STATE_INDEX]
     endpoints_version = message[ENDPOINTS_VERSION]
