--- a/rampfront/announced.py
+++ b/rampfront/announced.py
@@ -2,7 +2,7 @@
 
 from . import terms as t
 
-EFFECTS = {"pure": t.INQUIRY, "token": t.REFERENCED, "side_effect": t.ONCE_ONLY}
+EFFECTS = {"pure": t.READ_ONLY, "token": t.DEDUPLICATED, "side_effect": t.ONCE_ONLY}
 GROUPS = {"all": t.ALL, "zone": t.ZONE, "cell": t.CELL}
 
 
--- a/rampfront/benchlink/codec.py
+++ b/rampfront/benchlink/codec.py
@@ -5,12 +5,12 @@
 ENDINGS = {
     "done": t.DONE,
     "err": t.ERROR,
-    "busy": t.UNSEEN,
-    "econnrefused": t.UNREACHED,
+    "busy": t.NOT_ACCEPTED,
+    "econnrefused": t.CONNECT_FAILED,
     "etimedout": t.TIMED_OUT,
-    "econnreset": t.BROKEN,
+    "econnreset": t.CONNECTION_LOST,
     "ecanceled": t.CANCELLED,
-    "skipped": t.UNSENT,
+    "skipped": t.NOT_SENT,
 }
 STATES = {"healthy": t.UP, "cordoned": t.DRAINING, "deregistered": t.REMOVED}
 
--- a/rampfront/choice.py
+++ b/rampfront/choice.py
@@ -59,7 +59,7 @@
         self.kind, self.group, self.sla = product.kind, product.group, product.sla
         self.window, self.late, self.mean = product.repeat_window, product.late_share, 0.0
         self.patience, self.usual, self.votes = product.patience, 0, 0
-        self.harmless = self.kind == t.INQUIRY or self.kind == t.REFERENCED and self.group == t.ALL
+        self.harmless = self.kind == t.READ_ONLY or self.kind == t.DEDUPLICATED and self.group == t.ALL
 
 
 class Quota:
@@ -199,7 +199,7 @@
             self.lay(server)
         if told.how == t.CANCELLED and told.final and txn.state == OVER and not held:
             self.silent += 0.1 * (0.8 - self.silent)
-        if told.how not in (t.CANCELLED, t.UNSENT) and self.woke < self.now:
+        if told.how not in (t.CANCELLED, t.NOT_SENT) and self.woke < self.now:
             self.judge(server, txn, told)
         self.let_go(server)
         if told.use is not None:
@@ -288,11 +288,11 @@
     def lawful(self, txn):
         """The app servers that the rules leave for the txn's next submission: the one gate of every send."""
         line, now, account = txn.line, self.now, txn.account
-        if txn.out and not (self.copies and line.kind == t.INQUIRY) or txn.expiry - now <= self.margin + MS:
+        if txn.out and not (self.copies and line.kind == t.READ_ONLY) or txn.expiry - now <= self.margin + MS:
             return []
         if not txn.sent and account.quota.fill > 0 and self.store(account) < txn.units:
             return []  # rule 5
-        bound = txn.risk_at is not None and line.kind != t.INQUIRY  # rule 2
+        bound = txn.risk_at is not None and line.kind != t.READ_ONLY  # rule 2
         if bound and (line.kind == t.ONCE_ONLY or now + self.margin >= txn.risk_at + line.window):
             return []
         group, home = line.group if bound else t.ALL, txn.within
@@ -330,7 +330,7 @@
         left, rest = txn.came + line.sla - now, txn.expiry - now - self.margin
         allow = rest if line.late > 0 or left <= 0 else min(left, rest)
         self.effects.append(t.Submit(txn.id, server.id, max(MS, allow)))
-        if self.copies and line.kind == t.INQUIRY and line.mean:
+        if self.copies and line.kind == t.READ_ONLY and line.mean:
             wait = min(TARRY * line.mean, left / 2 if left > 0 else inf)
             self.remind(wait, self.tarry, txn, txn.sent - 1, server)
 
@@ -515,7 +515,7 @@
         self.effects.append(t.Add(name, amount, min(life, 60 * SEC)))
 
     def stamp(self):  # marks the counter; the breaker must not hide from the marks that nobody answers
-        calls = self.marks.due(self.now) if self.mark(CALL) else self.on_stamp(t.Counted(0, 0.0, t.UNSEEN, 0))
+        calls = self.marks.due(self.now) if self.mark(CALL) else self.on_stamp(t.Counted(0, 0.0, t.NOT_ACCEPTED, 0))
         for what, key, number, amount, life in calls or ():
             self.call(self.name(key, number), amount, life, self.on_stamp, what, number)
         self.remind(self.marks.wait(self.now), self.stamp)
@@ -530,7 +530,7 @@
             what, about = waiting.pop(0)
             if not waiting:
                 del self.calls[told.name]
-            self.took = self.call_wait if told.how == t.UNSEEN else told.took
+            self.took = self.call_wait if told.how == t.NOT_ACCEPTED else told.took
             if told.how == t.DONE or self.woke < self.now:
                 self.mark(ANSWER if told.how == t.DONE else FAILURE)
             what(told, *about)
@@ -610,7 +610,7 @@
         self.fade(server)
         rest = 0.0 if self.doubtful(server) else 1.0 - self.known(server)
         # Guards against lists that name what is gone: that is no load: limits stand, the next try is free.
-        self.spare += (gone := told.how == t.UNREACHED)
+        self.spare += (gone := told.how == t.CONNECT_FAILED)
         server.won, server.lost = server.won + done, server.lost + (ABSENT if gone else not done)
         if done:
             line.mean += 0.03 * (told.took - line.mean) if line.mean else told.took
@@ -619,10 +619,10 @@
         late = told.took > SLOW * line.sla
         self.tardy += 0.05 * (late - self.tardy) if done else 0.0
         self.prompt += 0.0 if gone else 0.05 * ((done and not late) - self.prompt)
-        if late or told.how in (t.UNSEEN, t.TIMED_OUT):
+        if late or told.how in (t.NOT_ACCEPTED, t.TIMED_OUT):
             # Guards against piling work on app servers that no longer keep up, whatever slows them. One ill
             # by itself tells nothing of the others, nor an answer lost while the rest come in time.
-            rest *= 1.0 - self.prompt if told.how in (t.TIMED_OUT, t.UNSEEN) else 1.0
+            rest *= 1.0 - self.prompt if told.how in (t.TIMED_OUT, t.NOT_ACCEPTED) else 1.0
             self.limit = max(0.25 * self.start, self.limit * (1.0 - 0.2 * rest))
         elif done and self.saved < REACH:
             self.limit += rest * GROWTH * self.start * self.start / self.limit
@@ -660,6 +660,6 @@
     (SICK, CALL): (SICK, Node.trial),
     (SICK, ANSWER): (WELL, Node.calm),
     (SICK, FAILURE): (SICK, Node.strain)}
-SEEN = {t.DONE: SETTLED, t.UNSEEN: UNRUN, t.UNSENT: UNRUN, t.UNREACHED: UNRUN}  # all else may have run
+SEEN = {t.DONE: SETTLED, t.NOT_ACCEPTED: UNRUN, t.NOT_SENT: UNRUN, t.CONNECT_FAILED: UNRUN}  # all else may have run
 INPUTS = {type(None): Node.run, t.ServerList: Node.on_list, t.Arrival: Node.on_arrival, t.Left: Node.on_left,
           t.Ended: Node.on_ended, t.Due: Node.on_due, t.Probed: Node.on_probed, t.Counted: Node.on_counted}
--- a/rampfront/edge/counter_client.py
+++ b/rampfront/edge/counter_client.py
@@ -87,7 +87,7 @@
         self._counts["adds"] += 1
         connection = self._connection_for(name)
         if len(connection.calls) >= self._limits.max_pending_counter_calls:
-            self._report(name, t.UNSEEN, 0)
+            self._report(name, t.NOT_ACCEPTED, 0)
             return
         lifetime_ms = max(1, lifetime_ns // _NS_PER_MS)
         command = encode_command(b"ADDGET", b"%d" % name, repr(amount).encode(), b"%d" % lifetime_ms)
@@ -120,7 +120,7 @@
         if not connection.calls:  # waking up for nothing is expensive
             self._cancel_timer(connection)
         if call.name is not None and not call.reported:
-            how = t.UNSEEN if reply.kind == ERROR else t.DONE
+            how = t.NOT_ACCEPTED if reply.kind == ERROR else t.DONE
             self._report(call.name, how, self.clock() - call.started_ns, total)
         self._close_if_former(connection)
         return True
@@ -226,10 +226,10 @@
     def _report_lost(self, call: PendingCall, now_ns: int) -> None:
         """Reports a call without a reply: one that was written may have added."""
         assert call.name is not None, "nobody waits for a PING"
-        self._report(call.name, t.TIMED_OUT if call.written else t.UNSEEN, now_ns - call.started_ns)
+        self._report(call.name, t.TIMED_OUT if call.written else t.NOT_ACCEPTED, now_ns - call.started_ns)
 
     def _report(self, name: int, how: int, took_ns: int, total: float = 0.0) -> None:
-        """Reports how a call ended. `how`: DONE, UNSEEN or TIMED_OUT of `terms.py`."""
+        """Reports how a call ended. `how`: DONE, NOT_ACCEPTED or TIMED_OUT of `terms.py`."""
         if how != t.DONE:
             self._counts["adds_timed_out" if how == t.TIMED_OUT else "adds_refused"] += 1
         self._driver.counted(name, total, how, took_ns)
--- a/rampfront/journal/durable_intent_journal.py
+++ b/rampfront/journal/durable_intent_journal.py
@@ -25,7 +25,7 @@
 _RETRY_DELAY_NS = _NS_PER_S  # between writes while they fail
 _MAX_QUEUED_RECORDS = 65536
 _MAX_REPORTED_DAMAGE = 20
-_ENDS_WITHOUT_RUN = (terms.UNSEEN, terms.UNSENT, terms.UNREACHED)
+_ENDS_WITHOUT_RUN = (terms.NOT_ACCEPTED, terms.NOT_SENT, terms.CONNECT_FAILED)
 
 
 class DurableIntentJournal:
@@ -236,7 +236,7 @@
                 self._log.counts["journal_refused"] += 1
                 self.refuse(pending)
             case IntentEffect.RECORD_NOT_RUN:
-                self.record_outcome(number, terms.UNSENT)
+                self.record_outcome(number, terms.NOT_SENT)
             case _:
                 assert_never(effect)
 
--- a/rampfront/mqtt/front.py
+++ b/rampfront/mqtt/front.py
@@ -373,7 +373,7 @@
         plan, account, client_id = session.key
         self.number += 1
         properties, key = packet.properties, None
-        if route.kind == t.REFERENCED:
+        if route.kind == t.DEDUPLICATED:
             key = next((value for name, value in properties.get("user", ()) if name.lower() == "idempotency-key"), None)
             # Without one: what delivers the same message again, to whichever node, gives the same key.
             key = key or "m" + digest(f"{account}/{client_id}/{packet.pid}/{packet.topic}", packet.payload, 0).hex()
--- a/rampfront/mqtt/topics.py
+++ b/rampfront/mqtt/topics.py
@@ -2,7 +2,7 @@
 
 from urllib.parse import quote
 
-from ..terms import INQUIRY
+from ..terms import READ_ONLY
 from .codec import matches, topic_filter
 
 
@@ -14,7 +14,7 @@
     def __init__(self, filter, product, path, units, kind, nodes):
         self.filter, self.product, self.path = topic_filter(filter), product.encode(), path
         self.said = b"units=%g,spread=%d,first=0" % (units, nodes)
-        self.kind, self.method = kind, b"GET" if kind == INQUIRY else b"POST"
+        self.kind, self.method = kind, b"GET" if kind == READ_ONLY else b"POST"
         self.wild = [k for k, level in enumerate(filter.split("/")) if level in ("+", "#")]
 
     def url(self, topic):
--- a/rampfront/net/once_only.py
+++ b/rampfront/net/once_only.py
@@ -64,7 +64,7 @@
         self.due_ns = gate.timers.clock() + effect.allow
         self.number: int | None = None
         self._gate = gate
-        self._timer = gate.timers.at(self.due_ns, self.finish, t.UNSENT)
+        self._timer = gate.timers.at(self.due_ns, self.finish, t.NOT_SENT)
 
     def release(self) -> None:
         """It waits no longer."""
@@ -131,7 +131,7 @@
     def refuse(self, pending: PendingIntent) -> None:
         """An intent cannot be recorded, so its submission does not leave."""
         pending.release()
-        self._end_unsent(pending, t.UNSENT)
+        self._end_unsent(pending, t.NOT_SENT)
 
     def withdraw(self, pending: PendingIntent, how: int) -> None:
         """Ends an intent that waits, if the journal can still withdraw it."""
--- a/rampfront/net/server_connection.py
+++ b/rampfront/net/server_connection.py
@@ -7,8 +7,8 @@
                                   +--too large to keep--> STREAMING --complete--> IDLE
 
 and from each of them CLOSED; STREAMING is the matter of `streaming_connection.py`. Every submission ends once, in
-`finish`, with how it ended: UNREACHED and UNSEEN say that the server has not run it, DONE and ERROR that it has; for
-all others it may have run. What was handed to the kernel or waits in a buffer of ours counts as sent.
+`finish`, with how it ended: CONNECT_FAILED and NOT_ACCEPTED say that the server has not run it, DONE and ERROR that it
+has; for all others it may have run. What was handed to the kernel or waits in a buffer of ours counts as sent.
 """
 
 import asyncio
@@ -34,11 +34,11 @@
 _COUNTERS = {
     t.DONE: "done",
     t.ERROR: "error",
-    t.UNSEEN: "unseen",
+    t.NOT_ACCEPTED: "unseen",
     t.TIMED_OUT: "timed_out",
-    t.BROKEN: "broken",
+    t.CONNECTION_LOST: "broken",
     t.CANCELLED: "cancelled",
-    t.UNREACHED: "unseen",
+    t.CONNECT_FAILED: "unseen",
 }
 
 
@@ -207,7 +207,7 @@
         status = self.reader.status
         how = _ENDS.get(status)
         if how is None:
-            how = t.UNSEEN if self.reader.not_run and status in _MAY_BE_UNRUN else t.ERROR
+            how = t.NOT_ACCEPTED if self.reader.not_run and status in _MAY_BE_UNRUN else t.ERROR
             if status not in _MAY_BE_UNRUN:
                 self.pool.log.record_limited("odd status", self.server.uid, status=status)
         self.finish(how, intact and self.reader.keep_alive)
@@ -221,7 +221,7 @@
         if self.state is IDLE:
             self.close()
         else:
-            self.finish(t.BROKEN)
+            self.finish(t.CONNECTION_LOST)
 
     def close(self) -> None:
         """Closes the connection now.
@@ -250,14 +250,14 @@
         if self.state is not CONNECTING:
             self.transport.abort()
         elif not self.server.up:  # it began to drain while we connected, and gets nothing any more
-            self.finish(t.UNSEEN)
+            self.finish(t.NOT_ACCEPTED)
         else:
             self._send(self._due_ns - self.pool.clock())
 
     def connection_lost(self, error: Exception | None) -> None:
         """The connection has ended."""
         if self.state is AWAITING_RESPONSE:
-            self.finish(t.BROKEN)
+            self.finish(t.CONNECTION_LOST)
         elif self.state is not CLOSED and self.state is not CONNECTING:
             self.close()
         self.reader.close()
@@ -315,12 +315,12 @@
         if task.cancelled() or task.exception() is None or self.state is not CONNECTING:
             return
         self.pool.counts["connects_failed"] += 1
-        self.finish(t.UNREACHED)
+        self.finish(t.CONNECT_FAILED)
 
     def _send(self, left_ns: int) -> None:
         """Writes the submission or health check, for which `left_ns` are left."""
         if left_ns <= 0:
-            self.finish(t.UNSEEN)
+            self.finish(t.NOT_ACCEPTED)
             return
         assert self.transport is not None
         self.state = AWAITING_RESPONSE
@@ -355,7 +355,7 @@
         """The submission was out for too long, or the connect, or the response does not go on."""
         self._timer = None
         if self.state is not AWAITING_RESPONSE:
-            self.finish(t.UNREACHED)
+            self.finish(t.CONNECT_FAILED)
         elif self.reader.received_bytes:
             self.protocol_broken("the answer does not go on")
         else:
--- a/rampfront/net/server_connection_pool.py
+++ b/rampfront/net/server_connection_pool.py
@@ -107,7 +107,7 @@
         connection = self.connection_to(index)
         if connection is None:
             self.counts["unseen"] += 1
-            self.driver.submission_ended(SubmissionEnd(exchange, attempt, index, t.UNSEEN, took_ns=0))
+            self.driver.submission_ended(SubmissionEnd(exchange, attempt, index, t.NOT_ACCEPTED, took_ns=0))
         else:
             connection.begin(exchange, attempt, allow_ns)
 
@@ -122,7 +122,7 @@
         connection = self.connection_to(index)
         if connection is None:
             self.counts["probes_failed"] += 1
-            self.driver.health_checked(index, t.UNSEEN, 0, {})
+            self.driver.health_checked(index, t.NOT_ACCEPTED, 0, {})
         else:
             connection.begin(None, 0, self.limits.health_check_timeout_ns)
 
--- a/rampfront/net/transaction_request.py
+++ b/rampfront/net/transaction_request.py
@@ -54,9 +54,9 @@
 
 def check_method(request: TransactionRequest, product: t.Product) -> None:
     """Checks the method and the key against the product. Raises HttpStatusError."""
-    if request.method != (b"GET" if product.kind == t.INQUIRY else b"POST"):
+    if request.method != (b"GET" if product.kind == t.READ_ONLY else b"POST"):
         raise HttpStatusError(METHOD_NOT_ALLOWED, "not the method of its X-Class")
-    if product.kind == t.REFERENCED and not request.idempotency_key:
+    if product.kind == t.DEDUPLICATED and not request.idempotency_key:
         raise HttpStatusError(BAD_REQUEST, "Idempotency-Key is missing")
 
 
--- a/rampfront/proxy/attempt_policy.py
+++ b/rampfront/proxy/attempt_policy.py
@@ -19,7 +19,7 @@
     from ..settings.settings_file import Guarantees
 
 READ_ONLY = "read_only"  # a request type whose requests may run more than once
-_KIND_BY_REQUEST_TYPE = {READ_ONLY: t.INQUIRY, "changing": t.ONCE_ONLY, "upload": t.ONCE_ONLY}
+_KIND_BY_REQUEST_TYPE = {READ_ONLY: t.READ_ONLY, "changing": t.ONCE_ONLY, "upload": t.ONCE_ONLY}
 _OVERDUE_VALUE_PART = 0.3  # what a response past its target is taken to earn, of its value: the wire does not say
 _MAX_ATTEMPTS = 8  # whatever a route allows
 _MAX_RETRY_AFTER_NS = 2 * SEC
--- a/rampfront/proxy/health_observation.py
+++ b/rampfront/proxy/health_observation.py
@@ -10,7 +10,7 @@
 from ..net.latency_histogram import LatencyHistogram
 
 # Ends of an attempt that tell of the server's health. A connect that hung is one too, by its time.
-_SEEN = {t.DONE: HEALTHY, t.ERROR: REQUEST_FAILED, t.BROKEN: REQUEST_FAILED}
+_SEEN = {t.DONE: HEALTHY, t.ERROR: REQUEST_FAILED, t.CONNECTION_LOST: REQUEST_FAILED}
 
 
 class ServerObserver(HealthReporter):
@@ -23,5 +23,5 @@
 
     def attempt_ended(self, reference: int, server_id: str, outcome: int, lasted_ns: int, now_ns: int) -> None:
         """An attempt has ended: `outcome` as `terms` has it, `lasted_ns` since its start."""
-        hung = outcome == t.UNREACHED and lasted_ns >= CONNECT_TIMEOUT_NS
+        hung = outcome == t.CONNECT_FAILED and lasted_ns >= CONNECT_TIMEOUT_NS
         self.request_ended(reference, server_id, now_ns, CONNECT_TIMED_OUT if hung else _SEEN.get(outcome))
--- a/rampfront/proxy/server_connections.py
+++ b/rampfront/proxy/server_connections.py
@@ -35,7 +35,7 @@
 from .server_response_reader import SystemResponseReader
 
 _OK = 200
-_NOT_EXECUTED = frozenset((t.UNSEEN, t.UNSENT, t.UNREACHED))  # ends of attempts that no server has run
+_NOT_EXECUTED = frozenset((t.NOT_ACCEPTED, t.NOT_SENT, t.CONNECT_FAILED))  # ends of attempts that no server has run
 _ANSWERED = (t.DONE, t.ERROR)
 _ATTEMPT_UNCERTAIN = RequestEvent.ATTEMPT_UNCERTAIN
 
@@ -118,7 +118,7 @@
         elif rejected:
             if status == MISDIRECTED:
                 self.pool.address_reused(self.server)
-            self.finish(t.UNSEEN, intact and reader.keep_alive)
+            self.finish(t.NOT_ACCEPTED, intact and reader.keep_alive)
         elif b"content-encoding" in fields or status in SUCCESS_STATUSES and not fields.get(b"server-seal"):
             # Guards against responses that are not the server's: none of it reaches a client.
             self.protocol_broken("not the server's answer")
--- a/rampfront/proxy/service_pool.py
+++ b/rampfront/proxy/service_pool.py
@@ -82,7 +82,7 @@
         """The fleet found a server healthy or not; of another service's, nothing is known here."""
         index = self.driver.in_flight.servers.find(server_id)
         if index is not None:
-            self.driver.post(t.Probed(index, t.DONE if healthy else t.UNREACHED, 0, {}))
+            self.driver.post(t.Probed(index, t.DONE if healthy else t.CONNECT_FAILED, 0, {}))
 
     def server_load_reported(self, index: int, load: Report) -> None:
         """A response says how busy its server is."""
--- a/rampfront/terms.py
+++ b/rampfront/terms.py
@@ -10,14 +10,14 @@
 
 Row = TypeVar("Row")
 
-# What a product allows once a submission may have run.
-INQUIRY, REFERENCED, ONCE_ONLY = range(3)
-# Which app servers drop the repeats of a referenced txn.
+# What a product allows once a submission may have run: any repeat, a repeat that the app servers deduplicate, or none.
+READ_ONLY, DEDUPLICATED, ONCE_ONLY = range(3)
+# Which app servers drop the repeats of a deduplicated txn.
 ALL, ZONE, CELL = range(3)
-# How a submission, a probe or a call to the counter ended. UNSEEN: the far side never took it up. UNREACHED: no
-# connection came about, so it was no work for anybody.
-DONE, ERROR, UNSEEN, TIMED_OUT, BROKEN, CANCELLED, UNSENT, UNREACHED = range(8)
-# What the server list says of an app server.
+# How a submission, a probe or a call to the counter ended. NOT_ACCEPTED: the other side did not start work on it.
+# CONNECT_FAILED: no connection was established, so no server had any work from it.
+DONE, ERROR, NOT_ACCEPTED, TIMED_OUT, CONNECTION_LOST, CANCELLED, NOT_SENT, CONNECT_FAILED = range(8)
+# The state of an app server in the server list.
 UP, DRAINING, REMOVED = range(3)
 
 
--- a/tests/helper.py
+++ b/tests/helper.py
@@ -13,8 +13,8 @@
 RATE = t.Plan(2.0, 10.0, 0, 0.0, 0.0, 0.0, 0.5)  # bursts of 10 units
 CAP = t.Plan(0.0, 0.0, 2, 0.0, 0.0, 0.0, 0.5)
 CEILING = t.Plan(10.0, 20.0, 0, 20.0, 40.0, 0.0, 0.5)
-INQUIRY = t.Product(t.INQUIRY, t.ALL, 1000 * MS, 0, 0.0)
-CELL = t.Product(t.REFERENCED, t.CELL, 1000 * MS, 3000 * MS, 0.0)
+INQUIRY = t.Product(t.READ_ONLY, t.ALL, 1000 * MS, 0, 0.0)
+CELL = t.Product(t.DEDUPLICATED, t.CELL, 1000 * MS, 3000 * MS, 0.0)
 ONCE = t.Product(t.ONCE_ONLY, t.ALL, 1000 * MS, 0, 0.0)
 
 
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -158,7 +158,7 @@
     p.list(0)
     p.list(1, cell=1, whole=False)
     for product, name in ((0, "inquiry-like"), (1, "referenced, by cell"), (2, "once-only")):
-        for how, said in ((t.UNSEEN, "turned away unseen"), (t.TIMED_OUT, "timed out")):
+        for how, said in ((t.NOT_ACCEPTED, "turned away unseen"), (t.TIMED_OUT, "timed out")):
             txn = 2 * product + (how == t.TIMED_OUT)
             p.say(f"{name}, {said}")
             p.arrive(txn, product=product, account=f"r{txn}")
@@ -171,7 +171,7 @@
     p.arrive(9, product=1, expiry=9000, account="r9")
     server = p.sent_to()
     p.wait(3000)
-    p.end(9, t.BROKEN, server, 3000)
+    p.end(9, t.CONNECTION_LOST, server, 3000)
     p.check("repeats")
 
 
@@ -186,7 +186,7 @@
     p.list(0)
     p.arrive(2, account="z")
     p.list()
-    p.end(2, t.BROKEN)
+    p.end(2, t.CONNECTION_LOST)
     p.check("drains")
 
 
@@ -233,7 +233,7 @@
         p.arrive(k, account=f"e{k}")
         while k in p.node.txns and (server := p.sent_to()) == 0:
             to[0] += 1
-            p.end(k, t.UNSEEN, 0, 0)
+            p.end(k, t.NOT_ACCEPTED, 0, 0)
         if k in p.node.txns:
             to[server] += 1
         p.wait(20)
@@ -372,7 +372,7 @@
         while k in p.node.txns:
             server = p.sent_to()
             sent[server < 20] += 1
-            p.end(k, t.UNREACHED if server < 20 else t.DONE, server, 0 if server < 20 else 100, final=server >= 20)
+            p.end(k, t.CONNECT_FAILED if server < 20 else t.DONE, server, 0 if server < 20 else 100, final=server >= 20)
         p.wait(80)
     p.lines = [
         f"sent: {sent[False]} of 120 to those that serve, {sent[True]} to the gone",
@@ -475,7 +475,7 @@
 def test_patience():
     """The SLA time runs from the client's first try: a later one that brings too little of its patience is declined
     at once. Where first tries bring no common patience nothing is taken off."""
-    product = t.Product(t.INQUIRY, t.ALL, 1000 * MS, 0, 0.0, patience=4000 * MS)
+    product = t.Product(t.READ_ONLY, t.ALL, 1000 * MS, 0, 0.0, patience=4000 * MS)
     for common in (True, False):
         p = Play(servers=3, nodes=1, products=(product,), has_counter=False)
         for k in range(8):
--- a/tests/test_move.py
+++ b/tests/test_move.py
@@ -208,7 +208,7 @@
 
 def repeat_all(nodes):
     for driver in nodes:
-        driver.node.lines[2].kind = t.INQUIRY
+        driver.node.lines[2].kind = t.READ_ONLY
 
 
 def rush(nodes):
