--- a/rampfront/benchlink/host.py
+++ b/rampfront/benchlink/host.py
@@ -129,7 +129,7 @@
             "cmd": "Route",
             "Req": self.in_flight.transactions.key(e.txn),
             "Server": self.in_flight.servers.key(e.server),
-            "AllowFor": ms(e.allow),
+            "AllowFor": ms(e.timeout),
         }
 
     def cancel(self, e):
@@ -137,7 +137,7 @@
 
     def decline(self, e):
         self.in_flight.finish(e.txn)
-        return {"cmd": "Reject", "Req": self.in_flight.transactions.key(e.txn), "RetryIn": ms(e.back_in)}
+        return {"cmd": "Reject", "Req": self.in_flight.transactions.key(e.txn), "RetryIn": ms(e.retry_after)}
 
     def void(self, e):
         self.in_flight.finish(e.txn)
@@ -151,13 +151,13 @@
         return {"cmd": "Poll", "Server": self.in_flight.servers.key(e.server)}
 
     def add(self, e):
-        return {"cmd": "ChargeCounter", "Book": e.name, "Delta": e.amount, "Lifetime": ms(e.life)}
+        return {"cmd": "ChargeCounter", "Book": e.name, "Delta": e.amount, "Lifetime": ms(e.lifetime)}
 
     def subscribe(self, e):
         return {"cmd": "KeepInformed", "Active": True}
 
     def notice(self, e):
-        return {"cmd": "Debug", "Msg": f"counter {e.what}, hears of {e.heard} nodes"}
+        return {"cmd": "Debug", "Msg": f"counter {e.change}, hears of {e.heard_nodes} nodes"}
 
 
 HANDLERS = {
--- a/rampfront/choice.py
+++ b/rampfront/choice.py
@@ -56,9 +56,9 @@
     """A product: what its txns may do, and how long they lately took (`mean`)."""
 
     def __init__(self, product):
-        self.kind, self.group, self.sla = product.kind, product.group, product.sla
-        self.window, self.late, self.mean = product.repeat_window, product.late_share, 0.0
-        self.patience, self.usual, self.votes = product.patience, 0, 0
+        self.kind, self.group, self.sla = product.kind, product.group, product.latency_target
+        self.window, self.late, self.mean = product.repeat_window, product.late_value_share, 0.0
+        self.patience, self.usual, self.votes = product.client_timeout, 0, 0
         self.harmless = self.kind == t.READ_ONLY or self.kind == t.DEDUPLICATED and self.group == t.ALL
 
 
@@ -66,13 +66,13 @@
     """A plan: window and limit of its rate, cap on submissions out, ceiling, and if going beyond it pays."""
 
     def __init__(self, plan, typical):
-        self.rate, self.burst, self.cap = plan.rate, plan.burst, plan.at_once
+        self.rate, self.burst, self.cap = plan.rate, plan.burst, plan.max_in_flight
         self.fill, self.depth = plan.ceiling_rate, plan.ceiling_depth
         self.window = max(SEC, int(WINDOW * plan.burst / plan.rate * SEC)) if plan.rate > 0 else 0
         self.limit, self.keep = plan.rate * self.window / SEC, 3 * self.window  # and how long a count is kept
-        self.pays, self.costs = plan.beyond_earns > plan.beyond_costs, plan.beyond_costs
+        self.pays, self.costs = plan.excess_value > plan.excess_cost, plan.excess_cost
         # a thin account has more nodes than its limit has txns; its count at most, its fading, a name's life
-        self.most, self.thin_past = plan.burst or plan.at_once, (self.limit or plan.at_once or inf) / typical
+        self.most, self.thin_past = plan.burst or plan.max_in_flight, (self.limit or plan.max_in_flight or inf) / typical
         self.noise = NOISE * sqrt(typical / self.most) if plan.rate > 0 else 1e-6  # of a count that fades
         self.fade = plan.burst / plan.rate * SEC if plan.rate > 0 else inf
         self.life = int(self.fade * FADES) if plan.rate > 0 else EPOCH
@@ -85,16 +85,16 @@
         self.pick, self.beta, self.uniform = chance.choices, chance.betavariate, chance.uniform
         self.random, self.sample = chance.random, chance.sample
         self.lines = [Line(product) for product in terms.products]
-        self.quotas = [Quota(plan, terms.largest / 2) for plan in terms.plans]
-        self.most, self.subscribes, self.copies = terms.max_submissions, terms.subscribes, terms.may_copy
-        self.probes = terms.may_probe * PROBE_SHARE * min(1.0, PROBE_FEE / (terms.probe_fee or PROBE_FEE))
-        self.counts, self.advice, self.margin, self.tells = terms.has_counter, terms.longest_advice, 2 * terms.tick, terms.tells
-        self.cancels, self.call_wait = terms.may_cancel, terms.counter_wait
+        self.quotas = [Quota(plan, terms.max_units / 2) for plan in terms.plans]
+        self.most, self.subscribes, self.copies = terms.max_submissions, terms.subscribes, terms.may_duplicate
+        self.probes = terms.may_probe * PROBE_SHARE * min(1.0, PROBE_FEE / (terms.probe_cost or PROBE_FEE))
+        self.counts, self.advice, self.margin, self.tells = terms.has_counter, terms.max_retry_after, 2 * terms.min_input_gap, terms.reports_load
+        self.cancels, self.call_wait = terms.may_cancel, terms.counter_timeout
         self.limit = self.start = OPEN_START / terms.nodes  # submissions out at each app server
-        self.cold, self.warm_within, self.span = terms.cold_share, terms.warm_within, terms.tip_after
-        self.cold_rate = terms.fall_multiple * COLD_MARGIN * terms.tip_after * log(2) / MEMORY
+        self.cold, self.warm_within, self.span = terms.cold_share, terms.warm_up, terms.cold_overload_after
+        self.cold_rate = terms.cold_overload_factor * COLD_MARGIN * terms.cold_overload_after * log(2) / MEMORY
         self.began, self.now, self.effects = now, now, []
-        self.marks = epoch.Marks(terms.nodes, self.uniform, seed) if terms.marks and self.counts else None
+        self.marks = epoch.Marks(terms.nodes, self.uniform, seed) if terms.marks_counter and self.counts else None
         self.txns = {}  # open txns; emptied by their final answer and the end of their last submission
         self.servers = {}  # emptied as the list drops them, once nothing of ours is out there
         self.accounts = {}  # emptied when idle for two windows, by `retire`
@@ -105,8 +105,8 @@
         # quotas, those that found no room; of answers, those that were late; of submissions, those in time.
         self.silent, self.pressed, self.tardy, self.prompt = 0.0, 0.0, 0.0, 0.0
         self.woke, self.beating = 0, False  # when it last found that it had stood still; its beat is set
-        self.ref, self.period, self.bear_most = 0, terms.use_period, inf  # bear_most: of a cold one in a span
-        self.spare_rate, self.spare_most = terms.spare or (SPARE_RATE, SPARE_MOST)
+        self.ref, self.period, self.bear_most = 0, terms.usage_period, inf  # bear_most: of a cold one in a span
+        self.spare_rate, self.spare_most = terms.retry_budget or (SPARE_RATE, SPARE_MOST)
         self.spare = self.spare_most
         self.up, self.each, self.sure = [], 0.0, 0.5  # those listed as up; what a warm one settled; mean odds
         self.heard = deque(maxlen=HEARD)  # app servers that a probe told of
@@ -145,13 +145,13 @@
             return self.remind(self.uniform(0.5, 1.0) * SEC, self.ask)
         named = {row.server: row.state for row in told.rows}
         for server in list(self.servers.values()):  # a whole list removes what it leaves out
-            server.state = named.get(server.id, t.REMOVED if told.whole else server.state)
+            server.state = named.get(server.id, t.REMOVED if told.complete else server.state)
             self.let_go(server)
         for row in [row for row in told.rows if row.state != t.REMOVED]:
             server = self.servers.setdefault(row.server, Server(row.server))
-            if row.came_up != server.born:  # another process: what was known of the old one is void
+            if row.started_at != server.born:  # another process: what was known of the old one is void
                 server.won, server.lost, server.pace, server.turn_at = 0.0, 0.0, 1.0, 0
-            server.state, server.born, server.near, server.zone, server.cell = row.state, row.came_up, row.near, row.zone, row.cell
+            server.state, server.born, server.near, server.zone, server.cell = row.state, row.started_at, row.proximity, row.zone, row.cell
         self.up = sorted([s for s in self.servers.values() if s.state == t.UP], key=lambda s: -s.near)
 
     def lay(self, server):
@@ -163,11 +163,11 @@
         self.servers.pop(server.id, None) if server.state == t.REMOVED and not server.out else None
 
     def on_arrival(self, told):
-        account = self.account(told.account, told.plan, told.set_size)
+        account = self.account(told.account, told.plan, told.account_nodes)
         line, expiry = self.lines[told.product], self.now + told.expires_in
         came = self.now - self.waited(line, told.expires_in)
-        txn = self.txns[told.txn] = Txn(told.txn, line, account, told.units, came, expiry, NEW, told.within,
-                                        told.tries or self.most, told.pull, told.rank)
+        txn = self.txns[told.txn] = Txn(told.txn, line, account, told.units, came, expiry, NEW, told.allowed_zones,
+                                        told.max_submissions or self.most, told.proximity_exponent, told.shed_rank)
         self.beating or self.beat(self.now)
         self.step(txn, ARRIVED)
         if self.probes and self.up and self.random() < self.probes * (1.0 + PROBE_THIN / (1.0 + self.each)):
@@ -193,25 +193,25 @@
         txn, server = self.txns[told.txn], self.servers[told.server]
         held = txn.out.pop(told.attempt)
         server.out, txn.account.out = server.out - 1, txn.account.out - 1
-        if held and told.how in (t.CANCELLED, t.TIMED_OUT) and not self.losing():
+        if held and told.outcome in (t.CANCELLED, t.TIMED_OUT) and not self.losing():
             self.remind(GHOST * txn.line.mean, self.lay, server)
         elif held:
             self.lay(server)
-        if told.how == t.CANCELLED and told.final and txn.state == OVER and not held:
+        if told.outcome == t.CANCELLED and told.final and txn.state == OVER and not held:
             self.silent += 0.1 * (0.8 - self.silent)
-        if told.how not in (t.CANCELLED, t.NOT_SENT) and self.woke < self.now:
+        if told.outcome not in (t.CANCELLED, t.NOT_SENT) and self.woke < self.now:
             self.judge(server, txn, told)
         self.let_go(server)
-        if told.use is not None:
-            self.metered(txn.account, told.use)
-        if told.how == t.DONE and told.true_units and txn.inside and txn.account.rate:
+        if told.usage is not None:
+            self.metered(txn.account, told.usage)
+        if told.outcome == t.DONE and told.actual_units and txn.inside and txn.account.rate:
             ledger = txn.account.rate
             self.roll(ledger)
-            ledger.now.own += told.true_units - txn.units  # a credit nets against later growth, see `flush`
-            self.refill(ledger, told.true_units - txn.units)
-        seen = SEEN.get(told.how, RISKY)
+            ledger.now.own += told.actual_units - txn.units  # a credit nets against later growth, see `flush`
+            self.refill(ledger, told.actual_units - txn.units)
+        seen = SEEN.get(told.outcome, RISKY)
         if seen == RISKY and txn.risk_at is None:
-            txn.risk_at = self.now - told.took
+            txn.risk_at = self.now - told.duration
         self.step(txn, LEFT if told.final and seen != SETTLED else seen)
 
     def step(self, txn, seen):
@@ -422,7 +422,7 @@
         return account.quota.cap <= 0 or account.out + others < account.quota.cap
 
     def on_level(self, told, txn):
-        if told.how == t.DONE:
+        if told.outcome == t.DONE:
             txn.told, account = True, txn.account
             account.level, account.level_at = max(0.0, told.total - account.out), self.now
 
@@ -450,7 +450,7 @@
 
     def on_answer(self, told, txn):
         if txn.state == ASKED:
-            txn.told = told.how == t.DONE
+            txn.told = told.outcome == t.DONE
             txn.count = max(0.0, told.total / txn.age - txn.units * txn.scale) + txn.units
             account = txn.account
             if txn.told and account.quota.rate > 0:
@@ -521,7 +521,7 @@
         self.remind(self.marks.wait(self.now), self.stamp)
 
     def on_stamp(self, told, *about):
-        if news := self.marks.told(*about, told.total) if told.how == t.DONE else self.marks.missed():
+        if news := self.marks.told(*about, told.total) if told.outcome == t.DONE else self.marks.missed():
             self.effects.append(t.Notice(news, self.marks.heard))
             epoch.reseed(self.accounts.values() if news == epoch.NEW else ())
 
@@ -530,15 +530,15 @@
             what, about = waiting.pop(0)
             if not waiting:
                 del self.calls[told.name]
-            self.took = self.call_wait if told.how == t.NOT_ACCEPTED else told.took
-            if told.how == t.DONE or self.woke < self.now:
-                self.mark(ANSWER if told.how == t.DONE else FAILURE)
+            self.took = self.call_wait if told.outcome == t.NOT_ACCEPTED else told.duration
+            if told.outcome == t.DONE or self.woke < self.now:
+                self.mark(ANSWER if told.outcome == t.DONE else FAILURE)
             what(told, *about)
 
     def on_total(self, told, ledger, window):
         amount, window.flying = window.flying, None
-        if told.how != t.DONE:  # after a time-out it may have landed: the next total tells
-            window.doubt += amount if told.how == t.TIMED_OUT else 0.0
+        if told.outcome != t.DONE:  # after a time-out it may have landed: the next total tells
+            window.doubt += amount if told.outcome == t.TIMED_OUT else 0.0
             return
         grown, known = epoch.settle(window, amount, told.total), self.fresh(ledger)
         ledger.read_at = window.read_at = self.now
@@ -604,25 +604,25 @@
         return server.won
 
     def judge(self, server, txn, told):
-        line, done = txn.line, told.how == t.DONE
-        if line.mean and told.took > TARRY * line.mean:
-            self.silent += 0.1 * ((told.how == t.TIMED_OUT) - self.silent)
+        line, done = txn.line, told.outcome == t.DONE
+        if line.mean and told.duration > TARRY * line.mean:
+            self.silent += 0.1 * ((told.outcome == t.TIMED_OUT) - self.silent)
         self.fade(server)
         rest = 0.0 if self.doubtful(server) else 1.0 - self.known(server)
         # Guards against lists that name what is gone: that is no load: limits stand, the next try is free.
-        self.spare += (gone := told.how == t.CONNECT_FAILED)
+        self.spare += (gone := told.outcome == t.CONNECT_FAILED)
         server.won, server.lost = server.won + done, server.lost + (ABSENT if gone else not done)
         if done:
-            line.mean += 0.03 * (told.took - line.mean) if line.mean else told.took
-        if line.mean and (done or told.how == t.TIMED_OUT):
-            server.pace = max(0.4, 0.9 * server.pace + 0.1 * min(8.0, told.took / line.mean))
-        late = told.took > SLOW * line.sla
+            line.mean += 0.03 * (told.duration - line.mean) if line.mean else told.duration
+        if line.mean and (done or told.outcome == t.TIMED_OUT):
+            server.pace = max(0.4, 0.9 * server.pace + 0.1 * min(8.0, told.duration / line.mean))
+        late = told.duration > SLOW * line.sla
         self.tardy += 0.05 * (late - self.tardy) if done else 0.0
         self.prompt += 0.0 if gone else 0.05 * ((done and not late) - self.prompt)
-        if late or told.how in (t.NOT_ACCEPTED, t.TIMED_OUT):
+        if late or told.outcome in (t.NOT_ACCEPTED, t.TIMED_OUT):
             # Guards against piling work on app servers that no longer keep up, whatever slows them. One ill
             # by itself tells nothing of the others, nor an answer lost while the rest come in time.
-            rest *= 1.0 - self.prompt if told.how in (t.TIMED_OUT, t.NOT_ACCEPTED) else 1.0
+            rest *= 1.0 - self.prompt if told.outcome in (t.TIMED_OUT, t.NOT_ACCEPTED) else 1.0
             self.limit = max(0.25 * self.start, self.limit * (1.0 - 0.2 * rest))
         elif done and self.saved < REACH:
             self.limit += rest * GROWTH * self.start * self.start / self.limit
@@ -631,8 +631,8 @@
         if (server := self.servers.get(told.server)) and "slots" in told.report:
             at_work = told.report["running"] + told.report["waiting"]
             server.busy, server.busy_at = at_work / max(1, told.report["slots"]), self.now
-        elif server and told.how == t.DONE:
-            server.load = 1.0 + told.report.get("inflight", told.took / (50 * MS))
+        elif server and told.outcome == t.DONE:
+            server.load = 1.0 + told.report.get("inflight", told.duration / (50 * MS))
             self.heard.append(server)
             server.lost = min(0.9, server.lost) if self.tells else server.lost  # the fleet hears it again
         elif server:
--- a/rampfront/edge/configuration.py
+++ b/rampfront/edge/configuration.py
@@ -200,7 +200,7 @@
     except (Odd, KeyError, TypeError, ValueError) as error:
         expected = "as the simulator's first message has it"
         raise ConfigurationError.for_key("settings", expected, str(error)) from None
-    if terms.has_counter and not terms.counter_wait:
+    if terms.has_counter and not terms.counter_timeout:
         raise ConfigurationError.for_key("settings.Domain.CountWait", "more than 0 where there is a counter", 0)
     return names, terms
 
--- a/rampfront/edge/counter_client.py
+++ b/rampfront/edge/counter_client.py
@@ -37,7 +37,7 @@
         self._loop = context.loop
         self._driver = driver
         self._address = address
-        self._timeout_ns = context.configuration.terms.counter_wait
+        self._timeout_ns = context.configuration.terms.counter_timeout
         self._limits = context.configuration.limits
         self._log = context.log
         self._counts = context.log.counts
--- a/rampfront/edge/optional_settings.py
+++ b/rampfront/edge/optional_settings.py
@@ -190,7 +190,7 @@
     """One row of the topics. `number`: which. Raises ConfigurationError."""
     from ..mqtt.topics import Route
 
-    if row.units > terms.largest:
+    if row.units > terms.max_units:
         raise ConfigurationError.for_key(f"mqtt.topics[{number}].units", "what one txn may have", row.units)
     product = terms.products[names.products[row.product]]
     make_route: Callable[..., Route] = Route  # it has no types
--- a/rampfront/net/decision_driver.py
+++ b/rampfront/net/decision_driver.py
@@ -270,7 +270,7 @@
         if self.once_only_gate and self._once_only[exchange.product]:
             self.once_only_gate.submit(exchange, attempt, effect)
         else:
-            self.servers.submit(exchange, attempt, effect.server, effect.allow)
+            self.servers.submit(exchange, attempt, effect.server, effect.timeout)
 
     def _cancel(self, effect: t.Cancel) -> None:
         """Cancels a submission."""
@@ -284,11 +284,11 @@
             self.recorder.record_transaction(
                 "declined",
                 exchange,
-                back_in=effect.back_in // _NS_PER_MS,
-                why="quota" if effect.beyond else "room",
+                back_in=effect.retry_after // _NS_PER_MS,
+                why="quota" if effect.over_quota else "room",
             )
-        retry_after_ns = effect.back_in
-        if self.storm and retry_after_ns and not effect.beyond:  # for want of capacity: by the measured recovery
+        retry_after_ns = effect.retry_after
+        if self.storm and retry_after_ns and not effect.over_quota:  # for want of capacity: by the measured recovery
             retry_after_ns = self.storm.advice(retry_after_ns, self.now_ns)
         self.gateway.decline(exchange, retry_after_ns)
 
@@ -315,14 +315,14 @@
     def _add(self, effect: t.Add) -> None:
         """Adds to a count of the counter."""
         assert self.counter is not None, "a node without a counter adds to none"
-        self.counter.add(effect.name, effect.amount, effect.life)
+        self.counter.add(effect.name, effect.amount, effect.lifetime)
 
     def _notice(self, effect: t.Notice) -> None:
         """Tells the operators news of the counter."""
-        self.counts[f"counter_{effect.what}"] += 1
-        self.log.record("counter", news=effect.what, heard=effect.heard)
+        self.counts[f"counter_{effect.change}"] += 1
+        self.log.record("counter", news=effect.change, heard=effect.heard_nodes)
         if self.recorder:
-            self.recorder.record_counter_notice(effect.what, effect.heard)
+            self.recorder.record_counter_notice(effect.change, effect.heard_nodes)
 
     def _subscribe(self, effect: t.Subscribe) -> None:
         """Nothing is to be done: the subscription to the server list runs from the start and repairs itself."""
--- a/rampfront/net/once_only.py
+++ b/rampfront/net/once_only.py
@@ -61,7 +61,7 @@
         self.exchange = exchange
         self.attempt = attempt
         self.server = effect.server
-        self.due_ns = gate.timers.clock() + effect.allow
+        self.due_ns = gate.timers.clock() + effect.timeout
         self.number: int | None = None
         self._gate = gate
         self._timer = gate.timers.at(self.due_ns, self.finish, t.NOT_SENT)
--- a/rampfront/net/transaction_gateway.py
+++ b/rampfront/net/transaction_gateway.py
@@ -108,9 +108,9 @@
         self._products = {name.encode(): _Product(k, terms.products[k]) for name, k in names.products.items()}
         self._plans = {name.encode(): index for name, index in names.plans.items()}
         self._has_ceiling = [plan.ceiling_rate > 0 for plan in terms.plans]  # by plan index
-        self._call_terms = CallTermsParser(terms.largest, terms.nodes, limits.max_cached_call_terms)
+        self._call_terms = CallTermsParser(terms.max_units, terms.nodes, limits.max_cached_call_terms)
         # A call to the counter may outlast a shorter expiry.
-        self._short_expiry_ns = terms.counter_wait + 2 * terms.tick + 2 * limits.answer_margin_ns
+        self._short_expiry_ns = terms.counter_timeout + 2 * terms.min_input_gap + 2 * limits.answer_margin_ns
 
     # ---- for the operators
 
--- a/rampfront/proxy/attempt_policy.py
+++ b/rampfront/proxy/attempt_policy.py
@@ -33,9 +33,9 @@
     return t.Product(
         kind=_KIND_BY_REQUEST_TYPE[request_type],
         group=t.ALL,
-        sla=latency_target_ns,
+        latency_target=latency_target_ns,
         repeat_window=0,
-        late_share=_OVERDUE_VALUE_PART,
+        late_value_share=_OVERDUE_VALUE_PART,
     )
 
 
@@ -49,16 +49,16 @@
         may_probe=False,
         may_cancel=True,
         has_counter=False,
-        counter_wait=0,
-        largest=1.0,
+        counter_timeout=0,
+        max_units=1.0,
         subscribes=False,
-        longest_advice=_MAX_RETRY_AFTER_NS,
-        tick=_MIN_STEP_NS,
+        max_retry_after=_MAX_RETRY_AFTER_NS,
+        min_input_gap=_MIN_STEP_NS,
         cold_share=_SLOW_START_PART,
-        warm_within=DEFAULT_WARM_UP_NS,
-        fall_multiple=2.0,
-        tip_after=SEC,
-        tells=True,
-        may_copy=True,
-        spare=retry_budget(guarantees, proxy_count),
+        warm_up=DEFAULT_WARM_UP_NS,
+        cold_overload_factor=2.0,
+        cold_overload_after=SEC,
+        reports_load=True,
+        may_duplicate=True,
+        retry_budget=retry_budget(guarantees, proxy_count),
     )
--- a/rampfront/terms.py
+++ b/rampfront/terms.py
@@ -33,10 +33,10 @@
 
     kind: int
     group: int
-    sla: int
+    latency_target: int
     repeat_window: int
-    late_share: float
-    patience: int = 0  # how long a client waits over all its tries; 0: not told
+    late_value_share: float
+    client_timeout: int = 0  # how long a client waits over all its tries; 0: not told
 
 
 @slotted
@@ -45,11 +45,11 @@
 
     rate: float  # units a second; 0: no such quota
     burst: float
-    at_once: int  # submissions out at once; 0: no such quota
+    max_in_flight: int  # submissions out at once; 0: no such quota
     ceiling_rate: float  # units a second; 0: no ceiling
     ceiling_depth: float
-    beyond_earns: float
-    beyond_costs: float
+    excess_value: float
+    excess_cost: float
 
 
 @slotted
@@ -63,21 +63,21 @@
     may_probe: bool
     may_cancel: bool
     has_counter: bool
-    counter_wait: int  # a call without an answer by then has timed out
-    largest: float  # most units of one txn
+    counter_timeout: int  # a call without an answer by then has timed out
+    max_units: float  # most units of one txn
     subscribes: bool  # the server list must be asked for
-    longest_advice: int  # 0: clients take no advice
-    tick: int  # shortest gap between two inputs
+    max_retry_after: int  # 0: clients take no advice
+    min_input_gap: int  # shortest gap between two inputs
     cold_share: float
-    warm_within: int
-    fall_multiple: float
-    tip_after: int
-    may_copy: bool = False  # a txn may have two submissions out
-    marks: bool = False  # nodes mark the counter, to tell a new or split one
-    probe_fee: float = 0.0  # what one probe for each txn costs, in parts of all value; 0: not told
-    use_period: int = 0  # answers tell an account's use over so long; 0: they don't
-    tells: bool = False  # answers tell the work at their server, and a copy goes for what is late there
-    spare: tuple = ()  # further submissions earned by each first one, and at most saved up; none: as usual
+    warm_up: int
+    cold_overload_factor: float
+    cold_overload_after: int
+    may_duplicate: bool = False  # a txn may have two submissions out
+    marks_counter: bool = False  # nodes mark the counter, to tell a new or split one
+    probe_cost: float = 0.0  # what one probe for each txn costs, in parts of all value; 0: not told
+    usage_period: int = 0  # answers tell an account's use over so long; 0: they don't
+    reports_load: bool = False  # answers tell the work at their server, and a copy goes for what is late there
+    retry_budget: tuple = ()  # further submissions earned by each first one, and at most saved up; none: as usual
 
 
 # ---- inputs
@@ -92,15 +92,15 @@
     zone: int
     cell: int
     weight: float
-    came_up: int  # 0: long ago
-    near: float = 1.0  # weight by the way there
+    started_at: int  # 0: long ago
+    proximity: float = 1.0  # weight by the way there
 
 
 @slotted
 class ServerList:
     """What the server list says: all of it, or what changed; or that it could not be read."""
 
-    whole: bool
+    complete: bool
     failed: bool
     rows: list = field(default_factory=list)
 
@@ -115,11 +115,11 @@
     account: str
     units: float
     expires_in: int
-    set_size: int
-    within: frozenset | None = None  # zones of the app servers that may get it; None: all
-    tries: int = 0  # most submissions of it; 0: as the terms say
-    pull: float = 1.0  # how much the way weighs for it: a large body goes a short one
-    rank: float = 0.0  # 0 to 1: the higher, the sooner it yields to others where room is short
+    account_nodes: int
+    allowed_zones: frozenset | None = None  # zones of the app servers that may get it; None: all
+    max_submissions: int = 0  # most submissions of it; 0: as the terms say
+    proximity_exponent: float = 1.0  # how much the way weighs for it: a large body goes a short one
+    shed_rank: float = 0.0  # 0 to 1: the higher, the sooner it yields to others where room is short
 
 
 @slotted
@@ -128,12 +128,12 @@
 
     txn: int
     server: int
-    how: int
-    took: int
+    outcome: int
+    duration: int
     final: bool
-    true_units: float  # 0: not told
+    actual_units: float  # 0: not told
     attempt: int = 0  # which of the txn's submissions
-    use: float | None = None  # of its quota, by the account, at all nodes, in the meter's last period
+    usage: float | None = None  # of its quota, by the account, at all nodes, in the meter's last period
 
 
 @slotted
@@ -155,8 +155,8 @@
     """A probe ended."""
 
     server: int
-    how: int
-    took: int
+    outcome: int
+    duration: int
     report: dict
 
 
@@ -166,8 +166,8 @@
 
     name: int
     total: float
-    how: int
-    took: int
+    outcome: int
+    duration: int
 
 
 # ---- effects
@@ -179,7 +179,7 @@
 
     txn: int
     server: int
-    allow: int
+    timeout: int
 
 
 @slotted
@@ -195,8 +195,8 @@
     """Answer that the txn has not run."""
 
     txn: int
-    back_in: int  # advice, 0: none
-    beyond: bool = False  # its account's quota is the reason
+    retry_after: int  # advice, 0: none
+    over_quota: bool = False  # its account's quota is the reason
 
 
 @slotted
@@ -227,15 +227,15 @@
 
     name: int
     amount: float
-    life: int
+    lifetime: int
 
 
 @slotted
 class Notice:
     """News of the counter, for the operators: what, and how many nodes it hears of."""
 
-    what: str
-    heard: int
+    change: str
+    heard_nodes: int
 
 
 @slotted
--- a/tests/helper.py
+++ b/tests/helper.py
@@ -28,15 +28,15 @@
             may_probe=False,
             may_cancel=True,
             has_counter=True,
-            counter_wait=50 * MS,
-            largest=1.0,
+            counter_timeout=50 * MS,
+            max_units=1.0,
             subscribes=False,
-            longest_advice=1000 * MS,
-            tick=2 * MS,
+            max_retry_after=1000 * MS,
+            min_input_gap=2 * MS,
             cold_share=0.2,
-            warm_within=10000 * MS,
-            fall_multiple=2.0,
-            tip_after=1000 * MS,
+            warm_up=10000 * MS,
+            cold_overload_factor=2.0,
+            cold_overload_after=1000 * MS,
         )
         self.ms, self.lines, self.due, self.adds = 10000, [], [], []
         self.node = Node(t.Terms(**{**terms, **other}), seed, self.ms * MS)
@@ -55,8 +55,8 @@
             if isinstance(e, t.Add):
                 self.adds.append(e)
             said = {
-                t.Submit: lambda: f"txn {e.txn} to {e.server} for {e.allow // MS} ms",
-                t.Decline: lambda: f"txn {e.txn} declined, back in {e.back_in // MS} ms",
+                t.Submit: lambda: f"txn {e.txn} to {e.server} for {e.timeout // MS} ms",
+                t.Decline: lambda: f"txn {e.txn} declined, back in {e.retry_after // MS} ms",
                 t.Void: lambda: f"txn {e.txn} voided",
                 t.Cancel: lambda: f"txn {e.txn} called off",
                 t.Add: lambda: f"adds {e.amount:g}",
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -344,7 +344,7 @@
     """However many app servers and nodes there are, probes stay under one a txn; and where the settings tell a fee
     eight times the usual, an eighth of that: many nodes pay for them together."""
     for name, fee in (("probes", 0.0), ("dear_probes", 0.08)):
-        p = Play(servers=60, nodes=300, may_probe=True, probe_fee=fee)
+        p = Play(servers=60, nodes=300, may_probe=True, probe_cost=fee)
         for k in range(200):
             p.arrive(k, account=f"i{k}", nodes=2)
             p.wait(500)
@@ -445,7 +445,7 @@
 
 
 METERED = dict(
-    plans=(t.Plan(20.0, 26.0, 0, 0.0, 0.0, 0.0, 0.5),), use_period=1000 * MS, nodes=300, servers=200, largest=4.0
+    plans=(t.Plan(20.0, 26.0, 0, 0.0, 0.0, 0.0, 0.5),), usage_period=1000 * MS, nodes=300, servers=200, max_units=4.0
 )
 
 
@@ -475,7 +475,7 @@
 def test_patience():
     """The SLA time runs from the client's first try: a later one that brings too little of its patience is declined
     at once. Where first tries bring no common patience nothing is taken off."""
-    product = t.Product(t.READ_ONLY, t.ALL, 1000 * MS, 0, 0.0, patience=4000 * MS)
+    product = t.Product(t.READ_ONLY, t.ALL, 1000 * MS, 0, 0.0, client_timeout=4000 * MS)
     for common in (True, False):
         p = Play(servers=3, nodes=1, products=(product,), has_counter=False)
         for k in range(8):
@@ -528,7 +528,7 @@
 def test_second_copy():
     """Once what is out for long mostly never comes, a txn that may run again gets a copy elsewhere, the first answer
     settles it and the other is called off; a once-only txn gets none, nor does any while all are slow."""
-    p = Play(servers=3, nodes=1, has_counter=False, may_copy=True)
+    p = Play(servers=3, nodes=1, has_counter=False, may_duplicate=True)
     p.serve([0, 1, 2])
     for silent, tardy, product in ((0.0, 0.0, 0), (0.9, 0.0, 0), (0.9, 0.0, 2), (0.9, 0.5, 0)):
         txn = 10 + len(p.lines)
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -49,7 +49,7 @@
 def test_the_example_is_good_and_becomes_the_platforms_form(monkeypatch):
     form = config.platform_form(config.parse_toml(EXAMPLE))
     configuration = read_configuration(json.loads(json.dumps(form)), {})
-    assert [p.kind for p in configuration.terms.products] == [0, 1, 2] and configuration.terms.marks
+    assert [p.kind for p in configuration.terms.products] == [0, 1, 2] and configuration.terms.marks_counter
     assert (
         configuration.terms.plans[1].burst == 100.0
         and configuration.terms.nodes == 3
