--- a/rampfront/benchlink/host.py
+++ b/rampfront/benchlink/host.py
@@ -44,7 +44,7 @@
             if index is None:
                 continue
             rows.append(
-                t.Listed(
+                t.ServerListRow(
                     index,
                     state,
                     self.names.zones.get(row.get("Locality"), -1),
@@ -178,9 +178,9 @@
     t.Void: Desk.void,
     t.Remind: Desk.remind,
     t.Probe: Desk.probe,
-    t.Add: Desk.add,
+    t.AddToCount: Desk.add,
     t.Subscribe: Desk.subscribe,
-    t.Notice: Desk.notice,
+    t.CounterNotice: Desk.notice,
 }
 
 
--- a/rampfront/choice.py
+++ b/rampfront/choice.py
@@ -8,7 +8,7 @@
 from random import Random
 
 from . import epoch, terms as t
-from .state import Account, Ledger, Server, Txn, Window
+from .state import Account, RateCounts, Server, Txn, Window
 
 MS, SEC = 10 ** 6, 10 ** 9
 
@@ -149,18 +149,18 @@
             self.let_go(server)
         for row in [row for row in told.rows if row.state != t.REMOVED]:
             server = self.servers.setdefault(row.server, Server(row.server))
-            if row.started_at != server.born:  # another process: what was known of the old one is void
-                server.won, server.lost, server.pace, server.turn_at = 0.0, 0.0, 1.0, 0
-            server.state, server.born, server.near, server.zone, server.cell = row.state, row.started_at, row.proximity, row.zone, row.cell
-        self.up = sorted([s for s in self.servers.values() if s.state == t.UP], key=lambda s: -s.near)
+            if row.started_at != server.started_at:  # another process: what was known of the old one is void
+                server.successes, server.failures, server.relative_duration, server.cold_span_end = 0.0, 0.0, 1.0, 0
+            server.state, server.started_at, server.proximity, server.zone, server.cell = row.state, row.started_at, row.proximity, row.zone, row.cell
+        self.up = sorted([s for s in self.servers.values() if s.state == t.UP], key=lambda s: -s.proximity)
 
     def lay(self, server):
         """Guards against room that is not there: what is given up may still run there for a while. Harm:
         where cancels stop work, room stands idle for as long."""
-        server.held, self.free = server.held - 1, self.free + 1.0
+        server.occupied, self.free = server.occupied - 1, self.free + 1.0
 
     def let_go(self, server):
-        self.servers.pop(server.id, None) if server.state == t.REMOVED and not server.out else None
+        self.servers.pop(server.id, None) if server.state == t.REMOVED and not server.in_flight else None
 
     def on_arrival(self, told):
         account = self.account(told.account, told.plan, told.account_nodes)
@@ -191,10 +191,10 @@
 
     def on_ended(self, told):
         txn, server = self.txns[told.txn], self.servers[told.server]
-        held = txn.out.pop(told.attempt)
-        server.out, txn.account.out = server.out - 1, txn.account.out - 1
+        held = txn.in_flight.pop(told.attempt)
+        server.in_flight, txn.account.in_flight = server.in_flight - 1, txn.account.in_flight - 1
         if held and told.outcome in (t.CANCELLED, t.TIMED_OUT) and not self.losing():
-            self.remind(GHOST * txn.line.mean, self.lay, server)
+            self.remind(GHOST * txn.product.mean, self.lay, server)
         elif held:
             self.lay(server)
         if told.outcome == t.CANCELLED and told.final and txn.state == OVER and not held:
@@ -204,10 +204,10 @@
         self.let_go(server)
         if told.usage is not None:
             self.metered(txn.account, told.usage)
-        if told.outcome == t.DONE and told.actual_units and txn.inside and txn.account.rate:
-            ledger = txn.account.rate
+        if told.outcome == t.DONE and told.actual_units and txn.in_quota and txn.account.counts:
+            ledger = txn.account.counts
             self.roll(ledger)
-            ledger.now.own += told.actual_units - txn.units  # a credit nets against later growth, see `flush`
+            ledger.current.own += told.actual_units - txn.units  # a credit nets against later growth, see `flush`
             self.refill(ledger, told.actual_units - txn.units)
         seen = SEEN.get(told.outcome, RISKY)
         if seen == RISKY and txn.risk_at is None:
@@ -220,7 +220,7 @@
                 txn.state = then
                 effect(self, txn, found)
                 break
-        if txn.state == OVER and not txn.out and self.txns.pop(txn.id, None) and txn.told:
+        if txn.state == OVER and not txn.in_flight and self.txns.pop(txn.id, None) and txn.count_known:
             self.give_back(txn)
 
     def always(self, *about):
@@ -228,48 +228,48 @@
 
     def beyond(self, txn):  # the design's refusal; where excess earns more than it costs, by room
         account = txn.account
-        if not account.thin:
-            txn.inside = self.within(account, txn.units)
-        elif txn.told and not (self.sampled(account) and txn.scale > COARSE):
-            txn.inside = txn.count <= account.quota.most * max(1.0, 1.0 + account.quota.noise - self.pressed)
+        if not account.below_one_txn:
+            txn.in_quota = self.within(account, txn.units)
+        elif txn.count_known and not (self.sampled(account) and txn.represents > COARSE):
+            txn.in_quota = txn.count <= account.quota.most * max(1.0, 1.0 + account.quota.noise - self.pressed)
         else:
-            txn.inside = self.random() * (FULL - CALM) < FULL - account.use - PRESS * self.pressed
-        return not (self.worth(txn) and (txn.inside or account.quota.pays and self.roomy()))
+            txn.in_quota = self.random() * (FULL - CALM) < FULL - account.usage - PRESS * self.pressed
+        return not (self.worth(txn) and (txn.in_quota or account.quota.pays and self.roomy()))
 
     def unread(self, txn):  # whether a txn waits for its account's count; while calls fail, by chance
         account = txn.account
-        if not account.thin or txn.expiry - self.now < 2 * self.call_wait + self.margin:
+        if not account.below_one_txn or txn.expires_at - self.now < 2 * self.call_wait + self.margin:
             return False
-        clear = account.use < CALM and self.now - account.read_at < KNOWN
-        txn.scale = self.stretch if clear else sqrt(self.stretch)  # the few that ask stand for all
-        txn.scale *= SPARSE if self.sampled(account) and self.stretch > CROWD else 1.0
+        clear = account.usage < CALM and self.now - account.usage_read_at < KNOWN
+        txn.represents = self.stretch if clear else sqrt(self.stretch)  # the few that ask stand for all
+        txn.represents *= SPARSE if self.sampled(account) and self.stretch > CROWD else 1.0
         asks = (not account.quota.pays and self.worth(txn) and self.fits()
-                and self.random() * txn.scale < 1.0 and self.mark(CALL))
+                and self.random() * txn.represents < 1.0 and self.mark(CALL))
         # Guards against one add that fills a quota for all that read it. Harm: in a crowd counts are too low.
-        txn.scale = max(1.0, min(txn.scale, GRAIN * account.quota.most / txn.units))
+        txn.represents = max(1.0, min(txn.represents, GRAIN * account.quota.most / txn.units))
         return asks
 
     def may_decline(self, txn):  # rule 2: only where no submission can have run, or all repeats are dropped
-        return txn.risk_at is None or txn.line.harmless
+        return txn.risk_at is None or txn.product.harmless
 
     def worth(self, txn):  # whether an answer may still come in time
-        return txn.line.late > 0 or txn.came + txn.line.sla - self.now > HOPE * txn.line.mean
+        return txn.product.late > 0 or txn.arrived_at + txn.product.sla - self.now > HOPE * txn.product.mean
 
     def again(self, txn):  # a further submission: while it pays, out of savings, so that no storm starts
-        return self.worth(txn) and self.spare >= 1.0 and txn.sent < txn.most and self.choose(txn)
+        return self.worth(txn) and self.spare >= 1.0 and txn.submissions < txn.max_submissions and self.choose(txn)
 
     def choose(self, txn):  # one app server drawn at random, odds in step with the room it is thought to have
         some = self.lawful(txn) if self.fits() else []
         self.sure = sum(map(self.odds, some)) / len(some) if some else self.sure
         # Guards against fast failure that looks like room: the doubtful get work by a draw of their chance of
         # success, held against the others', so when all fail alike none is condemned. Harm: a few lost txns.
-        pool = [(s, room * s.near ** txn.pull) for s in some if (room := self.room(s, txn.rank)) > 0
-                and (not self.doubtful(s) or self.beta(s.won + 1, s.lost + 1) > 0.9 * self.sure)]
-        pool = [(s, room) for s, room in pool if s.id != txn.last] or pool  # elsewhere, where there is one
+        pool = [(s, room * s.proximity ** txn.proximity_exponent) for s in some if (room := self.room(s, txn.shed_rank)) > 0
+                and (not self.doubtful(s) or self.beta(s.successes + 1, s.failures + 1) > 0.9 * self.sure)]
+        pool = [(s, room) for s, room in pool if s.id != txn.last_server] or pool  # elsewhere, where there is one
         return self.pick([s for s, _ in pool], [room for _, room in pool])[0] if pool else None
 
     def doubtful(self, server):
-        return server.lost >= 1 and self.odds(server) <= 0.9 * self.sure
+        return server.failures >= 1 and self.odds(server) <= 0.9 * self.sure
 
     def fits(self):
         """Guards against many nodes that fill the fleet together: limits hold in sum, or by savings."""
@@ -281,24 +281,24 @@
         self.saved_at = self.now
         if self.now - self.looked_at > SEC // 10:
             self.looked_at = self.now
-            self.free = sum(max(-1.0, self.limit * self.ready(s) - s.held) for s in self.up)
+            self.free = sum(max(-1.0, self.limit * self.ready(s) - s.occupied) for s in self.up)
             warm = [self.fade(s) for s in self.up if self.ready(s) >= 1.0]
             self.each = sum(warm) / len(warm) if warm else self.each  # with none warm, the last guess stands
 
     def lawful(self, txn):
         """The app servers that the rules leave for the txn's next submission: the one gate of every send."""
-        line, now, account = txn.line, self.now, txn.account
-        if txn.out and not (self.copies and line.kind == t.READ_ONLY) or txn.expiry - now <= self.margin + MS:
+        line, now, account = txn.product, self.now, txn.account
+        if txn.in_flight and not (self.copies and line.kind == t.READ_ONLY) or txn.expires_at - now <= self.margin + MS:
             return []
-        if not txn.sent and account.quota.fill > 0 and self.store(account) < txn.units:
+        if not txn.submissions and account.quota.fill > 0 and self.store(account) < txn.units:
             return []  # rule 5
         bound = txn.risk_at is not None and line.kind != t.READ_ONLY  # rule 2
         if bound and (line.kind == t.ONCE_ONLY or now + self.margin >= txn.risk_at + line.window):
             return []
-        group, home = line.group if bound else t.ALL, txn.within
+        group, home = line.group if bound else t.ALL, txn.allowed_zones
         some = self.up if home is None else [s for s in self.up if s.zone in home]
         if not bound and len(some) > LOOKS:
-            fresh = [s for s in self.heard if s.held < self.limit and s.id != txn.last and self.bears(s)]
+            fresh = [s for s in self.heard if s.occupied < self.limit and s.id != txn.last_server and self.bears(s)]
             fresh = some[:NEAREST] + self.sample(some[NEAREST:], LOOKS - NEAREST) if self.tells else self.each < 1.0 and fresh
             some = fresh or self.sample(some, LOOKS)
         return [s for s in some if s.state == t.UP  # rule 3, without the grace
@@ -309,36 +309,36 @@
     def bears(self, server):
         """Rule 4: what the least capacity of a cold app server allows, guessed from what a warm one does.
         A part below one is a chance, drawn once a span, so that the parts of hundreds of nodes sum to it."""
-        if (ready := self.ready(server)) < 1.0 and self.now >= server.turn_at:
-            server.turn_at = self.now + self.span
-            server.slots = int(min(self.bear_most, self.cold_rate * ready * self.each) + self.random())
-        return ready >= 1.0 or server.slots > 0
+        if (ready := self.ready(server)) < 1.0 and self.now >= server.cold_span_end:
+            server.cold_span_end = self.now + self.span
+            server.cold_allowance = int(min(self.bear_most, self.cold_rate * ready * self.each) + self.random())
+        return ready >= 1.0 or server.cold_allowance > 0
 
     def submit(self, txn, server):
-        now, line = self.now, txn.line
-        self.spare = self.spare - 1.0 if txn.sent else min(self.spare_most, self.spare + self.spare_rate)
-        if not txn.sent:
+        now, line = self.now, txn.product
+        self.spare = self.spare - 1.0 if txn.submissions else min(self.spare_most, self.spare + self.spare_rate)
+        if not txn.submissions:
             self.pressed -= 0.05 * self.pressed
             self.count(txn)
-        txn.out[txn.sent] = True
-        txn.sent, txn.last = txn.sent + 1, server.id
-        server.out, server.slots = server.out + 1, server.slots - 1
-        server.held, self.free = server.held + 1, self.free - 1.0
-        txn.account.out += 1
+        txn.in_flight[txn.submissions] = True
+        txn.submissions, txn.last_server = txn.submissions + 1, server.id
+        server.in_flight, server.cold_allowance = server.in_flight + 1, server.cold_allowance - 1
+        server.occupied, self.free = server.occupied + 1, self.free - 1.0
+        txn.account.in_flight += 1
         if txn.risk_at is None:
             txn.risk_zone, txn.risk_cell = server.zone, server.cell
-        left, rest = txn.came + line.sla - now, txn.expiry - now - self.margin
+        left, rest = txn.arrived_at + line.sla - now, txn.expires_at - now - self.margin
         allow = rest if line.late > 0 or left <= 0 else min(left, rest)
         self.effects.append(t.Submit(txn.id, server.id, max(MS, allow)))
         if self.copies and line.kind == t.READ_ONLY and line.mean:
             wait = min(TARRY * line.mean, left / 2 if left > 0 else inf)
-            self.remind(wait, self.tarry, txn, txn.sent - 1, server)
+            self.remind(wait, self.tarry, txn, txn.submissions - 1, server)
 
     def tarry(self, txn, attempt, server):
         """Guards against answers that never come: a second copy, out of the same savings and room as any
         further submission. Harm: work done twice where the answer was only late."""
-        if txn.out.get(attempt) and self.woke < self.now and (self.losing() or self.tells and self.fits()):
-            txn.out[attempt] = self.tells  # else its place is free: most likely the answer is lost, not late
+        if txn.in_flight.get(attempt) and self.woke < self.now and (self.losing() or self.tells and self.fits()):
+            txn.in_flight[attempt] = self.tells  # else its place is free: most likely the answer is lost, not late
             self.lay(server) if not self.tells else None
             self.step(txn, TARRIES)
 
@@ -346,17 +346,17 @@
         return self.silent > 0.5 and self.tardy < TARDY
 
     def another(self, txn):  # one that is out may still settle it
-        return bool(txn.out)
+        return bool(txn.in_flight)
 
     def close(self, txn, found):  # nothing is owed; what is still out is called off
-        self.effects += [t.Cancel(txn.id, attempt) for attempt in sorted(txn.out) if self.cancels]
+        self.effects += [t.Cancel(txn.id, attempt) for attempt in sorted(txn.in_flight) if self.cancels]
 
     def decline(self, txn, found):
         rate = txn.account.quota.rate
-        if txn.inside and not txn.sent:
+        if txn.in_quota and not txn.submissions:
             self.pressed += 0.05 * (1.0 - self.pressed)
-        wait = txn.units / rate * SEC if rate > 0 and not txn.inside else txn.line.mean  # refill, or room
-        self.effects.append(t.Decline(txn.id, int(min(self.advice, max(wait, 100 * MS))), not txn.inside))
+        wait = txn.units / rate * SEC if rate > 0 and not txn.in_quota else txn.product.mean  # refill, or room
+        self.effects.append(t.Decline(txn.id, int(min(self.advice, max(wait, 100 * MS))), not txn.in_quota))
 
     def void(self, txn, found):
         self.effects.append(t.Void(txn.id))
@@ -368,7 +368,7 @@
             thin = self.counts and nodes > quota.thin_past
             if quota.rate > 0 and not thin:
                 number = now // quota.window
-                rate = Ledger(key, quota, nodes, now, Window(number), Window(number - 1))
+                rate = RateCounts(key, quota, nodes, now, Window(number), Window(number - 1))
             # Guards against a restart that fills the ceiling again: our share counts as spent at our start.
             account = self.accounts[key] = Account(key, quota, nodes, now, rate, self.began, thin)
             self.remind(quota.idle, self.retire, account)
@@ -379,26 +379,26 @@
         return epoch.roll(ledger, self.now)
 
     def retire(self, account):
-        if (idle := self.now - account.used_at) >= account.quota.idle and not account.out:
+        if (idle := self.now - account.used_at) >= account.quota.idle and not account.in_flight:
             self.accounts.pop(account.key, None)
         else:
             self.remind(max(account.quota.idle - idle, SEC), self.retire, account)
 
     def store(self, account):
         """This node's share of the ceiling: 1/set size of rate and depth, so no agreement is needed."""
-        quota, gain = account.quota, (self.now - account.store_at) / SEC * account.quota.fill / account.nodes
-        account.store, account.store_at = min(quota.depth / account.nodes, account.store + gain), self.now
-        return account.store
+        quota, gain = account.quota, (self.now - account.ceiling_filled_at) / SEC * account.quota.fill / account.nodes
+        account.ceiling_tokens, account.ceiling_filled_at = min(quota.depth / account.nodes, account.ceiling_tokens + gain), self.now
+        return account.ceiling_tokens
 
     def within(self, account, units):
-        if ledger := account.rate:
+        if ledger := account.counts:
             self.hasten(ledger, account.quota.fill > 0)
             left, limit, marks = self.roll(ledger), ledger.quota.limit, self.marks
             own, others = epoch.weigh(ledger, left)
             if alone := not self.fresh(ledger) or marks and self.counter != WELL:
                 # Guards against a counter that is silent, slow or crowded: the others go on as last read, and
                 # leave us our fair share. Harm: a customer that moved here waits for the next reading.
-                fair = min(ledger.others, limit - account.quota.burst / ledger.nodes)
+                fair = min(ledger.others_at_read, limit - account.quota.burst / ledger.nodes)
                 others = max(others, epoch.left(limit, ledger) if marks else fair) if own > 0 else 0.0
             if marks and (alone or marks.heard < marks.nodes):  # what refills cannot be known
                 return own + others + units <= limit * marks.part() and self.below_cap(account)
@@ -411,53 +411,53 @@
         return self.below_cap(account)
 
     def refill(self, ledger, taken=0.0):  # what of the quota is left, by our counts and the totals
-        gain = (self.now - ledger.spare_at) / SEC * ledger.quota.rate
-        ledger.spare, ledger.spare_at = min(ledger.quota.burst, ledger.spare + gain) - taken, self.now
-        return ledger.spare
+        gain = (self.now - ledger.remaining_at) / SEC * ledger.quota.rate
+        ledger.remaining, ledger.remaining_at = min(ledger.quota.burst, ledger.remaining + gain) - taken, self.now
+        return ledger.remaining
 
     def below_cap(self, account):  # by the epoch's last total; with none of ours out, one may try
-        others = account.level if self.now - account.level_at < LEVEL_FRESH else 0.0
+        others = account.others_in_flight if self.now - account.others_read_at < LEVEL_FRESH else 0.0
         if self.counter != WELL:  # nobody can be read: a fair share
-            others = account.quota.cap * (1 - 1 / account.nodes) - 0.5 if account.out else 0.0
-        return account.quota.cap <= 0 or account.out + others < account.quota.cap
+            others = account.quota.cap * (1 - 1 / account.nodes) - 0.5 if account.in_flight else 0.0
+        return account.quota.cap <= 0 or account.in_flight + others < account.quota.cap
 
     def on_level(self, told, txn):
         if told.outcome == t.DONE:
-            txn.told, account = True, txn.account
-            account.level, account.level_at = max(0.0, told.total - account.out), self.now
+            txn.count_known, account = True, txn.account
+            account.others_in_flight, account.others_read_at = max(0.0, told.total - account.in_flight), self.now
 
     def fresh(self, ledger):
         return self.now - ledger.read_at < STALE * TICK
 
     def count(self, txn):
         account = txn.account
-        account.store -= txn.units
-        if (ledger := account.rate) and txn.inside:
-            ledger.now.own += txn.units
+        account.ceiling_tokens -= txn.units
+        if (ledger := account.counts) and txn.in_quota:
+            ledger.current.own += txn.units
             self.refill(ledger, txn.units)
-            if ledger.now.own - ledger.now.sent > EARLY * ledger.quota.limit / ledger.nodes:
-                self.flush(ledger, ledger.now)
-        if account.quota.cap > 0 and not account.thin and self.mark(CALL):
-            txn.name = self.book(account)[0]
-            self.call(txn.name, 1, EPOCH, self.on_level, txn)
+            if ledger.current.own - ledger.current.acknowledged > EARLY * ledger.quota.limit / ledger.nodes:
+                self.flush(ledger, ledger.current)
+        if account.quota.cap > 0 and not account.below_one_txn and self.mark(CALL):
+            txn.count_name = self.book(account)[0]
+            self.call(txn.count_name, 1, EPOCH, self.on_level, txn)
 
     def ask_first(self, txn, found):
         """The one txn held for the counter. Adds grow as fast as counts fade, so one total tells all."""
         quota = txn.account.quota
-        txn.name, age = self.book(txn.account)
-        txn.age = exp(age / quota.fade)
-        self.call(txn.name, round(txn.units * txn.scale * txn.age, 4), quota.life, self.on_answer, txn)
+        txn.count_name, age = self.book(txn.account)
+        txn.age_weight = exp(age / quota.fade)
+        self.call(txn.count_name, round(txn.units * txn.represents * txn.age_weight, 4), quota.life, self.on_answer, txn)
 
     def on_answer(self, told, txn):
         if txn.state == ASKED:
-            txn.told = told.outcome == t.DONE
-            txn.count = max(0.0, told.total / txn.age - txn.units * txn.scale) + txn.units
+            txn.count_known = told.outcome == t.DONE
+            txn.count = max(0.0, told.total / txn.age_weight - txn.units * txn.represents) + txn.units
             account = txn.account
-            if txn.told and account.quota.rate > 0:
-                known = self.sampled(account) and txn.scale > COARSE and self.now - account.read_at < KNOWN
+            if txn.count_known and account.quota.rate > 0:
+                known = self.sampled(account) and txn.represents > COARSE and self.now - account.usage_read_at < KNOWN
                 weight = METER_WEIGHT if known else 1.0
-                account.use += weight * (txn.count / account.quota.most - account.use)
-                account.read_at = self.now
+                account.usage += weight * (txn.count / account.quota.most - account.usage)
+                account.usage_read_at = self.now
             self.step(txn, READ)
 
     def sampled(self, account):  # whether a period of the meter holds units enough to go by it
@@ -465,17 +465,17 @@
 
     def metered(self, account, use):
         """What all nodes sent on in the meter's last period, over the quota: late, but free."""
-        if account.thin:
+        if account.below_one_txn:
             units = account.quota.rate * self.period / SEC if account.quota.rate > 0 else METER_UNITS
             weight = min(METER_WEIGHT, units / METER_UNITS)
-            account.use += weight * (use - account.use)
-            account.read_at = self.now if weight == METER_WEIGHT else account.read_at
+            account.usage += weight * (use - account.usage)
+            account.usage_read_at = self.now if weight == METER_WEIGHT else account.usage_read_at
 
     def give_back(self, txn):  # what was declined goes out of the count again, and under a cap what has ended
         exact = txn.account.quota.rate <= 0  # a cap
         chance = 1.0 if exact else max(0.5, 1.0 / sqrt(self.stretch))  # in a crowd one stands for two
-        if (exact or not txn.sent) and self.random() < chance and self.mark(CALL):
-            self.call(txn.name, -round(txn.units * txn.scale * txn.age / chance, 4), SEC, self.on_level, txn)
+        if (exact or not txn.submissions) and self.random() < chance and self.mark(CALL):
+            self.call(txn.count_name, -round(txn.units * txn.represents * txn.age_weight / chance, 4), SEC, self.on_level, txn)
 
     def book(self, account):  # the name of an account's one count, and its age; they turn at spread moments
         life = account.quota.life
@@ -487,32 +487,32 @@
 
     def hasten(self, ledger, at_once):  # guards the counter: a customer that comes once needs no call
         ledger.used_at = self.now
-        if not ledger.armed and (at_once or ledger.now.own + ledger.past.own > 0):
+        if not ledger.timer_set and (at_once or ledger.current.own + ledger.previous.own > 0):
             self.arm(ledger, TICK if self.fresh(ledger) else FIRST_ADD)
 
     def arm(self, ledger, wait):
-        ledger.armed = True
+        ledger.timer_set = True
         self.remind(self.uniform(0.8, 1.2) * wait * self.stretch, self.tick, ledger)
 
     def tick(self, ledger):
         self.roll(ledger)
-        self.flush(ledger, ledger.past)
-        self.flush(ledger, ledger.now)
-        ledger.armed = False
-        if self.now - ledger.used_at < TICK * self.stretch or ledger.now.doubt or ledger.now.flying:
+        self.flush(ledger, ledger.previous)
+        self.flush(ledger, ledger.current)
+        ledger.timer_set = False
+        if self.now - ledger.used_at < TICK * self.stretch or ledger.current.uncertain or ledger.current.in_flight:
             self.arm(ledger, TICK)
 
     def flush(self, ledger, window):  # adds what has grown since the last add; the first also reads
-        grown = window.own - window.sent - window.doubt
-        asks = not self.fresh(ledger) if window is ledger.now else self.marks and epoch.tail(ledger)
-        if window.flying is None and (grown > 1e-6 or window.doubt or asks) and self.mark(CALL):
-            amount = window.flying = max(0.0, round(grown, 4))
+        grown = window.own - window.acknowledged - window.uncertain
+        asks = not self.fresh(ledger) if window is ledger.current else self.marks and epoch.tail(ledger)
+        if window.in_flight is None and (grown > 1e-6 or window.uncertain or asks) and self.mark(CALL):
+            amount = window.in_flight = max(0.0, round(grown, 4))
             name = self.name(ledger.key, window.number)
             self.call(name, amount, ledger.quota.keep, self.on_total, ledger, window)
 
     def call(self, name, amount, life, what, *about):
         self.calls.setdefault(name, []).append((what, about))  # answers for a name come in the order of calls
-        self.effects.append(t.Add(name, amount, min(life, 60 * SEC)))
+        self.effects.append(t.AddToCount(name, amount, min(life, 60 * SEC)))
 
     def stamp(self):  # marks the counter; the breaker must not hide from the marks that nobody answers
         calls = self.marks.due(self.now) if self.mark(CALL) else self.on_stamp(t.Counted(0, 0.0, t.NOT_ACCEPTED, 0))
@@ -522,7 +522,7 @@
 
     def on_stamp(self, told, *about):
         if news := self.marks.told(*about, told.total) if told.outcome == t.DONE else self.marks.missed():
-            self.effects.append(t.Notice(news, self.marks.heard))
+            self.effects.append(t.CounterNotice(news, self.marks.heard))
             epoch.reseed(self.accounts.values() if news == epoch.NEW else ())
 
     def on_counted(self, told):
@@ -536,21 +536,21 @@
             what(told, *about)
 
     def on_total(self, told, ledger, window):
-        amount, window.flying = window.flying, None
+        amount, window.in_flight = window.in_flight, None
         if told.outcome != t.DONE:  # after a time-out it may have landed: the next total tells
-            window.doubt += amount if told.outcome == t.TIMED_OUT else 0.0
+            window.uncertain += amount if told.outcome == t.TIMED_OUT else 0.0
             return
         grown, known = epoch.settle(window, amount, told.total), self.fresh(ledger)
         ledger.read_at = window.read_at = self.now
         left, account, quota = self.roll(ledger), self.accounts.get(ledger.key), ledger.quota
-        ledger.mine, ledger.others = epoch.weigh(ledger, left)
+        ledger.own_at_read, ledger.others_at_read = epoch.weigh(ledger, left)
         self.refill(ledger, grown)
         if account and quota.fill > 0 and not quota.pays:
             # Guards against a ceiling that leaves a customer an even split, or nothing at our start: our part
             # of what totals leave of its depth, less what the others may not have told, and while calls fail.
-            past = ledger.past.held + ledger.past.own if known else quota.limit  # or as full
-            room = quota.depth - ledger.now.held - ledger.now.own - past * left - EARLY * quota.limit
-            account.store = max(self.store(account), room / account.nodes / self.stretch)
+            past = ledger.previous.others + ledger.previous.own if known else quota.limit  # or as full
+            room = quota.depth - ledger.current.others - ledger.current.own - past * left - EARLY * quota.limit
+            account.ceiling_tokens = max(self.store(account), room / account.nodes / self.stretch)
 
     def mark(self, seen):  # reads the counter's table; tells whether a call may be made
         then, effect = COUNTER[self.counter, seen]
@@ -574,48 +574,48 @@
         return due or None
 
     def ready(self, server):  # the least share of its capacity that an app server can have, by its age
-        age = min(1.0, (self.now - server.born) / self.warm_within) if server.born else 1.0
+        age = min(1.0, (self.now - server.started_at) / self.warm_within) if server.started_at else 1.0
         return 1.0 - (1.0 - self.cold) * (1.0 - age)
 
     def known(self, server):
-        return 1.0 - DOUBT / (DOUBT + server.won + server.lost)
+        return 1.0 - DOUBT / (DOUBT + server.successes + server.failures)
 
     def room(self, server, rank):
         """What its limit leaves those of this rank, by readiness and pace; in a large fleet, few it knows and cold ones."""
-        known, free = self.known(server), self.limit * (1.0 - YIELD * rank) - server.held
-        ready, trust = self.ready(server), (0.005 + known * known) / server.load ** (2.0 - 2.0 * known)
+        known, free = self.known(server), self.limit * (1.0 - YIELD * rank) - server.occupied
+        ready, trust = self.ready(server), (0.005 + known * known) / server.probed_load ** (2.0 - 2.0 * known)
         if self.tells:  # what its answers told of all callers' work there goes before what is guessed
-            trust = max(0.02, 1.0 - server.busy * 0.5 ** ((self.now - server.busy_at) / TELLS)) ** 2
-        return free * ready / server.pace * (trust if ready >= 1.0 else 1.0)
+            trust = max(0.02, 1.0 - server.utilization * 0.5 ** ((self.now - server.utilization_at) / TELLS)) ** 2
+        return free * ready / server.relative_duration * (trust if ready >= 1.0 else 1.0)
 
     def roomy(self):  # less than half of the room is out
         self.look()
-        return self.free > sum(s.out for s in self.up)
+        return self.free > sum(s.in_flight for s in self.up)
 
     def odds(self, server):
-        return (server.won + 1.0) / (server.won + server.lost + 2.0)
+        return (server.successes + 1.0) / (server.successes + server.failures + 2.0)
 
     def fade(self, server):
         """Guards against standing by what was seen long ago of an app server that gets little work since."""
-        keep = 0.5 ** ((self.now - server.judged_at) / MEMORY)
-        server.won, server.lost, server.judged_at = server.won * keep, server.lost * keep, self.now
-        server.pace += (1.0 - server.pace) * (1.0 - keep)
-        server.load += (1.0 - server.load) * (1.0 - keep)
-        return server.won
+        keep = 0.5 ** ((self.now - server.decayed_at) / MEMORY)
+        server.successes, server.failures, server.decayed_at = server.successes * keep, server.failures * keep, self.now
+        server.relative_duration += (1.0 - server.relative_duration) * (1.0 - keep)
+        server.probed_load += (1.0 - server.probed_load) * (1.0 - keep)
+        return server.successes
 
     def judge(self, server, txn, told):
-        line, done = txn.line, told.outcome == t.DONE
+        line, done = txn.product, told.outcome == t.DONE
         if line.mean and told.duration > TARRY * line.mean:
             self.silent += 0.1 * ((told.outcome == t.TIMED_OUT) - self.silent)
         self.fade(server)
         rest = 0.0 if self.doubtful(server) else 1.0 - self.known(server)
         # Guards against lists that name what is gone: that is no load: limits stand, the next try is free.
         self.spare += (gone := told.outcome == t.CONNECT_FAILED)
-        server.won, server.lost = server.won + done, server.lost + (ABSENT if gone else not done)
+        server.successes, server.failures = server.successes + done, server.failures + (ABSENT if gone else not done)
         if done:
             line.mean += 0.03 * (told.duration - line.mean) if line.mean else told.duration
         if line.mean and (done or told.outcome == t.TIMED_OUT):
-            server.pace = max(0.4, 0.9 * server.pace + 0.1 * min(8.0, told.duration / line.mean))
+            server.relative_duration = max(0.4, 0.9 * server.relative_duration + 0.1 * min(8.0, told.duration / line.mean))
         late = told.duration > SLOW * line.sla
         self.tardy += 0.05 * (late - self.tardy) if done else 0.0
         self.prompt += 0.0 if gone else 0.05 * ((done and not late) - self.prompt)
@@ -630,13 +630,13 @@
     def on_probed(self, told):  # guards against hangs, and tells of the load that others bring
         if (server := self.servers.get(told.server)) and "slots" in told.report:
             at_work = told.report["running"] + told.report["waiting"]
-            server.busy, server.busy_at = at_work / max(1, told.report["slots"]), self.now
+            server.utilization, server.utilization_at = at_work / max(1, told.report["slots"]), self.now
         elif server and told.outcome == t.DONE:
-            server.load = 1.0 + told.report.get("inflight", told.duration / (50 * MS))
+            server.probed_load = 1.0 + told.report.get("inflight", told.duration / (50 * MS))
             self.heard.append(server)
-            server.lost = min(0.9, server.lost) if self.tells else server.lost  # the fleet hears it again
+            server.failures = min(0.9, server.failures) if self.tells else server.failures  # the fleet hears it again
         elif server:
-            server.lost += 2.0 if self.tells else 1.0
+            server.failures += 2.0 if self.tells else 1.0
 
 ADMIT = ((Node.beyond, OVER, Node.decline), (Node.choose, OUT, Node.submit), (Node.always, OVER, Node.decline))
 AGAIN = ((Node.another, OUT, Node.always), (Node.again, OUT, Node.submit),
--- a/rampfront/epoch.py
+++ b/rampfront/epoch.py
@@ -19,7 +19,7 @@
 from collections.abc import Callable, Iterable
 from typing import Any, Protocol
 
-from .state import Account, Ledger, Window
+from .state import Account, RateCounts, Window
 
 SEC = 10**9
 SLICE = SEC  # length of a slice
@@ -107,63 +107,63 @@
 def reseed(accounts: Iterable[Account]) -> None:
     """A new counter holds nothing of ours: all of it is told again with the next adds. Where the old one was there
     after all, our counts stand twice until the window ends, so the others let in less, never more."""
-    for ledger in [account.rate for account in accounts if account.rate]:
-        for window in (ledger.now, ledger.past):
-            window.sent = window.doubt = window.seen = 0.0
+    for ledger in [account.counts for account in accounts if account.counts]:
+        for window in (ledger.current, ledger.previous):
+            window.acknowledged = window.uncertain = window.last_total = 0.0
 
 
 def settle(window: Window, amount: float, total: float) -> float:
     """Takes in the total that came back for an add of `amount` to the window's count. Returns by how much the
     others' part grew."""
     slack = 1e-3 + 1e-6 * total
-    if total < window.seen + amount - slack:
+    if total < window.last_total + amount - slack:
         # Guards against a counter that lost counts: our own are put back, the others put back theirs.
-        window.sent, window.doubt = amount, 0.0
+        window.acknowledged, window.uncertain = amount, 0.0
     else:
-        landed = total - window.sent - amount - window.doubt >= window.held - slack
-        window.sent += amount + (window.doubt if landed else 0.0)
-        window.doubt = 0.0
-    grown, window.held = window.held, max(window.held, total - window.sent)
-    window.seen = total
-    return window.held - grown
+        landed = total - window.acknowledged - amount - window.uncertain >= window.others - slack
+        window.acknowledged += amount + (window.uncertain if landed else 0.0)
+        window.uncertain = 0.0
+    grown, window.others = window.others, max(window.others, total - window.acknowledged)
+    window.last_total = total
+    return window.others - grown
 
 
-def left(limit: float, ledger: Ledger) -> float:
+def left(limit: float, ledger: RateCounts) -> float:
     """What the others may have counted when nobody can be read: as last read, and their even part of what was left.
 
     The nodes read nearly the same total, so what they take adds up to the limit: their own, and limit - total once.
     Never read: all but an even part."""
     share = 1.0 - 1.0 / ledger.nodes
-    if ledger.others == float("inf"):
+    if ledger.others_at_read == float("inf"):
         return limit * share
-    others = ledger.others * UNTOLD
-    return others + share * max(0.0, limit - others - ledger.mine)
+    others = ledger.others_at_read * UNTOLD
+    return others + share * max(0.0, limit - others - ledger.own_at_read)
 
 
 class SlidingWindow(Protocol):
     """Counts of this window and the past one, as far as `roll` and `weigh` need them."""
 
     quota: Any  # its `window` is a length in ns
-    now: Window
-    past: Window
+    current: Window
+    previous: Window
 
 
 def roll(ledger: SlidingWindow, now: int) -> float:
     """Ages windows out; returns the past window's weight, one minus the elapsed share of this one."""
     window: int = ledger.quota.window
-    number, last = now // window, ledger.now
+    number, last = now // window, ledger.current
     if number != last.number:
-        ledger.past = last if number == last.number + 1 else Window(number - 1)
-        ledger.now = Window(number)
+        ledger.previous = last if number == last.number + 1 else Window(number - 1)
+        ledger.current = Window(number)
     return 1.0 - (now % window) / window
 
 
 def weigh(ledger: SlidingWindow, left: float) -> tuple[float, float]:
     """Our own and the others' counts: of this window, and of the past one by the weight that it has left."""
-    return ledger.now.own + ledger.past.own * left, ledger.now.held + ledger.past.held * left
+    return ledger.current.own + ledger.previous.own * left, ledger.current.others + ledger.previous.others * left
 
 
-def tail(ledger: Ledger) -> bool:
+def tail(ledger: RateCounts) -> bool:
     """Whether the others' last adds to the past window are unread: without them each window's end is let in free."""
-    past = ledger.past
-    return 0.0 < past.seen and past.read_at < (past.number + 1) * ledger.quota.window
+    past = ledger.previous
+    return 0.0 < past.last_total and past.read_at < (past.number + 1) * ledger.quota.window
--- a/rampfront/in_flight.py
+++ b/rampfront/in_flight.py
@@ -194,7 +194,7 @@
             self.departed_servers.discard(index)
         return index
 
-    def retain_servers(self, rows: Iterable[t.Listed]) -> None:
+    def retain_servers(self, rows: Iterable[t.ServerListRow]) -> None:
         """A complete list: servers that it leaves out have departed."""
         named = {row.server for row in rows}
         self.departed_servers.update(index for index in self.servers.indices() if index not in named)
--- a/rampfront/lab/system/machine.py
+++ b/rampfront/lab/system/machine.py
@@ -93,7 +93,7 @@
 def by_chance(node, txn):
     """Any server that the rules leave, all alike."""
     some = node.lawful(txn)
-    some = [server for server in some if server.id != txn.last] or some
+    some = [server for server in some if server.id != txn.last_server] or some
     return node.pick(some)[0] if some else None
 
 
--- a/rampfront/net/decision_driver.py
+++ b/rampfront/net/decision_driver.py
@@ -32,7 +32,7 @@
 _NS_PER_MS = 10**6
 
 Input = t.Arrival | t.Ended | t.Left | t.Due | t.Probed | t.Counted | t.ServerList
-Effect = t.Submit | t.Cancel | t.Decline | t.Void | t.Remind | t.Probe | t.Add | t.Notice | t.Subscribe
+Effect = t.Submit | t.Cancel | t.Decline | t.Void | t.Remind | t.Probe | t.AddToCount | t.CounterNotice | t.Subscribe
 """The closed sets of `terms.py`. `None` as an input starts the node."""
 
 _create_node: Callable[[t.Terms, int, int], Node] = Node  # `choice.py` has no types
@@ -106,8 +106,8 @@
             t.Void: self._void,
             t.Remind: self._remind,
             t.Probe: self._probe,
-            t.Add: self._add,
-            t.Notice: self._notice,
+            t.AddToCount: self._add,
+            t.CounterNotice: self._notice,
             t.Subscribe: self._subscribe,
         }
 
@@ -177,7 +177,7 @@
             index = self.in_flight.list_server(row.uid, row.state == t.REMOVED)
             if index is None:
                 continue
-            listed.append(t.Listed(index, row.state, row.zone, row.cell, row.weight, row.came_up_ns, row.near))
+            listed.append(t.ServerListRow(index, row.state, row.zone, row.cell, row.weight, row.came_up_ns, row.near))
             if self.recorder:
                 self.recorder.record_server_state(row.uid, row.state)
             self.servers.list_server(index, row)
@@ -312,12 +312,12 @@
         self.in_flight.add_health_check(effect.server)
         self.servers.check_health(effect.server)
 
-    def _add(self, effect: t.Add) -> None:
+    def _add(self, effect: t.AddToCount) -> None:
         """Adds to a count of the counter."""
         assert self.counter is not None, "a node without a counter adds to none"
         self.counter.add(effect.name, effect.amount, effect.lifetime)
 
-    def _notice(self, effect: t.Notice) -> None:
+    def _notice(self, effect: t.CounterNotice) -> None:
         """Tells the operators news of the counter."""
         self.counts[f"counter_{effect.change}"] += 1
         self.log.record("counter", news=effect.change, heard=effect.heard_nodes)
--- a/rampfront/node/status_views.py
+++ b/rampfront/node/status_views.py
@@ -223,8 +223,8 @@
         "Burst": row.quota.burst,
         "Left": round(limiter.available(row, now), 1),
         "AskedPerS": round(row.requested_per_s, 1),
-        "Own": window_count(limiter, row, row.now.own, now),
-        "Others": window_count(limiter, row, row.now.held, now),
+        "Own": window_count(limiter, row, row.current.own, now),
+        "Others": window_count(limiter, row, row.current.others, now),
     }
 
 
--- a/rampfront/quota/counter_link.py
+++ b/rampfront/quota/counter_link.py
@@ -164,9 +164,9 @@
             self._end_update(now, pending, totals.lists_all)
         self.table.read(totals.rows, now, acknowledges=self.pending is None)
         for window in pending.windows if pending else ():
-            if window.flying is not None:  # its total did not come: it is a window that ended
-                window.sent += window.flying
-                window.flying = None
+            if window.in_flight is not None:  # its total did not come: it is a window that ended
+                window.acknowledged += window.in_flight
+                window.in_flight = None
 
     def _counter_restarted(self, now: int, totals: CounterTotals, pending: PendingUpdate) -> bool:
         """Learns the counter's time and incarnation from an answer; returns whether it has forgotten all counts."""
--- a/rampfront/quota/limiter.py
+++ b/rampfront/quota/limiter.py
@@ -102,7 +102,7 @@
             admitted = self._admit_at_rate(tenant, available, age_ns)
         if not admitted:
             return self._reject(tenant, available, now)
-        tenant.now.own += 1
+        tenant.current.own += 1
         tenant.even_share -= 1
         self._schedule_early_update(tenant, now)
         return None
@@ -175,7 +175,7 @@
 
     def in_present_window(self, tenant: TenantCounts, now: int) -> bool:
         """Whether the tenant's counts are of the window that runs: one that is out of use has older ones."""
-        return tenant.now.number == self.clock.peek(now) // tenant.quota.window
+        return tenant.current.number == self.clock.peek(now) // tenant.quota.window
 
     # ---- exchange with the counter
 
--- a/rampfront/quota/tenant_counts.py
+++ b/rampfront/quota/tenant_counts.py
@@ -35,8 +35,8 @@
 
     name: str
     quota: Quota
-    now: Window  # of the present; named as `epoch` reads it
-    past: Window  # the one before
+    current: Window  # of the present; named as `epoch` reads it
+    previous: Window  # the one before
     used_at: int  # when a request came last
     remaining: float  # requests that the quota had left, as the counter said; below 0 a debt
     remaining_at: int  # when it said so
@@ -61,27 +61,27 @@
             # Windows of another length: both counts as one, all of it acknowledged under the old quota already.
             own, others = weigh(self, weight)
             number = counter_time // quota.window
-            self.now = Window(number, own, own)
-            self.past = Window(number - 1)
-            self.now.held = others
+            self.current = Window(number, own, own)
+            self.previous = Window(number - 1)
+            self.current.others = others
         self.remaining = min(quota.depth, self.remaining + max(0.0, quota.depth - self.quota.depth))
         self.reading_lasts_ns = _reading_lasts_ns(quota)
         self.quota = quota
 
     def unacknowledged(self) -> float:
         """Requests admitted here that the counter has not acknowledged."""
-        return self.now.own - self.now.sent + self.past.own - self.past.sent
+        return self.current.own - self.current.acknowledged + self.previous.own - self.previous.acknowledged
 
     def unsent(self) -> float:
         """Requests admitted here that are not in the update under way either."""
-        present = self.now
-        past = self.past
-        unacknowledged = present.own - present.sent + past.own - past.sent
-        return unacknowledged - (present.flying or 0) - (past.flying or 0)
+        present = self.current
+        past = self.previous
+        unacknowledged = present.own - present.acknowledged + past.own - past.acknowledged
+        return unacknowledged - (present.in_flight or 0) - (past.in_flight or 0)
 
     def refund(self) -> None:
         """One admitted request reached no server. Where it is acknowledged already, it nets against later growth."""
-        window = self.now if self.now.own >= 1 else self.past
+        window = self.current if self.current.own >= 1 else self.previous
         if window.own >= 1:
             window.own -= 1
             self.even_share += 1
@@ -138,16 +138,16 @@
             weight: of the past window.
             now: ns.
         """
-        present = self.now
-        past = self.past
-        growth = present.own - present.sent
+        present = self.current
+        past = self.previous
+        growth = present.own - present.acknowledged
         current = round(growth) if growth > 0 else 0
-        growth = past.own - past.sent
+        growth = past.own - past.acknowledged
         previous = round(growth) if growth > 0 else 0
         if not (current or previous or self.rejected or self.read_at < now - self.reading_lasts_ns):
             return None
-        present.flying = current
-        past.flying = previous
+        present.in_flight = current
+        past.in_flight = previous
         rejected = self.rejected
         self.rejected = 0
         if full:
@@ -156,15 +156,15 @@
 
     def forget_acknowledged(self) -> None:
         """The counter knows nothing of this proxy's counts."""
-        for window in (self.now, self.past):
-            window.sent = 0.0
-            window.seen = 0.0
-            window.flying = None
+        for window in (self.current, self.previous):
+            window.acknowledged = 0.0
+            window.last_total = 0.0
+            window.in_flight = None
 
     def renumber(self, counter_time: int) -> None:
         """Another counter's windows begin at other moments: the present ones are taken to be the same."""
-        self.now.number = counter_time // self.quota.window
-        self.past.number = self.now.number - 1
+        self.current.number = counter_time // self.quota.window
+        self.previous.number = self.current.number - 1
 
     def read_full(self, now: int) -> None:
         """The counter said that nobody uses the tenant."""
@@ -175,20 +175,20 @@
     def read(self, total: TenantTotal, now: int, acknowledges: bool) -> None:
         """Takes in a tenant's totals: the others' figures are raised to the larger value (the RFC's `atomicMax`).
         `acknowledges`: no update is under way, so that what was in the last one is in the totals."""
-        for window in (self.now, self.past):
+        for window in (self.current, self.previous):
             if window.number == total.window:
                 count = total.current
             elif window.number == total.window - 1:
                 count = total.previous
             else:
                 continue
-            amount = (window.flying or 0.0) if acknowledges else 0.0
-            if count >= window.seen + amount:
+            amount = (window.in_flight or 0.0) if acknowledges else 0.0
+            if count >= window.last_total + amount:
                 settle(window, amount, count)
             else:  # an older total than the last raises nothing
-                window.sent += amount
+                window.acknowledged += amount
             if acknowledges:
-                window.flying = None
+                window.in_flight = None
         self.remaining = min(self.quota.depth, total.remaining)
         self.remaining_at = now
         self.read_at = now
--- a/rampfront/quota/tenant_table.py
+++ b/rampfront/quota/tenant_table.py
@@ -83,7 +83,7 @@
             row = tenant.report(full, weight, now)
             if row is not None:
                 rows.append(row)
-                windows += (tenant.now, tenant.past)
+                windows += (tenant.current, tenant.previous)
         return Report(rows, windows, False)
 
     def read(self, totals: Sequence[TenantTotal], now: int, acknowledges: bool) -> None:
@@ -99,7 +99,7 @@
         for name, tenant in self.tenants.items():
             self.roll(tenant, now)
             tenant.forget_acknowledged()
-            if tenant.now.own or tenant.past.own:
+            if tenant.current.own or tenant.previous.own:
                 self.unreported[name] = tenant
 
     def renumber(self, counter_time: int) -> None:
--- a/rampfront/terms.py
+++ b/rampfront/terms.py
@@ -84,7 +84,7 @@
 
 
 @slotted
-class Listed:
+class ServerListRow:
     """A row of the server list."""
 
     server: int
@@ -222,7 +222,7 @@
 
 
 @slotted
-class Add:
+class AddToCount:
     """Add to a count of the counter, and read its total; the count lives `life` ns."""
 
     name: int
@@ -231,7 +231,7 @@
 
 
 @slotted
-class Notice:
+class CounterNotice:
     """News of the counter, for the operators: what, and how many nodes it hears of."""
 
     change: str
--- a/tests/helper.py
+++ b/tests/helper.py
@@ -45,21 +45,21 @@
             self.list(*range(servers))
 
     def list(self, *ids, state=t.UP, born=0, whole=True, cell=0):
-        self.tell(t.ServerList(whole, False, [t.Listed(k, state, 0, cell, 1.0, born * MS) for k in ids]))
+        self.tell(t.ServerList(whole, False, [t.ServerListRow(k, state, 0, cell, 1.0, born * MS) for k in ids]))
 
     def note(self, effects):
         for e in effects:
             if isinstance(e, t.Remind):
                 heapq.heappush(self.due, (self.ms + e.delay / MS, e.ref))
                 continue
-            if isinstance(e, t.Add):
+            if isinstance(e, t.AddToCount):
                 self.adds.append(e)
             said = {
                 t.Submit: lambda: f"txn {e.txn} to {e.server} for {e.timeout // MS} ms",
                 t.Decline: lambda: f"txn {e.txn} declined, back in {e.retry_after // MS} ms",
                 t.Void: lambda: f"txn {e.txn} voided",
                 t.Cancel: lambda: f"txn {e.txn} called off",
-                t.Add: lambda: f"adds {e.amount:g}",
+                t.AddToCount: lambda: f"adds {e.amount:g}",
                 t.Probe: lambda: f"probes {e.server}",
                 t.Subscribe: lambda: "subscribes",
             }[type(e)]()
@@ -83,7 +83,7 @@
         self.tell(t.Arrival(txn, product, plan, account, units, expiry * MS, nodes))
 
     def end(self, txn, how=t.DONE, server=0, took=100, true=0, final=None, use=None, attempt=None):
-        attempt = min(self.node.txns[txn].out) if attempt is None else attempt
+        attempt = min(self.node.txns[txn].in_flight) if attempt is None else attempt
         self.tell(t.Ended(txn, server, how, took * MS, how == t.DONE if final is None else final, true, attempt, use))
 
     def count(self, total=0, how=t.DONE):
@@ -92,7 +92,7 @@
     def room(self):
         """Room for all: what is out holds no place."""
         for server in self.node.servers.values():
-            server.held = 0
+            server.occupied = 0
         self.node.free, self.node.looked_at, self.node.saved = 9.0, self.node.now + 10**12, 1.0
 
     def sent_to(self):
--- a/tests/quota/test_shared_counts.py
+++ b/tests/quota/test_shared_counts.py
@@ -22,7 +22,7 @@
     shared.now += 60 * MS
     shared.carry(a)
     counts = a.tenants["acme"]
-    assert counts.now.own + counts.past.own == 1 and counts.now.held + counts.past.held == 8
+    assert counts.current.own + counts.previous.own == 1 and counts.current.others + counts.previous.others == 8
     got = [a.take("acme", shared.now) for _ in range(40)]
     admitted = sum(back is None for back in got)
     assert 1 <= admitted <= 10 + quota_of(10, 10, QuotaRule()).connected_slack - 9 + 1
@@ -45,9 +45,9 @@
     shared.carry(b)
     _, fresh = shared.carry(a)
     a.receive(shared.now, {**fresh, UNSOLICITED: 1})
-    held = a.tenants["acme"].now.held
+    held = a.tenants["acme"].current.others
     a.receive(shared.now, {**old, UNSOLICITED: 1})  # reordered: older totals
-    assert held == 7 and a.tenants["acme"].now.held == held
+    assert held == 7 and a.tenants["acme"].current.others == held
     assert a.tenants["acme"].unacknowledged() == 0  # nor is what was acknowledged sent again
 
 
@@ -95,7 +95,7 @@
     )
     a.take("acme", shared.now + far), a.link.update_by(shared.now + far)
     a.receive(shared.now + far, shared.deliver("far", a.due_update(shared.now + far)))
-    assert a.tenants["acme"].past.held == 3
+    assert a.tenants["acme"].previous.others == 3
     for limiter, shift in ((b, 0), (a, far)) * 4:
         shared.now += 300 * MS
         limiter.take("acme", shared.now + shift), limiter.link.update_by(shared.now + shift)
@@ -104,9 +104,9 @@
             shared.deliver(limiter.proxy_name, limiter.due_update(shared.now + shift)),
         )
     totals, counts = shared.counter.tenants["acme"], a.tenants["acme"]
-    assert (counts.now.number, counts.past.number) == (totals.window, totals.window - 1)
-    assert counts.now.own + counts.now.held == totals.current.count
-    assert counts.past.own + counts.past.held == totals.previous.count
+    assert (counts.current.number, counts.previous.number) == (totals.window, totals.window - 1)
+    assert counts.current.own + counts.current.others == totals.current.count
+    assert counts.previous.own + counts.previous.others == totals.previous.count
 
 
 def test_totals_are_announced_to_all_proxies_when_a_quota_runs_low_and_only_then():
@@ -125,7 +125,7 @@
     assert set(announced) == {"a", "b", "c"} and shared.counter.announcements(shared.now) == []
     before = b.available(b.tenants["acme"], shared.now)
     b.receive(shared.now, announced["b"])
-    assert b.available(b.tenants["acme"], shared.now) < before - 8 and b.tenants["acme"].now.held >= 10
+    assert b.available(b.tenants["acme"], shared.now) < before - 8 and b.tenants["acme"].current.others >= 10
     a.take("acme", shared.now), a.link.update_by(shared.now)
     shared.take(c, 3), c.link.update_by(shared.now)
     shared.carry(c)
@@ -177,7 +177,7 @@
     for one in (a, shared.counter):
         one.set_quotas(shared.configuration, shared.now)
     counts = a.tenants["acme"]
-    assert counts.quota.window == 4 * SEC and counts.now.own >= 9 * 0.5 and counts.unacknowledged() <= 8
+    assert counts.quota.window == 4 * SEC and counts.current.own >= 9 * 0.5 and counts.unacknowledged() <= 8
     shared.configuration = quotas_by_tenant(acme=(0, 0))
     a.set_quotas(shared.configuration, shared.now)
     assert shared.take(a, 100) == 100 and shared.take(a, 100, "other") == 100  # no limit, or no longer a tenant
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -238,9 +238,9 @@
             to[server] += 1
         p.wait(20)
         if k % 40 == 39:
-            full += p.node.servers[1].out + p.node.servers[2].out
+            full += p.node.servers[1].in_flight + p.node.servers[2].in_flight
             for txn in list(p.node.txns):
-                p.end(txn, server=p.node.txns[txn].last)
+                p.end(txn, server=p.node.txns[txn].last_server)
     p.lines = [f"sent: {to}", f"limit {p.node.limit / p.node.start:.2f} of its start", f"out when full: {full}"]
     p.check("ill_by_itself")
 
@@ -254,7 +254,7 @@
             p.arrive(k, account=f"e{k}")
             if k in p.node.txns:
                 how = t.TIMED_OUT if k % lost == 0 else t.DONE
-                p.end(k, how, p.node.txns[k].last, 1000 if how == t.TIMED_OUT else 50, final=True)
+                p.end(k, how, p.node.txns[k].last_server, 1000 if how == t.TIMED_OUT else 50, final=True)
             p.wait(5)
         p.lines = [f"1 of {lost} lost: limit {p.node.limit / p.node.start:.2f} of its start"]
         p.check(f"answers_lost_{lost}")
@@ -268,7 +268,7 @@
         p.wait(100)
     p.say("all that was out is settled")
     for k in list(p.node.txns):
-        p.end(k, server=p.node.txns[k].last, took=1600)
+        p.end(k, server=p.node.txns[k].last_server, took=1600)
     for k in range(20, 26):
         p.wait(600)
         p.arrive(k, account=f"f{k}", nodes=2)
@@ -359,7 +359,7 @@
         p.tell(t.Probed(k, t.DONE, MS, {}))
     for k in range(6):
         p.arrive(k, account=f"i{k}", nodes=2)
-    p.lines = [f"{len(p.node.txns)} of 6 sent, {sum(s.out for s in p.node.heard)} of them to those probed"]
+    p.lines = [f"{len(p.node.txns)} of 6 sent, {sum(s.in_flight for s in p.node.heard)} of them to those probed"]
     p.check("probed_are_full")
 
 
@@ -408,7 +408,7 @@
         p.node.pressed = pressed
         p.adds.clear()
         p.arrive(k, nodes=200, account=f"a{k}")
-        age = p.node.txns[k].age
+        age = p.node.txns[k].age_weight
         p.say(f"told {over:.2f} of its quota; found no room {pressed:.0%}")
         p.count(10.0 * over * age)
     p.lines = [line for line in p.lines if "adds" not in line]
@@ -496,7 +496,7 @@
             p.serve([10 + k])
             p.arrive(k, account=f"q{k}")
         p.wait(100)
-        limit, where = p.node.limit, [p.node.txns[k].last for k in range(3)]
+        limit, where = p.node.limit, [p.node.txns[k].last_server for k in range(3)]
         if still:
             p.ms += 2000  # no reminder was handled meanwhile
             p.wait(0)
@@ -518,9 +518,11 @@
             p.arrive(k, account=f"g{k}")
         for k in range(10, 13):
             p.end(k, t.TIMED_OUT, took=1000, final=True)
-        p.say(f"held after three time-outs, {silent:g} of what is out for long never comes: {p.node.servers[0].held}")
+        p.say(
+            f"held after three time-outs, {silent:g} of what is out for long never comes: {p.node.servers[0].occupied}"
+        )
         p.wait(500)
-        p.say(f"held some mean times later: {p.node.servers[0].held}")
+        p.say(f"held some mean times later: {p.node.servers[0].occupied}")
         p.lines = [line for line in p.lines if "held" in line]
         p.check(f"places_{silent:g}")
 
@@ -536,7 +538,7 @@
         p.say(f"product {product}, {silent:g} never comes, {tardy:g} slow")
         p.arrive(txn, product=product, account=f"c{txn}")
         p.wait(400)
-        if len(p.node.txns[txn].out) > 1:
+        if len(p.node.txns[txn].in_flight) > 1:
             p.end(txn, server=p.sent_to(), took=100, attempt=1)
             p.end(txn, t.CANCELLED, p.node.servers[0].id if p.sent_to() else 1, 400, final=True, attempt=0)
         else:
@@ -554,13 +556,13 @@
         for k in range(200):
             for which, use in enumerate((0.2, 0.7)):
                 account = p.node.account(f"y{which}", 0, 200)
-                account.use, account.read_at, p.node.pressed = use, p.node.now, pressed
+                account.usage, account.usage_read_at, p.node.pressed = use, p.node.now, pressed
                 p.room()
                 p.arrive(2 * k + which, account=f"y{which}", nodes=200)
                 p.adds.clear()
                 p.node.calls.clear()
                 if p.node.txns.get(2 * k + which):
-                    sent[which] += p.node.txns[2 * k + which].sent > 0
+                    sent[which] += p.node.txns[2 * k + which].submissions > 0
                     p.node.txns.pop(2 * k + which)
         p.lines = [f"pressed {pressed:g}: sent on of 200, calm {sent[0] // 20} tens of two, busy {sent[1] // 20}"]
         p.check(f"yield_{pressed:g}")
@@ -573,20 +575,20 @@
     at = p.node.limit
     for held, expected in ((0.0, [True, True]), (0.8 * at, [False, True]), (at, [False, False])):
         for server in p.node.servers.values():
-            server.held = held
+            server.occupied = held
         found = []
         for rank in (1.0, 0.0):
             txn = SimpleNamespace(
-                rank=rank,
-                pull=1.0,
-                last=-1,
-                line=p.node.lines[0],
-                out={},
-                expiry=p.node.now + 1000 * MS,
-                sent=1,
+                shed_rank=rank,
+                proximity_exponent=1.0,
+                last_server=-1,
+                product=p.node.lines[0],
+                in_flight={},
+                expires_at=p.node.now + 1000 * MS,
+                submissions=1,
                 account=None,
                 risk_at=None,
-                within=None,
+                allowed_zones=None,
             )
             found.append(p.node.choose(txn) is not None)
         assert found == expected, held
--- a/tests/test_epoch.py
+++ b/tests/test_epoch.py
@@ -11,7 +11,7 @@
 from rampfront.lab import report
 from rampfront.lab.plan import changed, read_plan
 from rampfront.lab.tally import Store
-from rampfront.state import Account, Ledger, Window
+from rampfront.state import Account, RateCounts, Window
 
 SEC = 10**9
 
@@ -86,17 +86,20 @@
 
 def test_what_is_left_to_the_others_adds_up_to_the_limit_at_most():
     for used in ((30.0, 20.0, 10.0), (0.0, 0.0, 0.0), (100.0, 0.0, 0.0)):
-        ledgers = [Ledger("k", None, 3, 0, Window(1), Window(0), others=sum(used) - own, mine=own) for own in used]
+        ledgers = [
+            RateCounts("k", None, 3, 0, Window(1), Window(0), others_at_read=sum(used) - own, own_at_read=own)
+            for own in used
+        ]
         assert 85.0 < sum(100.0 - epoch.left(100.0, ledger) for ledger in ledgers) <= 100.0 + 1e-9 or max(used) == 100.0
-    assert epoch.left(90.0, Ledger("k", None, 3, 0, Window(1), Window(0))) == pytest.approx(60.0)  # never read
+    assert epoch.left(90.0, RateCounts("k", None, 3, 0, Window(1), Window(0))) == pytest.approx(60.0)  # never read
 
 
 def test_reseeding_tells_everything_again():
-    window = Window(1, own=7.0, sent=7.0, held=5.0, seen=12.0)
-    ledger = Ledger("k", None, 3, 0, window, Window(0))
+    window = Window(1, own=7.0, acknowledged=7.0, others=5.0, last_total=12.0)
+    ledger = RateCounts("k", None, 3, 0, window, Window(0))
     epoch.reseed([Account("k", None, 3, 0, ledger, 0, False), Account("cap", None, 3, 0, None, 0, False)])
-    assert (window.own - window.sent, window.held) == (7.0, 5.0)
-    assert epoch.settle(window, 7.0, 7.0) == 0.0 and window.sent == 7.0 and window.held == 5.0
+    assert (window.own - window.acknowledged, window.others) == (7.0, 5.0)
+    assert epoch.settle(window, 7.0, 7.0) == 0.0 and window.acknowledged == 7.0 and window.others == 5.0
     assert epoch.settle(window, 0.0, 15.0) == 3.0  # the others' part rises only past what is held
 
 
--- a/tests/test_move.py
+++ b/tests/test_move.py
@@ -215,7 +215,7 @@
     for driver in nodes:
         node, lawful = driver.node, driver.node.lawful
         node.lawful = lambda txn, node=node, lawful=lawful: (
-            not txn.sent and [s for s in node.up if s.born] or lawful(txn)
+            not txn.submissions and [s for s in node.up if s.started_at] or lawful(txn)
         )
 
 
