--- a/rampfront/benchlink/host.py
+++ b/rampfront/benchlink/host.py
@@ -79,7 +79,7 @@
         txn = self.in_flight.transactions.find(event["Req"])
         server = self.in_flight.servers.find(event["Server"])
         attempt = event.get("Attempt", 0)
-        if txn is None or server is None or not self.in_flight.is_out(txn, attempt):
+        if txn is None or server is None or not self.in_flight.is_in_flight(txn, attempt):
             return None  # late, repeated or unknown
         final = event.get("Terminal", False)
         self.in_flight.end_submission(txn, attempt, server, final)
--- a/rampfront/in_flight.py
+++ b/rampfront/in_flight.py
@@ -1,9 +1,9 @@
-"""What is in flight: open transactions, their submissions to servers, and the small indices that name them.
+"""The table of open transactions, of their submissions to servers, and of the small indices that name them.
 
 The decision module names transactions and servers by small indices (`terms.py`). An index is handed out again only once
-nothing refers to it: a transaction's once it is over and its last submission has ended, a server's once it has left the
-server list and nothing is out there. Both programs that drive the module keep this table, `net/` and `benchlink/`; it
-decides nothing and knows no protocol.
+nothing refers to it: a transaction's once it is finished and its last submission has ended, a server's once it has left
+the server list and has no call in flight. Both programs that drive the module keep this table, `net/` and `benchlink/`.
+It decides nothing and knows no protocol.
 """
 
 from collections.abc import Hashable, Iterable, KeysView
@@ -24,39 +24,39 @@
         self._free: list[int] = []
 
     def __len__(self) -> int:
-        """How many indices are taken."""
+        """Returns how many indices are assigned."""
         return len(self._indices)
 
     def __contains__(self, key: Key) -> bool:
-        """Whether the key has an index."""
+        """Returns whether the key has an index."""
         return key in self._indices
 
     @property
     def capacity(self) -> int:
-        """How many indices were ever needed at once."""
+        """The largest number of indices that were ever assigned at once."""
         return len(self._keys)
 
     def keys(self) -> KeysView[Key]:
-        """A view of the keys that have an index: for who looks into many tables, at less than `in` the table costs."""
+        """Returns a view of the keys that have an index. A lookup in it costs less than `in` on the table."""
         return self._indices.keys()
 
     def indices(self) -> Iterable[int]:
-        """All indices that are taken."""
+        """Returns all assigned indices."""
         return self._indices.values()
 
     def find(self, key: Key) -> int | None:
-        """The index of a key, or None."""
+        """Returns the index of a key, or None."""
         return self._indices.get(key)
 
     def key(self, index: int) -> Key:
-        """The key of an index. Raises LookupError if the index is free."""
+        """Returns the key of an index. Raises LookupError if the index is free."""
         key = self._keys[index]
         if key is None:
             raise LookupError(f"index {index} is free")
         return key
 
     def take(self, key: Key) -> int:
-        """The index of a key, which gets one if it has none."""
+        """Returns the index of a key; assigns one if it has none."""
         index = self._indices.get(key)
         if index is not None:
             return index
@@ -70,7 +70,7 @@
         return index
 
     def free(self, index: int) -> None:
-        """Gives an index back."""
+        """Frees an index. Raises LookupError if it is free already."""
         key = self._keys[index]
         if key is None:
             raise LookupError(f"index {index} is free")
@@ -83,27 +83,27 @@
     """An open transaction.
 
     Attributes:
-        submissions: how many there were so far.
+        submissions: the number of submissions so far.
         in_flight: the numbers of those that have not ended.
-        finished: it is over: it has its final answer, or nobody waits for one.
+        finished: whether it has its final answer, or its client no longer waits for one.
     """
 
     __slots__ = ("submissions", "in_flight", "finished")
 
     def __init__(self) -> None:
-        """Nothing of it is out yet."""
+        """Starts without submissions."""
         self.submissions = 0
         self.in_flight: set[int] = set()
         self.finished = False
 
 
 class InFlight(Generic[Key]):
-    """Open transactions, by the outside keys of their owner, and what is out at each server.
+    """Open transactions, by the outside keys of their owner, and the calls in flight at each server.
 
     Attributes:
         transactions: the indices of transactions.
         servers: the indices of servers, by their ids.
-        departed_servers: indices of servers that left the list and still have something out.
+        departed_servers: indices of servers that left the list and still have calls in flight.
     """
 
     def __init__(self) -> None:
@@ -112,16 +112,16 @@
         self.servers: IndexTable[str] = IndexTable()
         self.departed_servers: set[int] = set()
         self._open: dict[int, _Transaction] = {}
-        self._server_load: dict[int, int] = {}  # submissions and health checks out, by server
-        self._finished: list[int] = []  # transactions to look at in `release`
+        self._server_load: dict[int, int] = {}  # submissions and health checks in flight, by server
+        self._finished: list[int] = []  # transactions that `release` has to check
 
     def __len__(self) -> int:
-        """How many transactions are open, or over with something out still."""
+        """Returns how many transactions are open, or finished with submissions still in flight."""
         return len(self._open)
 
     @property
     def unfinished(self) -> int:
-        """How many transactions are not over."""
+        """How many transactions are not finished."""
         return sum(not transaction.finished for transaction in self._open.values())
 
     # ---- transactions
@@ -133,16 +133,16 @@
         return txn
 
     def is_unfinished(self, txn: int) -> bool:
-        """Whether this is an open transaction that is not over."""
+        """Returns whether this is an open transaction that is not finished."""
         transaction = self._open.get(txn)
         return transaction is not None and not transaction.finished
 
-    def is_out(self, txn: int, attempt: int) -> bool:
-        """Whether this submission of a transaction has not ended."""
+    def is_in_flight(self, txn: int, attempt: int) -> bool:
+        """Returns whether this submission of a transaction has not ended."""
         return attempt in self._open[txn].in_flight
 
     def add_submission(self, txn: int, server: int) -> int:
-        """A submission goes to a server. Returns its number among those of the transaction."""
+        """Counts a submission to a server. Returns its number among those of the transaction."""
         transaction = self._open[txn]
         attempt = transaction.submissions
         transaction.in_flight.add(attempt)
@@ -151,7 +151,7 @@
         return attempt
 
     def end_submission(self, txn: int, attempt: int, server: int, final: bool) -> bool:
-        """A submission has ended. `final`: its outcome ends the transaction. Returns whether that is over."""
+        """A submission has ended. `final`: its outcome ends the transaction. Returns whether that is finished."""
         transaction = self._open[txn]
         transaction.in_flight.discard(attempt)
         self._server_load[server] -= 1
@@ -162,7 +162,7 @@
         return transaction.finished
 
     def finish(self, txn: int) -> bool:
-        """The transaction is over. Returns False if it was already."""
+        """Marks the transaction as finished. Returns False if it was finished already."""
         transaction = self._open[txn]
         was_finished = transaction.finished
         transaction.finished = True
@@ -172,7 +172,7 @@
     # ---- servers
 
     def add_health_check(self, server: int) -> None:
-        """Something goes to a server."""
+        """Counts a health check, or another call, to a server as in flight."""
         self._server_load[server] = self._server_load.get(server, 0) + 1
 
     def end_health_check(self, server: int) -> None:
@@ -180,11 +180,11 @@
         self._server_load[server] -= 1
 
     def is_busy(self, server: int) -> bool:
-        """Whether something is out at a server."""
+        """Returns whether a call to a server is in flight."""
         return bool(self._server_load.get(server))
 
     def list_server(self, uid: str, removed: bool) -> int | None:
-        """The server list names a server. Returns its index; None for one that is removed without ever having come."""
+        """The server list names a server. Returns its index; None for a removed one that was never listed before."""
         if removed and uid not in self.servers:
             return None
         index = self.servers.take(uid)
@@ -195,12 +195,12 @@
         return index
 
     def retain_servers(self, rows: Iterable[t.ServerListRow]) -> None:
-        """A complete list: servers that it leaves out have departed."""
+        """Applies a complete list: servers that it leaves out have departed."""
         named = {row.server for row in rows}
         self.departed_servers.update(index for index in self.servers.indices() if index not in named)
 
     def release(self) -> None:
-        """Frees the indices of transactions that are over and of departed servers, once nothing of theirs is out.
+        """Frees the indices of finished transactions and of departed servers, once no call of theirs is in flight.
 
         Called after an input and its effects, so that no index changes its meaning in between.
         """
--- a/rampfront/quota/tenant_counts.py
+++ b/rampfront/quota/tenant_counts.py
@@ -1,9 +1,9 @@
 """A proxy's counts of one tenant: what it admitted itself, the others' admissions, and what the quota has left.
 
 Windows are `state.Window`, aged, weighed and settled by `epoch`, as the edge node's are (RFC 0015, "Counter entry
-shape" and "Sync path"). In a window `own` is what was admitted here, `sent` the part of it that the counter
-acknowledged, `flying` the part that is in the update under way, `held` the others' admissions, which are only ever
-raised, and `seen` the last total.
+shape" and "Sync path"). In a window `own` is what was admitted here, `acknowledged` the part of it that the counter
+acknowledged, `in_flight` the part that is in the update under way, `others` the others' admissions, which are only ever
+raised, and `last_total` the last total.
 """
 
 from ..epoch import settle, weigh
--- a/rampfront/terms.py
+++ b/rampfront/terms.py
@@ -1,8 +1,8 @@
-"""The interface of the decision module: the terms it starts under, what it is told, what it wants done.
+"""The interface of the decision module: its settings, its inputs and the effects that it asks for.
 
 Nothing here decides anything. Times are whole nanoseconds. Txns and app servers are small indices that the
-caller hands out (and takes back once nothing can refer to them); an account stays text, because its digest
-names its counts. One `Node` of `choice.py` takes one input at a time and returns a list of effects.
+caller hands out (and takes back once nothing can refer to them); an account stays text, because the names of its
+counts are digests of it. One `Node` of `choice.py` takes one input at a time and returns a list of effects.
 """
 
 from dataclasses import dataclass, field
@@ -23,29 +23,29 @@
 
 @dataclass_transform(eq_default=False)
 def slotted(cls: type[Row]) -> type[Row]:
-    """A dataclass with slots, and without the methods that nobody calls: each of them costs at start."""
+    """Makes a dataclass with slots, without the generated methods that are not used: each costs time at start."""
     return dataclass(slots=True, repr=False, eq=False, match_args=False)(cls)
 
 
 @slotted
 class Product:
-    """What a kind of txn asks for, and what it allows."""
+    """The requirements of a kind of txn, and whether it may be repeated. Times are ns."""
 
     kind: int
     group: int
-    latency_target: int
+    latency_target: int  # a later response has only `late_value_share` of the full value
     repeat_window: int
     late_value_share: float
-    client_timeout: int = 0  # how long a client waits over all its tries; 0: not told
+    client_timeout: int = 0  # how long a client waits, over all its tries; 0: unknown
 
 
 @slotted
 class Plan:
-    """What an account pays for: its quota and its ceiling. Rates are units a second."""
+    """The quota and the ceiling that an account pays for. Rates are in units a second."""
 
     rate: float  # units a second; 0: no such quota
     burst: float
-    max_in_flight: int  # submissions out at once; 0: no such quota
+    max_in_flight: int  # submissions in flight at once; 0: no such quota
     ceiling_rate: float  # units a second; 0: no ceiling
     ceiling_depth: float
     excess_value: float
@@ -54,7 +54,7 @@
 
 @slotted
 class Terms:
-    """What a node starts under. Times are ns."""
+    """The settings of a decision node. Times are ns."""
 
     products: list
     plans: list
@@ -63,21 +63,21 @@
     may_probe: bool
     may_cancel: bool
     has_counter: bool
-    counter_timeout: int  # a call without an answer by then has timed out
-    max_units: float  # most units of one txn
-    subscribes: bool  # the server list must be asked for
-    max_retry_after: int  # 0: clients take no advice
-    min_input_gap: int  # shortest gap between two inputs
-    cold_share: float
+    counter_timeout: int  # a call to the counter that is not answered by then has timed out
+    max_units: float  # of one txn
+    subscribes: bool  # the node has to subscribe to the server list
+    max_retry_after: int  # 0: clients ignore such advice
+    min_input_gap: int  # shortest time between two inputs
+    cold_share: float  # the part of its capacity that a cold app server has
     warm_up: int
     cold_overload_factor: float
     cold_overload_after: int
-    may_duplicate: bool = False  # a txn may have two submissions out
-    marks_counter: bool = False  # nodes mark the counter, to tell a new or split one
-    probe_cost: float = 0.0  # what one probe for each txn costs, in parts of all value; 0: not told
-    usage_period: int = 0  # answers tell an account's use over so long; 0: they don't
-    reports_load: bool = False  # answers tell the work at their server, and a copy goes for what is late there
-    retry_budget: tuple = ()  # further submissions earned by each first one, and at most saved up; none: as usual
+    may_duplicate: bool = False  # a txn may have two submissions in flight
+    marks_counter: bool = False  # nodes write marks to the counter, to detect that it was replaced or split
+    probe_cost: float = 0.0  # of one probe for each txn, as a part of all value; 0: unknown
+    usage_period: int = 0  # responses report an account's usage over this period; 0: they do not
+    reports_load: bool = False  # responses report their server's load; late submissions are duplicated
+    retry_budget: tuple = ()  # further submissions earned by each first one, and the most saved up; empty: default
 
 
 # ---- inputs
@@ -92,13 +92,13 @@
     zone: int
     cell: int
     weight: float
-    started_at: int  # 0: long ago
-    proximity: float = 1.0  # weight by the way there
+    started_at: int  # ns; 0: long ago
+    proximity: float = 1.0  # weight by network distance; nearer is higher
 
 
 @slotted
 class ServerList:
-    """What the server list says: all of it, or what changed; or that it could not be read."""
+    """The server list, complete or as a change; or a notice that it could not be read."""
 
     complete: bool
     failed: bool
@@ -107,7 +107,7 @@
 
 @slotted
 class Arrival:
-    """A txn came."""
+    """A txn arrived."""
 
     txn: int
     product: int
@@ -115,11 +115,11 @@
     account: str
     units: float
     expires_in: int
-    account_nodes: int
-    allowed_zones: frozenset | None = None  # zones of the app servers that may get it; None: all
-    max_submissions: int = 0  # most submissions of it; 0: as the terms say
-    proximity_exponent: float = 1.0  # how much the way weighs for it: a large body goes a short one
-    shed_rank: float = 0.0  # 0 to 1: the higher, the sooner it yields to others where room is short
+    account_nodes: int  # how many nodes get the account's txns
+    allowed_zones: frozenset | None = None  # zones whose app servers may run it; None: all
+    max_submissions: int = 0  # 0: as in `Terms`
+    proximity_exponent: float = 1.0  # weight of proximity: large bodies are sent to near servers
+    shed_rank: float = 0.0  # 0 to 1: the higher, the sooner it is shed when capacity is short
 
 
 @slotted
@@ -131,21 +131,21 @@
     outcome: int
     duration: int
     final: bool
-    actual_units: float  # 0: not told
-    attempt: int = 0  # which of the txn's submissions
-    usage: float | None = None  # of its quota, by the account, at all nodes, in the meter's last period
+    actual_units: float  # 0: unknown
+    attempt: int = 0  # number of the submission, counted within the txn
+    usage: float | None = None  # part of the quota that the account used at all nodes in the last usage period
 
 
 @slotted
 class Left:
-    """The client has gone; nothing is owed."""
+    """The client has disconnected; no answer is owed to it."""
 
     txn: int
 
 
 @slotted
 class Due:
-    """A reminder that this node asked for."""
+    """A reminder that this node asked for is due."""
 
     ref: int
 
@@ -175,7 +175,7 @@
 
 @slotted
 class Submit:
-    """Send the txn to a server, and wait for `allow` ns at most."""
+    """Send the txn to a server, and wait at most `timeout` ns."""
 
     txn: int
     server: int
@@ -195,8 +195,8 @@
     """Answer that the txn has not run."""
 
     txn: int
-    retry_after: int  # advice, 0: none
-    over_quota: bool = False  # its account's quota is the reason
+    retry_after: int  # ns; 0: no advice
+    over_quota: bool = False  # the reason is the quota of its account
 
 
 @slotted
@@ -208,7 +208,7 @@
 
 @slotted
 class Remind:
-    """Say `Due` after `delay` ns."""
+    """Give the node a `Due` after `delay` ns."""
 
     delay: int
     ref: int
@@ -216,14 +216,14 @@
 
 @slotted
 class Probe:
-    """Ask a server how busy it is."""
+    """Ask a server for its load."""
 
     server: int
 
 
 @slotted
 class AddToCount:
-    """Add to a count of the counter, and read its total; the count lives `life` ns."""
+    """Add to a count of the counter, and read its total; the count expires after `lifetime` ns."""
 
     name: int
     amount: float
@@ -232,7 +232,7 @@
 
 @slotted
 class CounterNotice:
-    """News of the counter, for the operators: what, and how many nodes it hears of."""
+    """A change in the state of the counter, for the operators, and the number of nodes that it hears of."""
 
     change: str
     heard_nodes: int
@@ -240,4 +240,4 @@
 
 @slotted
 class Subscribe:
-    """Ask for the server list."""
+    """Subscribe to the server list."""
