--- a/rampfront/announced.py
+++ b/rampfront/announced.py
@@ -2,7 +2,7 @@
 
 from . import terms as t
 
-EFFECTS = {"pure": t.INQUIRY, "token": t.REFERENCED, "side_effect": t.ONCE_ONLY}
+EFFECTS = {"pure": t.READ_ONLY, "token": t.DEDUPLICATED, "side_effect": t.ONCE_ONLY}
 GROUPS = {"all": t.ALL, "zone": t.ZONE, "cell": t.CELL}
 
 
@@ -63,17 +63,17 @@
         may_probe=limits.get("Probing", False),
         may_cancel=limits.get("MayCancel", False),
         has_counter=domain.get("HasCounter", False),
-        counter_wait=ns(domain.get("CountWait", 0)),
-        largest=domain.get("Largest", 1.0),
+        counter_timeout=ns(domain.get("CountWait", 0)),
+        max_units=domain.get("Largest", 1.0),
         subscribes=setup.get("Discovery") == "subscribe",
-        longest_advice=ns(limits.get("MaxRetryAfter", 0)) if limits.get("RetryAfter") else 0,
-        tick=ns(setup.get("Tick", 1.0)),
+        max_retry_after=ns(limits.get("MaxRetryAfter", 0)) if limits.get("RetryAfter") else 0,
+        min_input_gap=ns(setup.get("Tick", 1.0)),
         cold_share=rules["ColdShare"],
-        warm_within=ns(rules["WarmWithin"]),
-        fall_multiple=rules["FallMultiple"],
-        tip_after=ns(rules["TipAfter"]),
-        may_copy=limits.get("MayDuplicate", False),
-        use_period=ns(domain.get("UsePeriod", 0)),
-        marks=domain.get("Marks", False),
-        probe_fee=setup.get("Prices", {}).get("Probe", 0.0),
+        warm_up=ns(rules["WarmWithin"]),
+        cold_overload_factor=rules["FallMultiple"],
+        cold_overload_after=ns(rules["TipAfter"]),
+        may_duplicate=limits.get("MayDuplicate", False),
+        usage_period=ns(domain.get("UsePeriod", 0)),
+        marks_counter=domain.get("Marks", False),
+        probe_cost=setup.get("Prices", {}).get("Probe", 0.0),
     )
--- a/rampfront/benchlink/host.py
+++ b/rampfront/benchlink/host.py
@@ -44,7 +44,7 @@
             if index is None:
                 continue
             rows.append(
-                t.Listed(
+                t.ServerListRow(
                     index,
                     state,
                     self.names.zones.get(row.get("Locality"), -1),
@@ -79,7 +79,7 @@
         txn = self.in_flight.transactions.find(event["Req"])
         server = self.in_flight.servers.find(event["Server"])
         attempt = event.get("Attempt", 0)
-        if txn is None or server is None or not self.in_flight.is_out(txn, attempt):
+        if txn is None or server is None or not self.in_flight.is_in_flight(txn, attempt):
             return None  # late, repeated or unknown
         final = event.get("Terminal", False)
         self.in_flight.end_submission(txn, attempt, server, final)
@@ -129,7 +129,7 @@
             "cmd": "Route",
             "Req": self.in_flight.transactions.key(e.txn),
             "Server": self.in_flight.servers.key(e.server),
-            "AllowFor": ms(e.allow),
+            "AllowFor": ms(e.timeout),
         }
 
     def cancel(self, e):
@@ -137,7 +137,7 @@
 
     def decline(self, e):
         self.in_flight.finish(e.txn)
-        return {"cmd": "Reject", "Req": self.in_flight.transactions.key(e.txn), "RetryIn": ms(e.back_in)}
+        return {"cmd": "Reject", "Req": self.in_flight.transactions.key(e.txn), "RetryIn": ms(e.retry_after)}
 
     def void(self, e):
         self.in_flight.finish(e.txn)
@@ -151,13 +151,13 @@
         return {"cmd": "Poll", "Server": self.in_flight.servers.key(e.server)}
 
     def add(self, e):
-        return {"cmd": "ChargeCounter", "Book": e.name, "Delta": e.amount, "Lifetime": ms(e.life)}
+        return {"cmd": "ChargeCounter", "Book": e.name, "Delta": e.amount, "Lifetime": ms(e.lifetime)}
 
     def subscribe(self, e):
         return {"cmd": "KeepInformed", "Active": True}
 
     def notice(self, e):
-        return {"cmd": "Debug", "Msg": f"counter {e.what}, hears of {e.heard} nodes"}
+        return {"cmd": "Debug", "Msg": f"counter {e.change}, hears of {e.heard_nodes} nodes"}
 
 
 HANDLERS = {
@@ -178,9 +178,9 @@
     t.Void: Desk.void,
     t.Remind: Desk.remind,
     t.Probe: Desk.probe,
-    t.Add: Desk.add,
+    t.AddToCount: Desk.add,
     t.Subscribe: Desk.subscribe,
-    t.Notice: Desk.notice,
+    t.CounterNotice: Desk.notice,
 }
 
 
--- a/rampfront/net/decision_driver.py
+++ b/rampfront/net/decision_driver.py
@@ -32,7 +32,7 @@
 _NS_PER_MS = 10**6
 
 Input = t.Arrival | t.Ended | t.Left | t.Due | t.Probed | t.Counted | t.ServerList
-Effect = t.Submit | t.Cancel | t.Decline | t.Void | t.Remind | t.Probe | t.Add | t.Notice | t.Subscribe
+Effect = t.Submit | t.Cancel | t.Decline | t.Void | t.Remind | t.Probe | t.AddToCount | t.CounterNotice | t.Subscribe
 """The closed sets of `terms.py`. `None` as an input starts the node."""
 
 _create_node: Callable[[t.Terms, int, int], Node] = Node  # `choice.py` has no types
@@ -106,8 +106,8 @@
             t.Void: self._void,
             t.Remind: self._remind,
             t.Probe: self._probe,
-            t.Add: self._add,
-            t.Notice: self._notice,
+            t.AddToCount: self._add,
+            t.CounterNotice: self._notice,
             t.Subscribe: self._subscribe,
         }
 
@@ -177,7 +177,7 @@
             index = self.in_flight.list_server(row.uid, row.state == t.REMOVED)
             if index is None:
                 continue
-            listed.append(t.Listed(index, row.state, row.zone, row.cell, row.weight, row.came_up_ns, row.near))
+            listed.append(t.ServerListRow(index, row.state, row.zone, row.cell, row.weight, row.came_up_ns, row.near))
             if self.recorder:
                 self.recorder.record_server_state(row.uid, row.state)
             self.servers.list_server(index, row)
@@ -270,7 +270,7 @@
         if self.once_only_gate and self._once_only[exchange.product]:
             self.once_only_gate.submit(exchange, attempt, effect)
         else:
-            self.servers.submit(exchange, attempt, effect.server, effect.allow)
+            self.servers.submit(exchange, attempt, effect.server, effect.timeout)
 
     def _cancel(self, effect: t.Cancel) -> None:
         """Cancels a submission."""
@@ -284,11 +284,11 @@
             self.recorder.record_transaction(
                 "declined",
                 exchange,
-                back_in=effect.back_in // _NS_PER_MS,
-                why="quota" if effect.beyond else "room",
+                back_in=effect.retry_after // _NS_PER_MS,
+                why="quota" if effect.over_quota else "room",
             )
-        retry_after_ns = effect.back_in
-        if self.storm and retry_after_ns and not effect.beyond:  # for want of capacity: by the measured recovery
+        retry_after_ns = effect.retry_after
+        if self.storm and retry_after_ns and not effect.over_quota:  # for want of capacity: by the measured recovery
             retry_after_ns = self.storm.advice(retry_after_ns, self.now_ns)
         self.gateway.decline(exchange, retry_after_ns)
 
@@ -312,17 +312,17 @@
         self.in_flight.add_health_check(effect.server)
         self.servers.check_health(effect.server)
 
-    def _add(self, effect: t.Add) -> None:
+    def _add(self, effect: t.AddToCount) -> None:
         """Adds to a count of the counter."""
         assert self.counter is not None, "a node without a counter adds to none"
-        self.counter.add(effect.name, effect.amount, effect.life)
+        self.counter.add(effect.name, effect.amount, effect.lifetime)
 
-    def _notice(self, effect: t.Notice) -> None:
+    def _notice(self, effect: t.CounterNotice) -> None:
         """Tells the operators news of the counter."""
-        self.counts[f"counter_{effect.what}"] += 1
-        self.log.record("counter", news=effect.what, heard=effect.heard)
+        self.counts[f"counter_{effect.change}"] += 1
+        self.log.record("counter", news=effect.change, heard=effect.heard_nodes)
         if self.recorder:
-            self.recorder.record_counter_notice(effect.what, effect.heard)
+            self.recorder.record_counter_notice(effect.change, effect.heard_nodes)
 
     def _subscribe(self, effect: t.Subscribe) -> None:
         """Nothing is to be done: the subscription to the server list runs from the start and repairs itself."""
--- a/rampfront/terms.py
+++ b/rampfront/terms.py
@@ -1,8 +1,8 @@
-"""The interface of the decision module: the terms it starts under, what it is told, what it wants done.
+"""The interface of the decision module: its settings, its inputs and the effects that it asks for.
 
 Nothing here decides anything. Times are whole nanoseconds. Txns and app servers are small indices that the
-caller hands out (and takes back once nothing can refer to them); an account stays text, because its digest
-names its counts. One `Node` of `choice.py` takes one input at a time and returns a list of effects.
+caller hands out (and takes back once nothing can refer to them); an account stays text, because the names of its
+counts are digests of it. One `Node` of `choice.py` takes one input at a time and returns a list of effects.
 """
 
 from dataclasses import dataclass, field
@@ -10,51 +10,51 @@
 
 Row = TypeVar("Row")
 
-# What a product allows once a submission may have run.
-INQUIRY, REFERENCED, ONCE_ONLY = range(3)
-# Which app servers drop the repeats of a referenced txn.
+# What a product allows once a submission may have run: any repeat, a repeat that the app servers deduplicate, or none.
+READ_ONLY, DEDUPLICATED, ONCE_ONLY = range(3)
+# Which app servers drop the repeats of a deduplicated txn.
 ALL, ZONE, CELL = range(3)
-# How a submission, a probe or a call to the counter ended. UNSEEN: the far side never took it up. UNREACHED: no
-# connection came about, so it was no work for anybody.
-DONE, ERROR, UNSEEN, TIMED_OUT, BROKEN, CANCELLED, UNSENT, UNREACHED = range(8)
-# What the server list says of an app server.
+# How a submission, a probe or a call to the counter ended. NOT_ACCEPTED: the other side did not start work on it.
+# CONNECT_FAILED: no connection was established, so no server had any work from it.
+DONE, ERROR, NOT_ACCEPTED, TIMED_OUT, CONNECTION_LOST, CANCELLED, NOT_SENT, CONNECT_FAILED = range(8)
+# The state of an app server in the server list.
 UP, DRAINING, REMOVED = range(3)
 
 
 @dataclass_transform(eq_default=False)
 def slotted(cls: type[Row]) -> type[Row]:
-    """A dataclass with slots, and without the methods that nobody calls: each of them costs at start."""
+    """Makes a dataclass with slots, without the generated methods that are not used: each costs time at start."""
     return dataclass(slots=True, repr=False, eq=False, match_args=False)(cls)
 
 
 @slotted
 class Product:
-    """What a kind of txn asks for, and what it allows."""
+    """The requirements of a kind of txn, and whether it may be repeated. Times are ns."""
 
     kind: int
     group: int
-    sla: int
+    latency_target: int  # a later response has only `late_value_share` of the full value
     repeat_window: int
-    late_share: float
-    patience: int = 0  # how long a client waits over all its tries; 0: not told
+    late_value_share: float
+    client_timeout: int = 0  # how long a client waits, over all its tries; 0: unknown
 
 
 @slotted
 class Plan:
-    """What an account pays for: its quota and its ceiling. Rates are units a second."""
+    """The quota and the ceiling that an account pays for. Rates are in units a second."""
 
     rate: float  # units a second; 0: no such quota
     burst: float
-    at_once: int  # submissions out at once; 0: no such quota
+    max_in_flight: int  # submissions in flight at once; 0: no such quota
     ceiling_rate: float  # units a second; 0: no ceiling
     ceiling_depth: float
-    beyond_earns: float
-    beyond_costs: float
+    excess_value: float
+    excess_cost: float
 
 
 @slotted
 class Terms:
-    """What a node starts under. Times are ns."""
+    """The settings of a decision node. Times are ns."""
 
     products: list
     plans: list
@@ -63,28 +63,28 @@
     may_probe: bool
     may_cancel: bool
     has_counter: bool
-    counter_wait: int  # a call without an answer by then has timed out
-    largest: float  # most units of one txn
-    subscribes: bool  # the server list must be asked for
-    longest_advice: int  # 0: clients take no advice
-    tick: int  # shortest gap between two inputs
-    cold_share: float
-    warm_within: int
-    fall_multiple: float
-    tip_after: int
-    may_copy: bool = False  # a txn may have two submissions out
-    marks: bool = False  # nodes mark the counter, to tell a new or split one
-    probe_fee: float = 0.0  # what one probe for each txn costs, in parts of all value; 0: not told
-    use_period: int = 0  # answers tell an account's use over so long; 0: they don't
-    tells: bool = False  # answers tell the work at their server, and a copy goes for what is late there
-    spare: tuple = ()  # further submissions earned by each first one, and at most saved up; none: as usual
+    counter_timeout: int  # a call to the counter that is not answered by then has timed out
+    max_units: float  # of one txn
+    subscribes: bool  # the node has to subscribe to the server list
+    max_retry_after: int  # 0: clients ignore such advice
+    min_input_gap: int  # shortest time between two inputs
+    cold_share: float  # the part of its capacity that a cold app server has
+    warm_up: int
+    cold_overload_factor: float
+    cold_overload_after: int
+    may_duplicate: bool = False  # a txn may have two submissions in flight
+    marks_counter: bool = False  # nodes write marks to the counter, to detect that it was replaced or split
+    probe_cost: float = 0.0  # of one probe for each txn, as a part of all value; 0: unknown
+    usage_period: int = 0  # responses report an account's usage over this period; 0: they do not
+    reports_load: bool = False  # responses report their server's load; late submissions are duplicated
+    retry_budget: tuple = ()  # further submissions earned by each first one, and the most saved up; empty: default
 
 
 # ---- inputs
 
 
 @slotted
-class Listed:
+class ServerListRow:
     """A row of the server list."""
 
     server: int
@@ -92,22 +92,22 @@
     zone: int
     cell: int
     weight: float
-    came_up: int  # 0: long ago
-    near: float = 1.0  # weight by the way there
+    started_at: int  # ns; 0: long ago
+    proximity: float = 1.0  # weight by network distance; nearer is higher
 
 
 @slotted
 class ServerList:
-    """What the server list says: all of it, or what changed; or that it could not be read."""
+    """The server list, complete or as a change; or a notice that it could not be read."""
 
-    whole: bool
+    complete: bool
     failed: bool
     rows: list = field(default_factory=list)
 
 
 @slotted
 class Arrival:
-    """A txn came."""
+    """A txn arrived."""
 
     txn: int
     product: int
@@ -115,11 +115,11 @@
     account: str
     units: float
     expires_in: int
-    set_size: int
-    within: frozenset | None = None  # zones of the app servers that may get it; None: all
-    tries: int = 0  # most submissions of it; 0: as the terms say
-    pull: float = 1.0  # how much the way weighs for it: a large body goes a short one
-    rank: float = 0.0  # 0 to 1: the higher, the sooner it yields to others where room is short
+    account_nodes: int  # how many nodes get the account's txns
+    allowed_zones: frozenset | None = None  # zones whose app servers may run it; None: all
+    max_submissions: int = 0  # 0: as in `Terms`
+    proximity_exponent: float = 1.0  # weight of proximity: large bodies are sent to near servers
+    shed_rank: float = 0.0  # 0 to 1: the higher, the sooner it is shed when capacity is short
 
 
 @slotted
@@ -128,24 +128,24 @@
 
     txn: int
     server: int
-    how: int
-    took: int
+    outcome: int
+    duration: int
     final: bool
-    true_units: float  # 0: not told
-    attempt: int = 0  # which of the txn's submissions
-    use: float | None = None  # of its quota, by the account, at all nodes, in the meter's last period
+    actual_units: float  # 0: unknown
+    attempt: int = 0  # number of the submission, counted within the txn
+    usage: float | None = None  # part of the quota that the account used at all nodes in the last usage period
 
 
 @slotted
 class Left:
-    """The client has gone; nothing is owed."""
+    """The client has disconnected; no answer is owed to it."""
 
     txn: int
 
 
 @slotted
 class Due:
-    """A reminder that this node asked for."""
+    """A reminder that this node asked for is due."""
 
     ref: int
 
@@ -155,8 +155,8 @@
     """A probe ended."""
 
     server: int
-    how: int
-    took: int
+    outcome: int
+    duration: int
     report: dict
 
 
@@ -166,8 +166,8 @@
 
     name: int
     total: float
-    how: int
-    took: int
+    outcome: int
+    duration: int
 
 
 # ---- effects
@@ -175,11 +175,11 @@
 
 @slotted
 class Submit:
-    """Send the txn to a server, and wait for `allow` ns at most."""
+    """Send the txn to a server, and wait at most `timeout` ns."""
 
     txn: int
     server: int
-    allow: int
+    timeout: int
 
 
 @slotted
@@ -195,8 +195,8 @@
     """Answer that the txn has not run."""
 
     txn: int
-    back_in: int  # advice, 0: none
-    beyond: bool = False  # its account's quota is the reason
+    retry_after: int  # ns; 0: no advice
+    over_quota: bool = False  # the reason is the quota of its account
 
 
 @slotted
@@ -208,7 +208,7 @@
 
 @slotted
 class Remind:
-    """Say `Due` after `delay` ns."""
+    """Give the node a `Due` after `delay` ns."""
 
     delay: int
     ref: int
@@ -216,28 +216,28 @@
 
 @slotted
 class Probe:
-    """Ask a server how busy it is."""
+    """Ask a server for its load."""
 
     server: int
 
 
 @slotted
-class Add:
-    """Add to a count of the counter, and read its total; the count lives `life` ns."""
+class AddToCount:
+    """Add to a count of the counter, and read its total; the count expires after `lifetime` ns."""
 
     name: int
     amount: float
-    life: int
+    lifetime: int
 
 
 @slotted
-class Notice:
-    """News of the counter, for the operators: what, and how many nodes it hears of."""
+class CounterNotice:
+    """A change in the state of the counter, for the operators, and the number of nodes that it hears of."""
 
-    what: str
-    heard: int
+    change: str
+    heard_nodes: int
 
 
 @slotted
 class Subscribe:
-    """Ask for the server list."""
+    """Subscribe to the server list."""
--- a/tests/helper.py
+++ b/tests/helper.py
@@ -13,8 +13,8 @@
 RATE = t.Plan(2.0, 10.0, 0, 0.0, 0.0, 0.0, 0.5)  # bursts of 10 units
 CAP = t.Plan(0.0, 0.0, 2, 0.0, 0.0, 0.0, 0.5)
 CEILING = t.Plan(10.0, 20.0, 0, 20.0, 40.0, 0.0, 0.5)
-INQUIRY = t.Product(t.INQUIRY, t.ALL, 1000 * MS, 0, 0.0)
-CELL = t.Product(t.REFERENCED, t.CELL, 1000 * MS, 3000 * MS, 0.0)
+INQUIRY = t.Product(t.READ_ONLY, t.ALL, 1000 * MS, 0, 0.0)
+CELL = t.Product(t.DEDUPLICATED, t.CELL, 1000 * MS, 3000 * MS, 0.0)
 ONCE = t.Product(t.ONCE_ONLY, t.ALL, 1000 * MS, 0, 0.0)
 
 
@@ -28,15 +28,15 @@
             may_probe=False,
             may_cancel=True,
             has_counter=True,
-            counter_wait=50 * MS,
-            largest=1.0,
+            counter_timeout=50 * MS,
+            max_units=1.0,
             subscribes=False,
-            longest_advice=1000 * MS,
-            tick=2 * MS,
+            max_retry_after=1000 * MS,
+            min_input_gap=2 * MS,
             cold_share=0.2,
-            warm_within=10000 * MS,
-            fall_multiple=2.0,
-            tip_after=1000 * MS,
+            warm_up=10000 * MS,
+            cold_overload_factor=2.0,
+            cold_overload_after=1000 * MS,
         )
         self.ms, self.lines, self.due, self.adds = 10000, [], [], []
         self.node = Node(t.Terms(**{**terms, **other}), seed, self.ms * MS)
@@ -45,21 +45,21 @@
             self.list(*range(servers))
 
     def list(self, *ids, state=t.UP, born=0, whole=True, cell=0):
-        self.tell(t.ServerList(whole, False, [t.Listed(k, state, 0, cell, 1.0, born * MS) for k in ids]))
+        self.tell(t.ServerList(whole, False, [t.ServerListRow(k, state, 0, cell, 1.0, born * MS) for k in ids]))
 
     def note(self, effects):
         for e in effects:
             if isinstance(e, t.Remind):
                 heapq.heappush(self.due, (self.ms + e.delay / MS, e.ref))
                 continue
-            if isinstance(e, t.Add):
+            if isinstance(e, t.AddToCount):
                 self.adds.append(e)
             said = {
-                t.Submit: lambda: f"txn {e.txn} to {e.server} for {e.allow // MS} ms",
-                t.Decline: lambda: f"txn {e.txn} declined, back in {e.back_in // MS} ms",
+                t.Submit: lambda: f"txn {e.txn} to {e.server} for {e.timeout // MS} ms",
+                t.Decline: lambda: f"txn {e.txn} declined, back in {e.retry_after // MS} ms",
                 t.Void: lambda: f"txn {e.txn} voided",
                 t.Cancel: lambda: f"txn {e.txn} called off",
-                t.Add: lambda: f"adds {e.amount:g}",
+                t.AddToCount: lambda: f"adds {e.amount:g}",
                 t.Probe: lambda: f"probes {e.server}",
                 t.Subscribe: lambda: "subscribes",
             }[type(e)]()
@@ -83,7 +83,7 @@
         self.tell(t.Arrival(txn, product, plan, account, units, expiry * MS, nodes))
 
     def end(self, txn, how=t.DONE, server=0, took=100, true=0, final=None, use=None, attempt=None):
-        attempt = min(self.node.txns[txn].out) if attempt is None else attempt
+        attempt = min(self.node.txns[txn].in_flight) if attempt is None else attempt
         self.tell(t.Ended(txn, server, how, took * MS, how == t.DONE if final is None else final, true, attempt, use))
 
     def count(self, total=0, how=t.DONE):
@@ -92,7 +92,7 @@
     def room(self):
         """Room for all: what is out holds no place."""
         for server in self.node.servers.values():
-            server.held = 0
+            server.occupied = 0
         self.node.free, self.node.looked_at, self.node.saved = 9.0, self.node.now + 10**12, 1.0
 
     def sent_to(self):
--- a/tests/test_move.py
+++ b/tests/test_move.py
@@ -208,14 +208,14 @@
 
 def repeat_all(nodes):
     for driver in nodes:
-        driver.node.lines[2].kind = t.INQUIRY
+        driver.node.lines[2].kind = t.READ_ONLY
 
 
 def rush(nodes):
     for driver in nodes:
         node, lawful = driver.node, driver.node.lawful
         node.lawful = lambda txn, node=node, lawful=lawful: (
-            not txn.sent and [s for s in node.up if s.born] or lawful(txn)
+            not txn.submissions and [s for s in node.up if s.started_at] or lawful(txn)
         )
 
 
