--- a/rampfront/edge/admin.py
+++ b/rampfront/edge/admin.py
@@ -1,7 +1,7 @@
-"""The operators' address: readiness, metrics, drain and activate; one call a connection, answered at once.
+"""The operators' HTTP interface: readiness, metrics, drain and activate. Each connection carries one call.
 
-`net/http_server.py` has the listener and the callers. Nothing here decides about a transaction or counts outcomes: the
-figures are read off the gateway, the decision driver and the decision module.
+`net/http_server.py` implements the listener and its connections. This module neither decides about transactions nor
+counts outcomes: it reads the figures from the gateway, the decision driver and the decision module.
 """
 
 from collections.abc import Callable
@@ -25,10 +25,10 @@
     """Serves the operators' calls."""
 
     def __init__(self, context: NodeContext, listener: TransactionListener) -> None:
-        """Does not listen yet.
+        """Creates the endpoints; `listen` opens the listener.
 
         Args:
-            context: of the node.
+            context: the node's context.
             listener: the HTTP clients' listener, whose readiness is reported.
         """
         driver = context.driver
@@ -46,23 +46,23 @@
         await self._server.listen(host, port)
 
     def sweep(self) -> None:
-        """Ends connections that are too slow."""
+        """Closes connections that have exceeded a timeout."""
         self._server.sweep()
 
     @endpoint("GET", "/v1/readyz")
     def readyz(self, request: IncomingRequest) -> Response:
-        """Whether clients are welcome."""
+        """Responds 200 while the node accepts clients, else 503."""
         if self._listener.ready():
             return _text(OK, b"ready")
         return _text(SERVICE_UNAVAILABLE, b"not ready")
 
     @endpoint("GET", "/v1/metrics")
     def metrics(self, request: IncomingRequest) -> Response:
-        """Outcomes by product, and what is in flight and avoided now."""
+        """Returns the outcomes by product, and the current numbers of open transactions and of avoided servers."""
         outcomes = dict(zip(self._product_names, self._gateway.outcomes, strict=False))
         driver = self._driver
-        node = driver.node  # it is read between inputs, never while it takes one
-        is_doubtful: Callable[[Any], bool] = node.doubtful  # `choice.py` has no types
+        node = driver.node  # safe to read: it never processes an input while this call runs
+        is_doubtful: Callable[[Any], bool] = node.doubtful  # `choice.py` is untyped
         listed = [server for server in node.servers.values() if server.state != t.REMOVED]
         avoided = [server for server in listed if server.state != t.UP or is_doubtful(server)]
         figures = {
@@ -79,31 +79,31 @@
 
     @endpoint("POST", "/v1/edge-node/drain")
     def drain(self, request: IncomingRequest) -> Response:
-        """Sends clients elsewhere."""
+        """Makes the node not ready, so that clients go to other nodes."""
         self._log.record("drain")
         self._gateway.drain()
         return _text(OK, b"draining")
 
     @endpoint("POST", "/v1/edge-node/activate")
     def activate(self, request: IncomingRequest) -> Response:
-        """Welcomes clients again."""
+        """Makes the node ready again after a drain."""
         self._log.record("activate")
         self._gateway.activate()
         return _text(OK, b"taking clients")
 
     def _handler_failed(self, request: IncomingRequest, error: BaseException) -> None:
-        """A call failed by a defect of ours."""
+        """Counts and logs an exception that a handler raised."""
         self._log.counts["faults"] += 1
         self._log.record_limited("fault", request.path, trouble=repr(error))
 
 
 def _text(status: int, body: bytes) -> Response:
-    """A response of plain text."""
+    """Returns a plain-text response."""
     return Response(status, body, content_type=TEXT)
 
 
 def _server_limits(limits: NetworkLimits) -> HttpServerLimits:
-    """The limits of the operators' listener, which the node's own sweep checks."""
+    """Returns the limits of the operators' listener. Its timeouts are checked by the node's sweep, not by its own."""
     timeout_ns = limits.admin_timeout_ns
     return HttpServerLimits(
         max_head_bytes=limits.max_head_bytes,
--- a/rampfront/edge/configuration.py
+++ b/rampfront/edge/configuration.py
@@ -1,7 +1,7 @@
-"""The configuration of an edge node: read, checked, given defaults; what is wrong names its key.
+"""Reads an edge node's configuration, checks it and fills in defaults; an error names the invalid key.
 
-The meaning of all keys is here and in the modules that this one reads with. Raw settings are never handed on: other
-modules get terms, names, addresses and limits.
+All keys are interpreted here and in the modules that this one calls. Raw settings are never passed on: other modules
+get terms, names, addresses and limits.
 """
 
 import os
@@ -42,11 +42,11 @@
 _ENVIRONMENT_KEYS = {"name": "RELAY_NAME", "listen": "RELAY_LISTEN", "discovery": "RELAY_DISCOVERY"}
 _MIN_DESCRIPTORS = 128
 _MAX_DESCRIPTORS = 1 << 20
-_FIRST_INHERITED_DESCRIPTOR = 3  # behind the standard streams
+_FIRST_INHERITED_DESCRIPTOR = 3  # 0 to 2 are the standard streams
 _SEED_BITS = 63
 _HEX = 16
 
-# `announced.py` has no types.
+# `announced.py` is untyped.
 _read_names: Callable[[dict[str, Any]], Names] = Names
 _read_terms: Callable[[dict[str, Any]], Terms] = read_terms
 _to_ns: Callable[[float], int] = ns
@@ -54,27 +54,28 @@
 
 @slotted
 class NodeConfiguration:
-    """What an edge node is started with.
+    """The checked configuration of an edge node.
 
     Attributes:
         name: the node's name.
-        listen_address: host and port for HTTP clients.
-        inherited_listener: the descriptor of a listening socket that the platform hands down; nothing is bound then.
-        admin_address: the operators' host and port.
+        listen_address: host and port of the listener for HTTP clients.
+        inherited_listener: the descriptor of a listening socket inherited from the platform; if set, no address is
+            bound.
+        admin_address: host and port of the operators' listener.
         discovery_address: host and port of discovery.
         counter_address: host and port of the counter.
-        seed: of random draws.
-        known_servers: the server list from which the node starts.
-        terms: what the decision module starts under.
+        seed: the seed of the random number generators.
+        known_servers: the server list that is used until discovery sends one.
+        terms: the parameters of the decision module.
         names: the announced names of products and plans, with their indices.
         zones: the announced zones, name to index.
         limits: the limits of the process.
         reports_load: whether servers report their load.
-        log_levels: as `Log` has them.
-        syslog: where decisions are sent.
-        storm: the control of retry storms.
-        mqtt: the listener of MQTT clients.
-        journal: the journal of once-only transactions.
+        log_levels: the `levels` argument of `Log`.
+        syslog: the settings of the syslog sender.
+        storm: the settings of the retry storm control.
+        mqtt: the settings of the MQTT listener.
+        journal: the settings of the journal of once-only transactions.
     """
 
     name: str
@@ -98,13 +99,13 @@
 
 
 def load_configuration(environ: Mapping[str, str] = os.environ) -> NodeConfiguration:
-    """Reads the configuration file that the environment names, in TOML or JSON.
+    """Reads the configuration file, in TOML or JSON, whose path is in RELAY_CONFIG.
 
     Args:
-        environ: the environment.
+        environ: the environment variables.
 
     Raises:
-        ConfigurationError: it is invalid, or cannot be read.
+        ConfigurationError: the file is invalid, or cannot be read.
     """
     path = environ.get("RELAY_CONFIG")
     if not path:
@@ -120,11 +121,11 @@
 def read_configuration(
     content: object, environ: Mapping[str, str], max_descriptors: int = _MAX_DESCRIPTORS
 ) -> NodeConfiguration:
-    """Checks a configuration. Raises ConfigurationError, which names the first key that is wrong.
+    """Checks a configuration. Raises ConfigurationError, which names the first invalid key.
 
     Args:
-        content: the decoded file, in the platform's form.
-        environ: the environment, which gives keys that the file leaves out.
+        content: the decoded file, with the platform's keys.
+        environ: the environment variables, which supply keys that the file omits.
         max_descriptors: how many file descriptors the process may have open.
     """
     file = _with_environment(check_value(content, OBJECT, "the configuration"), environ)
@@ -158,23 +159,24 @@
 
 
 def _with_environment(file: dict[str, Any], environ: Mapping[str, str]) -> dict[str, Any]:
-    """The file, with what it leaves out taken from the environment."""
+    """Returns the file's content, with omitted keys taken from the environment."""
     given = {key: environ[variable] for key, variable in _ENVIRONMENT_KEYS.items() if environ.get(variable)}
     return {**given, **file}
 
 
 def _read_admin_address(value: object, environ: Mapping[str, str]) -> tuple[str, int] | None:
-    """The operators' address, if there is one. `value`: what the file has. Raises ConfigurationError."""
-    # An upgrade starts a second process with the same file, and gives it an operators' address of its own.
+    """Returns the operators' address, if there is one. `value`: the file's value. Raises ConfigurationError."""
+    # The environment takes precedence: an upgrade starts a second process with the same file, and this variable gives
+    # it an address of its own.
     address = environ.get("RELAY_ADMIN_ADDR") or value
     return check_address(address, "admin_addr") if address else None
 
 
 def _load_toml(path: str) -> dict[str, Any]:
-    """A file of TOML in the platform's form. Raises ConfigurationError, OSError."""
-    from ..config import BadConfig, load_toml  # its libraries are for those who use it
+    """Reads a TOML file and converts it to the platform's keys. Raises ConfigurationError, OSError."""
+    from ..config import BadConfig, load_toml  # imported late: only nodes with a TOML file need its libraries
 
-    load: Callable[[str], dict[str, Any]] = load_toml  # it has no types
+    load: Callable[[str], dict[str, Any]] = load_toml  # `config.py` is untyped
     try:
         content = load(path)
     except BadConfig as error:
@@ -184,7 +186,7 @@
 
 
 def _load_json(path: str) -> object:
-    """A file of JSON. Raises ConfigurationError, OSError."""
+    """Reads a JSON file. Raises ConfigurationError, OSError."""
     try:
         with open(path, "rb") as file:
             return orjson.loads(file.read())
@@ -193,7 +195,7 @@
 
 
 def _read_announced(settings: dict[str, Any]) -> tuple[Names, Terms]:
-    """The announced names, and what the decision module starts under. Raises ConfigurationError."""
+    """Returns the announced names and the parameters of the decision module. Raises ConfigurationError."""
     try:
         names = _read_names(settings)
         terms = _read_terms(settings)
@@ -206,7 +208,7 @@
 
 
 def _read_descriptors(table: object, max_descriptors: int) -> int:
-    """How many file descriptors the node may use. `table`: `limits` of the file. Raises ConfigurationError."""
+    """Returns how many file descriptors the node may use. `table`: the file's `limits`. Raises ConfigurationError."""
     given = check_value(table, OBJECT, "limits")
     limits = {**_DEFAULT_LIMITS, **given}
     for key, value in limits.items():
@@ -214,24 +216,24 @@
             check_value(value, NUMBER, f"limits.{key}")
     descriptors = int(min(limits["sockets"], max_descriptors))
     if descriptors < _MIN_DESCRIPTORS:
-        expected = f"{_MIN_DESCRIPTORS} or more, and the process's own limit too"
+        expected = f"{_MIN_DESCRIPTORS} or more, and so should the process's limit of open files"
         raise ConfigurationError.for_key("limits.sockets", expected, descriptors)
     return descriptors
 
 
 def _without_mqtt_connections(descriptors: int, mqtt: MqttSettings | None) -> int:
-    """The descriptors that MQTT clients leave. Raises ConfigurationError if they are too few."""
+    """Returns the descriptors that remain beside those of MQTT clients. Raises ConfigurationError if too few do."""
     if mqtt is None:
         return descriptors
-    most = descriptors - _MIN_DESCRIPTORS
-    if mqtt.max_connections > most:
-        expected = f"{most} or less, to leave {_MIN_DESCRIPTORS} descriptors"
+    max_allowed = descriptors - _MIN_DESCRIPTORS
+    if mqtt.max_connections > max_allowed:
+        expected = f"{max_allowed} or less, so that {_MIN_DESCRIPTORS} descriptors remain"
         raise ConfigurationError.for_key("mqtt.connections", expected, mqtt.max_connections)
     return descriptors - mqtt.max_connections
 
 
 def _read_seed(value: int | str) -> int:
-    """The seed, from a number or hex digits. Raises ConfigurationError."""
+    """Reads the seed from an integer or hexadecimal digits. Raises ConfigurationError."""
     if isinstance(value, int):
         return value
     try:
@@ -241,7 +243,7 @@
 
 
 def _read_known_servers(content: dict[str, Any], zones: Mapping[str, int]) -> ServerListUpdate:
-    """The server list of the file. Raises ConfigurationError."""
+    """Reads the file's server list. Raises ConfigurationError."""
     try:
         return parse_server_list(content, zones)
     except ServerListError as error:
@@ -249,7 +251,7 @@
 
 
 def _read_inherited_listener(text: str | None) -> int | None:
-    """The descriptor of a listening socket that the platform hands down. Raises ConfigurationError."""
+    """Reads the descriptor of a listening socket inherited from the platform. Raises ConfigurationError."""
     if not text:
         return None
     if not text.isdigit() or int(text) < _FIRST_INHERITED_DESCRIPTOR:
@@ -259,7 +261,7 @@
 
 
 def _read_log_levels(table: object) -> dict[str, str]:
-    """Module to the least level that is written. `table`: `log` of the file. Raises ConfigurationError."""
+    """Returns the minimum log level by module. `table`: the file's `log`. Raises ConfigurationError."""
     log = check_value(table, OBJECT, "log")
     modules = check_value(log.get("modules", {}), OBJECT, "log.modules")
     default_level = log.get("level", _DEFAULT_LEVEL)
@@ -272,7 +274,7 @@
 
 
 def _compute_limits(descriptors: int, settings: dict[str, Any]) -> NetworkLimits:
-    """The limits of the process. `settings`: `Limits` of the settings."""
+    """Returns the limits of the process. `settings`: the `Limits` object of the settings."""
     return compute_limits(
         descriptors,
         connect_timeout_ns=_to_ns(settings.get("ConnectTimeout", _DEFAULT_CONNECT_TIMEOUT_MS)),
--- a/rampfront/edge/configuration_checks.py
+++ b/rampfront/edge/configuration_checks.py
@@ -1,4 +1,4 @@
-"""Checks of the configuration's values: an error names the key, what it should hold, and what it holds."""
+"""Checks the configuration's values. An error names the key, the expected kind of value, and the value found."""
 
 from collections.abc import Callable
 from typing import Any, Generic, TypeGuard, TypeVar
@@ -9,58 +9,58 @@
 
 
 class ConfigurationError(Exception):
-    """The configuration is invalid; the message says where and why."""
+    """The configuration is invalid. The message names the key and the reason."""
 
     @classmethod
     def for_key(cls, key: str, expected: str, value: object) -> "ConfigurationError":
-        """The error of a key that does not hold what it should. `value`: what it holds; None if it is missing."""
+        """Returns the error for a key with an invalid value. `value`: the value found; None if the key is missing."""
         found = "; it is missing" if value is None else f", not {value!r:.80}"
         return cls(f"{key} should be {expected}{found}")
 
 
 class Kind(Generic[Value]):
-    """A kind of values.
+    """A kind of value.
 
     Attributes:
-        description: what an error calls it.
-        accepts: whether a value is of it.
+        description: its description in error messages.
+        accepts: returns whether a value is of this kind.
     """
 
     __slots__ = ("description", "accepts")
 
     def __init__(self, description: str, accepts: Callable[[object], TypeGuard[Value]]) -> None:
-        """`description`, `accepts`: as the attributes."""
+        """See the class's attributes."""
         self.description = description
         self.accepts = accepts
 
 
 def _is_number(value: object) -> TypeGuard[float]:
-    """Whether it is a number of 0 or more."""
+    """Returns whether the value is a number of 0 or more."""
     return isinstance(value, (int, float)) and not isinstance(value, bool) and value >= 0
 
 
 def _is_count(value: object) -> TypeGuard[int]:
-    """Whether it is a whole number of 1 or more."""
+    """Returns whether the value is an integer of 1 or more."""
     return isinstance(value, int) and not isinstance(value, bool) and value >= 1
 
 
 def _is_text(value: object) -> TypeGuard[str]:
-    """Whether it is a text that is not empty."""
+    """Returns whether the value is a non-empty string."""
     return isinstance(value, str) and value != ""
 
 
 def _is_list(value: object) -> TypeGuard[list[Any]]:
-    """Whether it is a list that is not empty."""
+    """Returns whether the value is a non-empty list."""
     return isinstance(value, list) and bool(value)
 
 
 def _is_object(value: object) -> TypeGuard[dict[str, Any]]:
-    """Whether it is an object."""
+    """Returns whether the value is an object."""
     return isinstance(value, dict)
 
 
 def _is_flag(value: object) -> TypeGuard[bool]:
-    """Whether it is true or false."""
+    """Returns whether the value is a boolean."""
     return isinstance(value, bool)
 
 
@@ -73,14 +73,14 @@
 
 
 def check_value(value: object, kind: Kind[Value], key: str) -> Value:
-    """Returns a value that is of a kind. `key`: where it stands. Raises ConfigurationError."""
+    """Returns the value if it is of the kind. `key`: its key, for the error. Raises ConfigurationError."""
     if not kind.accepts(value):
         raise ConfigurationError.for_key(key, kind.description, value)
     return value
 
 
 def check_address(value: object, key: str) -> tuple[str, int]:
-    """Host and port of a value that is an address. `key`: where it stands. Raises ConfigurationError."""
+    """Returns the host and port of an address. `key`: its key, for the error. Raises ConfigurationError."""
     text = check_value(value, TEXT, key)
     try:
         return parse_address(text)
@@ -89,17 +89,17 @@
 
 
 def check_path(content: dict[str, Any], path: str, kind: Kind[Any], required: bool, key: str) -> None:
-    """Checks what stands at a path below an object.
+    """Checks the value at a path in an object.
 
     Args:
         content: the object.
-        path: keys with dots between them; one with `[]` behind it is a list, of which each row is checked.
-        kind: what should stand there.
-        required: whether something must stand there.
-        key: where the object itself stands.
+        path: keys separated by dots; a key followed by `[]` is a list, of which every row is checked.
+        kind: the expected kind of the value.
+        required: whether a missing value is an error.
+        key: the object's own key, for the error.
 
     Raises:
-        ConfigurationError: it is of another kind, or missing.
+        ConfigurationError: the value is of another kind, or is required and missing.
     """
     head, *deeper = path.split(".", 1)
     name = head.removesuffix("[]")
--- a/rampfront/edge/counter_client.py
+++ b/rampfront/edge/counter_client.py
@@ -1,8 +1,8 @@
-"""The counter's client: calls, their timeouts, and which of them may have added when a connection breaks.
+"""The counter's client: calls, their timeouts, and which calls may have been applied when a connection breaks.
 
-It makes no call by itself but PING, and never repeats one that was written: what to add, and when, stands in
-`choice.py`. After a change of address the former connection stays for the calls that await their replies on it, so
-that nothing is added twice.
+The client makes no calls of its own except PING, and never repeats a call that was written: `choice.py` decides what
+to add and when. After a change of address, the former connection stays open until its pending calls are answered, so
+that no amount is added twice.
 """
 
 from collections import deque
@@ -15,21 +15,21 @@
 _NS_PER_MS = 10**6
 _BUSY = b"BUSY"
 _MAX_LOGGED_BYTES = 80
-_EXPECTED_ENDS = ("connection ended", "left")  # they are logged only where calls were without a reply
+_EXPECTED_ENDS = ("connection ended", "left")  # logged only if calls were pending
 
 
 class QuotaCounterClient(CounterConnectionOwner):
-    """Adds to counts of the counter, and reports their totals to the decision driver.
+    """Adds to the counter's counts, and reports their totals to the decision driver.
 
     Attributes:
-        clock: gives the time in ns.
+        clock: returns the time in ns.
     """
 
     def __init__(self, context: NodeContext, address: tuple[str, int]) -> None:
-        """Is not connected yet.
+        """Creates the client; `connect` opens a connection.
 
         Args:
-            context: of the node.
+            context: the node's context.
             address: host and port of the counter.
         """
         driver = context.driver
@@ -43,25 +43,26 @@
         self._counts = context.log.counts
         self._timers = driver.timers
         self._current: CounterConnection | None = None
-        self._former: list[CounterConnection] = []  # emptied as their calls are answered, or they end
+        self._former: list[CounterConnection] = []  # each is removed once its calls are answered, or it ends
 
     @property
     def former_connections(self) -> int:
-        """Connections to former addresses, on which calls await their replies."""
+        """The number of connections to former addresses, which still have pending calls."""
         return len(self._former)
 
     def connect(self) -> CounterConnection:
-        """Begins to connect. Returns the connection, on which calls are made from now on."""
+        """Starts connecting. Returns the connection, which carries all calls from now on."""
         self._counts["counter_connects"] += 1
         connection = CounterConnection(self)
         self._current = connection
         connection.connect(self._loop, self._address)
         return connection
 
-    def move(self, address: tuple[str, int]) -> None:
-        """The counter is at another address from now on.
+    def change_address(self, address: tuple[str, int]) -> None:
+        """Uses another address of the counter from now on.
 
-        What was written stays where it is, so that nothing is added twice; what was not goes to the new address.
+        Calls that were written stay on the former connection, so that no amount is added twice. Calls that were not
+        written move to the new connection.
         """
         if address == self._address:
             return
@@ -80,8 +81,8 @@
         """Adds to a count, and reports its total with `DecisionDriver.counted`.
 
         Args:
-            name: the number of the count.
-            amount: what to add; may be negative.
+            name: the number that identifies the count.
+            amount: the amount to add; may be negative.
             lifetime_ns: for how long the counter keeps the count.
         """
         self._counts["adds"] += 1
@@ -95,7 +96,7 @@
         self._set_timer(connection)
 
     def sweep(self) -> None:
-        """Ends connections that do not come up or have fallen silent, and pings an idle one."""
+        """Ends connections that could not be opened or do not answer in time, and pings an idle connection."""
         now_ns = self.clock()
         current = self._current
         if current:
@@ -111,25 +112,27 @@
     # ---- called by connections
 
     def reply_received(self, connection: CounterConnection, reply: Reply) -> bool:
-        """The reply to the oldest call came. Returns whether it is one to that call."""
+        """Handles the reply to the oldest call. Returns whether it is a valid reply to that call."""
         call = connection.calls[0]
         total = self._read_total(call, reply)
         if total is None:
             return False
         connection.calls.popleft()
-        if not connection.calls:  # waking up for nothing is expensive
+        if not connection.calls:  # an unnecessary wake-up is expensive
             self._cancel_timer(connection)
         if call.name is not None and not call.reported:
-            how = t.UNSEEN if reply.kind == ERROR else t.DONE
-            self._report(call.name, how, self.clock() - call.started_ns, total)
+            outcome = t.UNSEEN if reply.kind == ERROR else t.DONE
+            self._report(call.name, outcome, self.clock() - call.started_ns, total)
         self._close_if_former(connection)
         return True
 
     def connection_ended(self, connection: CounterConnection, reason: str) -> None:
-        """Ends a connection. What was written may have been added, what was not has not; neither is made again here.
+        """Ends a connection and reports its calls as lost.
+
+        A call that was written may have been applied, any other was not. The client repeats neither.
 
         Args:
-            connection: the connection; one that has ended already is left as it is.
+            connection: the connection; nothing happens if it has ended already.
             reason: why it ends, for the log.
         """
         if connection.ended:
@@ -150,7 +153,10 @@
     # ---- connections
 
     def _connection_for(self, name: int) -> CounterConnection:
-        """The connection for a call. A former one keeps its names, as replies for a name come in order of calls."""
+        """Returns the connection for a call.
+
+        A former connection keeps the counts that it has pending calls for, so that a count's totals arrive in order.
+        """
         connection = self._current or self.connect()
         for former in self._former:
             if any(call.name == name for call in former.calls):
@@ -158,12 +164,15 @@
         return connection
 
     def _close_if_former(self, connection: CounterConnection) -> None:
-        """Ends a connection to a former address once no call awaits a reply on it."""
+        """Ends a connection to a former address once it has no pending calls."""
         if connection in self._former and not connection.calls:
             self.connection_ended(connection, "left")
 
     def _end_if_silent(self, connection: CounterConnection, now_ns: int) -> None:
-        """Ends a connection whose far end is gone, or whose reply does not go on: calls behind it would time out."""
+        """Ends a connection whose peer does not answer or has sent only part of a reply for too long.
+
+        All later calls on it would time out.
+        """
         limits = self._limits
         partial = connection.has_partial_reply
         timeout_ns = limits.counter_partial_timeout_ns if partial else limits.counter_response_timeout_ns
@@ -176,7 +185,7 @@
     # ---- timeouts
 
     def _set_timer(self, connection: CounterConnection) -> None:
-        """Sets one timer for all calls: their timeouts are equal, so the oldest that has not timed out is the next."""
+        """Sets one timer for all calls. Their timeouts are equal, so the oldest call times out next."""
         if connection.timer is not None:
             return
         for call in connection.calls:
@@ -186,13 +195,13 @@
                 return
 
     def _cancel_timer(self, connection: CounterConnection) -> None:
-        """Cancels the timer, if there is one."""
+        """Cancels the connection's timer, if it has one."""
         if connection.timer:
             self._timers.cancel(connection.timer)
             connection.timer = None
 
     def _time_out_calls(self, connection: CounterConnection) -> None:
-        """Calls have timed out: they are reported, and their replies dropped."""
+        """Reports calls that have timed out. Replies that still arrive for them are dropped."""
         connection.timer = None
         now_ns = self.clock()
         timed_out = []
@@ -203,7 +212,7 @@
                 break
             call.reported = True
             timed_out.append(call)
-        if not connection.is_open:  # they were never written: nothing was added, nor will be
+        if not connection.is_open:  # unwritten calls are removed: they had no effect and get no reply
             connection.calls = deque(call for call in connection.calls if not call.reported)
         self._set_timer(connection)
         for call in timed_out:
@@ -213,23 +222,23 @@
     # ---- ends of calls
 
     def _read_total(self, call: PendingCall, reply: Reply) -> float | None:
-        """The total that a reply gives, 0 if it has none to give; None if it is no reply to the call."""
+        """Returns the total in a reply, 0 for a reply without one, or None for a reply that does not fit the call."""
         if call.is_ping:
             return 0.0 if reply.kind == SIMPLE_STRING else None
         if reply.kind == ERROR:
             if not reply.text.startswith(_BUSY):
-                # Calls that are never understood would otherwise look like a busy counter.
+                # Without a log line, a counter that rejects every call would look like a busy one.
                 self._log.record_limited("counter refuses", reply.text[:_MAX_LOGGED_BYTES].decode("latin-1"))
             return 0.0
         return None if reply.kind == SIMPLE_STRING else parse_total(reply.text)
 
     def _report_lost(self, call: PendingCall, now_ns: int) -> None:
-        """Reports a call without a reply: one that was written may have added."""
-        assert call.name is not None, "nobody waits for a PING"
+        """Reports a call without a reply as timed out if it was written, since it may have been applied."""
+        assert call.name is not None, "a PING is never reported"
         self._report(call.name, t.TIMED_OUT if call.written else t.UNSEEN, now_ns - call.started_ns)
 
-    def _report(self, name: int, how: int, took_ns: int, total: float = 0.0) -> None:
-        """Reports how a call ended. `how`: DONE, UNSEEN or TIMED_OUT of `terms.py`."""
-        if how != t.DONE:
-            self._counts["adds_timed_out" if how == t.TIMED_OUT else "adds_refused"] += 1
-        self._driver.counted(name, total, how, took_ns)
+    def _report(self, name: int, outcome: int, duration_ns: int, total: float = 0.0) -> None:
+        """Reports how a call ended. `outcome`: DONE, UNSEEN or TIMED_OUT from `terms.py`."""
+        if outcome != t.DONE:
+            self._counts["adds_timed_out" if outcome == t.TIMED_OUT else "adds_refused"] += 1
+        self._driver.counted(name, total, outcome, duration_ns)
--- a/rampfront/edge/counter_connection.py
+++ b/rampfront/edge/counter_connection.py
@@ -1,7 +1,6 @@
-"""One connection to the counter: calls are written one after another, and replies come in the order of the calls.
+"""One connection to the counter. Calls are pipelined, and replies arrive in the order of the calls.
 
-It holds the calls that await their replies. What follows from a reply, or from the end of the connection, is its
-owner's matter (`counter_client.py`).
+The connection holds the pending calls. Its owner (`counter_client.py`) acts on replies and on the connection's end.
 """
 
 import asyncio
@@ -17,20 +16,20 @@
 
 
 class PendingCall:
-    """A call that awaits its reply.
+    """A call that has no reply yet.
 
     Attributes:
-        name: the number of the count; None for a PING.
-        started_ns: when it was made.
-        written: whether it was written to the connection, so that the counter may have taken it.
-        reported: whether nobody waits for its end: it is a PING, or has timed out. Its reply is dropped.
-        command: what is to be written; None once it is.
+        name: the number that identifies the count; None for a PING.
+        started_ns: when the call was made.
+        written: whether it was written to the connection, so that the counter may have applied it.
+        reported: whether its reply is dropped, because it is a PING or has timed out.
+        command: the bytes to write; None once they are written.
     """
 
     __slots__ = ("name", "started_ns", "written", "reported", "command")
 
     def __init__(self, name: int | None, started_ns: int, command: bytes) -> None:
-        """It is not written yet. `name`, `started_ns`, `command`: as the attributes."""
+        """Creates a call that is not written yet. See the class's attributes."""
         self.name = name
         self.started_ns = started_ns
         self.written = False
@@ -39,11 +38,11 @@
 
     @property
     def is_ping(self) -> bool:
-        """Whether it is a PING."""
+        """Whether the call is a PING."""
         return self.name is None
 
     def take_command(self) -> bytes:
-        """What is to be written; from now on it counts as written."""
+        """Returns the bytes to write, and marks the call as written."""
         command = self.command
         assert command is not None, "a call is written once"
         self.command = None
@@ -52,31 +51,31 @@
 
 
 class CounterConnectionOwner(ABC):
-    """What a connection reports to."""
+    """Receives a connection's replies and its end."""
 
     clock: Callable[[], int]
 
     @abstractmethod
     def reply_received(self, connection: "CounterConnection", reply: Reply) -> bool:
-        """The reply to the oldest call came. Returns whether it is one to that call."""
+        """Handles the reply to the oldest call. Returns whether it is a valid reply to that call."""
 
     @abstractmethod
     def connection_ended(self, connection: "CounterConnection", reason: str) -> None:
-        """The connection is to end, or has ended."""
+        """Handles a connection that was lost, or that must be closed after an error."""
 
 
 class CounterConnection(asyncio.Protocol):
     """One connection.
 
     Attributes:
-        calls: those that await their replies, oldest first.
-        received_at_ns: when something came last, or when it was made.
-        timer: the owner's, for the oldest call that has not timed out.
-        ended: whether it has ended; it then has no calls.
+        calls: the pending calls, oldest first.
+        received_at_ns: when data last arrived; before the first data, when the connection was opened or created.
+        timer: the owner's timer for the oldest call that has not timed out.
+        ended: whether the connection has ended; it then has no calls.
     """
 
     def __init__(self, owner: CounterConnectionOwner) -> None:
-        """Is not open yet. `owner` is told of replies and of the end."""
+        """Creates a connection that is not open yet. `owner` receives its replies and its end."""
         self.calls: deque[PendingCall] = deque()
         self.received_at_ns = owner.clock()
         self.timer: Timer | None = None
@@ -88,38 +87,38 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether it came up, so that calls are written at once."""
+        """Whether the connection has been established, so that calls are written at once."""
         return self._transport is not None
 
     @property
     def has_partial_reply(self) -> bool:
-        """Whether a reply has begun and is not complete."""
+        """Whether the last reply has arrived only in part."""
         return self._reader.has_partial_reply
 
     def connect(self, loop: asyncio.AbstractEventLoop, address: tuple[str, int]) -> None:
-        """Begins to connect. `address`: host and port of the counter."""
+        """Starts connecting. `address`: host and port of the counter."""
         host, port = address
         self._connecting = loop.create_task(loop.create_connection(lambda: self, host, port))
         self._connecting.add_done_callback(self._connected)
 
     def call(self, call: PendingCall) -> None:
-        """Adds a call, and writes it if the connection is open; else it is written once that is so."""
+        """Adds a call, and writes it as soon as the connection is open."""
         self.calls.append(call)
         if self._transport is not None:
             self._transport.write(call.take_command())
 
     def ping(self, now_ns: int) -> None:
-        """Asks whether the far end is there. The connection is open; `now_ns` is the time."""
+        """Sends a PING to check whether the counter still answers. The connection must be open."""
         self.call(PendingCall(None, now_ns, _PING))
 
     def swap_calls(self, other: "CounterConnection") -> None:
-        """Exchanges the calls of two connections, of which neither is open."""
+        """Swaps the calls of two connections, neither of which is open."""
         calls = self.calls
         self.calls = other.calls
         other.calls = calls
 
     def close(self) -> deque[PendingCall]:
-        """Ends the connection at once. Returns the calls that were without a reply."""
+        """Aborts the connection. Returns the calls that had no reply."""
         self.ended = True
         if self._connecting:
             self._connecting.cancel()
@@ -132,7 +131,7 @@
     # ---- called by the event loop
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """It came up: what waited is written."""
+        """Writes the calls that were waiting for the connection."""
         stream = cast(asyncio.Transport, transport)
         self._transport = stream
         self.received_at_ns = self._owner.clock()
@@ -143,11 +142,11 @@
             stream.write(b"".join([call.take_command() for call in self.calls]))
 
     def connection_lost(self, error: Exception | None) -> None:
-        """It ended."""
+        """Reports the end of the connection to the owner."""
         self._owner.connection_ended(self, "connection ended")
 
     def data_received(self, data: bytes) -> None:
-        """Something came: replies are handed on, and what is none ends the connection."""
+        """Passes replies to the owner. Data that is no valid reply ends the connection."""
         if self.ended:
             return
         self.received_at_ns = self._owner.clock()
@@ -155,12 +154,12 @@
         try:
             while (reply := self._reader.next_reply()) is not None:
                 if not self.calls or not self._owner.reply_received(self, reply):
-                    raise RemoteProtocolError("a reply to no call")
+                    raise RemoteProtocolError("reply does not belong to a call")
         except RemoteProtocolError:
             self._owner.connection_ended(self, "odd answer")
 
     def _connected(self, task: asyncio.Task[object]) -> None:
-        """The attempt to connect has ended."""
+        """Reports a failed attempt to connect to the owner."""
         self._connecting = None
         if not task.cancelled() and task.exception() is not None:
             self._owner.connection_ended(self, "no connection")
--- a/rampfront/edge/discovery_client.py
+++ b/rampfront/edge/discovery_client.py
@@ -1,21 +1,20 @@
-"""The client of discovery: watches the server list, and connects again when the watch breaks or falls silent.
+"""The client of discovery: watches the server list, and reconnects when the watch breaks or becomes silent.
 
-What is known of the list is never dropped because discovery has a fault: the node serves on by the last list that it
-was given.
+A fault of discovery never discards the list that is known: the node continues to serve with the last list received.
 """
 
 from .discovery_connection import DiscoveryConnection, DiscoveryConnectionOwner
 from .node_context import NodeContext
 from .server_list import parse_server_list_line
 
-_MAX_DOUBLINGS = 8  # of the delay between attempts to connect
+_MAX_DOUBLINGS = 8  # how often the reconnect delay doubles
 
 
 class DiscoveryClient(DiscoveryConnectionOwner):
-    """Watches the server list, and hands it to the decision driver."""
+    """Watches the server list, and passes it to the decision driver."""
 
     def __init__(self, context: NodeContext) -> None:
-        """Is not connected yet. `context`: of the node."""
+        """Creates the client; `start` opens a connection. `context`: the node's context."""
         configuration = context.configuration
         driver = context.driver
         self._loop = context.loop
@@ -30,10 +29,10 @@
         self._timers = driver.timers
         self._connection: DiscoveryConnection | None = None
         self._received_at_ns = self._clock()
-        self._failures = 0  # connections in a row that brought no list
+        self._failures = 0  # consecutive connections without a list
 
     def start(self) -> None:
-        """Begins to connect, unless it does already."""
+        """Starts connecting, unless there is a connection already."""
         if self._connection:
             return
         self._log.counts["watches"] += 1
@@ -42,8 +41,11 @@
         self._connection = DiscoveryConnection(self, self._address, self._version, max_line_bytes)
         self._connection.connect(self._loop)
 
-    def move(self, address: tuple[str, int]) -> None:
-        """Discovery is at another address from now on: what the former one still gives would be out of date."""
+    def change_address(self, address: tuple[str, int]) -> None:
+        """Uses another address of discovery from now on.
+
+        The former connection is closed at once, because its lists may be out of date.
+        """
         if address == self._address:
             return
         self._address = address
@@ -52,7 +54,7 @@
         self.start()
 
     def sweep(self) -> None:
-        """Connects again where nothing, not even a heartbeat, has come for too long."""
+        """Reconnects if no data, not even a heartbeat, has arrived for too long."""
         silent_ns = self._clock() - self._received_at_ns
         if self._connection and silent_ns > self._limits.discovery_silence_timeout_ns:
             self.connection_ended(self._connection, "silent")
@@ -60,15 +62,15 @@
     # ---- called by connections
 
     def is_current(self, connection: DiscoveryConnection) -> bool:
-        """Whether it is the connection that is read."""
+        """Returns whether data of this connection is still wanted."""
         return self._connection is connection
 
-    def data_came(self) -> None:
-        """Something came from discovery."""
+    def note_data_received(self) -> None:
+        """Notes that data arrived, which resets the silence timeout."""
         self._received_at_ns = self._clock()
 
     def line_received(self, line: bytes) -> None:
-        """A line came. Raises ServerListError if it holds no server list."""
+        """Applies the server list in a line. Raises ServerListError if it is not valid."""
         update = parse_server_list_line(line, self._zones)
         self._version = update.version
         self._failures = 0
@@ -76,12 +78,12 @@
         self._driver.update_servers(update.complete, update.rows)
 
     def connection_ended(self, connection: DiscoveryConnection, reason: str) -> None:
-        """Ends a connection, and connects again after a drawn delay.
+        """Ends a connection, and reconnects after a random delay.
 
-        Nodes that were cut off together must not come back together.
+        The delay is random so that nodes that lost their connections together do not reconnect at the same moment.
 
         Args:
-            connection: the connection; a former one only ends.
+            connection: the connection; if it is not the current one, the client does not reconnect.
             reason: why it ends, for the log.
         """
         was_current = self.is_current(connection)
@@ -97,7 +99,7 @@
         self._timers.after(int(self._draw(min_delay_ns, max_delay_ns)), self.start)
 
     def _end(self, connection: DiscoveryConnection) -> None:
-        """Ends a connection."""
+        """Closes a connection."""
         connection.close()
         if self._connection is connection:
             self._connection = None
--- a/rampfront/edge/discovery_connection.py
+++ b/rampfront/edge/discovery_connection.py
@@ -1,4 +1,4 @@
-"""One connection to discovery: a request that watches the server list, answered by a stream of JSON lines without end.
+"""One connection to discovery: a request that watches the server list, answered by an endless stream of JSON lines.
 
 A complete response is therefore an error, like a status other than 200 or a line that is too long.
 """
@@ -15,37 +15,37 @@
 
 
 class DiscoveryConnectionOwner(ABC):
-    """What a connection reports to."""
+    """Receives a connection's data and its end."""
 
     @abstractmethod
     def is_current(self, connection: "DiscoveryConnection") -> bool:
-        """Whether it is the connection that is read."""
+        """Returns whether data of this connection is still wanted."""
 
     @abstractmethod
-    def data_came(self) -> None:
-        """Something came from discovery."""
+    def note_data_received(self) -> None:
+        """Notes that data arrived from discovery."""
 
     @abstractmethod
     def line_received(self, line: bytes) -> None:
-        """A line came. Raises ServerListError if it holds no server list."""
+        """Handles a line. Raises ServerListError if it is not a valid server list."""
 
     @abstractmethod
     def connection_ended(self, connection: "DiscoveryConnection", reason: str) -> None:
-        """The connection is to end, or has ended."""
+        """Handles a connection that was lost, or that must be closed after an error."""
 
 
 class DiscoveryConnection(asyncio.Protocol):
-    """One connection, which watches the list from a version on."""
+    """One connection, which watches for changes of the list after a given version."""
 
     def __init__(
         self, owner: DiscoveryConnectionOwner, address: tuple[str, int], version: int, max_line_bytes: int
     ) -> None:
-        """Is not open yet.
+        """Creates a connection that is not open yet.
 
         Args:
-            owner: is told of lines and of the end.
+            owner: receives the lines and the connection's end.
             address: host and port of discovery.
-            version: of the list that is known.
+            version: the version of the list that is known.
             max_line_bytes: a longer line ends the connection.
         """
         self._owner = owner
@@ -55,17 +55,17 @@
         self._transport: asyncio.Transport | None = None
         self._connecting: asyncio.Task[object] | None = None
         self._partial_line = b""
-        self._lines: list[bytes] = []  # complete ones of the present read
+        self._lines: list[bytes] = []  # complete lines of the current read
         self._parser = httptools.HttpResponseParser(self)
 
     def connect(self, loop: asyncio.AbstractEventLoop) -> None:
-        """Begins to connect."""
+        """Starts connecting."""
         host, port = self._address
         self._connecting = loop.create_task(loop.create_connection(lambda: self, host, port))
         self._connecting.add_done_callback(self._connected)
 
     def close(self) -> None:
-        """Ends the connection at once."""
+        """Aborts the connection."""
         if self._connecting:
             self._connecting.cancel()
         if self._transport:
@@ -74,7 +74,7 @@
     # ---- called by the event loop
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """It came up: the request is written."""
+        """Writes the request, or aborts the connection if it is no longer the current one."""
         stream = cast(asyncio.Transport, transport)
         self._transport = stream
         if not self._owner.is_current(self):
@@ -85,14 +85,14 @@
         stream.write(request % (self._version, host.encode(), port))
 
     def connection_lost(self, error: Exception | None) -> None:
-        """It ended."""
+        """Reports the end of the connection to the owner."""
         self._owner.connection_ended(self, "connection ended")
 
     def data_received(self, data: bytes) -> None:
-        """Something came: complete lines are handed on, and what is no response ends the connection."""
+        """Passes complete lines to the owner. An invalid response ends the connection."""
         if not self._owner.is_current(self):
             return
-        self._owner.data_came()
+        self._owner.note_data_received()
         error: BaseException | None = None
         try:
             self._parser.feed_data(data)
@@ -101,7 +101,9 @@
         lines = self._lines
         self._lines = []
         try:
-            for line in lines:  # not within the parser's callback, where a defect of ours would pass for theirs
+            for (
+                line
+            ) in lines:  # outside the parser's callback, where an exception of ours would look like a parse error
                 self._owner.line_received(line)
         except ServerListError as list_error:
             error = error or list_error
@@ -111,24 +113,24 @@
     # ---- called by the parser
 
     def on_headers_complete(self) -> None:
-        """The head of the response is complete."""
+        """Checks the status of the response."""
         status = self._parser.get_status_code()
         if status != _OK:
             raise ValueError(f"status {status}")
 
     def on_body(self, data: bytes) -> None:
-        """Some of the body came."""
+        """Splits a part of the body into lines."""
         *lines, self._partial_line = (self._partial_line + data).split(b"\n")
         self._lines += [line for line in lines if line.strip()]
         if len(self._partial_line) > self._max_line_bytes:
-            raise ValueError("a line too long")
+            raise ValueError("line exceeds the maximum length")
 
     def on_message_complete(self) -> None:
-        """The response is complete, which ends the watch."""
+        """Ends the connection, because a complete response ends the watch."""
         raise ValueError("the watch ended")
 
     def _connected(self, task: asyncio.Task[object]) -> None:
-        """The attempt to connect has ended."""
+        """Reports a failed attempt to connect to the owner."""
         self._connecting = None
         if not task.cancelled() and task.exception() is not None:
             self._owner.connection_ended(self, "no connection")
--- a/rampfront/edge/log.py
+++ b/rampfront/edge/log.py
@@ -1,8 +1,7 @@
-"""The edge node's log: one JSON line an event on standard error, and the counters of transactions.
+"""The edge node's log: one JSON line per event on standard error, and the counters of transactions.
 
-A line is never written for each transaction: what happens to transactions is counted, and the counters are printed on
-SIGUSR1 and at exit. Events, their fields and the counters are the operators' interface (`docs/logging.md`): they stay
-as they are.
+Transactions are counted, not logged one by one. The counters are printed on SIGUSR1 and at exit. Events, their fields
+and the counters are an interface for operators (`docs/logging.md`) and must not change.
 """
 
 import sys
@@ -49,17 +48,17 @@
 )
 
 LEVELS = ("debug", "info", "warning", "error")
-"""From the least to the most severe."""
+"""In order of increasing severity."""
 
 OTHER_MODULES = ""
-"""Stands, among the levels, for all modules that have none of their own."""
+"""The key of the level for all modules without a level of their own."""
 
 _TIME_DIGITS = 3  # milliseconds
 
-_EventDict = MutableMapping[str, Any]  # a line's fields, as structlog passes them on
+_EventDict = MutableMapping[str, Any]  # a line's fields, as structlog passes them to processors
 
 
-# The module that an event belongs to, and its level.
+# Each event's module and level.
 _OTHER_EVENTS = ("node", "info")
 _EVENTS = {
     "counter": ("counter", "warning"),
@@ -93,25 +92,28 @@
 
         Args:
             name: the node's name.
-            quiet_ns: the least time between two lines of one event about one subject.
-            out: where lines go; None for standard error.
-            levels: module to the least level that is written, with one for `OTHER_MODULES`; None for `info`.
+            quiet_ns: the minimum time between two rate-limited lines of one event about one subject.
+            out: the stream that lines are written to; None for standard error.
+            levels: the minimum level by module, including one for `OTHER_MODULES`; None for `info`.
         """
         super().__init__(name, quiet_ns, COUNTERS)
         self._levels = levels or {OTHER_MODULES: "info"}
         self._logger = structlog.wrap_logger(
             structlog.BytesLogger(sys.stderr.buffer if out is None else out),
-            processors=[self._dress, structlog.processors.JSONRenderer(serializer=orjson.dumps, default=str)],
+            processors=[
+                self._add_common_fields,
+                structlog.processors.JSONRenderer(serializer=orjson.dumps, default=str),
+            ],
             wrapper_class=structlog.BoundLogger,
         )
 
     def record(self, event: str, **fields: object) -> None:
-        """Writes one line. Where nobody reads the log, transactions go on."""
+        """Writes one line. Write errors are ignored, so that a broken log does not stop transactions."""
         with suppress(OSError):
             self._logger.msg(event, **fields)
 
-    def _dress(self, logger: object, method: str, fields: _EventDict) -> _EventDict:
-        """Adds the fields that every line has, in their order. Drops what is below the level of its module."""
+    def _add_common_fields(self, logger: object, method: str, fields: _EventDict) -> _EventDict:
+        """Adds the fields that every line starts with. Drops events below the level of their module."""
         event = fields.pop("event")
         module, level = _EVENTS.get(event, _OTHER_EVENTS)
         least_level = self._levels.get(module, self._levels[OTHER_MODULES])
--- a/rampfront/edge/node.py
+++ b/rampfront/edge/node.py
@@ -1,8 +1,8 @@
-"""One edge node on sockets: its parts made and joined, its signals, its end. Source: the platform's page of processes.
+"""Builds and runs one edge node: its parts, its signals, its shutdown. Source: the platform's page of processes.
 
-SIGTERM: serves on for a while, then takes nothing new, finishes what it accepted and exits 0. SIGHUP reads the
-configuration again, of which the addresses of discovery and the counter are taken over. SIGUSR1 prints the counters. An
-invalid configuration is named on standard error, with exit status 2.
+On SIGTERM the node keeps serving for a while, then accepts nothing new, finishes what it has accepted and exits with
+status 0. On SIGHUP it reads the configuration again, and applies the addresses of discovery and the counter. On SIGUSR1
+it prints the counters. For an invalid configuration it prints the error on standard error and exits with status 2.
 """
 
 import asyncio
@@ -43,12 +43,12 @@
 EXIT_CANNOT_LISTEN = 1
 EXIT_INVALID = 2
 
-# Nothing that is made for a transaction is part of a reference cycle, so collections find little and may be rare.
+# No object that is created for a transaction is part of a reference cycle, so garbage collections can be rare.
 _GC_THRESHOLDS = (20000, 20, 100)
 
 
 class EdgeNode:
-    """The parts of an edge node, joined.
+    """An edge node: builds its parts and connects them.
 
     Attributes:
         driver: the decision driver.
@@ -62,14 +62,14 @@
         log: Log,
         reload: Callable[[], NodeConfiguration],
     ) -> None:
-        """Makes the parts; `start` lets clients in.
+        """Builds the parts; `start` opens the listeners.
 
         Args:
             loop: the event loop.
-            clock: gives the time in ns.
-            configuration: what the node is started with.
+            clock: returns the time in ns.
+            configuration: the node's configuration.
             log: the event log.
-            reload: reads the configuration anew.
+            reload: reads the configuration again.
 
         Raises:
             ConfigurationError: the journal's folder cannot be written to.
@@ -96,7 +96,9 @@
         self._add_optional_parts()
 
     def start(self) -> None:
-        """Starts the decision module and listens. The HTTP listener, which says whether the node is ready, comes last.
+        """Starts the decision module and opens the listeners.
+
+        The clients' HTTP listener, which reports whether the node is ready, opens after the MQTT listener.
 
         Raises:
             OSError: an address cannot be listened on.
@@ -122,7 +124,7 @@
         loop.add_signal_handler(signal.SIGUSR1, log.record_counters, "asked")
 
     def close(self) -> None:
-        """At the end of the process, behind the loop: sends or writes what the recorder and the journal hold."""
+        """Flushes the recorder and the journal; called after the event loop has stopped."""
         if self.driver.recorder:
             self.driver.recorder.close()
         if self._journal:
@@ -131,7 +133,7 @@
     # ---- parts
 
     def _add_optional_parts(self) -> None:
-        """Makes the parts that the configuration asks for. Raises ConfigurationError."""
+        """Builds the parts that the configuration enables. Raises ConfigurationError."""
         context = self._context
         configuration = context.configuration
         if configuration.counter_address:
@@ -156,14 +158,18 @@
     # ---- timers and signals
 
     def _sweep(self) -> None:
-        """Sweeps all parts, now and then."""
-        # The timer is set first, so that a defect of a part does not end the sweeps.
+        """Sweeps all parts, and schedules the next sweep."""
+        # The timer is set first, so that an exception in a part does not end the sweeps.
         self.driver.timers.after(self._context.configuration.limits.sweep_interval_ns, self._sweep)
         for sweep in self._sweeps:
             sweep()
 
     def _shut_down(self) -> None:
-        """Serves on for a while, then takes nothing new, and ends once all is answered, or after a time in any case."""
+        """Shuts the node down.
+
+        The node keeps serving for the shutdown delay, then accepts nothing new. It stops once every transaction is
+        answered, at the latest after the shutdown timeout.
+        """
         limits = self._context.configuration.limits
         timers = self.driver.timers
         loop = self._context.loop
@@ -172,7 +178,7 @@
         timers.after(limits.shutdown_timeout_ns, loop.stop)
 
     def _reload_addresses(self) -> None:
-        """Takes over the addresses of discovery and the counter. An invalid file changes nothing, but is named."""
+        """Applies new addresses of discovery and the counter. An invalid file is logged and changes nothing."""
         log = self._context.log
         try:
             configuration = self._reload()
@@ -182,9 +188,9 @@
         discovery_address = configuration.discovery_address
         counter_address = configuration.counter_address
         log.record("configuration read", discovery=discovery_address, counter=counter_address)
-        self._discovery.move(discovery_address)
+        self._discovery.change_address(discovery_address)
         if self._counter and counter_address:
-            self._counter.move(counter_address)
+            self._counter.change_address(counter_address)
 
 
 def start(
@@ -194,14 +200,14 @@
     log: Log,
     reload: Callable[[], NodeConfiguration] = load_configuration,
 ) -> EdgeNode:
-    """Makes an edge node, and starts it.
+    """Builds an edge node and starts it.
 
     Args:
         loop: the event loop, which the caller runs.
-        clock: gives the time in ns.
-        configuration: what the node is started with.
+        clock: returns the time in ns.
+        configuration: the node's configuration.
         log: the event log.
-        reload: reads the configuration anew.
+        reload: reads the configuration again.
 
     Raises:
         ConfigurationError: the journal's folder cannot be written to.
@@ -213,11 +219,11 @@
 
 
 def serve() -> int:
-    """Runs one edge node to its end. Returns the exit status."""
+    """Runs one edge node until it shuts down. Returns the exit status."""
     try:
         configuration = load_configuration()
     except ConfigurationError as error:
-        return _refuse(error)
+        return _print_configuration_error(error)
     limits = configuration.limits
     log = Log(configuration.name, limits.log_quiet_ns, levels=configuration.log_levels)
     loop = uvloop.new_event_loop()
@@ -225,13 +231,13 @@
     try:
         node = start(loop, Clock(), configuration, log)
     except ConfigurationError as error:
-        return _refuse(error)
+        return _print_configuration_error(error)
     except OSError as error:
         print("rampfront: cannot listen:", error, file=sys.stderr)
         return EXIT_CANNOT_LISTEN
     app_servers = len(configuration.known_servers.rows)
     log.record("serving", listen=configuration.listen_address, app_servers=app_servers)
-    gc.freeze()  # what exists now stays
+    gc.freeze()  # objects that exist now live as long as the process
     gc.set_threshold(*_GC_THRESHOLDS)
     loop.run_forever()
     node.close()
@@ -239,13 +245,13 @@
     return EXIT_OK
 
 
-def _refuse(error: ConfigurationError) -> int:
-    """Prints what is wrong with the configuration. Returns the exit status."""
+def _print_configuration_error(error: ConfigurationError) -> int:
+    """Prints the error in the configuration. Returns the exit status."""
     print(f"rampfront: {error}", file=sys.stderr)
     return EXIT_INVALID
 
 
 def _record_fault(log: Log, context: dict[str, Any]) -> None:
-    """Records an exception that nobody caught. `context`: as the event loop gives it."""
+    """Counts and logs an uncaught exception. `context`: from the event loop's exception handler."""
     log.counts["faults"] += 1
     log.record_limited("fault", context.get("message", ""), trouble=repr(context.get("exception")))
--- a/rampfront/edge/node_context.py
+++ b/rampfront/edge/node_context.py
@@ -1,4 +1,4 @@
-"""What the parts of an edge node have in common."""
+"""The objects that the parts of an edge node share."""
 
 import asyncio
 from collections.abc import Callable
@@ -12,14 +12,14 @@
 
 @slotted
 class NodeContext:
-    """What each part of an edge node may need of it.
+    """The objects that the parts of an edge node share.
 
     Attributes:
         loop: the event loop.
-        configuration: what the node is started with.
+        configuration: the node's configuration.
         driver: the decision driver, with the clock and the timers.
         gateway: accepts transactions.
-        draw: draws a number between two.
+        draw: returns a random number between two bounds.
         log: the event log.
     """
 
--- a/rampfront/edge/optional_parts.py
+++ b/rampfront/edge/optional_parts.py
@@ -1,4 +1,4 @@
-"""Makes the parts that only some nodes have. Their packages are imported only by nodes that have them."""
+"""Builds the parts that only some nodes have. Only nodes that have a part import its package."""
 
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Protocol
@@ -16,22 +16,22 @@
 
 
 class SweptListener(Listener, Protocol):
-    """A listener as the node needs it."""
+    """A listener that the node opens and sweeps."""
 
     async def listen(self, host: str, port: int) -> None:
         """Opens the listener."""
         raise NotImplementedError
 
     def sweep(self) -> None:
-        """Ends connections that are too slow."""
+        """Closes connections that have exceeded a timeout."""
         raise NotImplementedError
 
 
 def create_storm_control(context: NodeContext, settings: StormSettings) -> RetryStormControl:
-    """The control of retry storms."""
+    """Creates the control of retry storms."""
     from ..storm import Storm
 
-    create: Callable[..., RetryStormControl] = Storm  # it has no types
+    create: Callable[..., RetryStormControl] = Storm  # `storm.py` is untyped
     return create(
         values=settings.values,
         slas=settings.sla_ns,
@@ -46,10 +46,10 @@
 
 
 def create_journal(context: NodeContext, settings: "JournalSettings") -> "DurableIntentJournal":
-    """The journal of once-only transactions. The driver's gate waits for it from now on.
+    """Creates the journal of once-only transactions, and installs the gate that waits for it in the driver.
 
     Raises:
-        ConfigurationError: its folder cannot be written to.
+        ConfigurationError: the journal's folder cannot be written to.
     """
     from ..journal.durable_intent_journal import DurableIntentJournal
 
@@ -68,7 +68,7 @@
 
 
 def create_recorder(context: NodeContext, options: SyslogOptions) -> DecisionRecorder:
-    """The recorder that sends decisions to a syslog collector, to which it begins to connect."""
+    """Creates the recorder that sends decisions to a syslog collector, and starts connecting to the collector."""
     from ..syslog.decision_recorder import SyslogDecisionRecorder
     from ..syslog.syslog_sender import SyslogSender
 
@@ -78,11 +78,11 @@
 
 
 def create_mqtt_listener(context: NodeContext, settings: MqttSettings) -> SweptListener:
-    """The listener of MQTT clients, which does not listen yet."""
+    """Creates the listener for MQTT clients, which is not open yet."""
     from ..mqtt.front import Front
     from ..mqtt.topics import Routes
 
-    # The package has no types; the keys are those that `Front` reads.
+    # The package is untyped; `Front` defines the keys of `options`.
     create: Callable[..., SweptListener] = Front
     create_routes: Callable[..., Routes] = Routes
     routes = create_routes(settings.routes)
--- a/rampfront/edge/optional_settings.py
+++ b/rampfront/edge/optional_settings.py
@@ -1,7 +1,7 @@
-"""The tables of parts that only some nodes have: syslog, storm, MQTT and journal, in the units of the code.
+"""The settings of the optional parts (syslog, storm, MQTT and journal), converted to the units of the code.
 
-`rampfront/tables.py` has the tables' types, defaults and checks. Its library and the packages of the parts are imported
-only by nodes that have one of them.
+`rampfront/tables.py` defines the tables' types, defaults and checks. Only nodes that have one of the parts import its
+library and the parts' packages.
 """
 
 from collections.abc import Callable, Sequence
@@ -24,22 +24,22 @@
 _NS_PER_S = 1e9
 _DEFAULT_VALUE = 1.0
 
-_to_ns: Callable[[float], int] = ns  # `announced.py` has no types
+_to_ns: Callable[[float], int] = ns  # `announced.py` is untyped
 Tables = dict[str, Any]
-"""Name to table of `rampfront/tables.py`; None: the node does not have that part."""
+"""Maps a part's name to its table from `rampfront/tables.py`, or to None if the node does not have that part."""
 
 
 class StormSettings(NamedTuple):
-    """The control of retry storms.
+    """The settings of the control of retry storms.
 
     Attributes:
-        values: of the products, by index.
+        values: the values of the products, by index.
         sla_ns: the latency targets of the products, by index.
-        retry_share: retries that are let in for each first attempt.
-        retries_per_s: and a second, whatever comes.
+        retry_share: retries admitted for each first attempt.
+        retries_per_s: retries per second admitted in any case.
         window_ns: for how long an attempt without a response is remembered.
-        accepts_per_s: new connections a second.
-        max_retry_after_ns: the longest advice in a storm.
+        accepts_per_s: new connections accepted per second.
+        max_retry_after_ns: the longest Retry-After sent in a storm.
     """
 
     values: list[float]
@@ -52,18 +52,18 @@
 
 
 class MqttSettings(NamedTuple):
-    """The listener of MQTT clients.
+    """The settings of the listener for MQTT clients.
 
     Attributes:
-        address: host and port where it listens.
-        routes: which transaction a PUBLISH is; the first that matches.
-        default_plan: of users that name none; empty: they must.
-        answer_prefix: the first levels of the topics under which answers are published.
-        max_connections: at once.
-        max_sessions: with those whose client is away.
-        max_in_flight: transactions of one client that wait for their answer.
-        expiry_ns: of a PUBLISH that gives none.
-        max_session_expiry_ns: how long a session whose client is away is kept at most.
+        address: host and port of the listener.
+        routes: map a PUBLISH to a transaction; the first match applies.
+        default_plan: the plan of users that name none; empty: users must name one.
+        answer_prefix: the first levels of the topics on which answers are published.
+        max_connections: the maximum number of open connections.
+        max_sessions: the maximum number of sessions, including those of disconnected clients.
+        max_in_flight: the maximum number of transactions of one client that have no answer yet.
+        expiry_ns: the expiry of a PUBLISH that does not specify one.
+        max_session_expiry_ns: the longest time for which the session of a disconnected client is kept.
     """
 
     address: tuple[str, int]
@@ -78,11 +78,11 @@
 
 
 class SyslogOptions(NamedTuple):
-    """Where decisions are sent.
+    """The settings of the syslog recorder.
 
     Attributes:
-        sender: where and how.
-        reports_successes: whether transactions that were answered with a response are reported, too.
+        sender: the collector's address and the settings of the sender.
+        reports_successes: whether transactions that ended with a response are reported as well.
     """
 
     sender: "SyslogSettings"
@@ -90,11 +90,11 @@
 
 
 def read_tables(content: dict[str, Any], names: Names) -> Tables:
-    """The tables of a configuration.
+    """Reads the tables of the optional parts.
 
     Args:
         content: the configuration.
-        names: the announced names, which tables refer to.
+        names: the announced names, to which tables refer.
 
     Raises:
         ConfigurationError: a table is invalid.
@@ -103,7 +103,7 @@
         return dict.fromkeys(TABLE_NAMES)
     from .. import tables
 
-    read: Callable[[dict[str, Any], object, object], Tables] = tables.read  # it has no types
+    read: Callable[[dict[str, Any], object, object], Tables] = tables.read  # `tables.py` is untyped
     try:
         return read(content, names.products, names.plans)
     except tables.Odd as error:
@@ -111,7 +111,7 @@
 
 
 def read_storm(table: "StormTable | None", products: Sequence[dict[str, Any]]) -> StormSettings | None:
-    """The settings of the control of storms. `table`: its table, or None; `products`: the announced rows."""
+    """Returns the storm control's settings. `table`: its table, or None; `products`: the announced product rows."""
     if table is None:
         return None
     return StormSettings(
@@ -126,7 +126,7 @@
 
 
 def read_syslog(table: "Syslog | None", node_name: str) -> SyslogOptions | None:
-    """Where decisions are sent. `table`: its table, or None. Raises ConfigurationError."""
+    """Returns the syslog recorder's settings. `table`: its table, or None. Raises ConfigurationError."""
     if table is None:
         return None
     from ..syslog.syslog_settings import SyslogSettings
@@ -144,7 +144,7 @@
 
 
 def read_journal(table: "JournalTable | None", node_name: str) -> "JournalSettings | None":
-    """The settings of the journal. `table`: its table, or None; `node_name`: which its files carry."""
+    """Returns the journal's settings. `table`: its table, or None; `node_name`: is part of the file names."""
     if table is None:
         return None
     from ..journal.journal_settings import JournalSettings
@@ -160,15 +160,15 @@
 
 
 def read_mqtt(table: "MqttTable | None", names: Names, terms: Terms) -> MqttSettings | None:
-    """The settings of the MQTT listener.
+    """Returns the MQTT listener's settings.
 
     Args:
         table: its table, or None.
         names: the announced names.
-        terms: what the node starts under.
+        terms: the parameters of the decision module.
 
     Raises:
-        ConfigurationError: a topic asks for more units than a transaction may have, or the address is none.
+        ConfigurationError: a topic has more units than a transaction may have, or the address is invalid.
     """
     if table is None:
         return None
@@ -187,11 +187,11 @@
 
 
 def _read_route(row: "MqttTopic", number: int, names: Names, terms: Terms) -> "Route":
-    """One row of the topics. `number`: which. Raises ConfigurationError."""
+    """Returns the route of one topic row. `number`: the row's index. Raises ConfigurationError."""
     from ..mqtt.topics import Route
 
     if row.units > terms.largest:
-        raise ConfigurationError.for_key(f"mqtt.topics[{number}].units", "what one txn may have", row.units)
+        raise ConfigurationError.for_key(f"mqtt.topics[{number}].units", "within the limit of one txn", row.units)
     product = terms.products[names.products[row.product]]
-    make_route: Callable[..., Route] = Route  # it has no types
+    make_route: Callable[..., Route] = Route  # `mqtt/topics.py` is untyped
     return make_route(row.filter, row.product, row.path, row.units, product.kind, terms.nodes)
--- a/rampfront/edge/resp.py
+++ b/rampfront/edge/resp.py
@@ -1,8 +1,8 @@
-"""RESP2, the protocol of the counter, as far as the edge node needs it: commands are encoded, replies read. No I/O.
+"""The subset of RESP2, the counter's protocol, that the edge node needs: encodes commands, parses replies. No I/O.
 
 Source: the RESP protocol specification of Redis, version 2. A command is an array of bulk strings; the counter resets
-connections that use the inline form. Replies are bulk strings of up to three digits of length, simple strings, errors
-and integers; whatever else comes is an error of the counter.
+connections that use the inline form. A reply is a bulk string whose length has up to three digits, a simple string, an
+error or an integer; anything else is a protocol error of the counter.
 """
 
 from math import isfinite
@@ -22,25 +22,26 @@
 
 
 class RemoteProtocolError(Exception):
-    """The counter sent what is no reply."""
+    """The counter sent data that is not a valid reply."""
 
 
 class Reply(NamedTuple):
-    """One reply. `kind` is its first byte, `text` what it holds."""
+    """One reply. `kind` is its first byte, `text` its content."""
 
     kind: bytes
     text: bytes
 
 
 def encode_command(*parts: bytes) -> bytes:
-    """A command as an array of bulk strings. `parts`: its name and its arguments."""
+    """Encodes a command as an array of bulk strings. `parts`: its name and its arguments."""
     return b"*%d\r\n" % len(parts) + b"".join([b"$%d\r\n%s\r\n" % (len(part), part) for part in parts])
 
 
 def parse_total(text: bytes) -> float | None:
-    """The total of a count; None if the text is none.
+    """Parses the total of a count. Returns None if the text is not one.
 
-    What Python reads beside plain decimals (`nan`, `inf`, `1_0`) is no total, nor is what no count can reach.
+    Other forms that Python's float accepts (`nan`, `inf`, `1_0`) are rejected, and so are totals that no count can
+    reach.
     """
     if b"_" in text:
         return None
@@ -52,29 +53,29 @@
 
 
 class ReplyReader:
-    """Cuts what comes on one connection into replies."""
+    """Splits the data received on one connection into replies."""
 
     __slots__ = ("_buffer", "_position")
 
     def __init__(self) -> None:
-        """Has read nothing."""
+        """Creates a reader with an empty buffer."""
         self._buffer = b""
-        self._position = 0  # what stands before it in the buffer was read
+        self._position = 0  # the buffer is consumed up to here
 
     @property
     def has_partial_reply(self) -> bool:
-        """Whether a reply has begun and is not complete. It is up to date once `next_reply` has returned None."""
+        """Whether a reply has arrived only in part. Valid after `next_reply` has returned None."""
         return bool(self._buffer)
 
     def feed(self, data: bytes) -> None:
-        """Takes what came. `next_reply` must have returned None since the last call."""
+        """Adds received data. `next_reply` must have returned None since the last call."""
         self._buffer = self._buffer + data if self._buffer else data
 
     def next_reply(self) -> Reply | None:
-        """The next complete reply; None if there is none yet.
+        """Returns the next complete reply, or None if there is none yet.
 
         Raises:
-            RemoteProtocolError: what came is no reply, and cannot become one.
+            RemoteProtocolError: the data is not the beginning of a valid reply.
         """
         buffer = self._buffer
         start = self._position
@@ -93,17 +94,17 @@
                 self._keep_partial_reply()
                 return None
             if buffer[text_end:reply_end] != _LINE_END:
-                raise RemoteProtocolError("a bulk string is longer than its length")
+                raise RemoteProtocolError("bulk string is longer than its declared length")
             text = buffer[text_start:text_end]
         elif kind not in _LINE_REPLIES:
-            raise RemoteProtocolError("no reply begins so")
+            raise RemoteProtocolError("invalid start of a reply")
         self._position = reply_end
         return Reply(kind, text)
 
     def _keep_partial_reply(self) -> None:
-        """Keeps what is not complete. Raises RemoteProtocolError where it cannot become a reply."""
+        """Keeps the data of an incomplete reply. Raises RemoteProtocolError if it cannot become a valid reply."""
         rest = self._buffer[self._position :]
         self._buffer = rest
         self._position = 0
         if len(rest) > _MAX_PARTIAL_REPLY_BYTES or (rest and rest[:1] not in _REPLY_KINDS):
-            raise RemoteProtocolError("what has begun is no reply")
+            raise RemoteProtocolError("partial reply is invalid or too long")
--- a/rampfront/edge/server_list.py
+++ b/rampfront/edge/server_list.py
@@ -1,4 +1,4 @@
-"""The server list as discovery gives it, turned into rows for the decision driver. No I/O."""
+"""Parses discovery's server lists into rows for the decision driver. No I/O."""
 
 from collections.abc import Mapping
 from typing import Any, NamedTuple, cast
@@ -17,15 +17,15 @@
 
 
 class ServerListError(Exception):
-    """What should be a server list is none."""
+    """A server list is not valid."""
 
 
 class ServerListUpdate(NamedTuple):
-    """One object of discovery.
+    """One update from discovery.
 
     Attributes:
-        version: of the list.
-        complete: whether it is the whole list, so that servers it leaves out are removed.
+        version: the version of the list.
+        complete: whether it is the whole list, so that servers missing from it are removed.
         rows: the servers.
     """
 
@@ -35,24 +35,24 @@
 
 
 def parse_address(text: str) -> tuple[str, int]:
-    """Host and port of `host:port`. Raises ValueError."""
+    """Parses `host:port`. Raises ValueError."""
     parts = text.rpartition(":")
     host = parts[0]
     port = parts[2]
     if not host or not port.isdigit() or not 0 < int(port) <= _MAX_PORT:
-        raise ValueError(f"{text!r} is no host:port")
+        raise ValueError(f"{text!r} is not host:port")
     return host, int(port)
 
 
 def parse_server_list(content: dict[str, Any], zones: Mapping[str, int]) -> ServerListUpdate:
-    """A server list from its decoded JSON.
+    """Parses a server list from decoded JSON.
 
     Args:
-        content: what was decoded; anything but an object of discovery is an error.
+        content: the decoded value, which need not be an object.
         zones: the announced zones, name to index.
 
     Raises:
-        ServerListError: it is none.
+        ServerListError: the value is not a valid server list.
     """
     try:
         rows = [_parse_row(row, zones) for row in content["targets"]]
@@ -62,7 +62,7 @@
 
 
 def parse_server_list_line(line: bytes, zones: Mapping[str, int]) -> ServerListUpdate:
-    """A server list from a line of JSON. `zones`: as `parse_server_list` has them. Raises ServerListError."""
+    """Parses a server list from a line of JSON. `zones`: see `parse_server_list`. Raises ServerListError."""
     try:
         content = orjson.loads(line)
     except orjson.JSONDecodeError as error:
@@ -71,7 +71,7 @@
 
 
 def _parse_row(row: dict[str, Any], zones: Mapping[str, int]) -> ServerRow:
-    """One server. Only one that is terminated may be without an address."""
+    """Parses one server. Only a terminated server may lack an address."""
     has_address = "endpoint" in row or row["state"] != "terminated"
     return ServerRow(
         uid=row["uid"],
@@ -85,5 +85,5 @@
 
 
 def _list_error(error: Exception) -> ServerListError:
-    """The error of a list whose reading ended with `error`."""
+    """Returns the error for a list whose parsing failed with `error`."""
     return ServerListError(f"{type(error).__name__} {error}")
--- a/rampfront/edge/settings_checks.py
+++ b/rampfront/edge/settings_checks.py
@@ -1,4 +1,4 @@
-"""What the settings of the platform must hold, and what they may: the kind of value at each path."""
+"""The schema of the platform's settings: the kind of value at each required and each optional path."""
 
 from typing import Any
 
@@ -49,7 +49,7 @@
 
 
 def check_settings(settings: dict[str, Any]) -> None:
-    """Checks the kinds of all values. Raises ConfigurationError for the first that is of another, or missing."""
+    """Checks all values. Raises ConfigurationError for the first that is of the wrong kind, or required and missing."""
     for path, kind in _REQUIRED.items():
         check_path(settings, path, kind, True, "settings")
     for path, kind in _OPTIONAL.items():
