--- a/rampfront/edge/discovery_connection.py
+++ b/rampfront/edge/discovery_connection.py
@@ -101,9 +101,7 @@
         lines = self._lines
         self._lines = []
         try:
-            for (
-                line
-            ) in lines:  # outside the parser's callback, where an exception of ours would look like a parse error
+            for line in lines:  # not in the parser's callback, where our own exception would look like a parse error
                 self._owner.line_received(line)
         except ServerListError as list_error:
             error = error or list_error
