--- a/rampfront/node/__main__.py
+++ b/rampfront/node/__main__.py
@@ -1,8 +1,8 @@
-"""`python -m rampfront.node`: one process of the system, its settings at the path in RAMPFRONT_SETTINGS.
+"""`python -m rampfront.node`: runs one process of the system with the settings file at the path in RAMPFRONT_SETTINGS.
 
-SIGTERM and SIGINT shut it down gracefully, and it exits 0. SIGHUP reads the settings again, of which the platform's
-address, the seeds and new zones are taken over. SIGUSR1 prints the counters. A faulty settings file is named on
-standard error, with exit status 2.
+SIGTERM and SIGINT shut it down gracefully, with exit status 0. SIGHUP reads the settings again and applies the
+platform's address, the seeds and new zones. SIGUSR1 prints the counters. If the settings file is invalid, the process
+prints the error on standard error and exits with status 2.
 """
 
 from __future__ import annotations
@@ -19,22 +19,22 @@
     from .log import Log
     from .node_process import NodeProcess
 
-os.environ.setdefault("UV_USE_IO_URING", "0")  # before the loop is there: not every machine has it
+os.environ.setdefault("UV_USE_IO_URING", "0")  # must be set before the loop is created; some machines lack io_uring
 
 DEFAULT_SETTINGS_PATH = "/etc/rampfront/local.json"
 SEED_BYTES = 8
 EXIT_OK = 0
-EXIT_FAULTY_SETTINGS = 2
+EXIT_INVALID_SETTINGS = 2
 
 
 def main(
     build: Callable[..., NodeProcess] | None = None,
     open_listeners: Callable[[NodeProcess], Awaitable[None]] | None = None,
 ) -> int:
-    """Run a node until it ends, and return the exit status.
+    """Run a node until it shuts down, and return the exit status.
 
-    `build` and `open_listeners` stand in place of the functions of these names, for the laboratory's machines. Imports
-    wait until here so that the environment above is set before them.
+    The laboratory passes `build` and `open_listeners` to replace `build_node_process` and `open_listeners`. The imports
+    are inside this function because they must follow the change of the environment above.
     """
     import uvloop
     from result import Err
@@ -47,7 +47,7 @@
     found = settings_reader.load(path)
     if isinstance(found, Err):
         print(f"rampfront: {found.err_value}", file=sys.stderr)
-        return EXIT_FAULTY_SETTINGS
+        return EXIT_INVALID_SETTINGS
     settings = found.ok_value
     loop = uvloop.new_event_loop()
     log = Log(settings.name)
@@ -57,7 +57,7 @@
     node.start()
     node.settings_reloader.watch(path)
     gc.collect()
-    gc.freeze()  # what exists from the start on is not looked through again
+    gc.freeze()  # exempts the objects created at startup from garbage collection
     handle_signals(loop, node, log, path)
     loop.run_forever()
     log.record_counters("end")
@@ -65,7 +65,7 @@
 
 
 def handle_signals(loop: AbstractEventLoop, node: NodeProcess, log: Log, settings_path: str) -> None:
-    """Attach the process' signals to the parts that they are for."""
+    """Connect the process' signals to their handlers."""
     import signal
 
     loop.add_signal_handler(signal.SIGTERM, node.shutdown.begin)
@@ -77,4 +77,4 @@
 if __name__ == "__main__":
     code = main()
     sys.stderr.flush()
-    os._exit(code)  # the disk's thread may hang; what was taken is answered
+    os._exit(code)  # skips joining the disk thread, which may hang; all accepted requests have been answered
--- a/rampfront/node/assembly.py
+++ b/rampfront/node/assembly.py
@@ -1,8 +1,9 @@
-"""Builds a node's process: makes its parts and joins them.
+"""Builds a node's process: creates its parts and connects them.
 
-The parts need each other in circles (the wire hands frames to the core, which sends by the wire). So each part is built
-over those that exist already, and gets the later ones by its `attach`, before anything runs. The order of building
-also fixes in which order the parts draw from the random source, by which simulated runs are repeated: it must stay.
+The parts have circular dependencies (the wire passes frames to the core, which sends frames over the wire). Therefore
+each part is built with the parts that already exist, and gets the later ones through its `attach` before anything runs.
+The construction order must not change: it determines the order in which the parts draw from the random source, on
+which the reproducibility of simulated runs depends.
 """
 
 from __future__ import annotations
@@ -49,7 +50,7 @@
     from ..settings.process_settings import ProcessSettings
 
 SEC = 10**9
-POLL_INTERVAL_NS = SEC  # of the platform's list of servers
+POLL_INTERVAL_NS = SEC  # between polls of the platform's server list
 COUNTER_INCARNATION_BITS = 24
 DISK_THREADS = 1
 
@@ -63,7 +64,7 @@
 ) -> NodeProcess:
     """Return a node that isn't started yet.
 
-    `seed`: of the random source, another one at each start; `ports`: what the node stands on.
+    `seed`: of the random source, which must differ at each start; `ports`: the node's replaceable dependencies.
     """
     clock = ports.clock()
     dispatcher = FrameDispatcher(clock)
@@ -81,7 +82,7 @@
 
 
 def _front_text(settings: ProcessSettings) -> str:
-    """Return the address at which clients reach this node, as the roster has it; empty: it serves none."""
+    """Return the clients' address of this node as it is written in the roster; empty if it serves no clients."""
     if settings.front is None:
         return ""
     host, port = settings.front
@@ -89,7 +90,7 @@
 
 
 class _Assembly:
-    """The parts that exist so far."""
+    """The parts that have been built so far."""
 
     def __init__(self, context: NodeContext, ports: Ports, dispatcher: FrameDispatcher) -> None:
         self.context = context
@@ -99,7 +100,7 @@
         self.health_registry = HealthRegistry()
 
     def build_membership(self) -> None:
-        """Make what keeps nodes in step: the core's state, the list of servers, the roster."""
+        """Build the parts that keep nodes in sync: the core's state, the server list, the roster."""
         settings = self.settings
         self.adapter = DisseminationAdapter(self.context)
         own_entry = RosterEntry(settings.name, settings.ip, settings.zone, _front_text(settings), ready=False)
@@ -108,7 +109,7 @@
         self.lease = Lease(self.context, self.disseminator)
 
     def build_proxy(self) -> None:
-        """Make what serves clients, and the quotas of their tenants."""
+        """Build the proxy that serves clients, and the enforcement of tenants' quotas."""
         context, settings = self.context, self.settings
         self.quota_exchange = self._build_quota_exchange()
         limits = network_limits(settings)
@@ -128,7 +129,7 @@
         return QuotaExchange(context, self.disseminator, limiter, counter, placement)
 
     def build_core(self) -> None:
-        """Make what agrees on the state and brings it into force, and the orders that change it."""
+        """Build the parts that agree on the state, apply it, and handle the orders that change it."""
         context, disseminator = self.context, self.disseminator
         self.core = CoreDriver(context)
         self.replicated_state = ReplicatedState(
@@ -141,14 +142,14 @@
         self.orders = OrderSubmitter(context, self.core, disseminator, self.order_executor)
 
     def build_lifecycle(self) -> None:
-        """Make what acts on signals."""
+        """Build the parts that act on signals."""
         self.settings_reloader = SettingsReloader(
             self.context, self.disseminator, self.core, self.server_list, self.request_proxy
         )
         self.shutdown = Shutdown(self.context, self.core, self.disseminator, self.client_front, self.readiness)
 
     def join(self) -> None:
-        """Tell each part of those that came after it."""
+        """Give each part the ones that were built after it."""
         self.dispatcher.attach(
             self.core,
             {
@@ -165,17 +166,17 @@
         self.adapter.attach(
             self.disseminator, self.replicated_state, self.server_list, self.quota_exchange, self.readiness
         )
-        self.adapter.use_core(self.core)
+        self.adapter.set_core(self.core)
         self.core.attach(self.order_executor, self.replicated_state, self.leadership)
         self.order_executor.attach(self.orders)
         self.quota_exchange.attach(self.request_proxy)
         self.request_proxy.call_on_quota_use(self.quota_exchange.schedule_flush)
 
     def open_disk_and_platform(self) -> None:
-        """Read the core's record, where there is a disk, and name the platform's address, where there is one."""
+        """Read the core's record if the node has a disk, and set the platform's address if the settings name one."""
         context, settings = self.context, self.settings
         if settings.platform_address:
-            self.server_list.use_platform(settings.platform_address, self._make_poller)
+            self.server_list.set_platform(settings.platform_address, self._make_poller)
         if settings.data_folder:
             context.scheduler.use_disk_executor(self.ports.disk_executor(DISK_THREADS))
             self.core.recover(self.ports.record_store(settings.data_folder))
@@ -191,7 +192,7 @@
         return poller
 
     def node(self) -> NodeProcess:
-        """Return the node of these parts."""
+        """Return the node, made of these parts."""
         node: NodeProcess = self.ports.node_process(
             context=self.context,
             frame_dispatcher=self.dispatcher,
--- a/rampfront/node/context.py
+++ b/rampfront/node/context.py
@@ -1,4 +1,4 @@
-"""What every part of a node's process shares: clock, timers, random source, settings, log, wire, and what it holds."""
+"""What all parts of a node's process share: clock, timers, random source, settings, log, wire and snapshots."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 
 
 class NodeContext(NamedTuple):
-    """Handed to each part when it is built."""
+    """The shared objects; each part gets them when it is built."""
 
     loop: AbstractEventLoop
-    clock: Callable[[], int]  # ns of a steady clock
+    clock: Callable[[], int]  # ns of a monotonic clock
     scheduler: Scheduler
     rng: Random
     process_settings: ProcessSettings
     log: EventLog
     wire: Wire  # sends frames to other nodes
-    snapshots: Snapshots  # the state and the list of servers in force here
+    snapshots: Snapshots  # the state and the server list in force at this node
 
     @property
     def counts(self) -> dict[str, int]:
--- a/rampfront/node/control_calls.py
+++ b/rampfront/node/control_calls.py
@@ -1,7 +1,7 @@
-"""The operators' calls that order something: a new configuration, an evacuation, or a read confirmed by the core.
+"""The operators' calls that become orders: a new configuration, an evacuation, or a read confirmed by the core.
 
-Each call is checked here, submitted as an order to the core's leader, and answered when its outcome comes, or after a
-time-out with 503. Source of names and bodies: PROTOCOL.md, "The operator".
+Each call is checked here, submitted as an order to the core's leader, and answered when its outcome is known, or with
+503 after a timeout. Source of names and bodies: PROTOCOL.md, "The operator".
 """
 
 from __future__ import annotations
@@ -30,20 +30,20 @@
     from .order_submitter import OrderSubmitter
 
 MAX_REQUEST_BYTES = 32 << 20
-MAX_COMPRESSED_BYTES = MAX_BODY_BYTES - (64 << 10)  # of a configuration: a frame must hold what goes beside it too
-MAX_SHOWN_ZONE = 64  # characters of a zone that a refusal quotes
-MAX_KEY_BYTES = 64  # of the key by which a caller names an order
+MAX_COMPRESSED_BYTES = MAX_BODY_BYTES - (64 << 10)  # of a configuration; leaves room for a frame's other fields
+MAX_SHOWN_ZONE = 64  # characters of an unknown zone quoted in the answer
+MAX_KEY_BYTES = 64  # of an idempotency key
 IDENTITY_BYTES = 6
 NO_ANSWER = error_response(503, "the core gave no answer in time", ((b"Retry-After", b"0.3"),))
 
 
 class ControlCalls:
-    """The operators' orders."""
+    """The operators' calls that become orders."""
 
     def __init__(
         self, orders: OrderSubmitter, reports: AnswerReports, zones: Mapping[str, str], counts: dict[str, int]
     ) -> None:
-        """`reports` tell the core what became of answers; `zones`: the region of each zone that the settings name."""
+        """`reports` tells the core which answers were delivered; `zones`: the region of each zone of the settings."""
         self._orders = orders
         self._reports = reports
         self._zones = zones
@@ -51,7 +51,7 @@
 
     @endpoint("POST", "/api/rpc", operation="config.replace", max_body_bytes=MAX_REQUEST_BYTES)
     def replace_configuration(self, request: IncomingRequest) -> Response | None:
-        """Put a configuration into force. One that is not valid, or too large, is refused here."""
+        """Apply a configuration. An invalid or too large one is rejected here."""
         found = configuration_reader.read(request.body)
         if isinstance(found, Err):
             self.counts["orders_refused"] += 1
@@ -91,7 +91,7 @@
 
     @endpoint("POST", "/api/rpc", operation="evacuations.read")
     def read_evacuations(self, request: IncomingRequest) -> None:
-        """Return the evacuated zones, and the number of the configuration, confirmed by a majority of the core."""
+        """Return the evacuated zones and the configuration's revision, confirmed by a majority of the core."""
 
         def on_done(outcome: str | None, state: State | None) -> None:
             """Answer the caller."""
@@ -131,9 +131,9 @@
         identity = explicit_identity(key) if key else self._orders.next_identity()
 
         def on_delivery(delivery: Delivery) -> None:
-            """Tell the core whether the caller read the acknowledgement.
+            """Report to the core whether the caller read the acknowledgement.
 
-            An order that its caller named stays what it is when one of its answers is lost: the repeat has its key.
+            For an order with an idempotency key a lost answer is not reported: its key identifies a repeat.
             """
             if not key or delivery is Delivery.DELIVERED:
                 self._reports.report(zone, identity, delivery)
@@ -145,25 +145,25 @@
                 request.respond(answer.status, answer.body, answer.headers, on_delivery=on_delivery)
             else:
                 reply(request, NO_ANSWER)
-                on_delivery(Delivery.LOST)  # it may be in force, and nobody holds it as acknowledged
+                on_delivery(Delivery.LOST)  # the order may be in force, but its caller got no acknowledgement
 
         self._orders.submit(kind, zone, on_done, identity)
         return None
 
 
 def explicit_identity(key: bytes) -> int:
-    """Return the identity of an order that its caller named by a key."""
+    """Return the identity of an order with an idempotency key."""
     found = blake2b(key, digest_size=IDENTITY_BYTES).digest()
     return EXPLICIT_IDENTITY | int.from_bytes(found, "big")
 
 
 def reply(request: IncomingRequest, answer: Response) -> bool:
-    """Response a call that was kept waiting. Returns whether this was the answer that its caller gets."""
+    """Answer a pending call. Returns whether this is the answer that its caller gets."""
     return request.respond(answer.status, answer.body, answer.headers)
 
 
 def conflict_answer(revision: int, body: bytes, state: State) -> Response:
-    """Return the refusal of a configuration whose number stands for another content."""
+    """Return the 409 for a configuration whose revision was already confirmed with another content."""
     advice = f"raise Revision above r{state.revision}"
     fields = {
         "Message": f"Revision: r{revision} was confirmed with another content, and r{state.revision} holds; {advice}",
--- a/rampfront/node/core_driver.py
+++ b/rampfront/node/core_driver.py
@@ -1,9 +1,9 @@
-"""Drives the core's member of this node: inputs go in, and the effects that come back are carried out in order.
+"""Drives this node's member of the core: passes inputs to it, and performs the effects that it returns, in order.
 
-`consensus.member.Member` is a protocol without I/O (the pattern of h11): it decides, and returns what is to be done.
-This module alone sends its messages, stores its record and hands its news to the parts that wait for them. A node
-without a disk has no member, and for it everything here does nothing; nor does its process load the member's modules,
-as the memory of every process is paid for.
+`consensus.member.Member` is a protocol without I/O (the pattern of h11): it decides, and returns the actions to take.
+Only this module sends its messages, stores its record and passes its events to the parts that act on them. A node
+without a disk has no member: all operations here then do nothing, and the process does not load the member's modules,
+in order to save memory.
 """
 
 from __future__ import annotations
@@ -29,10 +29,10 @@
 
 
 class CoreDriver:
-    """The member of this node, its record on disk, and the effects that it wants done."""
+    """Owns this node's member and its record on disk, and performs the member's effects."""
 
     def __init__(self, context: NodeContext) -> None:
-        """Build a driver without a member; `recover` makes one where the node has a disk."""
+        """Build a driver without a member; `recover` creates one on a node with a disk."""
         self._context = context
         self._orders: OrderAnswerReceiver
         self._replicated_state: StateReceiver
@@ -43,19 +43,19 @@
     def attach(
         self, orders: OrderAnswerReceiver, replicated_state: StateReceiver, leadership: LeadershipObserver
     ) -> None:
-        """Name the parts that get the member's news. They need the driver themselves, so they come second."""
+        """Set the parts that receive the member's events. They depend on the driver, so they are built after it."""
         self._orders = orders
         self._replicated_state = replicated_state
         self._leadership = leadership
 
     def recover(self, record_store: RecordStore) -> None:
-        """Make the member from the record on disk.
+        """Create the member from the record on disk.
 
-        A record that can't be read leaves the node without a member: it serves clients alone until it is started anew,
-        and the record stays as it is. This guards the core against a member that does not know what it promised, or
-        that reads what another machine promised.
+        If the record can't be read, the node has no member: it only serves clients until it is restarted, and the
+        record is left unchanged. This protects the core from a member that has lost its promises, or that has read the
+        promises of another machine.
         """
-        from ..consensus.context import MemberSettings  # loaded only where there is a disk: see the module's text
+        from ..consensus.context import MemberSettings  # loaded only on nodes with a disk: see the module's text
         from ..consensus.member import Member
 
         settings = self._context.process_settings
@@ -79,8 +79,8 @@
         return self.member is not None
 
     @property
-    def leads(self) -> bool:
-        """Whether the member beside us leads the core, as far as it knows."""
+    def is_leader(self) -> bool:
+        """Whether this node's member leads the core, as far as it knows."""
         return self.member is not None and self.member.is_leader
 
     @property
@@ -89,9 +89,9 @@
         return self.member.committed if self.member is not None else None
 
     def status(self, term: int) -> CoreStatus | None:
-        """Return the member's role, for the disseminator; None without a member. `term`: of the state in force here.
+        """Return the member's role for the disseminator; None without a member. `term`: of the state in force here.
 
-        A leader counts as one once a majority stands behind it for the first time.
+        A leader counts as one only after a majority has confirmed it for the first time.
         """
         member = self.member
         if member is None:
@@ -100,44 +100,44 @@
         return CoreStatus(member.is_leader and confirmed_at is not None, member.leader_ip, term, confirmed_at)
 
     def strength(self, now: int) -> CoreStrength | None:
-        """Return what the leader knows of the core's members; None at all other nodes."""
+        """Return what the leader knows about the core's members; None on all other nodes."""
         return self.member.core_strength(now) if self.member is not None else None
 
     @property
     def remembered_nodes(self) -> list[str]:
-        """Addresses of the nodes that the member's record names."""
+        """Addresses of the nodes stored with the member's record."""
         return self.member.node_ips if self.member is not None else []
 
     def remember_nodes(self, ips: list[str]) -> None:
-        """Keep the addresses of the nodes that there are beside the member's record."""
+        """Store the addresses of all known nodes with the member's record."""
         if self.member is not None:
             self.member.remember_nodes(ips)
 
     def change_seeds(self, seeds: list[str]) -> None:
-        """Take over the addresses that are asked first."""
+        """Set the addresses that are contacted first."""
         if self.member is not None:
             self.member.seeds = list(seeds)
 
     # ---- inputs
 
     def start(self) -> None:
-        """Give the member its first input: what it recovered comes into force."""
+        """Give the member its first input, upon which the recovered state is applied."""
         self.handle(None)
 
     def tick(self) -> None:
-        """Let the member act on the time that has passed; to be called about ten times a second."""
+        """Let the member handle its timeouts; to be called about ten times a second."""
         self.handle(events.Tick())
 
     def leave(self) -> None:
-        """Tell the member that this process is about to end."""
+        """Tell the member that this process is shutting down."""
         self.handle(events.Shutdown())
 
     def submit(self, key: OrderKey, request: OrderRequest) -> None:
-        """Hand the member an order; `OrderAnswerReceiver.on_core_answer` gets its outcome."""
+        """Pass an order to the member; its outcome goes to `OrderAnswerReceiver.on_core_answer`."""
         self.handle(events.Order(key, request.kind, request.body, request.identity))
 
     def on_frame(self, ip: str, frame: dict[str, Any], now: int) -> None:
-        """Hand the member a frame of another node. One that no member would send is counted and dropped."""
+        """Pass another node's frame to the member. An invalid frame is counted and dropped."""
         if self.member is None:
             return
         try:
@@ -147,32 +147,32 @@
             self._context.log.record_limited(log_events.FRAME_INVALID, ip, error=str(error))
 
     def step_down_if_overdue(self, now: int) -> None:
-        """Let a leader without a majority behind it give way. To be called before anything that asks who leads.
+        """Make a leader without a confirmed majority step down. To be called before anything that asks who leads.
 
-        Closes a race: a process that was frozen while it led gets the frames that waited meanwhile before its own tick.
-        Without this it would answer them as the leader that it no longer is.
+        Closes a race: a leader whose process was frozen receives the frames that queued up before its own next tick.
+        Without this check it would answer them as the leader that it no longer is.
         """
         if self.member is not None and self.member.is_leadership_expired(now):
             self.tick()
 
     def handle(self, event: events.Input | None) -> None:
-        """Give the member one input, and carry out the effects in order. Without a member nothing happens."""
+        """Pass one input to the member, and perform its effects in order. Does nothing without a member."""
         if self.member is None:
             return
         for effect in self.member.take(self._context.clock(), event):
-            self._carry_out(effect)
+            self._perform(effect)
         self._leadership.update(self._context.clock())
 
     # ---- effects
 
-    def _carry_out(self, effect: events.Effect) -> None:
+    def _perform(self, effect: events.Effect) -> None:
         match effect:
             case events.SendMessage():
                 self._context.wire.send(effect.ip, effect.message)
             case events.StoreRecord():
                 self._store(effect.version, effect.record)
             case events.OrderEnded():
-                key = cast("OrderKey", effect.ref)  # what `submit` gave
+                key = cast("OrderKey", effect.ref)  # the key passed by `submit`
                 self._orders.on_core_answer(key, effect.outcome, effect.state)
             case events.StateCommitted():
                 self._replicated_state.apply(effect.state)
@@ -181,7 +181,7 @@
 
     def _store(self, version: int, record: bytes) -> None:
         self._context.counts["stores"] += 1
-        assert self.record_store is not None  # there is no member without one
+        assert self.record_store is not None  # every member has one
         self._context.scheduler.call_on_disk_thread(self.record_store.save, record, partial(self._on_stored, version))
 
     def _on_stored(self, version: int, save: Future[None]) -> None:
--- a/rampfront/node/directory_call.py
+++ b/rampfront/node/directory_call.py
@@ -1,4 +1,4 @@
-"""The directory: where clients look up the fronts that they may connect to (PROTOCOL.md, "How clients arrive")."""
+"""The directory, in which clients look up the fronts to connect to (PROTOCOL.md, "How clients arrive")."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 MS, SEC = 10**6, 10**9
 TTL_NS = 2 * SEC  # how long a client may keep an answer
 MAX_ADDRESSES = 64  # of an answer
-MAX_SPARE_ADDRESSES = 2  # fronts of the client's region that stand beside those of its zone
-MAX_REPEATS = 16  # how often each front of its zone is named where spare ones stand beside them
-MIN_NEAR_ADDRESSES = 2  # fronts of its own zone that a client is given at least, else those of its region join them
+MAX_SPARE_ADDRESSES = 2  # fronts of the client's region that are added to those of its zone
+MAX_REPEATS = 16  # how often each front of the client's zone is listed if spare ones are added
+MIN_NEAR_ADDRESSES = 2  # with fewer fronts in the client's zone, all fronts of its region are listed
 RETRY_SHORTLY = ((b"Retry-After", b"0.3"),)
 
 
@@ -35,7 +35,10 @@
 
     @endpoint("GET", "/api/lookup")
     def lookup(self, request: IncomingRequest) -> Response:
-        """The ready fronts, near ones alone as long as there are some: bytes between zones and regions cost money."""
+        """Return ready fronts, mainly of the client's zone; without enough there, of its region, else of any region.
+
+        Near fronts are preferred because traffic between zones and between regions costs money.
+        """
         fronts = [entry for entry in self._disseminator.roster if entry.front and entry.ready]
         if not fronts:
             return error_response(503, "no front is known to be ready", RETRY_SHORTLY)
@@ -48,11 +51,11 @@
         return json_response({"Addresses": self._choose(near, spare), "Ttl": f"{self._ttl // MS}ms"})
 
     def _choose(self, near: list[str], spare: list[str]) -> list[str]:
-        """Return what a client is given.
+        """Return the addresses for one client.
 
-        A few fronts of its region are named too, so that it survives the loss of its zone until it hears of it. Each
-        front of its zone is named so often that hardly any spare one is used while the zone stands, because clients
-        choose by chance.
+        A few fronts of its region are added, so that the client can still connect if its zone fails before it looks up
+        the directory again. Clients choose at random, so each front of the zone is listed several times: while the zone
+        works, spare fronts are then rarely used.
         """
         if len(near) > MAX_ADDRESSES - MAX_SPARE_ADDRESSES:
             near = self._rng.sample(near, MAX_ADDRESSES - MAX_SPARE_ADDRESSES)
--- a/rampfront/node/dissemination_adapter.py
+++ b/rampfront/node/dissemination_adapter.py
@@ -1,7 +1,7 @@
-"""Joins the disseminator to the node: its frames and its news come and go through here.
+"""Connects the disseminator to the node's other parts.
 
-`membership.dissemination.Disseminator` is a protocol without I/O. It asks its host for what is passed on and gives it
-what arrived; this adapter is that host.
+`membership.dissemination.Disseminator` is a protocol without I/O. It asks its host for the data to send, and passes it
+the data that was received; this adapter is that host.
 """
 
 from __future__ import annotations
@@ -24,8 +24,8 @@
     """The host of this node's disseminator (`DisseminationHost`)."""
 
     def __init__(self, context: NodeContext) -> None:
-        """The disseminator needs its host to be built, and the other parts need the disseminator: see `attach`."""
-        self.send = context.wire.send  # a frame to one node, and to many: as often as heartbeats, so without a detour
+        """Build the adapter. `attach` adds the disseminator, which depends on it, and the other parts."""
+        self.send = context.wire.send  # assigned directly to save a call: used for every heartbeat
         self.send_all = context.wire.send_all
         self._snapshots = context.snapshots
         self._disseminator: Disseminator
@@ -43,58 +43,62 @@
         quota_exchange: QuotaExchange,
         readiness: Readiness,
     ) -> None:
-        """Name the disseminator, and the parts that get its news."""
+        """Set the disseminator, and the parts that receive its events."""
         self._disseminator = disseminator
         self._replicated_state = replicated_state
         self._server_list = server_list
         self._quota_exchange = quota_exchange
         self._readiness = readiness
 
-    def use_core(self, core: CoreDriver) -> None:
-        """Name the member of the core beside this node, which keeps the addresses of all nodes on its disk."""
+    def set_core(self, core: CoreDriver) -> None:
+        """Set the driver of this node's core member, which stores the addresses of all nodes on disk."""
         self._core = core
 
     # ---- frames to the disseminator (heartbeats go to it directly)
 
     def on_state_response(self, ip: str, frame: Message, now: int) -> None:
-        """Another node answers with what we lack, which may make this node ready."""
+        """Handle another node's answer with missing data, which may make this node ready."""
         self._disseminator.on_state_response(ip, frame, now)
         self._readiness.update(now)
 
-    # ---- what it passes on
+    # ---- data to send
 
     def encode_state(self, since: int) -> Packed:
-        """Return the state, packed for a node that holds the one of index `since`."""
+        """Return the state, packed for a node that holds the state of index `since`."""
         return self._snapshots.encode_state(since)
 
     def encode_endpoints(self, now: int, since: int) -> Packed:
-        """Return the list of servers, packed for a node that holds version `since`."""
+        """Return the server list, packed for a node that holds version `since`."""
         return self._snapshots.encode_endpoints(now, since)
 
     def can_diff_state_from(self, index: int) -> bool:
-        """Return whether a node that holds the state of `index` needs less than the complete one."""
+        """Return whether a difference suffices for a node that holds the state of `index`."""
         return self._snapshots.can_diff_state_from(index)
 
     def can_diff_endpoints_from(self, version: int) -> bool:
-        """Return whether a node that holds `version` of the list needs less than the complete one."""
+        """Return whether a difference suffices for a node that holds `version` of the list."""
         return self._snapshots.can_diff_endpoints_from(version)
 
     def state_size_bytes(self) -> int:
-        """Return the bytes of the state's body."""
+        """Return the size of the state's body in bytes."""
         return self._snapshots.state_size_bytes()
 
-    # ---- what it takes in
+    # ---- received data
 
     def on_state(self, packed: Packed, now: int) -> None:
-        """Take a state. Raises `membership.deltas.DeltaMismatchError`, and ValueError for what is no state."""
+        """Handle a state. Raises `membership.deltas.DeltaMismatchError`, and ValueError if it is not valid."""
         self._replicated_state.receive(packed)
 
     def on_endpoints(self, packed: Packed, now: int) -> None:
-        """Take a list of servers. Raises like `on_state`."""
+        """Handle a server list. Raises like `on_state`."""
         self._server_list.receive(packed, now)
 
     def on_roster(self) -> None:
-        """Take over how many proxies serve, where the counter of quotas is, and whom to look for behind a restart."""
+        """Handle a change of the roster.
+
+        Updates the number of proxies and the placement of the quota counter, and stores the nodes' addresses, which
+        this node contacts after a restart.
+        """
         count = max(1, sum(entry.ready for entry in self._disseminator.roster))
         self._quota_exchange.update_proxy_count(count)
         if self._core.has_member:
--- a/rampfront/node/endpoints.py
+++ b/rampfront/node/endpoints.py
@@ -1,7 +1,7 @@
-"""The system's own addresses: opens those that the settings name, with the calls that each of them serves.
+"""Opens the system's own HTTP listeners that the settings name, with the calls that each of them serves.
 
-Calls are declared beside their handlers, with `net.http_routing.endpoint`. A call decides nothing: it reads what the
-node holds, or submits an order. Source of names and bodies: PROTOCOL.md, "How clients arrive" and "The operator".
+Calls are declared on their handlers with `net.http_routing.endpoint`. A call makes no decisions: it reads the node's
+state, or submits an order. Source of names and bodies: PROTOCOL.md, "How clients arrive" and "The operator".
 """
 
 from __future__ import annotations
@@ -26,33 +26,33 @@
 
 
 class ReadyCheck:
-    """The platform's question whether this node's front wants clients."""
+    """The platform's readiness check of this node's front."""
 
     def __init__(self, readiness: Readiness) -> None:
-        """`readiness` knows the answer."""
+        """`readiness`: of the node."""
         self._readiness = readiness
 
     @endpoint("GET", "/api/ready")
     def ready(self, _: IncomingRequest) -> Response:
-        """200 while it does, else 503."""
+        """Respond 200 while the node is ready, else 503."""
         return Response(200) if self._readiness.is_ready() else error_response(503, "not ready")
 
 
 class CallFaults:
-    """Counts and logs the defects of handlers, whose callers get a 500."""
+    """Counts and logs exceptions of handlers, whose callers get a 500."""
 
     def __init__(self, context: NodeContext) -> None:
-        """`context` has the counters and the log."""
+        """`context` provides the counters and the log."""
         self._context = context
 
     def note(self, request: IncomingRequest, error: BaseException) -> None:
-        """Note the exception of a handler."""
+        """Count and log the exception of a handler."""
         self._context.counts["faults"] += 1
         self._context.log.record_limited(log_events.INTERNAL_ERROR, request.path, error=repr(error))
 
 
 def build_control_calls(node: NodeProcess) -> ControlCalls:
-    """Return the operators' orders at a node."""
+    """Return a node's handler of operators' orders."""
     reports = AnswerReports(node.context, node.orders)
     return ControlCalls(node.orders, reports, node.context.process_settings.zones, node.context.counts)
 
@@ -63,7 +63,7 @@
 
 
 async def open_listeners(node: NodeProcess) -> None:
-    """Open the wire between nodes, the system's own addresses, and the clients' front, in this order."""
+    """Open the wire between nodes, the system's own listeners, and the clients' front, in this order."""
     await node.context.wire.listen()
     await open_call_listeners(node)
     front = node.context.process_settings.front
@@ -72,7 +72,7 @@
 
 
 async def open_call_listeners(node: NodeProcess) -> None:
-    """Open the addresses of calls that the settings name. Handlers of one address share its listener."""
+    """Open a listener for each address of calls in the settings. Handlers of one address share its listener."""
     context = node.context
     settings = context.process_settings
     handlers_at: dict[tuple[str, int], list[object]] = {}
--- a/rampfront/node/evacuation_view.py
+++ b/rampfront/node/evacuation_view.py
@@ -1,4 +1,4 @@
-"""How an evacuated zone is shown to operators, in the answer to an order and in the views."""
+"""The representation of an evacuated zone in operators' answers and views."""
 
 from typing import TypeAlias
 
@@ -9,7 +9,7 @@
 
 
 def evacuation_view(zone: str, state: State) -> EvacuationView:
-    """Whether a zone is evacuated, and by how many operators as far as that is known."""
+    """Return whether a zone is evacuated, and by how many operators as far as that is known."""
     if zone not in state.evacuated_zones:
         return {"Zone": zone, "Emptied": False, "Operators": 0, "Repeated": False, "Returned": False}
     evacuation = state.evacuations.get(zone, SINGLE_OPERATOR)
--- a/rampfront/node/frame_dispatch.py
+++ b/rampfront/node/frame_dispatch.py
@@ -1,4 +1,4 @@
-"""Hands each frame that arrives to the part that its kind belongs to, by a table."""
+"""Dispatches each received frame to the handler registered for its kind."""
 
 from __future__ import annotations
 
@@ -15,22 +15,25 @@
 
 
 class FrameDispatcher:
-    """The table of handlers by kind of frame. What no handler is registered for is the core's."""
+    """The table of handlers by kind of frame. Frames of any other kind go to the core."""
 
     def __init__(self, clock: Callable[[], int]) -> None:
-        """`clock` gives ns. The wire needs a dispatcher to be built, the core needs the wire: see `attach`."""
+        """`clock` returns ns. `attach` adds the core, which depends on the wire, which depends on the dispatcher."""
         self._clock = clock
         self._handlers: dict[str, FrameHandler] = {}
         self._core: CoreDriver
 
     def attach(self, core: CoreDriver, handlers: dict[str, FrameHandler]) -> None:
-        """Name the core, and the handler of each kind that isn't the core's."""
+        """Set the core, and the handler of each kind that isn't the core's."""
         self._core = core
         self._handlers = handlers
 
     def dispatch(self, ip: str, frame: Message) -> None:
-        """Handle a frame of the node at `ip`. Raises ValueError and the like for a frame whose fields aren't valid:
-        the wire counts and drops it."""
+        """Handle a frame of the node at `ip`.
+
+        Raises ValueError, TypeError, KeyError and the like for a frame with invalid fields, which the wire counts and
+        drops.
+        """
         now = self._clock()
         core = self._core
         if core.member is not None:
--- a/rampfront/node/leadership.py
+++ b/rampfront/node/leadership.py
@@ -1,4 +1,4 @@
-"""Follows the role of the core's member beside us: tells the disseminator who leads, lets the leader poll servers."""
+"""Follows the role of this node's core member: tells the disseminator who leads, and lets the leader poll servers."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class LeadershipMonitor:
-    """What hangs on leading, at a node that has a member of the core."""
+    """Acts on changes of leadership, on a node that has a member of the core."""
 
     def __init__(
         self,
@@ -25,7 +25,7 @@
         server_list: ServerListService,
         readiness: Readiness,
     ) -> None:
-        """Build it over the parts that have to know who leads."""
+        """Build the monitor with the parts that depend on leadership."""
         self._log = context.log
         self._core = core
         self._disseminator = disseminator
@@ -34,15 +34,15 @@
         self._readiness = readiness
 
     def update(self, now: int) -> None:
-        """Take over the member's role; to be called after each input to it. `now` in ns."""
+        """Pass on the member's current role; to be called after each input to the member. `now` in ns."""
         disseminator = self._disseminator
         state = self._snapshots.state
         status = self._core.status(state.term if state else 0)
-        assert status is not None  # the driver calls this for a member alone
-        led = disseminator.is_leader
+        assert status is not None  # the driver calls this only if there is a member
+        was_leader = disseminator.is_leader
         disseminator.set_leadership(status, now)
-        if status.is_leader != led:
+        if status.is_leader != was_leader:
             event = log_events.LEADERSHIP_GAINED if status.is_leader else log_events.LEADERSHIP_LOST
             self._log.record(event, term=disseminator.term)
-        self._server_list.poll_while(status.is_leader)
+        self._server_list.set_polling(status.is_leader)
         self._readiness.update(now)
--- a/rampfront/node/lease.py
+++ b/rampfront/node/lease.py
@@ -1,9 +1,9 @@
-"""The lease under which a node lets requests run: the age of what it holds, measured against a majority of the core.
+"""The lease under which a node serves requests: a limit on the age of the state that it holds.
 
-The node knows of a moment at which a majority of the core stood behind what it holds (the disseminator learns it with
-each update). Until `duration` after that moment no revocation that was confirmed elsewhere can be unknown here, so keys
-and routes may act; afterwards the node turns requests away. This is a read lease in the sense of Gray and Cheriton
-(1989), granted by the core to each node, with clocks that run at one rate but need not agree.
+With each update the disseminator learns a time at which a majority of the core confirmed that state. Until `duration`
+after that time, no revocation that was confirmed elsewhere can be unknown here, so keys and routes are valid;
+afterwards the node rejects requests. This is a read lease as described by Gray and Cheriton (1989), granted by the core
+to each node. It assumes that clocks run at the same rate, but not that they agree.
 """
 
 from __future__ import annotations
@@ -17,16 +17,16 @@
     from .context import NodeContext
 
 MS, SEC = 10**6, 10**9
-MARGIN_NS = 600 * MS  # the lease ends so long before what it has to keep: what is on its way by then, and clocks
-UNBOUNDED_NS = 60 * SEC  # where the settings do not demand that revocations hold everywhere
-OUT_OF_TOUCH_AFTER_NS = 2500 * MS  # age past which a node says so: it asks the leader about once a second
+MARGIN_NS = 600 * MS  # subtracted from the guaranteed time, for requests in flight and clock error
+UNBOUNDED_NS = 60 * SEC  # duration if the settings do not require that revocations hold everywhere
+OUT_OF_TOUCH_AFTER_NS = 2500 * MS  # a node in touch gets a confirmation about once a second
 
 
 class Lease:
-    """Whether what this node holds is young enough to act on."""
+    """Tracks whether this node's state is recent enough to serve requests."""
 
     def __init__(self, context: NodeContext, disseminator: Disseminator) -> None:
-        """`disseminator` knows when a majority last stood behind what this node holds."""
+        """`disseminator` knows when a majority last confirmed this node's state."""
         terms = context.process_settings.guarantees
         self._disseminator = disseminator
         self._started_at = context.clock()
@@ -34,12 +34,12 @@
         self.sampled_ages = LatencyHistogram()
 
     def is_valid(self, now: int) -> bool:
-        """Whether keys and routes may act."""
+        """Return whether keys and routes may be used."""
         age = self.age(now)
         return age is not None and age < self.duration
 
     def age(self, now: int) -> int | None:
-        """Return ns since a majority last stood behind what this node holds; None: never since the start."""
+        """Return ns since a majority last confirmed this node's state; None if it never has since the start."""
         confirmed_at = self._disseminator.confirmed_at_ns
         return None if confirmed_at is None else now - confirmed_at
 
@@ -53,7 +53,7 @@
     def leader_silent_for(self, now: int) -> int | None:
         """Return for how many ns the leader itself has not answered this node; None while it does.
 
-        The lease may be young all the same, through other nodes; orders at this node get 503 meanwhile.
+        The lease may still be valid, renewed through other nodes, but orders at this node are answered 503.
         """
         silent = self._disseminator.leadership.leader_silent_ns(now)
         if silent is None:
@@ -61,7 +61,7 @@
         return silent if silent > OUT_OF_TOUCH_AFTER_NS else None
 
     def sample_age(self, now: int) -> None:
-        """Note the age for the metrics."""
+        """Record the age for the metrics."""
         age = self.age(now)
         if age is not None:
             self.sampled_ages.record(max(0, age))
--- a/rampfront/node/limits.py
+++ b/rampfront/node/limits.py
@@ -1,18 +1,18 @@
-"""Limits of the sockets, from what the machine has (`Caps` of the settings file). Source: DEPLOY.md."""
+"""Limits of the sockets, derived from the machine's limits (`Caps` in the settings file). Source: DEPLOY.md."""
 
 from ..net.limits import NetworkLimits
 from ..settings.process_settings import ProcessSettings
 
 MS, SEC = 10**6, 10**9
 KIB, MIB = 1 << 10, 1 << 20
-RESERVED_DESCRIPTORS = 200  # for files, and what the loop and our own listeners need
+RESERVED_DESCRIPTORS = 200  # for files, the event loop and the node's own listeners
 MIN_SOCKETS = 256
 RESERVED_SOCKETS = 256  # for operators, the platform and other nodes
 OVERFLOW_CLIENTS = 16
 
 
 def network_limits(process_settings: ProcessSettings) -> NetworkLimits:
-    """Return the limits of a process of the system: a third of its sockets are for connections to servers."""
+    """Return the limits of a node's process. A third of its sockets is for connections to servers."""
     sockets = max(MIN_SOCKETS, process_settings.open_files - RESERVED_DESCRIPTORS)
     server_connections = sockets // 3
     return NetworkLimits(
--- a/rampfront/node/log.py
+++ b/rampfront/node/log.py
@@ -1,8 +1,8 @@
-"""The log of a node's process: lines for changes of state on standard error, counters of all else.
+"""The log of a node's process: changes of state as lines on standard error, counters for everything else.
 
-The events are declared in `log_events.py`, the counters in `metrics.py`. Lines are written by `picologging`, which does
-so in less processor time than the standard library's logging, and has the same interface. It has no wheel for Python
-3.13 and later; there the standard library's serves.
+The events are declared in `log_events.py`, the counters in `metrics.py`. Lines are written by `picologging`, which has
+the interface of the standard library's `logging` and needs less processor time. It has no wheel for Python 3.13 and
+later, where the standard library is used instead.
 """
 
 import sys
@@ -13,12 +13,12 @@
 from ..net.event_log import EventLog
 from .metrics import COUNTERS
 
-RATE_LIMIT_NS = 10 * 10**9  # one line an event and party
+RATE_LIMIT_NS = 10 * 10**9  # one line per event and party
 LIBRARIES = "picologging", "logging"  # the first that is installed is used
 
 
 def logging_library() -> ModuleType:
-    """The library that writes lines: both have the classes that are used here."""
+    """Return the logging library to use. Both libraries have the classes that are used here."""
     for name in LIBRARIES:
         try:
             return import_module(name)
@@ -31,7 +31,7 @@
     """Lines on standard error, `name event key=value ...`."""
 
     def __init__(self, name: str, out: TextIO | None = None) -> None:
-        """`name`: of the node; `out`: where lines go in place of standard error."""
+        """`name`: of the node; `out`: the stream for lines, by default standard error."""
         super().__init__(name, RATE_LIMIT_NS, COUNTERS)
         library = logging_library()
         self._logger = library.Logger(name, library.INFO)
--- a/rampfront/node/log_events.py
+++ b/rampfront/node/log_events.py
@@ -1,22 +1,22 @@
 """The events of the log of a node's process, declared in one place: name, level, fields, meaning.
 
-`docs/` prints this table; a test holds both together. Events of the shared packages (`net/`, `transport/`) stand here
-too, because a node's log has them. A line is `NODE EVENT field=value ...` on standard error. Events with the field
-`party` are rate limited: one line for an event and party in ten seconds, and `more` tells how many were left out.
+`docs/` contains this table, and a test compares the two. Events of the shared packages (`net/`, `transport/`) are
+included, because they appear in a node's log. A line is `NODE EVENT field=value ...` on standard error. Events with the
+field `party` are rate limited to one line per event and party in ten seconds; `more` is the number of suppressed lines.
 """
 
 from __future__ import annotations
 
 
 class LogEvent(str):
-    """The name of an event in the log, with its description. A plain class: an enumeration would cost at each start."""
+    """The name of a log event, with its description. Not an enumeration, which would slow down each start."""
 
     level: str
     fields: tuple[str, ...]
     meaning: str
 
     def __new__(cls, name: str, level: str, fields: str, meaning: str) -> LogEvent:
-        """`fields`: names with blanks between them."""
+        """`fields`: names separated by spaces."""
         event = super().__new__(cls, name)
         event.level = level
         event.fields = tuple(fields.split())
@@ -84,5 +84,5 @@
 
 
 def all_events() -> dict[str, LogEvent]:
-    """Return every event by the name of its constant, for the docs' table and for tests."""
+    """Return all events by the names of their constants, for the docs' table and for tests."""
     return {name: value for name, value in globals().items() if isinstance(value, LogEvent)}
--- a/rampfront/node/metrics.py
+++ b/rampfront/node/metrics.py
@@ -1,13 +1,13 @@
 """The metrics of a node's process, declared in one place: name, type, help.
 
-Counters are kept under the names of `COUNTERS` by the log (`log.py`), and the parts that count add to them. What the
-node holds at a moment (`GAUGES`) and how long things took (`HISTOGRAMS`) is read when a scraper asks
-(`metrics_page.py`). `metrics_catalogue.py` lists all of them, for the docs and for tests.
+The log (`log.py`) holds the counters under the names in `COUNTERS`, and the parts increment them. Current values
+(`GAUGES`) and durations (`HISTOGRAMS`) are collected when a scraper requests them (`metrics_page.py`).
+`metrics_catalogue.py` lists all metrics, for the docs and for tests.
 """
 
 PREFIX = "rampfront_"
 
-# In the order of print. The first part is counted by the packages shared with the edge node
+# In output order. The first counters belong to the packages shared with the edge node
 # (`net.event_log.SHARED_COUNTERS`).
 COUNTERS = {
     "clients": "Connections of clients that were accepted.",
@@ -67,7 +67,7 @@
     "stores_failed": "Records of the core that the disk refused.",
 }
 
-# In the order of print. A gauge whose value is not known is left out.
+# In output order. A gauge whose value is not known is omitted.
 GAUGES = {
     "ready": "1: the node asks for clients.",
     "lease_valid": "1: what the node holds is young enough to let requests run.",
@@ -98,7 +98,7 @@
     "quota_counter_silent": "1: the counter of quotas does not answer, and the node goes by its even share.",
 }
 
-# In the order of print.
+# In output order.
 HISTOGRAMS = {
     "request": "From a complete request to its answer, at this node; what was sent to no server is left out.",
     "server_answer": "From an attempt handed to a server to its complete answer, good or bad.",
--- a/rampfront/node/metrics_catalogue.py
+++ b/rampfront/node/metrics_catalogue.py
@@ -1,4 +1,4 @@
-"""All metrics of a node's process as a scraper sees them, for the docs' table and for tests. No process imports it."""
+"""All metrics of a node's process as a scraper sees them, for the docs' table and for tests; not used by the node."""
 
 from collections.abc import Iterator
 from typing import NamedTuple
@@ -15,7 +15,7 @@
 
 
 def all_metrics() -> Iterator[Metric]:
-    """Every metric, in the order of print."""
+    """Yield every metric, in output order."""
     for name, text in COUNTERS.items():
         yield Metric(counter_name(name), "counter", text)
     for name, text in GAUGES.items():
--- a/rampfront/node/metrics_page.py
+++ b/rampfront/node/metrics_page.py
@@ -1,8 +1,8 @@
-"""What a scraper reads at the control address: counters, what the node holds at this moment, histograms.
+"""The metrics page at the control address: counters, gauges and histograms.
 
-Text exposition format 0.0.4, written from its public description:
-https://prometheus.io/docs/instrumenting/exposition_formats/. Nothing is sent anywhere, and nothing is made until a
-scraper asks. The lines are as many on every node and every day: none carries a tenant, a server, a route or a key.
+Text exposition format 0.0.4, implemented from its public description:
+https://prometheus.io/docs/instrumenting/exposition_formats/. Nothing is pushed, and the page is only built when a
+scraper requests it. The number of lines is bounded, because no metric has a tenant, server, route or key as a label.
 """
 
 from __future__ import annotations
@@ -27,15 +27,15 @@
 
 
 class MetricsPage:
-    """The call of a scraper."""
+    """The call that returns the metrics page."""
 
     def __init__(self, node: NodeProcess) -> None:
-        """`node`: whose metrics they are."""
+        """`node`: the node whose metrics are shown."""
         self._node = node
 
     @endpoint("GET", "/metrics")
     def metrics(self, _: IncomingRequest) -> Response:
-        """For a scraper; once in ten seconds is often enough."""
+        """Return the metrics page. A scrape interval of ten seconds is sufficient."""
         node = self._node
         histograms = {
             "request": node.request_proxy.request_durations,
@@ -83,7 +83,7 @@
 
 
 def gauges(node: NodeProcess) -> Iterator[tuple[str, float]]:
-    """What the node holds, as (name, value). What it does not know is left out, as the format has it."""
+    """Yield the gauges as (name, value). A gauge whose value is not known is omitted, as the format requires."""
     now = node.context.clock()
     node.core.step_down_if_overdue(now)
     yield from _lease_gauges(node, now)
@@ -121,11 +121,11 @@
 
 
 def _core_gauges(node: NodeProcess, now: int) -> Iterator[tuple[str, float]]:
-    """What the leader alone knows of the core's members."""
+    """Yield the gauges of the core's members, whose values only the leader knows."""
     strength = node.core.strength(now)
     if strength is None:
         return
-    from ..consensus.core_strength import MemberCondition  # loaded only at members of the core: see `core_driver`
+    from ..consensus.core_strength import MemberCondition  # loaded only by members of the core: see `core_driver`
 
     conditions = [row.condition for row in strength.members]
     yield "core_members_target", strength.wanted
--- a/rampfront/node/node_process.py
+++ b/rampfront/node/node_process.py
@@ -1,8 +1,8 @@
-"""One process of the system: the parts that it is made of, and the two timers that drive them.
+"""One process of the system: its parts, and the two timers that drive them.
 
-The parts are built and joined by `assembly.build_node_process`. Nothing is decided here: agreement is the core
-member's (`consensus`), what is passed on to whom the disseminator's (`membership`), who is served the proxy's
-(`proxy`), quotas the limiter's and the counter's (`quota`).
+`assembly.build_node_process` builds and connects the parts. No decisions are made here: the core member is responsible
+for agreement (`consensus`), the disseminator for what is sent to which node (`membership`), the proxy for which
+requests are served (`proxy`), the limiter and the counter for quotas (`quota`).
 """
 
 from __future__ import annotations
@@ -32,14 +32,14 @@
     from .shutdown import Shutdown
 
 MS = 10**6
-TICK_NS = 100 * MS  # interval of the ticks of all parts
-FIRST_TICK_NS = 25 * MS  # the same until the node has a lease for the first time
-SWEEP_NS = 250 * MS  # of connections that are idle or late
+TICK_NS = 100 * MS  # interval between ticks of all parts
+FIRST_TICK_NS = 25 * MS  # interval until the node has its first lease
+SWEEP_NS = 250 * MS  # interval between sweeps of idle and timed-out connections
 
 
 @slotted
 class NodeProcess:
-    """The parts of a node. Each has one job and owns its own state; this class starts, drives and ends them."""
+    """The parts of a node. Each part owns its own state; this class starts, drives and closes them."""
 
     context: NodeContext
     frame_dispatcher: FrameDispatcher
@@ -60,7 +60,7 @@
     shutdown: Shutdown
 
     def start(self) -> None:
-        """Start the parts and the timers; to be called once, when the listeners are open."""
+        """Start the parts and the timers; to be called once, after the listeners are open."""
         settings = self.context.process_settings
         is_member = self.core.has_member
         self.context.log.record(log_events.STARTED, zone=settings.zone, disk=is_member, first_boot=settings.first_boot)
@@ -69,9 +69,9 @@
         self.sweep()
 
     def tick(self) -> None:
-        """Let every part act on the time that has passed.
+        """Let every part handle its timeouts.
 
-        The next tick is scheduled first, so that a defect in a part doesn't end the ticks.
+        The next tick is scheduled first, so that an exception in a part doesn't end the ticks.
         """
         has_lease = self.disseminator.confirmed_at_ns is not None
         self.context.scheduler.call_after(TICK_NS if has_lease else FIRST_TICK_NS, self.tick)
@@ -86,7 +86,7 @@
         self.quota_exchange.tick(now)
 
     def sweep(self) -> None:
-        """Close connections that are idle or late, and log how many repeated lines were suppressed."""
+        """Close idle and timed-out connections, and log how many repeated lines were suppressed."""
         self.context.scheduler.call_after(SWEEP_NS, self.sweep)
         self.client_front.sweep()
         self.context.wire.sweep()
@@ -94,7 +94,7 @@
         self.request_proxy.sweep()
 
     def close(self) -> None:
-        """End all timers, polls and listeners at once. For a host of several nodes; a process just ends."""
+        """Stop all timers, polls and listeners. For a process that runs several nodes; a single node just exits."""
         self.context.scheduler.close()
-        self.server_list.poll_while(False)
+        self.server_list.set_polling(False)
         self.shutdown.listeners.close()
--- a/rampfront/node/operator_listeners.py
+++ b/rampfront/node/operator_listeners.py
@@ -1,4 +1,4 @@
-"""The open listeners of the system's own addresses, as long as the process has them."""
+"""The open listeners of the system's own addresses, which the process closes at its end."""
 
 from __future__ import annotations
 
@@ -9,26 +9,26 @@
 
 
 class OperatorListeners:
-    """Filled by `endpoints.open_listeners`; emptied never."""
+    """Owns the listeners that `endpoints.open_listeners` opens. None is ever removed."""
 
     def __init__(self) -> None:
-        """None is open yet."""
+        """Start without listeners."""
         self._listeners: list[HttpServer] = []
 
     def add(self, listener: HttpServer) -> None:
-        """Own a listener that has been opened."""
+        """Add an open listener."""
         self._listeners.append(listener)
 
     def drain(self) -> None:
-        """Send callers away: each answer ends its connection."""
+        """Drain all listeners: each connection closes after its next answer."""
         for listener in self._listeners:
             listener.drain()
 
     def has_pending_calls(self) -> bool:
-        """Whether a call has no answer yet."""
+        """Return whether any call has no answer yet."""
         return any(listener.pending_requests for listener in self._listeners)
 
     def close(self) -> None:
-        """End all at once."""
+        """Close all listeners at once."""
         for listener in self._listeners:
             listener.close()
--- a/rampfront/node/order_messages.py
+++ b/rampfront/node/order_messages.py
@@ -1,12 +1,12 @@
-"""The two messages by which an operator's order crosses the fleet: the request to the core's leader, and its reply.
+"""The two messages that carry an operator's order between nodes: the request to the core's leader, and its reply.
 
-Each message is an immutable class that is built, checked and encoded in this module alone. The wire's short keys stand
-in one list below; no other module knows them. `decode` raises `MalformedMessageError`, upon which the transport drops
-the frame and counts it.
+Each message is an immutable class that is built, checked and encoded only in this module. The short keys of the wire
+format are defined in one list below; no other module uses them. `decode` raises `MalformedMessageError`, upon which the
+transport drops and counts the frame.
 
-An order is identified as a request of a client is in Raft (dissertation, section 6.3): by the client and a number that
-the client counts up. The client is a node's address and its incarnation, which its process draws at each start. One
-process stands at an address at a time, so a name would add nothing and is not sent.
+An order is identified like a client's request in Raft (dissertation, section 6.3): by the client and the client's
+sequence number. The client is a node's address together with its incarnation, which its process draws at random at each
+start. Only one process at a time uses an address, so the node's name is not needed and not sent.
 """
 
 from collections.abc import Callable, Sequence
@@ -17,7 +17,7 @@
 from ..consensus.state import MAX_BODY_BYTES, MAX_ZONE_LETTERS, State, decode_state
 from ..transport.frames import Message
 
-# Keys of the frames, as they stand on the wire.
+# Keys of the frames on the wire.
 FRAME_KIND = "k"
 INCARNATION = "l"
 NUMBER = "r"
@@ -31,26 +31,26 @@
 REQUEST_FRAME = "order"
 REPLY_FRAME = "said"
 
-BUSY = "busy"  # not taken: the table of orders in flight is full, at the leader or here
+BUSY = "busy"  # not accepted: the table of orders in flight is full, at the leader or at this node
 OUTCOMES = frozenset((Outcome.DONE, Outcome.NOT_LEADER, Outcome.REJECTED, Outcome.UNKNOWN, Outcome.CONFLICT, BUSY))
-OUTCOMES_WITH_STATE = frozenset((Outcome.DONE, Outcome.CONFLICT))  # they rest on the committed state, and carry it
-CONFIGURATION_FIELDS = ("revision", "bytes")  # of the body of a configuration's order
+OUTCOMES_WITH_STATE = frozenset((Outcome.DONE, Outcome.CONFLICT))  # they are based on the committed state, and carry it
+CONFIGURATION_FIELDS = ("revision", "bytes")  # of the body of an order with a configuration
 REPORT_KINDS = (OrderKind.ANSWER_DELIVERED, OrderKind.ANSWER_LOST)
-REPORT_FIELDS = ("kind", "zone", "identity")  # of a report on an answer, as it stands on the wire
+REPORT_FIELDS = ("kind", "zone", "identity")  # of a report on an answer, on the wire
 INCARNATION_BITS = 32
 INCARNATION_LIMIT = 1 << INCARNATION_BITS
-LARGEST_NUMBER = 1 << 53  # what JSON readers of other languages keep exactly
+LARGEST_NUMBER = 1 << 53  # JSON parsers of other languages represent smaller integers exactly
 
-# A revision and its compressed bytes, a zone, a zone and the identity of an order on it, or nothing.
+# A revision and its compressed bytes; a zone and the identity of an order on it; a zone; or nothing.
 OrderBody: TypeAlias = tuple[int, bytes] | tuple[str, int] | str | None
 
 
 class MalformedMessageError(ValueError):
-    """A message of which a field is missing or cannot be what it says."""
+    """A message in which a field is missing or invalid."""
 
 
 class OrderKey(NamedTuple):
-    """An order as the leader knows it: the node that submitted it, that node's incarnation, and the number there."""
+    """Identifies an order at the leader: the submitting node, its incarnation, and the order's number there."""
 
     ip: str
     incarnation: int
@@ -58,10 +58,10 @@
 
 
 class OrderRequest(NamedTuple):
-    """An order on its way to the leader of the core.
+    """An order, as it is sent to the leader of the core.
 
-    `kind`: one of `OrderKind`. `identity`: of an order on a zone, for reports on its answer; 0 for all others, and from
-    older nodes.
+    `kind`: one of `OrderKind`. `identity`: identifies an order on a zone in reports on its answer; 0 for all other
+    orders, and from nodes of older versions.
     """
 
     incarnation: int
@@ -72,7 +72,7 @@
 
     @property
     def configuration(self) -> bytes | None:
-        """The compressed bytes of the configuration that the order brings, if it brings one."""
+        """The compressed bytes of the configuration in the order, or None."""
         match self.body:
             case (int(), bytes() as compressed):
                 return compressed
@@ -81,8 +81,8 @@
     def encode(self) -> Message:
         """Return the frame for the transport.
 
-        A report goes as a read with one key more: a leader of an older version takes it for a read, which changes
-        nothing, and not for a frame that is not valid.
+        A report is encoded as a read with an additional key: a leader of an older version handles it as a read, which
+        changes nothing, instead of rejecting the frame as invalid.
         """
         frame: Message = {
             FRAME_KIND: REQUEST_FRAME,
@@ -105,16 +105,16 @@
             return cls(incarnation, number, *_check_report(frame[REPORT]))
         kind = frame.get(ORDER_KIND)
         if type(kind) is not str or kind not in BODY_CHECKS:
-            raise MalformedMessageError("order: kind")
+            raise MalformedMessageError("order: unknown kind")
         check_body = BODY_CHECKS[kind]
         return cls(incarnation, number, kind, check_body(frame.get(BODY)), _check_order_identity(frame))
 
 
 class OrderReply(NamedTuple):
-    """How an order ended at the node that it was sent to.
+    """The outcome of an order at the node that it was sent to.
 
-    `state`: with DONE and CONFLICT, the committed state there. Without `with_body` its body stays off the wire, because
-    it is the one that the order brought and the submitter holds it.
+    `state`: with DONE and CONFLICT, the committed state there. If `with_body` is false, the state's body is not sent,
+    because it is the body of the order, which the submitter has.
     """
 
     incarnation: int
@@ -139,73 +139,73 @@
     def decode(cls, frame: Message, bodies: Sequence[bytes] = ()) -> Self:
         """Check a frame and return its message.
 
-        `bodies`: configuration bodies that the caller holds, for a state that comes without its own. Raises
-        MalformedMessageError, and the consensus package's own ValueError for a state that is not valid.
+        `bodies`: configuration bodies that the caller has, for a state that was sent without its body. Raises
+        MalformedMessageError, and the consensus package's own ValueError for an invalid state.
         """
         outcome = frame.get(OUTCOME)
         if type(outcome) is not str or outcome not in OUTCOMES:
-            raise MalformedMessageError("reply: outcome")
+            raise MalformedMessageError("reply: unknown outcome")
         state = None
         if frame.get(STATE) is not None:
             state = decode_state(frame[STATE], bodies)
             if state is None:
-                raise MalformedMessageError("reply: a state without its body")
+                raise MalformedMessageError("reply: the state's body is missing and not known here")
         elif outcome in OUTCOMES_WITH_STATE:
-            raise MalformedMessageError(f"reply: {outcome}, and no state")
+            raise MalformedMessageError(f"reply: outcome {outcome} without a state")
         incarnation, number = decode_identity(frame)
         return cls(incarnation, number, outcome, state)
 
 
 def decode_identity(frame: Message) -> tuple[int, int]:
-    """Return the submitter's incarnation and the order's number there. Raises MalformedMessageError."""
+    """Return the submitter's incarnation and the order's number. Raises MalformedMessageError."""
     incarnation, number = frame.get(INCARNATION), frame.get(NUMBER)
     if type(incarnation) is not int or not 0 <= incarnation < INCARNATION_LIMIT:
-        raise MalformedMessageError("incarnation")
+        raise MalformedMessageError("invalid incarnation")
     if type(number) is not int or not 0 < number < LARGEST_NUMBER:
-        raise MalformedMessageError("number")
+        raise MalformedMessageError("invalid number")
     return incarnation, number
 
 
 def _check_configuration(body: object) -> tuple[int, bytes]:
     if not isinstance(body, (list, tuple)) or len(body) != len(CONFIGURATION_FIELDS):
-        raise MalformedMessageError("order: a configuration is a revision and its bytes")
+        raise MalformedMessageError("order: a configuration must be a revision and its bytes")
     revision, compressed = body
     if type(revision) is not int or not 0 < revision < LARGEST_NUMBER:
-        raise MalformedMessageError("order: revision")
+        raise MalformedMessageError("order: invalid revision")
     if type(compressed) is not bytes or len(compressed) > MAX_BODY_BYTES:
-        raise MalformedMessageError("order: bytes of the configuration")
+        raise MalformedMessageError("order: invalid bytes of the configuration")
     return revision, compressed
 
 
 def _check_zone(body: object) -> str:
     if type(body) is not str or not 0 < len(body) <= MAX_ZONE_LETTERS:
-        raise MalformedMessageError("order: zone")
+        raise MalformedMessageError("order: invalid zone")
     return body
 
 
 def _check_order_identity(frame: Message) -> int:
-    """The identity of an order on a zone; 0 if there is none."""
+    """Return the identity of an order on a zone; 0 if there is none."""
     identity = frame.get(IDENTITY, 0)
     if type(identity) is not int or not 0 <= identity < IDENTITY_LIMIT:
-        raise MalformedMessageError("order: identity")
+        raise MalformedMessageError("order: invalid identity")
     return identity
 
 
 def _check_report(fields: object) -> tuple[str, tuple[str, int]]:
-    """The kind and the body of a report."""
+    """Return the kind and the body of a report."""
     if not isinstance(fields, (list, tuple)) or len(fields) != len(REPORT_FIELDS):
-        raise MalformedMessageError("order: a report is a kind, a zone and an identity")
+        raise MalformedMessageError("order: a report must be a kind, a zone and an identity")
     kind, zone, identity = fields
     if kind not in REPORT_KINDS:
-        raise MalformedMessageError("order: kind of a report")
+        raise MalformedMessageError("order: unknown kind of report")
     if type(identity) is not int or not 0 < identity < IDENTITY_LIMIT:
-        raise MalformedMessageError("order: identity")
+        raise MalformedMessageError("order: invalid identity")
     return kind, (_check_zone(zone), identity)
 
 
 def _check_empty(body: object) -> None:
     if body is not None:
-        raise MalformedMessageError("order: a read has no body")
+        raise MalformedMessageError("order: a read must have no body")
 
 
 BODY_CHECKS: dict[str, Callable[[object], OrderBody]] = {
--- a/rampfront/node/order_submitter.py
+++ b/rampfront/node/order_submitter.py
@@ -1,9 +1,9 @@
-"""Operators' orders at the node where they are submitted: sent on to the core's leader, answered once.
+"""Operators' orders at the node where they are submitted: sends them to the core's leader, and answers each once.
 
-An order goes to the leader as soon as one is known, and again while nothing is heard. The leader carries it out once
-however often it arrives (`order_executor.py`). Whoever submitted it is answered within what operators wait for
-(PROTOCOL.md: a second of silence). A reply counts only from a node that this order was sent to, in this incarnation of
-the process; every other reply is dropped and counted.
+An order is sent to the leader as soon as one is known, and resent until there is a reply. The leader executes it once,
+however often it arrives (`order_executor.py`). The caller is answered before operators give up (PROTOCOL.md: after a
+second without an answer). A reply is accepted only from a node that the order was sent to in this incarnation of the
+process; every other reply is dropped and counted.
 """
 
 from __future__ import annotations
@@ -25,11 +25,11 @@
     from .order_messages import OrderBody
 
 MS = 10**6
-ANSWER_WITHIN_NS = 800 * MS  # a fifth of a caller's second is left for the way there and back
+ANSWER_TIMEOUT_NS = 800 * MS  # leaves a fifth of a caller's second for the network
 RESEND_AFTER_NS = 300 * MS
-RESEND_AFTER_NOT_LEADER_NS = RESEND_AFTER_NS // 3  # the node asked has said that it does not lead
-MAX_OPEN = 256  # orders of this node under way
-NUMBER_BITS = 20  # of an order's identity; the others are the incarnation's
+RESEND_AFTER_NOT_LEADER_NS = RESEND_AFTER_NS // 3  # after a reply that the node does not lead
+MAX_OPEN = 256  # orders of this node without an answer
+NUMBER_BITS = 20  # low bits of an order's identity; the higher bits are the incarnation
 MAX_IDENTITIES = (1 << NUMBER_BITS) - 1
 
 
@@ -43,7 +43,7 @@
         disseminator: Disseminator,
         executor: OrderExecutor,
     ) -> None:
-        """`disseminator` knows the leader; `core` and `executor` serve the orders where this node leads itself."""
+        """`disseminator` knows the leader; `core` and `executor` handle the orders if this node is the leader."""
         self._context = context
         self._own_ip = context.process_settings.ip
         self._wire = context.wire
@@ -51,23 +51,23 @@
         self._disseminator = disseminator
         self._executor = executor
         self._number = 0  # of the last order
-        self._identities = 0  # given out
-        # Another one at each start: no reply to a former incarnation is taken for one to this.
+        self._identities = 0  # issued so far
+        # Differs at each start, so that a reply to a former incarnation is not accepted by this one.
         self.incarnation = context.rng.getrandbits(INCARNATION_BITS)
-        self.open: dict[int, OpenOrder] = {}  # by number; emptied by answers and by time
+        self.open: dict[int, OpenOrder] = {}  # by number; each is removed by its answer or a timeout
 
     def next_identity(self) -> int:
-        """Return the identity for an order on a zone: no other order has the same, not even one that was turned away.
+        """Return a unique identity for an order on a zone. It is not reused even if the order is rejected.
 
-        Guards a claim against a late report on an order that never reached the core.
+        This prevents a late report on an order that never reached the core from being applied to another order.
         """
         self._identities = self._identities % MAX_IDENTITIES + 1
         return self.incarnation << NUMBER_BITS | self._identities
 
     def submit(self, kind: str, body: OrderBody, on_done: OrderCallback, identity: int = 0) -> None:
-        """Take an order from an operator, or a report on an answer. `on_done` is called once, within ANSWER_WITHIN_NS.
+        """Submit an operator's order, or a report on an answer. `on_done` is called once, within ANSWER_TIMEOUT_NS.
 
-        `identity`: of an order on a zone.
+        `identity`: identifies an order on a zone; 0 for all others.
         """
         counts = self._context.counts
         now = self._context.clock()
@@ -77,15 +77,15 @@
             return
         self._number += 1
         request = OrderRequest(self.incarnation, self._number, kind, body, identity)
-        order = OpenOrder(request, now + ANSWER_WITHIN_NS, self._disseminator.state_index, on_done)
+        order = OpenOrder(request, now + ANSWER_TIMEOUT_NS, self._disseminator.state_index, on_done)
         self.open[self._number] = order
         counts["orders"] += 1
-        # A timer of its own, not the next tick: by then the caller may have turned away.
+        # A timer instead of the next tick, by which the caller may have given up.
         self._context.scheduler.call_at(order.due, self._expire, order)
         self._send(order, now)
 
     def tick(self, now: int) -> None:
-        """Send again what nobody has answered; to be called about ten times a second."""
+        """Resend orders without a reply; to be called about ten times a second."""
         for order in list(self.open.values()):
             if now >= order.resend_at:
                 self._send(order, now)
@@ -103,14 +103,14 @@
             self._wire.send(leader, order.request.encode())
 
     def _leader(self) -> str | None:
-        """Return the address to send to. This node's own counts only if its member of the core says that it leads."""
-        if self._core.leads:
+        """Return the leader's address. It is this node's own only if its core member says that it leads."""
+        if self._core.is_leader:
             return self._own_ip
         leader = self._disseminator.leader
         return leader if leader and leader != self._own_ip else None
 
     def _expire(self, order: OpenOrder) -> None:
-        """Answer an order that nobody has answered in time: whether it comes into force is not known."""
+        """Complete an order that has timed out. Whether it takes effect is not known."""
         if self.open.get(order.request.number) is order:
             del self.open[order.request.number]
             order.on_done(None, None)
@@ -118,25 +118,25 @@
     # ---- replies
 
     def on_reply_frame(self, ip: str, frame: Message, now: int) -> None:
-        """Take a reply of another node. Raises ValueError for one that is not valid."""
+        """Handle another node's reply. Raises ValueError if it is not valid."""
         _, number = decode_identity(frame)
         order = self.open.get(number)
         if order is None:
-            self._drop(ip, "nobody waits for it")
+            self._drop(ip, "reply to no open order")
             return
         configuration = order.request.configuration
         own_bodies = () if configuration is None else [configuration]
         self.on_reply(ip, OrderReply.decode(frame, own_bodies))
 
     def on_reply(self, ip: str, reply: OrderReply) -> None:
-        """Take what the node at `ip` says has become of an order."""
+        """Handle the reply of the node at `ip` to an order."""
         order = self.open.get(reply.number) if reply.incarnation == self.incarnation else None
         if order is None:
-            self._drop(ip, "nobody waits for it")
+            self._drop(ip, "reply to no open order")
             return
-        objection = order.objection(ip, reply)
-        if objection:
-            self._drop(ip, objection)
+        rejection_reason = order.rejection_reason(ip, reply)
+        if rejection_reason:
+            self._drop(ip, rejection_reason)
         elif reply.outcome == Outcome.NOT_LEADER:
             order.resend_at = self._context.clock() + RESEND_AFTER_NOT_LEADER_NS
         else:
--- a/rampfront/node/order_table.py
+++ b/rampfront/node/order_table.py
@@ -1,11 +1,11 @@
-"""The leader's memory of orders: each is carried out once, however often its request arrives.
+"""The leader's table of orders, which ensures that each is executed once, however often its request arrives.
 
-Submitters repeat a request while they hear nothing, and a datagram may arrive late, when the operator has submitted the
-next order already. So an order is known by its `OrderKey` while it is in flight, when a repeat changes nothing, and for
-`RETENTION_NS` after its answer, when a repeat gets the same outcome. This is the session table of Raft (dissertation,
-section 6.3), bounded by time and by number.
+Submitters resend a request until they get a reply, and a datagram may arrive late, after the operator has submitted the
+next order. Therefore the table keeps an order by its `OrderKey` while it is in flight, when a repeat is ignored, and
+for `RETENTION_NS` after its answer, when a repeat gets the same outcome. This is the session table of Raft
+(dissertation, section 6.3), bounded by time and by number.
 
-No I/O, no clock; times are ns of a steady clock.
+No I/O, no clock; times are ns of a monotonic clock.
 """
 
 from enum import Enum
@@ -15,13 +15,13 @@
 
 SEC = 10**9
 MAX_IN_FLIGHT = 256
-MAX_ANSWERED = 1024  # answers; the oldest go first
-RETENTION_NS = 5 * SEC  # longer than a submitter waits and than a datagram may be late
-ABANDONED_AFTER_NS = 10 * SEC  # the core answers each order within 2.5 s; one it never answered is forgotten
+MAX_ANSWERED = 1024  # the oldest answers are evicted first
+RETENTION_NS = 5 * SEC  # exceeds the submitters' timeout and the maximum delay of a datagram
+ABANDONED_AFTER_NS = 10 * SEC  # the core answers each order within 2.5 s
 
 
 class Admission(Enum):
-    """What is to be done with a request that arrived."""
+    """Whether the table admits a request."""
 
     NEW = "new"
     IN_FLIGHT = "in flight"
@@ -34,7 +34,7 @@
     __slots__ = ("kind", "admitted_at", "body_digest")
 
     def __init__(self, kind: str, admitted_at: int, body_digest: bytes) -> None:
-        """`admitted_at` in ns; `body_digest`: of the configuration that it brought, else empty."""
+        """`admitted_at` in ns; `body_digest`: of the configuration in the order, else empty."""
         self.kind = kind
         self.admitted_at = admitted_at
         self.body_digest = body_digest
@@ -52,22 +52,22 @@
 
 
 class OrderTable:
-    """Orders in flight and orders answered lately, by key."""
+    """Orders in flight and recently answered orders, by key."""
 
     def __init__(self) -> None:
         """Start empty."""
-        self.in_flight: dict[OrderKey, InFlightOrder] = {}  # emptied by answers and by time
-        self.answered: dict[OrderKey, AnsweredOrder] = {}  # oldest first; emptied by time and by number
+        self.in_flight: dict[OrderKey, InFlightOrder] = {}  # each is removed by its answer or by time
+        self.answered: dict[OrderKey, AnsweredOrder] = {}  # oldest first; bounded by time and by number
 
     def outcome_of(self, key: OrderKey) -> str | None:
-        """Return the outcome of an order that was answered lately, or None."""
+        """Return the outcome of a recently answered order, or None."""
         found = self.answered.get(key)
         return found.outcome if found else None
 
     def admit(self, key: OrderKey, kind: str, now: int, body_digest: bytes = b"") -> Admission:
-        """Record an order as in flight, unless it is already or the table is full.
+        """Record an order as in flight, unless it already is or the table is full.
 
-        `body_digest`: of the configuration that the order brought.
+        `body_digest`: of the configuration in the order.
         """
         if key in self.in_flight:
             return Admission.IN_FLIGHT
@@ -79,10 +79,10 @@
     def answer(self, key: OrderKey, outcome: str, now: int) -> bytes | None:
         """Record how an order ended.
 
-        Returns the digest of its body, or None if it was not in flight, when nobody is owed an answer.
+        Returns the digest of its body, or None if it was not in flight, so that no answer is due.
 
-        An outcome that is in force, or may be, is kept: carried out once more the order could undo a later one, or
-        count twice. An order that was not taken may arrive anew, and a read changes nothing.
+        The outcome is kept if the order has taken effect or may have: a second execution could undo a later order, or
+        count twice. An order that was not accepted may be executed when it arrives again, and a read changes nothing.
         """
         order = self.in_flight.pop(key, None)
         if order is None:
@@ -95,7 +95,7 @@
         return order.body_digest
 
     def expire(self, now: int) -> int:
-        """Forget what is too old. Returns how many orders never got their answer."""
+        """Remove orders that are too old. Returns how many of them never got an answer."""
         for key, order in list(self.answered.items()):
             if now - order.answered_at <= RETENTION_NS:
                 break  # the rest were answered later
--- a/rampfront/node/ports.py
+++ b/rampfront/node/ports.py
@@ -1,8 +1,8 @@
-"""What a node stands on: clock, frames, disk, platform, and the parts that a laboratory swaps.
+"""A node's replaceable dependencies: clock, wire, disk, platform, and the parts that the laboratory replaces.
 
-The serving process takes the defaults. The simulation (`rampfront/simulation/`) gives others, so that it plays the very
-`NodeProcess` that serves; the laboratory (`rampfront/lab/system/`) swaps single parts, so that the program needs no
-switch for tests. (Ports in the sense of Cockburn's "ports and adapters".)
+The serving process uses the defaults. The simulation (`rampfront/simulation/`) passes others, so that it runs the same
+`NodeProcess` that serves clients; the laboratory (`rampfront/lab/system/`) replaces single parts, so that the program
+needs no switch for tests. (Ports in the sense of Cockburn's "ports and adapters".)
 """
 
 from __future__ import annotations
@@ -25,14 +25,14 @@
 
 
 def open_record_store(folder: str) -> RecordStore:
-    """Return the store of the core's record in `folder`. Its modules are loaded only where there is a disk."""
+    """Return the store of the core's record in `folder`. Its modules are loaded only on nodes with a disk."""
     from ..consensus.record_store import RecordStore
 
     return RecordStore(folder)
 
 
 def start_disk_executor(threads: int) -> Executor:
-    """Return an executor of that many threads for calls that block. Loaded only where there is a disk, too."""
+    """Return an executor with `threads` threads for blocking calls. Loaded only on nodes with a disk as well."""
     from concurrent.futures import ThreadPoolExecutor
 
     return ThreadPoolExecutor(threads)
@@ -41,7 +41,7 @@
 def make_poller(
     loop: AbstractEventLoop, clock: Callable[[], int], settings: PollSettings, callbacks: PollCallbacks
 ) -> Poller:
-    """Return what polls the platform. Its modules are loaded only where a node may come to lead."""
+    """Return the poller of the platform. Its modules are loaded only on nodes that may become the leader."""
     from ..membership.endpoint_list_poller import Poller
 
     return Poller(loop, clock, settings, callbacks)
@@ -53,7 +53,7 @@
     clock: Callable[..., Any] = Clock
     wire: Callable[..., Any] = Wire
     record_store: Callable[..., Any] = open_record_store
-    # Of the disk: a disk that hangs holds up nobody but the member of the core.
+    # A separate executor for the disk: if the disk hangs, only the member of the core is blocked.
     disk_executor: Callable[..., Any] = start_disk_executor
     poller: Callable[..., Any] = make_poller
     limiter: Callable[..., Any] = Limiter
--- a/rampfront/node/quota_frames.py
+++ b/rampfront/node/quota_frames.py
@@ -1,13 +1,13 @@
 """The two frames that carry the exchange of quota counts between nodes.
 
-What is in a message is the quota package's (`quota/messages.py`); a frame adds the kind by which it is dispatched. The
-wire's short keys stand here alone.
+The quota package defines the messages (`quota/messages.py`); a frame adds the kind by which it is dispatched. The
+frames' short keys are defined only here.
 """
 
 from ..quota.codec import WireMap
 from ..transport.frames import Message
 
-# Keys and kinds of the frames, as they stand on the wire.
+# Keys and kinds of the frames on the wire.
 KIND = "k"
 MESSAGE = "m"
 QUOTA_ADD = "add"  # a proxy's counts, to the counter
--- a/rampfront/node/readiness.py
+++ b/rampfront/node/readiness.py
@@ -1,4 +1,4 @@
-"""Whether this node asks for clients: the platform asks for it, and the roster carries it to the other nodes."""
+"""Whether this node is ready for clients. The platform polls it, and the roster carries it to the other nodes."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 
 class Readiness:
-    """Ready is a node whose front can serve and that is not shutting down."""
+    """Tracks readiness: a node is ready if its front can serve and it is not shutting down."""
 
     def __init__(self, context: NodeContext, disseminator: Disseminator, client_front: ClientFront) -> None:
-        """`disseminator` announces it to the other nodes, `client_front` knows whether it can serve."""
+        """`disseminator` announces readiness to the other nodes; `client_front` knows whether it can serve."""
         self._log = context.log
         self._disseminator = disseminator
         self._client_front = client_front
@@ -24,19 +24,19 @@
 
     @property
     def announced(self) -> bool:
-        """What was last announced to the other nodes."""
+        """The readiness that was last announced to the other nodes."""
         return self._disseminator.ready
 
     def is_ready(self) -> bool:
-        """Whether the node is announced as ready, and its front can serve at this moment."""
+        """Return whether the node is announced as ready and its front can serve now."""
         return self._disseminator.ready and self._client_front.ready()
 
     def withdraw(self) -> None:
-        """The process shuts down: the next update says not ready, and so do all after it."""
+        """Make this and all later updates announce the node as not ready, because the process shuts down."""
         self._withdrawn = True
 
     def update(self, now: int) -> None:
-        """Evaluate readiness anew, and announce a change to the other nodes at once. `now` in ns."""
+        """Evaluate readiness, and announce a change to the other nodes at once. `now` in ns."""
         ready = self._client_front.ready() and not self._withdrawn
         if ready == self._disseminator.ready:
             return
--- a/rampfront/node/receivers.py
+++ b/rampfront/node/receivers.py
@@ -1,6 +1,6 @@
-"""Who gets the core's news within a node: the interfaces that `core_driver` and `order_executor` call.
+"""The interfaces through which `core_driver` and `order_executor` pass the core's events to a node's parts.
 
-They serve the type checker alone, and no process loads this module: import it under `TYPE_CHECKING`.
+They are only for the type checker, and no process loads this module: import it under `TYPE_CHECKING`.
 """
 
 from __future__ import annotations
@@ -13,28 +13,28 @@
 
 
 class OrderAnswerReceiver(Protocol):
-    """Gets the member's answers to orders."""
+    """Receives the member's answers to orders."""
 
     def on_core_answer(self, key: OrderKey, outcome: str, state: State | None) -> None:
-        """Take the outcome of the order `key`; `state`: the committed one, with DONE and CONFLICT."""
+        """Handle the outcome of the order `key`; `state`: the committed one, with DONE and CONFLICT."""
 
 
 class StateReceiver(Protocol):
-    """Gets states that are known to be committed."""
+    """Receives states that are known to be committed."""
 
     def apply(self, state: State) -> None:
-        """Bring a state into force at this node."""
+        """Apply a state at this node."""
 
 
 class LeadershipObserver(Protocol):
-    """Is called after each input to the member, whose role may have changed."""
+    """Is called after each input to the member, which may have changed its role."""
 
     def update(self, now: int) -> None:
-        """Look at the member's role; `now` in ns."""
+        """Check the member's role; `now` in ns."""
 
 
 class ReplyReceiver(Protocol):
-    """Gets the replies to orders of this node itself."""
+    """Receives the replies to this node's own orders."""
 
     def on_reply(self, ip: str, reply: OrderReply) -> None:
-        """Take what the node at `ip` says has become of an order."""
+        """Handle the reply of the node at `ip` to an order."""
--- a/rampfront/node/replicated_state.py
+++ b/rampfront/node/replicated_state.py
@@ -1,4 +1,4 @@
-"""Brings the core's committed states into force at this node: configuration, members of the core, evacuated zones."""
+"""Applies the core's committed states at this node: configuration, members of the core, evacuated zones."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class ReplicatedState:
-    """The state that is in force here. It only ever goes forward."""
+    """The state in force at this node. It is only ever replaced by a newer one."""
 
     def __init__(
         self,
@@ -31,7 +31,7 @@
         client_front: ClientFront,
         quota_exchange: QuotaExchange,
     ) -> None:
-        """Build it over the parts that act by the state."""
+        """Build it with the parts that use the state."""
         self._clock = context.clock
         self._log = context.log
         self._snapshots = context.snapshots
@@ -42,17 +42,17 @@
 
     @property
     def state(self) -> State | None:
-        """What is in force; None until the first state arrives."""
+        """The state in force; None until the first state arrives."""
         return self._snapshots.state
 
     def receive(self, packed: Packed) -> None:
-        """Take a state from another node's packed values. Raises like `Snapshots.decode_state`."""
+        """Apply a state received from another node. Raises like `Snapshots.decode_state`."""
         state = self._snapshots.decode_state(packed, self._disseminator.state_index)
         if state is not None:
             self.apply(state)
 
     def apply(self, state: State) -> None:
-        """Bring a state into force, unless this one or a newer one is: a late or repeated update changes nothing."""
+        """Apply a state, unless it or a newer one is in force: a late or repeated update changes nothing."""
         old = self._snapshots.state
         if old is not None and state.index <= old.index:
             return
--- a/rampfront/node/server_health_exchange.py
+++ b/rampfront/node/server_health_exchange.py
@@ -1,4 +1,4 @@
-"""Reports of what proxies see of servers go to the leader; what it concludes from all of them goes to every proxy."""
+"""Sends proxies' reports on servers to the leader, and the leader's verdicts to every proxy."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class ServerHealthExchange:
-    """Carries reports and verdicts between the proxies and the leader's registry, which makes the verdicts."""
+    """Carries reports from proxies to the leader's registry, and the registry's verdicts to the proxies."""
 
     def __init__(
         self,
@@ -24,7 +24,7 @@
         request_proxy: RequestProxy,
         registry: HealthRegistry,
     ) -> None:
-        """`request_proxy` sees servers and acts by verdicts, `registry` concludes where this node leads."""
+        """`request_proxy` observes servers and applies verdicts; `registry` makes verdicts if this node leads."""
         self._own_ip = context.process_settings.ip
         self._wire = context.wire
         self._disseminator = disseminator
@@ -33,14 +33,17 @@
         self.registry = registry
 
     def send_reports(self, now: int) -> None:
-        """Send the leader what this node's proxy has seen since, if there is anything."""
+        """Send the leader this node's new reports, if there are any."""
         reports = self._request_proxy.health_reporter.take_reports(now)
         if reports and self._disseminator.leader:
             frame = messages.encode_health_reports(messages.HealthReports(reports))
             self._wire.send(self._disseminator.leader, frame)
 
     def on_report(self, ip: str, frame: messages.Message, now: int) -> None:
-        """Take a node's report at the leader; what several nodes bear out goes to all, this node too."""
+        """Handle a node's report at the leader, and send the resulting verdicts to all nodes, including this one.
+
+        A verdict requires reports of several nodes.
+        """
         disseminator = self._disseminator
         if not self._leadership.is_leader:
             return
@@ -54,7 +57,7 @@
             self._wire.send_all(everyone, messages.encode_health_verdicts(part))
 
     def on_verdict(self, ip: str, frame: messages.Message, now: int) -> None:
-        """Act by the leader's verdicts. Verdicts of the leader of an older term are dropped."""
+        """Apply the leader's verdicts. Verdicts from the leader of an older term are dropped."""
         if ip != self._leadership.leader:
             return
         health = messages.decode_health_verdicts(frame)
--- a/rampfront/node/server_list_service.py
+++ b/rampfront/node/server_list_service.py
@@ -1,4 +1,4 @@
-"""The platform's list of servers at this node: the leader polls it and numbers it, every node puts it into force."""
+"""The platform's server list at this node: the leader polls and numbers it, every node applies it."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class ServerListService:
-    """Polls while this node leads, and installs the lists that come, of its own polls or from other nodes."""
+    """Polls while this node leads, and applies lists from its own polls or from other nodes."""
 
     def __init__(
         self,
@@ -30,7 +30,7 @@
         request_proxy: RequestProxy,
         health_registry: HealthRegistry,
     ) -> None:
-        """Build it over the parts that act by the list. `use_platform` names the platform, where there is one."""
+        """Build it with the parts that use the list. `set_platform` sets the platform's address, if there is one."""
         self._context = context
         self._snapshots = context.snapshots
         self._core = core
@@ -42,43 +42,46 @@
         self._make_poller: Callable[[tuple[str, int]], Poller] | None = None
         self._poller: Poller | None = None
 
-    def use_platform(self, address: tuple[str, int], make_poller: Callable[[tuple[str, int]], Poller]) -> None:
-        """Poll the platform at this address. A poller calls `on_polled` and `on_poll_failed`."""
+    def set_platform(self, address: tuple[str, int], make_poller: Callable[[tuple[str, int]], Poller]) -> None:
+        """Poll the platform at this address. The poller calls `on_polled` and `on_poll_failed`."""
         self._address = address
         self._make_poller = make_poller
 
     @property
     def poller(self) -> Poller | None:
-        """What polls the platform, made when first asked for: only a member of the core ever leads, and the modules
-        need not be loaded elsewhere. None where there is no platform."""
+        """The poller of the platform, created on first use; None without a platform.
+
+        It is created late because only a member of the core can lead, and its modules need not be loaded elsewhere.
+        """
         self.prepare_to_poll()
         return self._poller
 
     def prepare_to_poll(self) -> None:
-        """Make the poller now, at a node that may come to lead: a new leader has no time to load modules."""
+        """Create the poller now, on a node that may become the leader: a new leader has no time to load modules."""
         if self._poller is None and self._make_poller is not None:
             self._poller = self._make_poller(self._address)
 
-    def poll_while(self, leads: bool) -> None:
-        """Start or stop polling, where that has to change."""
-        if leads == self._is_polling or (poller := self.poller) is None:
+    def set_polling(self, enabled: bool) -> None:
+        """Start or stop polling, if needed."""
+        if enabled == self._is_polling or (poller := self.poller) is None:
             return
-        self._is_polling = leads
-        if leads:
+        self._is_polling = enabled
+        if enabled:
             poller.start()
         else:
             poller.stop()
 
-    def move_platform(self, address: tuple[str, int]) -> None:
+    def change_platform_address(self, address: tuple[str, int]) -> None:
         """Poll at another address from now on."""
         self._address = address
         if self._poller is not None:
             self._poller.change_address(address)
 
     def on_polled(self, servers: EndpointList) -> None:
-        """Take a complete list from the platform: the leader numbers it, and passes on what differs.
+        """Handle a complete list from the platform: the leader numbers and distributes it if it has changed.
 
-        The same rows are news if an older leader gave out a number above ours: whoever holds that one would keep it.
+        An unchanged list is renumbered if an older leader has issued a higher number: nodes that hold that number
+        would otherwise keep their list.
         """
         now, old = self._context.clock(), self._snapshots.servers
         self._context.counts["server_lists"] += 1
@@ -91,18 +94,18 @@
         disseminator.push_updates(now)
 
     def on_poll_failed(self, reason: str) -> None:
-        """Count a round that brought no list."""
+        """Count and log a failed poll."""
         self._context.counts["server_lists_failed"] += 1
         self._context.log.record_limited(log_events.SERVER_LIST_POLL_FAILED, "platform", error=reason)
 
     def receive(self, packed: Packed, now: int) -> None:
-        """Take a list from another node's packed values. Raises like `Snapshots.decode_endpoints`."""
+        """Handle a list received from another node. Raises like `Snapshots.decode_endpoints`."""
         servers = self._snapshots.decode_endpoints(packed, now, self._disseminator.endpoints_version)
         if not self._disseminator.is_leader and servers is not None:
             self.install(servers)
 
     def install(self, servers: EndpointList) -> None:
-        """Put a list into force here."""
+        """Apply a list at this node."""
         self._disseminator.endpoints_changed(servers.version)
         self._snapshots.put_endpoints(servers)
         self._request_proxy.apply_server_list(servers)
--- a/rampfront/node/settings_reload.py
+++ b/rampfront/node/settings_reload.py
@@ -1,4 +1,4 @@
-"""Takes over what may change in the settings file while the process runs: seeds, the platform's address, new zones."""
+"""Applies the settings that may change while the process runs: seeds, the platform's address, new zones."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class SettingsReloader:
-    """Reads the file on SIGHUP, and when it has changed without a signal (PROTOCOL.md, "The operator")."""
+    """Reloads the file on SIGHUP, and when it has changed without a signal (PROTOCOL.md, "The operator")."""
 
     def __init__(
         self,
@@ -32,16 +32,18 @@
         server_list: ServerListService,
         request_proxy: RequestProxy,
     ) -> None:
-        """Build it over the parts that take the new settings."""
+        """Build it with the parts that use the new settings."""
         self._context = context
         self._disseminator = disseminator
         self._core = core
         self._server_list = server_list
         self._request_proxy = request_proxy
-        self._file_version: tuple[int, int, int] | None = None  # time of change (ns), size, inode, when last looked at
+        self._file_version: tuple[int, int, int] | None = (
+            None  # modification time (ns), size and inode at the last check
+        )
 
     def watch(self, path: str) -> None:
-        """Look at the file at `path` now and then, from now on."""
+        """Check the file at `path` for changes now, and periodically from now on."""
         self._context.scheduler.call_after(WATCH_INTERVAL_NS, self.watch, path)
         try:
             status = os.stat(path)
@@ -53,7 +55,7 @@
             self.reload(path)
 
     def reload(self, path: str) -> None:
-        """Read the file at `path`. A faulty one is named in the log and changes nothing."""
+        """Read the file at `path` and apply it. The error of an invalid file is logged, and nothing changes."""
         found = settings_reader.load(path)
         if isinstance(found, Err):
             self._context.log.record(log_events.SETTINGS_REJECTED, error=found.err_value)
@@ -63,8 +65,9 @@
         self._disseminator.set_seeds(seeds)
         self._core.change_seeds(seeds)
         if new.platform_address:
-            self._server_list.move_platform(new.platform_address)
-        # Only added to: other nodes may know a new zone by now, and one that is gone may yet be taken back.
+            self._server_list.change_platform_address(new.platform_address)
+        # Zones are only added: other nodes may already use a new zone, and an evacuated zone that has been removed from
+        # the file can still be restored.
         zones = self._context.process_settings.zones
         zones.update(new.zones)
         self._request_proxy.apply_zones(zones)
--- a/rampfront/node/shutdown.py
+++ b/rampfront/node/shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown: the node leaves the directory at once, serves on while clients still come, and answers all."""
+"""Graceful shutdown: the node leaves the directory at once, keeps serving for a while, and answers every request."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
     from .readiness import Readiness
 
 MS, SEC = 10**6, 10**9
-MIN_SERVE_ON_NS = SEC // 2  # clients that looked the node up before still come; else half of the period of grace
+MIN_SERVING_NS = SEC // 2  # lower limit of half the grace period; for clients that looked this node up before
 MIN_GRACE_NS = SEC
-GRACE_MARGIN_NS = 300 * MS  # the process ends so long before the period of grace does
-POLL_NS = 25 * MS
+GRACE_MARGIN_NS = 300 * MS  # the process exits this long before the grace period ends
+POLL_INTERVAL_NS = 25 * MS
 
 
 class Shutdown:
-    """The steps from SIGTERM to the end of the loop."""
+    """Performs the steps from SIGTERM until the event loop stops."""
 
     def __init__(
         self,
@@ -32,7 +32,7 @@
         client_front: ClientFront,
         readiness: Readiness,
     ) -> None:
-        """Build it over the parts that have to know of the end."""
+        """Build it with the parts that take part in the shutdown."""
         self._context = context
         self._core = core
         self._disseminator = disseminator
@@ -44,8 +44,8 @@
     def begin(self) -> None:
         """Start the shutdown; a second call changes nothing.
 
-        A leader of the core gives way first, then the roster says that this node is not ready. The loop stops within
-        the settings' period of grace, answered or not.
+        A leader of the core steps down first, then the roster announces that this node is not ready. The loop stops
+        within the settings' grace period, even if requests are unanswered.
         """
         if self.in_progress:
             return
@@ -58,17 +58,17 @@
         self._disseminator.tick(self._context.clock())
         grace = self._context.process_settings.guarantees.grace
         scheduler = self._context.scheduler
-        scheduler.call_after(max(MIN_SERVE_ON_NS, grace // 2), self._stop_accepting)
+        scheduler.call_after(max(MIN_SERVING_NS, grace // 2), self._stop_accepting)
         scheduler.call_after(max(MIN_GRACE_NS, grace - GRACE_MARGIN_NS), self._context.loop.stop)
 
     def _stop_accepting(self) -> None:
-        """Take no new connections; end once those that are there and all calls have their answers."""
+        """Stop accepting connections, and stop the loop once clients and operators' calls have their answers."""
         self.listeners.drain()
         self._client_front.retire(self._stop_when_answered)
 
     def _stop_when_answered(self) -> None:
-        """Stop the loop, but not before each operator's call has its answer, which takes a second at most."""
+        """Stop the loop once every operator's call has its answer, which takes at most a second."""
         if self.listeners.has_pending_calls():
-            self._context.scheduler.call_after(POLL_NS, self._stop_when_answered)
+            self._context.scheduler.call_after(POLL_INTERVAL_NS, self._stop_when_answered)
         else:
             self._context.loop.stop()
--- a/rampfront/node/status_views.py
+++ b/rampfront/node/status_views.py
@@ -1,12 +1,13 @@
-"""Read calls for the operators' tools: what this node holds at this moment, from its own snapshots.
+"""Read calls for the operators' tools, which show this node's current state from its own snapshots.
 
-No call changes or asks anything elsewhere, so a node that is cut off answers them too, and what it says is its own
-view: `OutOfTouchMs` tells for how long no majority of the core has stood behind it (null: it is in touch). No key is
-shown.
+No call changes anything or contacts another node, so a node that is cut off answers them as well. The answer is this
+node's own view: `OutOfTouchMs` tells for how long no majority of the core has confirmed it (null: it is in touch). No
+API key is shown.
 
-Times are ms, of spans that are left or past: clocks of two nodes differ. Lists come in pages, so that none holds the
-loop for long: `after=ID` goes on behind an id, and `Next` tells it (null on the last page). The names of the answers'
-fields are the operators' own (PROTOCOL.md, "The operator"); `COUNTERS_SHOWN` says which counter stands behind each.
+Times are durations in ms, remaining or elapsed, because the clocks of two nodes differ. Lists are paged, so that no
+call blocks the event loop for long: `after=ID` continues after an id, and `Next` gives that id (null on the last page).
+The names of the answers' fields are defined by the operators (PROTOCOL.md, "The operator"); `COUNTERS_SHOWN` maps the
+fields of `Counts` to counters.
 """
 
 from __future__ import annotations
@@ -33,7 +34,7 @@
     T = TypeVar("T")
 
 MS = 10**6
-PAGE_ROWS = 500  # of an answer
+PAGE_ROWS = 500  # maximum rows of an answer
 RETRY_SHORTLY = ((b"Retry-After", b"0.3"),)
 COUNTERS_SHOWN = {  # field of the answer: counter
     "faults": "faults",
@@ -58,12 +59,12 @@
     """The read calls of one node."""
 
     def __init__(self, node: NodeProcess) -> None:
-        """`node`: whose view they show."""
+        """`node`: the node whose state is shown."""
         self._node = node
 
     @endpoint("POST", "/api/rpc", operation="state.read")
     def state(self, _: IncomingRequest) -> Response:
-        """Who the node is, what it holds, and how old its lease is."""
+        """Return the node's identity, its state, and the age of its lease."""
         node = self._node
         settings = node.context.process_settings
         state = node.replicated_state.state
@@ -96,7 +97,7 @@
         return self._view(fields)
 
     def _core_fields(self, now: int) -> dict[str, Any] | None:
-        """What the leader knows of the core's members; None at all other nodes."""
+        """Return what the leader knows about the core's members; None on all other nodes."""
         strength = self._node.core.strength(now)
         if strength is None:
             return None
@@ -118,15 +119,15 @@
         }
 
     def _retry_budgets(self) -> dict[str, float]:
-        """Retries that each service has saved up."""
+        """Return the retry budget of each service."""
         service_pools = self._node.request_proxy.service_pools
         return {name: round(service_pool.saved_attempts, 1) for name, service_pool in service_pools.items()}
 
     @endpoint("POST", "/api/rpc", operation="nodes.read")
     def nodes(self, request: IncomingRequest) -> Response:
-        """The roster. All machines use the same ports (DEPLOY.md), so a node's control address follows from its ip."""
+        """Return the roster. All machines use the same ports (DEPLOY.md), so the ip gives a node's control address."""
         control = self._node.context.process_settings.control
-        assert control is not None  # it is the address that this call came to
+        assert control is not None  # this call arrived at that address
         entries, next_id = page_of(request, self._node.disseminator.roster, attrgetter("name"))
         views = [
             {
@@ -143,7 +144,7 @@
 
     @endpoint("POST", "/api/rpc", operation="servers.read")
     def servers(self, request: IncomingRequest) -> Response:
-        """The platform's list as it came to this node; `Links`: its connections to the server; `of`: a service."""
+        """Return the server list at this node. `Links`: connections to the server; `of`: shows one service only."""
         request_proxy, now = self._node.request_proxy, self._node.context.clock()
         servers = request_proxy.servers
         if servers is None:
@@ -151,38 +152,38 @@
         service = request.query.get("of")
         matching = [row for row in servers.endpoints if service in (None, row.service)]
         rows, next_id = page_of(request, matching, attrgetter("id"))
-        links = open_links(request_proxy)
-        views = [server_view(request_proxy, row, links, now) for row in rows]
+        connection_counts = open_connections(request_proxy)
+        views = [server_view(request_proxy, row, connection_counts, now) for row in rows]
         changed_ms = max(0, now - servers.read_at_ns) // MS
         return self._view({"Servers": views, "ChangedMs": changed_ms, "Next": next_id})
 
     @endpoint("POST", "/api/rpc", operation="quotas.read")
     def quotas(self, request: IncomingRequest) -> Response:
-        """Tenants with a quota, as this node counts them; `AskedPerS`: of all nodes."""
+        """Return this node's counts for the tenants with a quota; `AskedPerS` is the rate at all nodes."""
         quota_exchange, now = self._node.quota_exchange, self._node.context.clock()
         limiter = quota_exchange.limiter
         rows, next_id = page_of(request, limiter.tenants.values(), attrgetter("name"))
         is_isolated = limiter.is_isolated(now)
         views = [tenant_view(limiter, row, now) for row in rows]
-        holder = quota_exchange.placement.counter_ip
-        return self._view({"Holder": holder, "Alone": is_isolated, "Quotas": views, "Next": next_id})
+        counter_ip = quota_exchange.placement.counter_ip
+        return self._view({"Holder": counter_ip, "Alone": is_isolated, "Quotas": views, "Next": next_id})
 
     def _view(self, fields: dict[str, Any]) -> Response:
-        """Return an answer with the fields of a view, and for how long the node has been out of touch."""
+        """Return an answer with the given fields, and for how long the node has been out of touch."""
         out_of_touch_for = self._node.lease.out_of_touch_for(self._node.context.clock())
         return json_response({**fields, "OutOfTouchMs": None if out_of_touch_for is None else out_of_touch_for // MS})
 
 
 def page_of(request: IncomingRequest, rows: Iterable[T], id_of: Callable[[T], str]) -> tuple[list[T], str | None]:
-    """Return the rows behind the id `after` of the query, at most PAGE_ROWS, and the id to go on from, if any."""
+    """Return at most PAGE_ROWS rows after the query's id `after`, and the id to continue after, if there are more."""
     after = request.query.get("after", "")
     remaining = sorted([row for row in rows if id_of(row) > after], key=id_of)
     page = remaining[:PAGE_ROWS]
     return page, id_of(page[-1]) if len(remaining) > PAGE_ROWS else None
 
 
-def open_links(request_proxy: RequestProxy) -> dict[str, int]:
-    """Return how many connections this node has to each server, by its id."""
+def open_connections(request_proxy: RequestProxy) -> dict[str, int]:
+    """Return the number of this node's connections to each server, by server id."""
     return {
         server.uid: server.connections
         for service_pool in request_proxy.service_pools.values()
@@ -190,8 +191,10 @@
     }
 
 
-def server_view(request_proxy: RequestProxy, row: Endpoint, links: dict[str, int], now: int) -> dict[str, Any]:
-    """Return how a server is shown."""
+def server_view(
+    request_proxy: RequestProxy, row: Endpoint, connection_counts: dict[str, int], now: int
+) -> dict[str, Any]:
+    """Return the view of a server."""
     return {
         "Id": row.id,
         "Service": row.service,
@@ -200,13 +203,13 @@
         "Capacity": row.capacity,
         "State": row.state,
         "Emptied": row.zone in request_proxy.evacuated_zones,
-        "ColdMs": slow_start_left(request_proxy, row, now) // MS,
-        "Links": links.get(row.id, 0),
+        "ColdMs": slow_start_remaining(request_proxy, row, now) // MS,
+        "Links": connection_counts.get(row.id, 0),
     }
 
 
-def slow_start_left(request_proxy: RequestProxy, row: Endpoint, now: int) -> int:
-    """Return for how many ns yet the server is in slow start, by the list or as its zone was lately taken back."""
+def slow_start_remaining(request_proxy: RequestProxy, row: Endpoint, now: int) -> int:
+    """Return the ns until the server's slow start ends, which the list or a restored zone has started."""
     configuration = request_proxy.configuration
     service = configuration.services.get(row.service) if configuration else None
     if service is None:
@@ -216,7 +219,7 @@
 
 
 def tenant_view(limiter: Limiter, row: TenantCounts, now: int) -> dict[str, Any]:
-    """Return how a tenant's quota is shown."""
+    """Return the view of a tenant's quota."""
     return {
         "Tenant": row.name,
         "PerS": row.quota.per_s,
@@ -229,5 +232,5 @@
 
 
 def window_count(limiter: Limiter, row: TenantCounts, count: float, now: int) -> int:
-    """Return a count of the current window. A tenant without a request since still stands in an older one."""
+    """Return the count if it belongs to the current window, else 0: an idle tenant's counts are of an older window."""
     return round(count) if limiter.in_present_window(row, now) else 0
--- a/tests/node/test_answer_reports.py
+++ b/tests/node/test_answer_reports.py
@@ -8,7 +8,7 @@
 
 from rampfront.consensus.events import OrderKind, Outcome
 from rampfront.net.http_messages import Delivery
-from rampfront.node.answer_reports import GIVE_UP_NS, MAX_PENDING, RETRY_NS, AnswerReports
+from rampfront.node.answer_reports import MAX_PENDING, REPORT_TIMEOUT_NS, RETRY_NS, AnswerReports
 from rampfront.node.control_calls import MAX_KEY_BYTES, ControlCalls, explicit_identity
 
 ZONE = "hall"
@@ -64,7 +64,7 @@
     node.reports.report(ZONE, IDENTITY, Delivery.LOST)
     while node.timers:
         node.go(RETRY_NS)
-    assert node.now == GIVE_UP_NS
+    assert node.now == REPORT_TIMEOUT_NS
 
 
 def test_reports_under_way_are_bounded() -> None:
--- a/tests/node/test_configuration_answers.py
+++ b/tests/node/test_configuration_answers.py
@@ -57,9 +57,9 @@
     order.sent_to.add("10.0.0.1")
     reply = OrderReply(1, 2, Outcome.CONFLICT, held(5))  # of index 9
     assert OrderReply.decode(cbor2.loads(cbor2.dumps(reply.encode()))).state.revision == 5
-    assert order.objection("10.0.0.1", reply) is None
+    assert order.rejection_reason("10.0.0.1", reply) is None
     order.state_index = 10
-    assert order.objection("10.0.0.1", reply) and order.objection("10.0.0.2", reply)
+    assert order.rejection_reason("10.0.0.1", reply) and order.rejection_reason("10.0.0.2", reply)
     with pytest.raises(MalformedMessageError):
         OrderReply.decode(OrderReply(1, 2, Outcome.CONFLICT).encode())
 
--- a/tests/node/test_core_isolation.py
+++ b/tests/node/test_core_isolation.py
@@ -312,6 +312,6 @@
 
 
 def test_an_answer_that_waits_for_the_tick_would_be_found(monkeypatch):
-    monkeypatch.setattr(order_submitter, "ANSWER_WITHIN_NS", 980 * MS)
+    monkeypatch.setattr(order_submitter, "ANSWER_TIMEOUT_NS", 980 * MS)
     with pytest.raises(Broken, match="not answered within a second"):
         test_a_node_cut_off_for_20_s_confirms_no_order("diskless", "both")
