--- a/tests/edge/test_admin_calls.py
+++ b/tests/edge/test_admin_calls.py
@@ -1,4 +1,4 @@
-"""The operators' address on real sockets."""
+"""The operators' calls over real sockets."""
 
 import asyncio
 import io
@@ -17,8 +17,8 @@
 
 @pytest.mark.slow(3)
 def test_the_operators_address_over_real_sockets(loop):
-    """The operators' calls on real sockets: figures as clients saw them, a drain that the clients' front
-    sees and that closes what is idle, activate; unknown, wrong and silent callers cost nothing else."""
+    """Metrics agree with the responses that clients got; drain makes the clients' listener not ready and closes idle
+    connections; activate reverts it. Unknown calls, malformed requests and silent connections end with an error."""
 
     class AppServer(asyncio.Protocol):
         def connection_made(self, transport):
@@ -36,8 +36,8 @@
     driver = start(loop, Clock(), read_configuration(configuration, {}), Log("n0", 0, io.BytesIO())).driver
     run = loop.run_until_complete
 
-    async def call(where, text, keep=None):
-        read, write = await asyncio.open_connection(*parse_address(configuration[where]))
+    async def call(listener, text, keep=None):
+        read, write = await asyncio.open_connection(*parse_address(configuration[listener]))
         write.write(text)
         response = await asyncio.wait_for(read.read(), 3)
         write.close()
@@ -60,7 +60,7 @@
     responses += [
         run(call("admin_addr", b"POST /v1/edge-node/drain HTTP/1.1\r\n\r\n")),
         run(call("listen", b"GET /-/ready HTTP/1.1\r\n\r\n")),
-        (run(idle[0].read()),),  # the idle one is closed
+        (run(idle[0].read()),),  # drain closes the idle connection
         run(call("admin_addr", b"GET /v1/readyz HTTP/1.1\r\n\r\n")),
         run(call("admin_addr", b"POST /v1/edge-node/activate HTTP/1.1\r\n\r\n")),
         run(call("listen", b"GET /-/ready HTTP/1.1\r\n\r\n")),
@@ -70,10 +70,10 @@
     ]
     silent = [run(asyncio.open_connection(*parse_address(configuration["admin_addr"]))) for _ in range(3)]
     silent[1][1].write(b"GET /v1/rea")
-    began = loop.time()
-    ends = [run(asyncio.wait_for(read.read(), 3)) for read, _ in silent]  # ended by the sweep
-    assert ends[0] == ends[2] == b"" and ends[1].startswith(b"HTTP/1.1 408 ")  # who sent half a head is told why
-    assert 0.9 < loop.time() - began < 2.5
+    started_at = loop.time()
+    ends = [run(asyncio.wait_for(read.read(), 3)) for read, _ in silent]  # closed by the sweep
+    assert ends[0] == ends[2] == b"" and ends[1].startswith(b"HTTP/1.1 408 ")  # a partial head is answered
+    assert 0.9 < loop.time() - started_at < 2.5
     status = [line[0].split(b" ")[1] if line[0] else b"closed" for line in responses]
     assert status == [
         b"200",
--- a/tests/edge/test_counter_client.py
+++ b/tests/edge/test_counter_client.py
@@ -1,10 +1,11 @@
-"""The counter's client: plays of the whole program against parties written from the protocol, without waiting."""
+"""The counter's client: the whole program runs on a simulated clock against peers written from the protocol."""
 
 from helper import Stage
 
 
 def test_responses_come_in_order_and_silent_connections_are_replaced():
-    """Answers in order, a time-out of our own, late answers dropped, a silent connection replaced."""
+    """Replies are matched in order, and a reply after the client's timeout is dropped. A connection without data, or
+    with an invalid or incomplete reply, is replaced."""
     s = Stage()
     s.ask(0, plan="held")
     s.reply("s0")
@@ -36,10 +37,10 @@
 
 
 def test_a_break_after_the_call_may_have_added():
-    """Refused and BUSY add nothing; a break after the call was written may have."""
+    """BUSY and a refused connection count as not applied; a break after the call was written may have applied it."""
     s = Stage()
-    told = []
-    s.driver.counted = lambda name, total, how, took: told.append((name, total, how))
+    reports = []
+    s.driver.counted = lambda name, total, outcome, duration: reports.append((name, total, outcome))
     counter = s.driver.counter
     counter.add(1, 2.5, 4 * 10**9)
     s.pipes["counter"].feed("-BUSY later\r\n")
@@ -55,5 +56,5 @@
     s.settle()
     counter.add(5, -1.25, 10**6)
     s.pipes["counter"].feed("$4\r\n-1.2\r\n")
-    s.note(f"told {told}")
+    s.note(f"told {reports}")
     s.check("counter_breaks")
--- a/tests/edge/test_discovery_watch.py
+++ b/tests/edge/test_discovery_watch.py
@@ -1,10 +1,11 @@
-"""The watch on discovery: plays of the whole program against parties written from the protocol, without waiting."""
+"""The watch on discovery: the whole program runs on a simulated clock against peers written from the protocol."""
 
 from helper import Stage, target
 
 
 def test_the_node_serves_on_while_discovery_is_broken():
-    """Cut off mid-line, silent, or odd: the node serves on from what it knows and joins again."""
+    """When the watch breaks within a line, becomes silent or sends invalid data, the node continues to serve with the
+    last list, and reconnects."""
     s = Stage(servers=2)
     s.told(target(0, "terminating"), rev=2)
     s.pipes["discovery"].feed('40\r\n{"rev":3,"all":tr')
@@ -23,8 +24,8 @@
 
 
 def test_a_full_discovery_is_polled_ever_more_rarely():
-    """Discovery turns every watch away, as when most nodes come at once: the node serves on from its last list and
-    asks ever more rarely, at drawn moments; what is told again ends that."""
+    """Discovery rejects every watch, as when most nodes connect at once. The node continues to serve with its last list
+    and retries with a growing, random delay."""
     s = Stage(servers=1)
     s.beats = False
     s.pipes["discovery"].cut()
--- a/tests/edge/test_edge_configuration.py
+++ b/tests/edge/test_edge_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration: what is invalid is named by its key."""
+"""An invalid configuration is rejected with an error that names the key."""
 
 import pytest
 from helper import config
@@ -8,7 +8,7 @@
 
 
 @pytest.mark.parametrize(
-    "change, says",
+    "change, expected",
     [
         (dict(listen="nowhere"), "listen should be host:port, not 'nowhere'"),
         (dict(counter=None), "counter should be a text; it is missing"),
@@ -31,7 +31,7 @@
         (config(Packages=[{"Name": "a", "PerSecond": "x"}]), "Packages[0].PerSecond should be a number"),
     ],
 )
-def test_a_faulty_key_is_named(change, says):
-    with pytest.raises(ConfigurationError) as trouble:
+def test_a_faulty_key_is_named(change, expected):
+    with pytest.raises(ConfigurationError) as error:
         read_configuration({**config(), **change}, {})
-    assert says in str(trouble.value)
+    assert expected in str(error.value)
--- a/tests/edge/test_edge_process.py
+++ b/tests/edge/test_edge_process.py
@@ -1,4 +1,4 @@
-"""The process on real sockets: listeners, upgrade, reload, end."""
+"""The edge process: listeners, inherited listener, reload and shutdown."""
 
 import asyncio
 import contextlib
@@ -21,7 +21,8 @@
 
 
 def test_sigterm_finishes_what_was_accepted():
-    """SIGTERM: serves on for half a second, then takes nothing new, finishes what it took and exits."""
+    """On SIGTERM the node serves for another half second, then accepts nothing new, finishes open transactions and
+    exits."""
     s = Stage()
     s.ask(1)
     first = s.pipes["s0"]
@@ -38,8 +39,8 @@
 
 
 def test_sighup_moves_addresses_and_no_transaction():
-    """SIGHUP: new addresses at once, no txn touched, each call to the counter written once and to one place;
-    a faulty file is named and changes nothing."""
+    """On SIGHUP the new addresses are used at once, and open transactions continue. Each call to the counter is written
+    once, to one address. An invalid file is logged and changes nothing."""
     s = Stage()
     s.ask(0, plan="held")
     s.reply("s0")
@@ -81,7 +82,7 @@
 
 
 def test_transactions_over_real_sockets(loop):
-    """The real loop and the real parsers, one txn and one malformed one through real connections."""
+    """A valid and a malformed transaction with the real event loop, parsers and connections."""
 
     class AppServer(asyncio.Protocol):
         def connection_made(self, transport):
@@ -121,10 +122,10 @@
 
 
 def test_an_inherited_listener_loses_no_connection(loop):
-    """Upgrades: the socket that the platform holds is served on, nothing is bound; a connection that waits in
-    its queue when the old process retires is taken by the next one, whose address stays as it was."""
+    """In an upgrade both processes use the listening socket that the platform holds, and bind none. A connection that
+    is in the accept queue when the old process stops accepting is accepted by the new one."""
     configuration, listening = config(1), socket.create_server(("127.0.0.1", 0))
-    configuration["listen"] = address_of(listening)  # bound already: binding it again would fail
+    configuration["listen"] = address_of(listening)  # already bound: binding it again would fail
 
     def start_process():
         environment = {"RELAY_LISTEN_FD": str(os.dup(listening.fileno()))}
@@ -151,7 +152,8 @@
 
 
 def test_the_deploy_command_ends_in_one_exec():
-    """The fleet days refuse other programs, fork and io_uring: `run` ends in one exec, with libuv's io_uring off."""
+    """The environment of the fleet permits neither fork, other programs nor io_uring, so `run` must end in one exec,
+    with libuv's io_uring disabled."""
     run = tomllib.loads((Path(__file__).parents[2] / "deploy/balancer.toml").read_text())["run"]
     steps = [step.strip() for step in run.split(";")]
     assert steps[-1].startswith("exec ") and "&" not in run and "|" not in run and "$(" not in run
