--- a/tests/exposition.py
+++ b/tests/exposition.py
@@ -1,4 +1,4 @@
-"""The page of metrics, read as a scraper does."""
+"""A parser of the metrics page, for tests."""
 
 import re
 
@@ -6,18 +6,18 @@
 
 
 def parse_exposition(text):
-    """{name or (name, edge): value} of a page in the format of scrapers, every line of it checked."""
-    kinds, found = {}, {}
+    """Check every line of a metrics page, and return {name: value}, with (name, bucket bound) as key for buckets."""
+    kinds, values = {}, {}
     assert text.endswith("\n")
     for line in text.splitlines():
         if line.startswith("# "):
-            _, what, name, rest = line.split(" ", 3)
-            assert what in ("TYPE", "HELP") and (what == "HELP" or kinds.setdefault(name, rest) == rest)
+            _, directive, name, rest = line.split(" ", 3)
+            assert directive in ("TYPE", "HELP") and (directive == "HELP" or kinds.setdefault(name, rest) == rest)
             continue
-        name, edge, value = LINE.fullmatch(line).groups()
+        name, bound, value = LINE.fullmatch(line).groups()
         family = re.sub("_(bucket|sum|count)$", "", name)
         kind = "histogram" if family != name else "counter" if name.endswith("_total") else "gauge"
-        assert kinds[family] == kind and bool(edge) == name.endswith("_bucket")
-        assert (name, edge) not in found
-        found[(name, edge) if edge else name] = float(value)
-    return found
+        assert kinds[family] == kind and bool(bound) == name.endswith("_bucket")
+        assert (name, bound) not in values
+        values[(name, bound) if bound else name] = float(value)
+    return values
--- a/tests/node/conftest.py
+++ b/tests/node/conftest.py
@@ -7,7 +7,7 @@
 
 @pytest.fixture
 def node_process():
-    """A node without a disk, whose loop is a `ProxyHarness` with clients and servers."""
+    """A node without a disk on a `ProxyHarness` with clients and servers."""
     loop = ProxyHarness()
     loop.stopped = []
     loop.stop = lambda: loop.stopped.append(loop.now)
--- a/tests/node/test_answer_reports.py
+++ b/tests/node/test_answer_reports.py
@@ -1,10 +1,10 @@
-"""Reports to the core on whether callers read the answers to their orders on zones."""
+"""Reports to the core whether callers read the answers to their orders on zones."""
 
 from collections import Counter
 from types import SimpleNamespace
 
 import pytest
-from test_configuration_answers import Asked, held
+from test_configuration_answers import FakeCall, state_of_revision
 
 from rampfront.consensus.events import OrderKind, Outcome
 from rampfront.net.http_messages import Delivery
@@ -17,7 +17,7 @@
 
 
 class Node:
-    """A node whose core answers as scripted; timers are kept, and the clock is moved by hand."""
+    """A node whose core answers with the given outcomes; the test advances its clock and timers."""
 
     def __init__(self, *outcomes: str | None) -> None:
         self.now = 0
@@ -34,9 +34,9 @@
     def submit(self, kind: str, body: object, on_done: object, identity: int = 0) -> None:
         self.submitted.append((kind, body, identity))
         outcome = self.outcomes.pop(0) if self.outcomes else DONE
-        on_done(outcome, held(5) if outcome == DONE else None)
+        on_done(outcome, state_of_revision(5) if outcome == DONE else None)
 
-    def go(self, span: int) -> None:
+    def advance(self, span: int) -> None:
         self.now += span
         due = [timer for timer in self.timers if timer[0] <= self.now]
         self.timers = [timer for timer in self.timers if timer[0] > self.now]
@@ -55,7 +55,7 @@
     node = Node(None, Outcome.NOT_LEADER, "busy", DONE)
     node.reports.report(ZONE, IDENTITY, delivery)
     for _ in range(6):
-        node.go(RETRY_NS)
+        node.advance(RETRY_NS)
     assert node.reported == [(kind, (ZONE, IDENTITY))] * 4 and not node.timers
 
 
@@ -63,7 +63,7 @@
     node = Node(*[None] * 1000)
     node.reports.report(ZONE, IDENTITY, Delivery.LOST)
     while node.timers:
-        node.go(RETRY_NS)
+        node.advance(RETRY_NS)
     assert node.now == REPORT_TIMEOUT_NS
 
 
@@ -80,8 +80,8 @@
     assert not node.submitted and node.counts["answers_unknown"] == 1
 
 
-class Caller(Asked):
-    """A caller of whom the node learns what became of its answer."""
+class Caller(FakeCall):
+    """A caller whose answer has the given delivery."""
 
     def __init__(self, delivery: Delivery, key: bytes = b"") -> None:
         super().__init__(of=ZONE)
@@ -106,15 +106,15 @@
 
 @pytest.mark.parametrize("outcome", [None, Outcome.UNKNOWN, "busy"])
 def test_an_order_that_was_answered_503_holds_no_acknowledgement(outcome: str | None) -> None:
-    """It may come into force all the same; its caller sends it again, and that is one operator."""
+    """The order may still take effect. Its caller repeats it, which must not count as a second operator."""
     node = Node(outcome)
     caller = Caller(Delivery.DELIVERED)
     node.calls.start_evacuation(caller)
-    assert caller.said[0] == 503 and node.reported == [("lost", (ZONE, IDENTITY))]
+    assert caller.answer[0] == 503 and node.reported == [("lost", (ZONE, IDENTITY))]
 
 
 def test_an_order_that_its_caller_named_keeps_its_name_through_lost_answers() -> None:
-    node = Node(DONE, DONE, DONE, None)  # the third is of the report
+    node = Node(DONE, DONE, DONE, None)  # the third outcome is that of the report
     for delivery in (Delivery.LOST, Delivery.DELIVERED, Delivery.DELIVERED):
         node.calls.start_evacuation(Caller(delivery, b"one key"))
     named = explicit_identity(b"one key")
--- a/tests/node/test_configuration_answers.py
+++ b/tests/node/test_configuration_answers.py
@@ -1,4 +1,4 @@
-"""What operators are answered to configurations and evacuations at the control address."""
+"""The answers to operators' configurations and evacuations at the control address."""
 
 import json
 import zlib
@@ -20,32 +20,32 @@
 from rampfront.simulation.world import MS, SEC
 
 
-class Asked:
+class FakeCall:
     """A call at the control address."""
 
     def __init__(self, body: bytes = b"", **query: str) -> None:
-        self.body, self.query, self.said, self.idempotency_key = body, query, None, b""
+        self.body, self.query, self.answer, self.idempotency_key = body, query, None, b""
 
     def respond(self, status: int, body: bytes = b"", headers: tuple = (), kind: bytes = b"", **_: object) -> bool:
-        """Keeps the answer."""
-        self.said = status, json.loads(body), dict(headers)
+        """Records the answer."""
+        self.answer = status, json.loads(body), dict(headers)
         return True
 
 
 def control(*verdicts: tuple) -> tuple[ControlCalls, list]:
-    """The calls of a node whose core gives these verdicts; and what it was asked."""
+    """The calls of a node whose core gives these verdicts, and the list of submitted orders."""
     orders, answers = [], list(verdicts)
 
-    def submit(kind: str, body: object, ended: object, identity: int = 0) -> None:
+    def submit(kind: str, body: object, on_done: object, identity: int = 0) -> None:
         orders.append((kind, body))
-        ended(*answers.pop(0))
+        on_done(*answers.pop(0))
 
     core = SimpleNamespace(submit=submit, next_identity=lambda: 1)
     reports = SimpleNamespace(report=lambda *_: None)
     return ControlCalls(core, reports, {"hall": "north"}, Counter()), orders
 
 
-def held(number: int, word: str = "web") -> State:
+def state_of_revision(number: int, word: str = "web") -> State:
     return State(8, 2, members={"m1": ("10.0.0.1", 1)}).next_entry(revision=number, body=packed(number, word))
 
 
@@ -55,7 +55,7 @@
 def test_a_conflict_from_the_leader_rests_on_a_state_that_is_no_older() -> None:
     order = OpenOrder(OrderRequest(1, 2, OrderKind.CONFIGURE, (5, packed(5))), 0, 9, lambda *words: None)
     order.sent_to.add("10.0.0.1")
-    reply = OrderReply(1, 2, Outcome.CONFLICT, held(5))  # of index 9
+    reply = OrderReply(1, 2, Outcome.CONFLICT, state_of_revision(5))  # the state has index 9
     assert OrderReply.decode(cbor2.loads(cbor2.dumps(reply.encode()))).state.revision == 5
     assert order.rejection_reason("10.0.0.1", reply) is None
     order.state_index = 10
@@ -66,7 +66,7 @@
 
 @pytest.mark.parametrize("gap", [0, 30, 2000])
 def test_two_contents_at_two_nodes_of_a_fleet(gap: int) -> None:
-    """Whole processes: one node leads, others pass the orders on, and two of those have no disk."""
+    """Whole processes: one node leads, the others forward orders to it, and two of them have no disk."""
     scene = IsolationRun(operators=0)
     machines = [scene.pick("follower"), scene.leader(), *scene.fleet.machines[7:9]]
     for first, second in zip(machines, machines[1:] + machines[:1], strict=True):
@@ -84,15 +84,15 @@
 
 
 def test_answers_to_a_configuration() -> None:
-    asked = Asked(BODY)
-    control((Outcome.DONE, held(7)))[0].replace_configuration(asked)
-    assert asked.said == (200, {"Revision": "r5", "Holds": "r7"}, {})
-    calls, orders = control((Outcome.CONFLICT, held(5, "mail")))
-    calls.replace_configuration(asked := Asked(BODY))
-    status, said, _ = asked.said
-    assert (status, said["Field"]) == (409, "Revision") and "raise Revision above r5" in said["Message"]
-    assert said["Holds"] == {"Revision": "r5", "Digest": v.content_digest(packed(5, "mail")).hex()}
-    assert said["Sent"] == {"Revision": "r5", "Digest": v.content_digest(packed(5)).hex()} != said["Holds"]
+    caller = FakeCall(BODY)
+    control((Outcome.DONE, state_of_revision(7)))[0].replace_configuration(caller)
+    assert caller.answer == (200, {"Revision": "r5", "Holds": "r7"}, {})
+    calls, orders = control((Outcome.CONFLICT, state_of_revision(5, "mail")))
+    calls.replace_configuration(caller := FakeCall(BODY))
+    status, fields, _ = caller.answer
+    assert (status, fields["Field"]) == (409, "Revision") and "raise Revision above r5" in fields["Message"]
+    assert fields["Holds"] == {"Revision": "r5", "Digest": v.content_digest(packed(5, "mail")).hex()}
+    assert fields["Sent"] == {"Revision": "r5", "Digest": v.content_digest(packed(5)).hex()} != fields["Holds"]
     assert calls.counts["orders_refused"] == 1
     assert orders == [(OrderKind.CONFIGURE, (5, packed(5)))]
 
@@ -105,10 +105,10 @@
         ("start_evacuation", b""),
         ("finish_evacuation", b""),
     ):
-        asked = Asked(body, of="hall")
-        getattr(control((verdict, None))[0], call)(asked)
-        status, said, headers = asked.said
-        assert status == 503 and "Message" in said and headers[b"Retry-After"] == b"0.3"
+        caller = FakeCall(body, of="hall")
+        getattr(control((verdict, None))[0], call)(caller)
+        status, fields, headers = caller.answer
+        assert status == 503 and "Message" in fields and headers[b"Retry-After"] == b"0.3"
 
 
 @pytest.mark.parametrize(
@@ -121,28 +121,28 @@
 )
 def test_an_invalid_configuration_is_400_and_names_the_field(body: bytes, field: str) -> None:
     calls, orders = control()
-    answer = calls.replace_configuration(Asked(body))
-    said = json.loads(answer.body)
-    assert answer.status == 400 and said["Field"] == field and said["Message"] and not orders
+    answer = calls.replace_configuration(FakeCall(body))
+    fields = json.loads(answer.body)
+    assert answer.status == 400 and fields["Field"] == field and fields["Message"] and not orders
 
 
 def test_answers_to_an_evacuation_say_whether_the_zone_is_evacuated_and_by_whom() -> None:
-    shared = held(5).next_entry(
+    shared = state_of_revision(5).next_entry(
         evacuated_zones=frozenset({"hall"}), evacuations={"hall": e.Evacuation(1, returned=True)}
     )
-    told = []
+    views = []
     for call, state in (
-        ("start_evacuation", held(5).next_entry(evacuated_zones=frozenset({"hall"}))),
+        ("start_evacuation", state_of_revision(5).next_entry(evacuated_zones=frozenset({"hall"}))),
         ("finish_evacuation", shared),
-        ("finish_evacuation", held(5)),
+        ("finish_evacuation", state_of_revision(5)),
     ):
-        getattr(control((Outcome.DONE, state))[0], call)(asked := Asked(of="hall"))
-        assert asked.said[0] == 200 and asked.said[1]["Zone"] == "hall"
-        told.append([asked.said[1][key] for key in ("Emptied", "Operators", "Returned")])
-    assert told == [[True, 1, False], [True, 1, True], [False, 0, False]]
+        getattr(control((Outcome.DONE, state))[0], call)(caller := FakeCall(of="hall"))
+        assert caller.answer[0] == 200 and caller.answer[1]["Zone"] == "hall"
+        views.append([caller.answer[1][key] for key in ("Emptied", "Operators", "Returned")])
+    assert views == [[True, 1, False], [True, 1, True], [False, 0, False]]
 
 
 def test_an_unknown_zone_is_400_and_names_the_field() -> None:
-    for asked in (Asked(of="cellar"), Asked()):
-        answer = control()[0].start_evacuation(asked)
+    for caller in (FakeCall(of="cellar"), FakeCall()):
+        answer = control()[0].start_evacuation(caller)
         assert (answer.status, json.loads(answer.body)["Field"]) == (400, "of")
--- a/tests/node/test_control_calls.py
+++ b/tests/node/test_control_calls.py
@@ -1,4 +1,4 @@
-"""The operators' calls that order something, by HTTP: faulty ones, and those that the core does not answer."""
+"""Operators' calls over HTTP: invalid calls, and calls that the core does not answer."""
 
 import json
 
@@ -29,7 +29,7 @@
     ],
 )
 def test_a_faulty_call_is_rejected_by_its_field(text, field):
-    """A 4xx with a body of JSON; nothing of it is given to the core."""
+    """The answer is a 4xx with a JSON body, and no order reaches the core."""
     node = NodeHarness(leads=True)
     calls = HttpCalls(build_control_calls(node.process))
     ((status, head, body),) = calls.responses(calls.connect(text))
@@ -39,7 +39,7 @@
 
 @pytest.mark.parametrize("name", [b"call=config.read", b"call=empty.start&of=a1", b"call=config.replace"])
 def test_an_unreachable_core_is_answered_once_with_503(name):
-    """503 with when to come back, once, inside the second that callers wait; at once where the table is full."""
+    """The caller gets one 503 with a Retry-After within a second, or at once if the table of orders is full."""
     node = NodeHarness()
     calls = HttpCalls(build_control_calls(node.process))
     text = rpc(name, orders(2) if b"replace" in name else b"")
--- a/tests/node/test_core_isolation.py
+++ b/tests/node/test_core_isolation.py
@@ -1,6 +1,6 @@
-"""Members of the core that are partitioned or frozen for 20 s, in whole processes on a fake clock: what operators see.
+"""Whole processes on a fake clock, of which some are partitioned or frozen for up to 20 s.
 
-Operators ask both sides all the while; `simulation/isolation.py` says what they may see."""
+Operators send orders to both sides of the partition; `simulation/isolation.py` checks the answers they get."""
 
 import json
 from dataclasses import replace
@@ -31,22 +31,22 @@
 def test_a_node_cut_off_for_20_s_confirms_no_order(who, ways):
     run = IsolationRun()
     run.go(SEC)
-    one = run.pick(who)
-    pairs = run.cut([one], ways)
-    run.aims = [one, *run.fleet.core]  # it is asked often before it knows that it is cut off
+    node = run.pick(who)
+    pairs = run.cut([node], ways)
+    run.aims = [node, *run.fleet.core]  # it gets many orders before it detects that it is cut off
     run.go(3 * SEC)
-    run.aims = [one, run.leader()]
+    run.aims = [node, run.leader()]
     before = run.acknowledged
     run.go(CUT - 3 * SEC)
-    assert run.answers(one, 503) > 10 and not run.answers(one, 200)
-    assert run.acknowledged > before  # the others go on
+    assert run.answers(node, 503) > 10 and not run.answers(node, 200)
+    assert run.acknowledged > before  # the other nodes continue to confirm orders
     run.join(pairs)
     run.go(2 * SEC)
     run.agree()
 
 
 def test_a_leader_cut_off_from_the_core_alone_confirms_no_order():
-    """Nodes without a disk reach both sides all the while."""
+    """Nodes without a disk reach both sides of the partition."""
     run = IsolationRun(2)
     run.go(SEC)
     old = run.leader()
@@ -66,7 +66,9 @@
     pairs = run.cut([m for m in run.fleet.machines if m.zone[0] == "a"])  # two of four with a disk
     run.cut_since = dict.fromkeys(run.fleet.machines, run.fleet.now)
     run.go(CUT // 2)
-    run.aims = [m for m in run.fleet.machines if not run.answers(m, 503)]  # each is asked, whatever the seed
+    run.aims = [
+        m for m in run.fleet.machines if not run.answers(m, 503)
+    ]  # every machine gets an order, whatever the seed
     run.go(CUT - CUT // 2)
     assert all(run.answers(m, 503) and not run.answers(m, 200) for m in run.fleet.machines)
     run.join(pairs)
@@ -75,7 +77,7 @@
 
 
 def test_one_revision_on_both_sides_of_a_partition_is_confirmed_once():
-    """What a leader that is cut off has entered confirms nothing, and denies nothing either."""
+    """An entry of a leader that is cut off neither confirms nor rejects an order with the same revision."""
     run = IsolationRun()
     run.quiet = True
     run.go(SEC)
@@ -85,7 +87,7 @@
     other = lost.replace(b'"Target": "1s"', b'"Target": "2s"')
     entered = run.order("config", old, lost)
     run.go(100 * MS)
-    assert old.core_member.entry.revision == run.numbers  # entered there, and on no other disk
+    assert old.core_member.entry.revision == run.numbers  # only on the old leader's disk
     denied = run.order("config", old, other)
     run.go(4 * SEC)
     taken = run.order("config", run.leader(), other)
@@ -102,20 +104,20 @@
 
 @pytest.mark.parametrize("who", ["follower", "diskless"])
 def test_a_node_cut_off_from_the_core_alone_tells_for_how_long_no_leader_answered_it(who):
-    """Its lease stays young through other nodes, and orders at it get 503 all the same."""
+    """Other nodes keep its lease valid, but orders at it are answered 503."""
     run = IsolationRun(operators=0)
     run.go(SEC)
-    one = run.pick(who)
-    views = StatusViews(one.node_process)
+    node = run.pick(who)
+    views = StatusViews(node.node_process)
     assert json.loads(views.state(Asked({})).body)["LeaderSilentMs"] is None
-    pairs = run.cut([one], others=[machine for machine in run.fleet.core if machine is not one])
+    pairs = run.cut([node], others=[machine for machine in run.fleet.core if machine is not node])
     run.go(6 * SEC)
-    told = json.loads(views.state(Asked({})).body)
-    assert told["Fresh"] and told["OutOfTouchMs"] is None and 5000 <= told["LeaderSilentMs"] <= 7500
-    assert dict(gauges(one.node_process))["leader_silent_seconds"] == pytest.approx(
-        told["LeaderSilentMs"] / 1000, abs=0.1
+    view = json.loads(views.state(Asked({})).body)
+    assert view["Fresh"] and view["OutOfTouchMs"] is None and 5000 <= view["LeaderSilentMs"] <= 7500
+    assert dict(gauges(node.node_process))["leader_silent_seconds"] == pytest.approx(
+        view["LeaderSilentMs"] / 1000, abs=0.1
     )
-    asked = run.order("read", one)
+    asked = run.order("read", node)
     run.go(SEC)
     assert asked[0].status == 503
     run.join(pairs)
@@ -141,25 +143,25 @@
 
 @pytest.mark.parametrize("who", ["leader", "diskless"])
 def test_a_node_restarted_while_cut_off_answers_503(who):
-    """What its disk holds is old, and it says nothing of it but that."""
+    """The state on its disk is outdated and must not be used for answers, except to report how outdated it is."""
     run = IsolationRun()
     run.go(SEC)
-    one = run.pick(who)
-    pairs = run.cut([one])
+    node = run.pick(who)
+    pairs = run.cut([node])
     run.quiet = True
     run.go(SEC)
-    run.fleet.stop(one)
+    run.fleet.stop(node)
     run.go(3 * SEC)
-    run.fleet.start(one)
+    run.fleet.start(node)
     answers = []
     for _ in range(5):
-        answers += [run.order(kind, one, run.body(), of="a1") for kind in ("config", "read", "empty", "fill")]
+        answers += [run.order(kind, node, run.body(), of="a1") for kind in ("config", "read", "empty", "fill")]
         run.go(SEC)
     assert all(answer[0].status == 503 for answer in answers)
-    lookup = one.directory.lookup(Asked({"Zone": "a1"}))
+    lookup = node.directory.lookup(Asked({"Zone": "a1"}))
     assert lookup.status == 503 and dict(lookup.headers)[b"Retry-After"]
-    assert not one.node_process.disseminator.ready
-    assert json.loads(StatusViews(one.node_process).state(Asked({})).body)["OutOfTouchMs"] >= 5000
+    assert not node.node_process.disseminator.ready
+    assert json.loads(StatusViews(node.node_process).state(Asked({})).body)["OutOfTouchMs"] >= 5000
     run.join(pairs)
     run.go(3 * SEC)
     run.agree()
@@ -179,15 +181,15 @@
 
 
 def test_a_thawed_leader_steps_down_before_it_handles_frames_that_waited():
-    """Nobody leads meanwhile, and hails are read before its timers go. It must not call those gone whom it did not
-    hear."""
+    """It handles heartbeats before its timers run, and must not drop nodes that it did not hear from while frozen from
+    the roster. No other node leads meanwhile."""
     run = IsolationRun()
     run.go(SEC)
     run.quiet = True
     old, other = run.leader(), run.pick("follower")
     run.fleet.freeze(old)
     run.fleet.freeze(other)
-    run.go(6 * SEC)  # past the leases: the others say that they are not ready
+    run.go(6 * SEC)  # the other nodes' leases have expired, so they are not ready
     old.frozen, old.inbox = False, []
     node_process = old.node_process
     for machine in run.fleet.machines[4:]:
@@ -229,11 +231,11 @@
     run = IsolationRun()
     run.quiet = True
     run.go(SEC)
-    for one in (run.leader(), run.fleet.machines[7]):
-        views, node_process = StatusViews(one.node_process), one.node_process
+    for node in (run.leader(), run.fleet.machines[7]):
+        views, node_process = StatusViews(node.node_process), node.node_process
         assert json.loads(views.state(Asked({})).body)["OutOfTouchMs"] is None
         assert dict(gauges(node_process))["out_of_touch_seconds"] == 0
-        pairs = run.cut([one])
+        pairs = run.cut([node])
         run.go(20 * SEC)
         for answer in (
             views.state(Asked({})),
@@ -242,15 +244,15 @@
             views.quotas(Asked({})),
         ):
             assert 20_000 <= json.loads(answer.body)["OutOfTouchMs"] < 21_500
-        told = dict(gauges(node_process))
-        assert told["out_of_touch"] and 20 <= told["out_of_touch_seconds"] < 21.5 and not told["leads"]
+        values = dict(gauges(node_process))
+        assert values["out_of_touch"] and 20 <= values["out_of_touch_seconds"] < 21.5 and not values["leads"]
         run.join(pairs)
         run.go(3 * SEC)
         assert json.loads(views.state(Asked({})).body)["OutOfTouchMs"] is None
 
 
 def test_what_the_core_would_never_take_is_rejected_with_4xx(monkeypatch):
-    """A caller that is told to come back must have a chance: what the leader refuses for good is a 4xx at the door."""
+    """Orders that the leader would always reject get a 4xx where they are submitted, not a 503 that invites a retry."""
     run = IsolationRun()
     run.quiet = True
     largest = b"r%d" % MAX_REVISION
@@ -281,20 +283,20 @@
     assert answers[0].status == 200
 
 
-# What the runs above are worth: each of these faults is planted, and found.
+# Each of the following tests injects a fault, which the checks above must detect.
 
 
-def answered_at_once(leadership, order, told):
-    """A read answered by what the leader holds, without a round behind it."""
-    if told.kind == OrderKind.READ and leadership.persistent.committed is not None:
-        leadership.context.emit(OrderEnded(told.ref, Outcome.DONE, leadership.persistent.committed))
+def answered_at_once(leadership, submit, request):
+    """Answer a read from the leader's own state, without a round of confirmation."""
+    if request.kind == OrderKind.READ and leadership.persistent.committed is not None:
+        leadership.context.emit(OrderEnded(request.ref, Outcome.DONE, leadership.persistent.committed))
     else:
-        order(leadership, told)
+        submit(leadership, request)
 
 
 def test_a_read_without_a_round_would_be_found(monkeypatch):
-    order = Leader.submit
-    monkeypatch.setattr(Leader, "submit", lambda leadership, told: answered_at_once(leadership, order, told))
+    submit = Leader.submit
+    monkeypatch.setattr(Leader, "submit", lambda leadership, request: answered_at_once(leadership, submit, request))
     with pytest.raises(Broken, match="read is confirmed by n1, cut off|was acknowledged before it"):
         test_a_node_cut_off_for_20_s_confirms_no_order("leader", "both")
 
--- a/tests/node/test_declared_tables.py
+++ b/tests/node/test_declared_tables.py
@@ -1,4 +1,4 @@
-"""Metrics and log events are declared in one table each: what the code counts, shows and logs stands there alone."""
+"""All metrics and log events that the code uses are declared in their tables, and all declared ones are used."""
 
 import re
 from pathlib import Path
@@ -12,7 +12,7 @@
 
 ROOT = Path(__file__).parents[2] / "rampfront"
 SEC = 10**9
-OF_SERVERS = {"odd answer", "odd status", "odd report", "fault"}  # written by `net/`, which the edge node uses too
+OF_SERVERS = {"odd answer", "odd status", "odd report", "fault"}  # logged by `net/`, which the edge node uses as well
 
 
 def sources(*packages):
--- a/tests/node/test_order_executor.py
+++ b/tests/node/test_order_executor.py
@@ -9,11 +9,11 @@
 
 
 def test_orders_of_two_nodes_with_one_number_are_told_apart():
-    """Each gets the answer to its own order, whichever is carried out first."""
+    """Each node gets the answer to its own order, in whatever order they are executed."""
     node = NodeHarness(leads=True)
     node.receive_order(CALLER, 1, incarnation=5)
     node.receive_order(OTHER, 1, incarnation=5, body="b1")
-    node.receive_order(OTHER, 1, incarnation=6, kind=OrderKind.READ, body=None)  # the same caller behind a restart
+    node.receive_order(OTHER, 1, incarnation=6, kind=OrderKind.READ, body=None)  # the same node after a restart
     assert [order.body for order in node.core.orders] == ["a1", "b1", None]
     for at in (1, 2, 0):
         node.core_answers(at)
@@ -22,8 +22,9 @@
 
 
 def test_a_repeated_order_is_executed_once():
-    """While it is under way, and behind its answer, which is given again: an `empty.start` that is counted twice would
-    keep a zone empty, a late `empty.start` would undo the `empty.finish` that came behind it."""
+    """A repeat while the order is in flight is ignored, and one after the answer gets the same answer. Otherwise an
+    `empty.start` that is counted twice would keep a zone evacuated, and a late `empty.start` would undo the
+    `empty.finish` that followed it."""
     node = NodeHarness(leads=True)
     for _ in range(3):
         node.receive_order(CALLER, 1, kind=OrderKind.EVACUATE)
@@ -31,24 +32,24 @@
     node.core_answers()
     assert node.sent_replies() == [(CALLER, 5, 1, "done")]
     node.receive_order(CALLER, 1, kind=OrderKind.EVACUATE)
-    node.core.is_leader = False  # also when another leads by now
+    node.core.is_leader = False  # also if another node leads now
     node.receive_order(CALLER, 1, kind=OrderKind.EVACUATE)
     assert node.sent_replies() == 2 * [(CALLER, 5, 1, "done")]
     assert len(node.core.orders) == 1 and node.counts["orders_repeated"] == 4
     node.core.is_leader = True
-    node.receive_order(CALLER, 2, kind=OrderKind.EVACUATE)  # another order of the same caller is another one
+    node.receive_order(CALLER, 2, kind=OrderKind.EVACUATE)  # a new number is a new order
     assert len(node.core.orders) == 2
 
 
 def test_an_order_that_was_not_taken_may_be_repeated():
-    """AWAY and REFUSED hold nothing back: the caller asks the same node again when it leads once more."""
+    """After NOT_LEADER and REJECTED the order may be sent again to the same node, which may lead by then."""
     node = NodeHarness(leads=True)
     for at, outcome in enumerate((Outcome.NOT_LEADER, Outcome.REJECTED)):
         node.receive_order(CALLER, 1)
         node.core_answers(at, outcome)
     node.receive_order(CALLER, 1)
     assert len(node.core.orders) == 3
-    node.core_answers(2, Outcome.UNKNOWN)  # it may come into force: not a second time
+    node.core_answers(2, Outcome.UNKNOWN)  # it may take effect, so it must not be executed again
     node.receive_order(CALLER, 1)
     assert len(node.core.orders) == 3 and [row[3] for row in node.sent_replies()] == [
         "away",
@@ -59,38 +60,38 @@
 
 
 def test_a_second_answer_of_the_core_is_sent_to_nobody():
-    """It was looked up among the node's own orders, of which one may bear that number."""
+    """A second answer must not be delivered to the node's own order with the same number."""
     node = NodeHarness(leads=True)
     node.receive_order(CALLER, 1)
-    node.submit(body="b1")  # the node's own first order: number 1, too
+    node.submit(body="b1")  # the node's own first order, which also has number 1
     node.core_answers(0)
     node.core_answers(0)
-    assert not node.ended and node.sent_replies() == [(CALLER, 5, 1, "done")]
+    assert not node.completed and node.sent_replies() == [(CALLER, 5, 1, "done")]
     node.core_answers(1)
-    assert [outcome for outcome, _ in node.ended] == ["done"]
+    assert [outcome for outcome, _ in node.completed] == ["done"]
 
 
 def test_a_full_table_answers_busy():
-    """No silence, for which the caller's operator would wait a second; with room again, it is taken."""
+    """Without an answer the operator would wait a second. Once there is room, the order is accepted."""
     node = NodeHarness(leads=True)
     for number in range(1, MAX_IN_FLIGHT + 1):
         node.receive_order(CALLER, number)
     node.receive_order(OTHER, 1)
     assert node.sent_replies() == [(OTHER, 5, 1, "busy")] and node.counts["orders_busy"] == 1
     node.submit()
-    assert node.ended == [("busy", None)]
+    assert node.completed == [("busy", None)]
     node.core_answers()
     node.receive_order(OTHER, 1)
     assert len(node.core.orders) == MAX_IN_FLIGHT + 1
 
 
 def test_tables_of_orders_are_bounded_and_expire():
-    """By time where no answer comes, and answers are kept for a while, in a bounded number."""
+    """Orders without an answer expire, and answers are kept for a limited time and in a limited number."""
     node = NodeHarness(leads=True)
     node.receive_order(CALLER, 1)
     node.loop.wait(11000)
     assert not node.table.in_flight and node.counts["orders_abandoned"] == 1
-    node.core_answers()  # nobody is owed it any more
+    node.core_answers()  # the order has expired, so no reply is sent
     assert not node.sent_replies()
     for number in range(2, MAX_ANSWERED + 4):
         node.receive_order(CALLER, number)
@@ -101,7 +102,7 @@
 
 
 def test_a_reply_leaves_out_the_body_that_the_order_brought():
-    """Its acknowledgement is small, and reads as the whole state all the same; another body goes along."""
+    """The acknowledgement is small, but decodes to the whole state. The reply includes any other body."""
     for body in (BODY, b"another, below the one that holds"):
         leader, node = NodeHarness(leads=True), NodeHarness()
         node.submit(OrderKind.CONFIGURE, (1, body))
@@ -111,6 +112,6 @@
         ((_, reply),) = leader.wire.take("said")
         assert (BODY in cbor2.dumps(reply)) == (body != BODY)
         node.receive(LEADER, reply)
-        node.receive(LEADER, reply)  # once more
-        ((outcome, held),) = node.ended
+        node.receive(LEADER, reply)  # a repeated reply is dropped
+        ((outcome, held),) = node.completed
         assert (outcome, held.body, held.index) == ("done", BODY, 5) and node.counts["replies_unsolicited"] == 1
--- a/tests/node/test_order_messages.py
+++ b/tests/node/test_order_messages.py
@@ -1,4 +1,4 @@
-"""The messages of orders: what is malformed is found at one place, and goes no further."""
+"""The messages of orders: encoding, decoding, and the rejection of malformed messages."""
 
 import cbor2
 import pytest
@@ -33,7 +33,7 @@
     ],
 )
 def test_a_malformed_order_reaches_no_core(change):
-    """Checked at one place, and nothing of them reaches the core."""
+    """A malformed order is rejected by the decoder, and gets no reply."""
     node = NodeHarness(leads=True)
     with pytest.raises(MalformedMessageError):
         node.receive(CALLER, ORDER | change)
@@ -46,7 +46,7 @@
     node.submit()
     with pytest.raises(ValueError):
         node.receive(LEADER, REPLY | {"l": node.orders.incarnation} | change)
-    assert not node.ended
+    assert not node.completed
 
 
 def test_order_messages_decode_to_what_was_encoded():
@@ -61,16 +61,16 @@
 
 
 def test_a_follower_answers_away_and_rejects_malformed_orders(node_process):
-    """Who does not lead says so at once, and takes no order on; odd ones are refused at the door."""
+    """A node that does not lead replies so at once and does not record the order. It rejects malformed orders."""
     order = {"k": "order", "l": 5, "r": 77, "o": "empty", "b": "a1"}
     node_process.frame_dispatcher.dispatch("10.1.0.7", order)
     assert (
         node_process.context.wire.sent[-1] == ("10.1.0.7", {"k": "said", "l": 5, "r": 77, "v": "away"})
         and not node_process.order_executor.table.in_flight
     )
-    for odd in ({"o": "rm"}, {"r": "7"}, {"l": None}, {"b": 5}, {"o": "config"}, {"o": "read"}):
+    for invalid in ({"o": "rm"}, {"r": "7"}, {"l": None}, {"b": 5}, {"o": "config"}, {"o": "read"}):
         with pytest.raises(ValueError):
-            node_process.frame_dispatcher.dispatch("10.1.0.7", order | odd)
+            node_process.frame_dispatcher.dispatch("10.1.0.7", order | invalid)
 
 
 @pytest.mark.parametrize("kind", [OrderKind.ANSWER_DELIVERED, OrderKind.ANSWER_LOST])
--- a/tests/node/test_server_health_exchange.py
+++ b/tests/node/test_server_health_exchange.py
@@ -1,4 +1,4 @@
-"""Reports and verdicts on the health of servers, between the nodes and the leader."""
+"""Reports and verdicts on the health of servers, exchanged between the nodes and the leader."""
 
 import pytest
 from node_fixtures import CALLER, LEADER, OTHER, NodeHarness
@@ -7,7 +7,8 @@
 
 
 def test_verdicts_of_an_older_leader_are_dropped():
-    """Neither one at the address of the present one, in an older term, nor one elsewhere."""
+    """Verdicts are dropped if their term is older, even from the current leader's address, or if another node sent
+    them."""
     node, seen = NodeHarness(), []
     node.process.request_proxy.apply_health_verdicts = seen.append
     node.process.disseminator.leadership.term = 3
--- a/tests/node/test_server_list_service.py
+++ b/tests/node/test_server_list_service.py
@@ -1,4 +1,4 @@
-"""The leader polls the platform's list of servers, and numbers it."""
+"""The leader polls the platform's server list, and numbers it."""
 
 from node_fixtures import receive_update
 
@@ -6,7 +6,8 @@
 
 
 def test_a_list_is_renumbered_above_that_of_an_older_leader(node_process):
-    """The platform says what it said, yet somebody holds another list under a higher number of an older term."""
+    """The polled list is unchanged, but another node holds a different list with a higher number of an older term,
+    which it would keep."""
     disseminator = node_process.disseminator
     receive_update(node_process, 5, servers=(7, ["s1"]))
     status = CoreStatus(True, node_process.context.process_settings.ip, 2, node_process.context.clock())
--- a/tests/node/test_settings_reload.py
+++ b/tests/node/test_settings_reload.py
@@ -1,4 +1,4 @@
-"""The settings file is read again while the process runs."""
+"""The settings file is reloaded while the process runs."""
 
 import json
 from types import SimpleNamespace
@@ -8,7 +8,7 @@
 
 
 def test_new_seeds_are_taken_over_and_a_faulty_file_changes_nothing(node_process, tmp_path):
-    """SIGHUP: new seeds are taken over; a faulty file changes nothing; nothing is cut."""
+    """A reload applies new seeds, an invalid file changes nothing, and requests in flight continue."""
     loop = node_process.context.loop
     receive_update(node_process, 5, servers=(7, ["s1"]))
     loop.send_request()
--- a/tests/node/test_shutdown.py
+++ b/tests/node/test_shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown: nothing that was accepted goes without its answer, and the process ends in time."""
+"""Graceful shutdown: every accepted request is answered, and the process ends in time."""
 
 from http_server_fixtures import LATER, HttpCalls
 from node_fixtures import LEADER, NodeHarness, receive_update
@@ -6,8 +6,8 @@
 
 
 def test_a_node_serves_on_until_its_clients_are_answered(node_process):
-    """SIGTERM: out of the roster at once, serves on while clients still come, with `Connection: close`, ends within
-    Grace."""
+    """On SIGTERM the node announces at once that it is not ready, keeps serving with `Connection: close`, and ends
+    within Grace."""
     loop = node_process.context.loop
     receive_update(node_process, 5, servers=(7, ["s1"]))
     assert node_process.disseminator.ready and node_process.client_front.ready()
@@ -23,13 +23,14 @@
         loop.respond_to(tag)
         got = loop.response(name)
         assert got.status == 200 and got["connection"] == "close" and loop.pipes[name].closed
-    node_process.shutdown.begin()  # a second one changes nothing
+    node_process.shutdown.begin()  # a second call changes nothing
     loop.wait(20000)
     assert loop.stopped and loop.stopped[0] - began < 6 * SEC
 
 
 def test_operators_calls_are_answered_before_the_process_ends():
-    """An order that is under way as the last client goes is answered before the process ends, within Grace anyway."""
+    """A call that is pending when the last client has left is answered before the process ends, which in any case is
+    within Grace."""
     for answers in (True, False):
         node, calls, stopped = NodeHarness(), HttpCalls(), []
         node.loop.stop = lambda stopped=stopped, node=node: stopped.append(node.loop.now)
--- a/tests/node/test_status_views.py
+++ b/tests/node/test_status_views.py
@@ -1,4 +1,4 @@
-"""The read calls of a node."""
+"""The operators' read calls."""
 
 import json
 from types import SimpleNamespace
@@ -19,7 +19,7 @@
         Endpoint(f"i-{k:04}", "s", "10.0.0.1", 80, "z1", 2, "ready", 7 * SEC if k == 0 else 0)
         for k in range(PAGE_ROWS + 1)
     )
-    link = SimpleNamespace(uid="i-0000", connections=3)
+    server = SimpleNamespace(uid="i-0000", connections=3)
     request_proxy = SimpleNamespace(
         servers=EndpointList(1, rows, 3 * SEC),
         evacuated_zones=frozenset(("z1",)),
@@ -27,12 +27,12 @@
         reopened_zones={"z1": 4 * SEC},
         service_pools={
             "s": SimpleNamespace(
-                connection_pool=SimpleNamespace(servers={0: link}),
+                connection_pool=SimpleNamespace(servers={0: server}),
                 saved_attempts=2.25,
             )
         },
     )
-    look = SimpleNamespace(
+    disseminator = SimpleNamespace(
         ready=True,
         is_leader=False,
         leader="127.0.0.1",
@@ -41,7 +41,7 @@
         roster_version=2,
         roster=(RosterEntry("n1", "127.0.0.1", "z1", "127.0.0.1:80", True),),
     )
-    own = SimpleNamespace(name="n1", ip="127.0.0.1", zone="z1", zones=ZONES, control=("127.0.0.1", 1))
+    process_settings = SimpleNamespace(name="n1", ip="127.0.0.1", zone="z1", zones=ZONES, control=("127.0.0.1", 1))
     node_process = SimpleNamespace(
         core=SimpleNamespace(step_down_if_overdue=lambda now: None, strength=lambda now: None, has_member=False),
         lease=SimpleNamespace(
@@ -52,10 +52,10 @@
             out_of_touch_for=lambda now: 4 * SEC,
         ),
         request_proxy=request_proxy,
-        disseminator=look,
+        disseminator=disseminator,
         shutdown=SimpleNamespace(in_progress=False),
         context=SimpleNamespace(
-            process_settings=own,
+            process_settings=process_settings,
             clock=lambda: 5 * SEC,
             counts=dict.fromkeys(COUNTERS_SHOWN.values(), 0),
         ),
@@ -64,30 +64,36 @@
     )
     routes = RoutingTable([StatusViews(node_process)], 0)
 
-    def ask(name, **query):
+    def call(name, **query):
         return routes.handler("POST", "/api/rpc", name)(SimpleNamespace(query=query))
 
-    first = json.loads(ask("servers.read").body)
+    first_page = json.loads(call("servers.read").body)
     assert (
-        len(first["Servers"]) == PAGE_ROWS and first["Next"] == f"i-{PAGE_ROWS - 1:04}" and first["ChangedMs"] == 2000
+        len(first_page["Servers"]) == PAGE_ROWS
+        and first_page["Next"] == f"i-{PAGE_ROWS - 1:04}"
+        and first_page["ChangedMs"] == 2000
     )
-    assert (first["Servers"][0]["ColdMs"], first["Servers"][0]["Links"], first["Servers"][0]["Emptied"]) == (
+    assert (
+        first_page["Servers"][0]["ColdMs"],
+        first_page["Servers"][0]["Links"],
+        first_page["Servers"][0]["Emptied"],
+    ) == (
         2000,
         3,
         True,
     )
-    rest = json.loads(ask("servers.read", after=first["Next"]).body)
-    assert [row["Id"] for row in rest["Servers"]] == [f"i-{PAGE_ROWS:04}"] and rest["Next"] is None
-    assert json.loads(ask("servers.read", of="other").body)["Servers"] == []
-    told = json.loads(ask("state.read").body)
-    assert told["Spare"] == {"s": 2.2} and told["OutOfTouchMs"] == first["OutOfTouchMs"] == 4000
-    assert (told["Revision"], told["WordAgeMs"], told["Members"], told["Emptied"]) == (
+    next_page = json.loads(call("servers.read", after=first_page["Next"]).body)
+    assert [row["Id"] for row in next_page["Servers"]] == [f"i-{PAGE_ROWS:04}"] and next_page["Next"] is None
+    assert json.loads(call("servers.read", of="other").body)["Servers"] == []
+    node_view = json.loads(call("state.read").body)
+    assert node_view["Spare"] == {"s": 2.2} and node_view["OutOfTouchMs"] == first_page["OutOfTouchMs"] == 4000
+    assert (node_view["Revision"], node_view["WordAgeMs"], node_view["Members"], node_view["Emptied"]) == (
         "r2",
         None,
         [["n1", "127.0.0.1"]],
         ["z1"],
     )
-    assert json.loads(ask("nodes.read").body)["Nodes"] == [
+    assert json.loads(call("nodes.read").body)["Nodes"] == [
         {
             "Name": "n1",
             "Ip": "127.0.0.1",
@@ -99,7 +105,7 @@
     ]
     request_proxy.configuration = SimpleNamespace(
         services={"s": SimpleNamespace(warmup=3 * SEC)}
-    )  # its zone was taken back a second ago
-    assert json.loads(ask("servers.read", after=first["Next"]).body)["Servers"][0]["ColdMs"] == 2000
+    )  # its zone was restored a second ago
+    assert json.loads(call("servers.read", after=first_page["Next"]).body)["Servers"][0]["ColdMs"] == 2000
     request_proxy.servers = None
-    assert ask("servers.read").status == 503
+    assert call("servers.read").status == 503
--- a/tests/node_fixtures.py
+++ b/tests/node_fixtures.py
@@ -1,5 +1,6 @@
-"""A whole node's process on the fake loop of `proxy_fixtures`, with a wire that keeps what is sent.
-Where it leads, it has a member of the core that answers orders when the test says so."""
+"""A complete node process on the fake loop of `proxy_fixtures`, with a wire that records sent frames.
+
+A node that leads has a fake member of the core, which answers orders when the test calls `core_answers`."""
 
 import zlib
 from dataclasses import replace
@@ -21,12 +22,12 @@
 
 
 def committed_state(index=5, zones=()):
-    """A state that is in force."""
+    """A committed state with a configuration."""
     return State(index, 1, 1, BODY, frozenset(zones), {"x": (LEADER, 1)}, None, digest(BODY))
 
 
 class FakeWire:
-    """The node's wire: keeps what is sent to other nodes."""
+    """A wire that records the frames sent to other nodes."""
 
     def __init__(self, *about):
         self.sent = []
@@ -41,14 +42,14 @@
         pass
 
     def take(self, kind):
-        """What was sent of this kind since it was last asked for."""
+        """Remove and return the recorded frames of this kind, with their addresses."""
         found = [row for row in self.sent if row[1]["k"] == kind]
         self.sent = [row for row in self.sent if row[1]["k"] != kind]
         return found
 
 
 class FakeCoreMember:
-    """The member of the core: keeps the orders that it gets, and answers none by itself."""
+    """A leading member of the core that records the orders it gets, and answers none by itself."""
 
     def __init__(self):
         self.is_leader, self.quorum_confirmed_at, self.leader_ip = True, None, OWN_IP
@@ -65,7 +66,7 @@
 
 
 def build_node(loop, seed=3, **changes):
-    """A node without a disk, on a `ProxyHarness`. `changes`: fields of its settings."""
+    """A node without a disk on a `ProxyHarness`. `changes`: fields of its settings to replace."""
     loop.add_signal_handler = loop.run_in_executor = None
     process_settings = settings_reader.read(settings(Grace="6s", RevokeWithin="5s")).ok_value
     process_settings = replace(process_settings, **changes)
@@ -74,7 +75,7 @@
 
 
 class NodeHarness:
-    """One process whose orders are followed. `leads`: with a member of the core that leads."""
+    """A node process for tests of orders. `leads`: the node has a member of the core, which leads."""
 
     def __init__(self, leads=False, seed=3):
         self.loop = ProxyHarness()
@@ -82,7 +83,7 @@
         self.wire, self.counts = self.process.context.wire, self.process.context.counts
         self.orders, self.table = self.process.orders, self.process.order_executor.table
         self.core = self.process.core.member = FakeCoreMember() if leads else None
-        self.ended = []
+        self.completed = []
         if not leads:
             self.process.disseminator.leadership.leader = LEADER
         self.process.tick()
@@ -91,21 +92,21 @@
         self.process.frame_dispatcher.dispatch(ip, frame)
 
     def submit(self, kind=OrderKind.EVACUATE, body="a1"):
-        """An operator's order at this node."""
-        self.orders.submit(kind, body, lambda *ended: self.ended.append(ended))
+        """Submit an operator's order at this node."""
+        self.orders.submit(kind, body, lambda *completed: self.completed.append(completed))
 
     def receive_order(self, ip, number, incarnation=5, kind=OrderKind.EVACUATE, body="a1"):
-        """An order of the node at `ip`."""
+        """Receive an order of the node at `ip`."""
         self.receive(ip, OrderRequest(incarnation, number, kind, body).encode())
 
     def receive_reply(self, ip, number, outcome=Outcome.DONE, incarnation=None, index=5):
-        """A reply of the node at `ip` to an order of this one."""
+        """Receive a reply of the node at `ip` to an order of this node."""
         incarnation = self.orders.incarnation if incarnation is None else incarnation
         state = committed_state(index) if outcome == Outcome.DONE else None
         self.receive(ip, OrderReply(incarnation, number, outcome, state).encode())
 
     def core_answers(self, at=0, outcome=Outcome.DONE):
-        """The core answers the order that it got as number `at`, counted from 0."""
+        """Let the core answer the order with index `at` among those it got."""
         state = committed_state() if outcome == Outcome.DONE else None
         self.core.effects = [events.OrderEnded(self.core.orders[at].ref, outcome, state)]
         self.process.core.start()
@@ -115,7 +116,7 @@
 
 
 def receive_update(node_process, index=None, revision=1, servers=None, zones=(), **configuration):
-    """An update from the leader, as an answer to a heartbeat of now; `servers`: version of the list and ids on it."""
+    """Receive the leader's answer to a heartbeat sent now; `servers`: the server list's version and server ids."""
     loop = node_process.context.loop
     frame = {"k": "word", "l": LEADER, "e": 1, "t": node_process.context.clock(), "a": 0}
     if index:
