--- a/rampfront/quota/codec.py
+++ b/rampfront/quota/codec.py
@@ -17,7 +17,7 @@
     CounterTotals,
     CounterUpdate,
     CountRow,
-    Farewell,
+    Deregistration,
     FullCount,
     Probe,
     TenantTotal,
@@ -106,18 +106,18 @@
     return {PROBE_NUMBER: probe.number}
 
 
-def encode_farewell(farewell: Farewell) -> WireMap:
+def encode_deregistration(farewell: Deregistration) -> WireMap:
     """The farewell's wire form."""
     return {INCARNATION: farewell.incarnation, FAREWELL: 1}
 
 
-def decode_request(wire_map: object) -> CounterUpdate | Probe | Farewell:
+def decode_request(wire_map: object) -> CounterUpdate | Probe | Deregistration:
     """Decodes what a proxy sent to the counter. Raises `InvalidMessageError`."""
     fields = _check_map(wire_map)
     if PROBE_NUMBER in fields:
         return Probe(_check_integer(fields[PROBE_NUMBER]))
     if fields.get(FAREWELL):
-        return Farewell(_check_integer(fields.get(INCARNATION)))
+        return Deregistration(_check_integer(fields.get(INCARNATION)))
     lived_ms = fields.get(LIVED_MS, 0)
     incarnation = fields.get(INCARNATION)
     sequence = fields.get(SEQUENCE)
--- a/rampfront/quota/counter.py
+++ b/rampfront/quota/counter.py
@@ -21,7 +21,7 @@
     CountDelta,
     CounterTotals,
     CounterUpdate,
-    Farewell,
+    Deregistration,
     Probe,
     TenantTotal,
 )
@@ -104,7 +104,7 @@
                 return encode_totals(self._apply_update(now, proxy, message))
             case Probe():
                 return encode_probe(message)
-            case Farewell():
+            case Deregistration():
                 self._release(now, proxy, message.incarnation)
                 return None
             case _:
--- a/rampfront/quota/counter_placement.py
+++ b/rampfront/quota/counter_placement.py
@@ -11,10 +11,10 @@
 from collections.abc import Callable, Collection, Iterable
 from random import Random
 
-from .codec import WireMap, decode_probe_answer, encode_farewell, encode_probe
+from .codec import WireMap, decode_probe_answer, encode_deregistration, encode_probe
 from .counter_link import CounterLink
 from .limits import MS, SEC
-from .messages import Farewell, Probe
+from .messages import Deregistration, Probe
 
 PATIENCE_NS = 500 * MS  # an update is under way for so long with nothing heard: the next in rank is tried;
 ANSWER_PATIENCE_NS = 3 * PATIENCE_NS  # without an answer, whatever is announced: the counter may hear nothing of us
@@ -157,4 +157,4 @@
         self.counter_ip = ip
         self.probed_ip = None
         self.link.switch_counter(now)
-        return ((left, encode_farewell(Farewell(self.link.incarnation))),) if left else ()
+        return ((left, encode_deregistration(Deregistration(self.link.incarnation))),) if left else ()
--- a/rampfront/quota/messages.py
+++ b/rampfront/quota/messages.py
@@ -80,7 +80,7 @@
     number: int
 
 
-class Farewell(NamedTuple):
+class Deregistration(NamedTuple):
     """A proxy moves to another counter."""
 
     incarnation: int  # of the proxy
--- a/tests/pins/adapter.py
+++ b/tests/pins/adapter.py
@@ -28,7 +28,7 @@
 from rampfront.node.status_views import StatusViews
 from rampfront.operator_cli import explanation, snapshot_file, system_status
 from rampfront.quota import codec as quota_codec
-from rampfront.quota.messages import CounterUpdate, Farewell, Probe
+from rampfront.quota.messages import CounterUpdate, Deregistration, Probe
 from rampfront.settings import configuration_reader
 from rampfront.simulation.schedule import Run
 from rampfront.simulation.system_run import SystemRun
@@ -155,8 +155,8 @@
             return quota_frames.quota_add(quota_codec.encode_update(request))
         case Probe():
             return quota_frames.quota_add(quota_codec.encode_probe(request))
-        case Farewell():
-            return quota_frames.quota_add(quota_codec.encode_farewell(request))
+        case Deregistration():
+            return quota_frames.quota_add(quota_codec.encode_deregistration(request))
 
 
 def sum_again(plain: dict[str, Any]) -> dict[str, Any]:
--- a/tests/quota/test_counter_restarts.py
+++ b/tests/quota/test_counter_restarts.py
@@ -5,9 +5,9 @@
 import pytest
 from quota_fixtures import SharedCounts
 
-from rampfront.quota.codec import encode_farewell
+from rampfront.quota.codec import encode_deregistration
 from rampfront.quota.limits import MS
-from rampfront.quota.messages import Farewell
+from rampfront.quota.messages import Deregistration
 from rampfront.quota.proxy_registry import FormerIncarnationError
 
 
@@ -37,9 +37,9 @@
     shared.take(a, 4)
     shared.now += 60 * MS
     late, _ = shared.carry(a)
-    shared.deliver("a", encode_farewell(Farewell(a.link.incarnation + 1)))  # of another incarnation: nothing
+    shared.deliver("a", encode_deregistration(Deregistration(a.link.incarnation + 1)))  # of another incarnation: nothing
     assert shared.counter.missing_share == 0
-    assert shared.deliver("a", encode_farewell(Farewell(a.link.incarnation))) is None
+    assert shared.deliver("a", encode_deregistration(Deregistration(a.link.incarnation))) is None
     assert shared.counter.missing_share == 0.5
     shared.deliver("a", late)
     assert shared.total() == 4
--- a/tests/quota/test_quota_messages.py
+++ b/tests/quota/test_quota_messages.py
@@ -7,9 +7,9 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 from quota_fixtures import T0, SharedCounts, carried
 
-from rampfront.quota.codec import encode_farewell
+from rampfront.quota.codec import encode_deregistration
 from rampfront.quota.limits import MS
-from rampfront.quota.messages import Farewell
+from rampfront.quota.messages import Deregistration
 
 junk = st.recursive(
     st.none() | st.booleans() | st.integers() | st.floats() | st.text(max_size=4),
@@ -77,7 +77,7 @@
     @rule(i=st.integers(0, 1))
     def say_farewell_and_return(self, i):
         limiter = self.shared.limiters[i]
-        self.shared.deliver(limiter.proxy_name, encode_farewell(Farewell(limiter.link.incarnation)))
+        self.shared.deliver(limiter.proxy_name, encode_deregistration(Deregistration(limiter.link.incarnation)))
         limiter.link.switch_counter(self.shared.now)
 
     @rule()
