--- a/rampfront/lab/system/counts_cost.py
+++ b/rampfront/lab/system/counts_cost.py
@@ -55,8 +55,8 @@
     def node_missing(self) -> None:
         """The part of nodes that are heard changes."""
         self.counter.missing_share = 0.5
-        self.counter.registry.surveyed_at = self.now - SEC // 5
-        self.counter.survey(self.now)
+        self.counter.registry.missing_share_updated_at = self.now - SEC // 5
+        self.counter.update_missing_share(self.now)
 
     def take(self) -> None:
         """One request's question at a node."""
--- a/rampfront/quota/counter.py
+++ b/rampfront/quota/counter.py
@@ -120,7 +120,7 @@
         if fresh and update.lived_ms:
             self._bring_share(record, update.lived_ms * MS, now)
         if self.registry.survey_due(now):
-            self.survey(now)
+            self.update_missing_share(now)
         if fresh:
             record.missed_at = now + SILENCE_NS
             record.last_sequence = update.sequence
@@ -159,7 +159,7 @@
     def _release(self, now: int, proxy: str, incarnation: int) -> None:
         """A proxy moves to another counter. Its even share goes with it at once; its counts stay."""
         if self.registry.release(proxy, incarnation, now):
-            self.survey(now)
+            self.update_missing_share(now)
 
     def _bring_share(self, record: ProxyRecord, lived_ns: int, now: int) -> None:
         """A proxy comes from another counter with its full counts: it brings its even share of each quota, as far as
@@ -167,7 +167,7 @@
 
         So a new counter that all moved to knows what is left, and those that move to and fro bring nothing twice.
         `lived_ns`: how long its counts reach back; a proxy that just started brings nothing."""
-        self.survey(now)
+        self.update_missing_share(now)
         unserved_ns = min(lived_ns, now - record.missed_at)
         if unserved_ns <= 0:
             return
@@ -176,11 +176,11 @@
         for tenant in self.tenants.values():
             tenant.bring_share(share, unserved_ns, now, self.missing_share)
 
-    def survey(self, now: int) -> None:
+    def update_missing_share(self, now: int) -> None:
         """Works out which part of the proxies is missing."""
         # With no survey for long no update came, and buckets need not be brought up to date under the old share.
-        in_use = now - self.registry.surveyed_at <= SILENCE_NS
-        missing_share = self.registry.survey(now)
+        in_use = now - self.registry.missing_share_updated_at <= SILENCE_NS
+        missing_share = self.registry.update_missing_share(now)
         if missing_share == self.missing_share:
             return
         if in_use:
--- a/rampfront/quota/proxy_registry.py
+++ b/rampfront/quota/proxy_registry.py
@@ -41,7 +41,7 @@
         """`now`: ns."""
         self.records: dict[str, ProxyRecord] = {}  # by proxy; dropped MEMORY_NS after the last message
         self.serving_count = 0  # how many proxies serve by the membership; 0: not known
-        self.surveyed_at = now - SEC
+        self.missing_share_updated_at = now - SEC
 
     def record_of(self, proxy: str, incarnation: int, now: int) -> ProxyRecord:
         """What is known of the proxy in this incarnation. Raises `FormerIncarnationError`."""
@@ -75,11 +75,11 @@
 
     def survey_due(self, now: int) -> bool:
         """Whether the last survey is long enough ago, for one that nothing else asks for."""
-        return now - self.surveyed_at >= SURVEY_GAP_NS
+        return now - self.missing_share_updated_at >= SURVEY_GAP_NS
 
-    def survey(self, now: int) -> float:
+    def update_missing_share(self, now: int) -> float:
         """The part of the proxies that is missing."""
-        self.surveyed_at = now
+        self.missing_share_updated_at = now
         in_touch = sum(now - record.last_seen_at < SILENCE_NS or record.idle for record in self.records.values())
         count = max(self.serving_count or len(self.records), in_touch)
         return 1.0 - in_touch / count if count else 0.0
