--- a/rampfront/membership/endpoint_list_pager.py
+++ b/rampfront/membership/endpoint_list_pager.py
@@ -49,7 +49,7 @@
     """The platform did not answer a `FetchPage`, and why."""
 
     round: int
-    why: str
+    reason: str
 
 
 class TimerFired:
@@ -81,7 +81,7 @@
 class RoundFailed(NamedTuple):
     """The round brought no list, and why."""
 
-    why: str
+    reason: str
 
 
 Event: TypeAlias = PageReceived | PageFailed | type[TimerFired]
@@ -148,7 +148,7 @@
         """Lists to come carry numbers above this one: another node's lists went up to it."""
         self._version = max(self._version, version)
 
-    def take(self, now: int, event: Event) -> list[Effect]:
+    def handle_event(self, now: int, event: Event) -> list[Effect]:
         """Takes in an event at `now` (ns); returns what is to be done, in order."""
         if isinstance(event, type):  # `TimerFired`
             return self._continue(now)
@@ -156,7 +156,7 @@
             self.counts["stale_responses"] += 1  # of a round that was given up
             return []
         if isinstance(event, PageFailed):
-            return self._fail_round(now, event.why, 1)
+            return self._fail_round(now, event.reason, 1)
         if event.status != OK:
             failures = FAILURES_OF_REJECTION if event.status == TOO_MANY_REQUESTS else 1
             return self._fail_round(now, f"status {event.status}", failures)
@@ -236,7 +236,7 @@
             raise FieldError("more servers than can be")
         return page
 
-    def _fail_round(self, now: int, why: str, failures: int) -> list[Effect]:
+    def _fail_round(self, now: int, reason: str, failures: int) -> list[Effect]:
         """Ends a round without a list; it counts as so many `failures`."""
         self.counts["failed_rounds"] += 1
         self.failures = min(MAX_FAILURES, self.failures + failures)
@@ -245,11 +245,11 @@
         pause_ns = min(max(MAX_PAUSE_NS, self._interval_ns), min(FIRST_PAUSE_NS, self._interval_ns) << doublings)
         if self._random:
             pause_ns = round(pause_ns * (MIN_SPREAD + self._random() * SPREAD))
-        return [SetTimer(now + pause_ns), RoundFailed(why)]
+        return [SetTimer(now + pause_ns), RoundFailed(reason)]
 
     def _complete_round(self, now: int) -> list[Effect]:
         """Makes a list of the round. The timer goes first, so that a fault of the list's receiver ends no rounds."""
-        result = self._compare_round(now)
+        result = self._merge_round(now)
         self._pending = result.pending
         self.counts["pending"] += len(result.pending)
         self.counts["rounds"] += 1
@@ -263,7 +263,7 @@
         self.stop()
         return [SetTimer(max(now, self._started_at_ns + self._interval_ns)), ListCompleted(self._last)]
 
-    def _compare_round(self, now: int) -> _RoundResult:
+    def _merge_round(self, now: int) -> _RoundResult:
         """Compares the round's rows with the list before."""
         unmatched = self._rows
         pending: set[str] = set()
@@ -274,9 +274,9 @@
             if row is old:
                 endpoints.append(old)
             elif row is not None:
-                believed = confirm(old, row, now, was_pending)
-                endpoints.append(believed.endpoint)
-                if believed.pending:
+                confirmation = confirm(old, row, now, was_pending)
+                endpoints.append(confirmation.endpoint)
+                if confirmation.pending:
                     pending.add(old.id)
             elif old.state == READY and not was_pending:  # gone without having drained: kept for a round
                 endpoints.append(old)
--- a/rampfront/membership/endpoint_list_poller.py
+++ b/rampfront/membership/endpoint_list_poller.py
@@ -50,7 +50,7 @@
     interval_ns: int
 
 
-def _ignore(_why: str) -> None:
+def _ignore(_reason: str) -> None:
     """Nobody is to be told."""
 
 
@@ -104,7 +104,7 @@
         if not self.running:
             self.running = True
             self.since_ns = self.clock()
-            self.take(TimerFired)
+            self.handle_event(TimerFired)
 
     def stop(self) -> None:
         """Ends the round that is running, and the connection."""
@@ -128,21 +128,21 @@
             self.stop()
             if was_running:
                 self.running = True
-                self.take(TimerFired)
+                self.handle_event(TimerFired)
 
     def failing_ns(self, now: int) -> int:
         """Time since the last complete list, or since the start when there was none."""
         return max(0, now - self.since_ns)
 
-    def take(self, event: Event) -> None:
+    def handle_event(self, event: Event) -> None:
         """Gives the pager an event, and carries out its effects."""
         now = self.clock()
-        for effect in self._pager.take(now, event):
-            self._carry_out(effect, now)
+        for effect in self._pager.handle_event(now, event):
+            self._apply_effect(effect, now)
             if not self.running:  # stopped by whoever took the list
                 return
 
-    def _carry_out(self, effect: Effect, now: int) -> None:
+    def _apply_effect(self, effect: Effect, now: int) -> None:
         match effect:
             case FetchPage():
                 self._task = self.loop.create_task(self.fetch(effect))
@@ -153,14 +153,14 @@
             case ListCompleted(servers):
                 self.since_ns = now
                 self.callbacks.on_list(servers)
-            case RoundFailed(why):
-                self.callbacks.on_failure(why)
+            case RoundFailed(reason):
+                self.callbacks.on_failure(reason)
             case _:
                 assert_never(effect)
 
     def _on_timer(self) -> None:
         self.timer = None
-        self.take(TimerFired)
+        self.handle_event(TimerFired)
 
     async def fetch(self, effect: FetchPage) -> None:
         """Asks for a page, and gives the pager the answer."""
@@ -170,6 +170,6 @@
         result = await self._client.request(HttpRequest("GET", effect.target), timeout_s=timeout_s)
         if isinstance(result, Ok):
             response = result.ok_value
-            self.take(PageReceived(effect.round, response.status, response.body))
+            self.handle_event(PageReceived(effect.round, response.status, response.body))
         else:
-            self.take(PageFailed(effect.round, result.err_value.reason))
+            self.handle_event(PageFailed(effect.round, result.err_value.reason))
--- a/rampfront/membership/endpoint_pages.py
+++ b/rampfront/membership/endpoint_pages.py
@@ -101,7 +101,7 @@
     return ListPage(rows, token, faults)
 
 
-def confirm(old: Endpoint, read: Endpoint, now: int, read_before: bool) -> Confirmation:
+def confirm(old: Endpoint, read: Endpoint, now: int, seen_before: bool) -> Confirmation:
     """What is believed of a server that was `old` and now reads `read`.
 
     Bad news counts at once. Guards against a list that lags unevenly, or moved under its pages: that a server no longer
@@ -119,13 +119,13 @@
     state = read.state
     warming_until_ns = read.warming_until_ns
     pending = False
-    if old.state == DRAINING and state == READY and not read_before:
+    if old.state == DRAINING and state == READY and not seen_before:
         state = DRAINING
         pending = True
     if warming_until_ns < old.warming_until_ns and now < old.warming_until_ns:
         if warming_until_ns and old.warming_until_ns - warming_until_ns <= WARMING_TOLERANCE_NS:
             warming_until_ns = old.warming_until_ns  # the same warm-up, read a little earlier
-        elif not read_before:
+        elif not seen_before:
             warming_until_ns = old.warming_until_ns
             pending = True
     if state == read.state and warming_until_ns == read.warming_until_ns:
--- a/rampfront/simulation/outside.py
+++ b/rampfront/simulation/outside.py
@@ -168,7 +168,7 @@
 
     def tell(self, told):
         if not self.off and self.poller.running:
-            self.poller.take(told)
+            self.poller.handle_event(told)
 
     def cancel(self):
         self.off = True
--- a/tests/membership/test_endpoint_list_pager.py
+++ b/tests/membership/test_endpoint_list_pager.py
@@ -56,12 +56,12 @@
         fetch = self.fetched[-1]
         _, _, token = fetch.target.partition("=")
         said = self.platform.servers(SimpleNamespace(query={"PageToken": token} if token else {}))
-        self.carry(self.pager.take(self.now, PageReceived(fetch.round, said.status, said.body)))
+        self.carry(self.pager.handle_event(self.now, PageReceived(fetch.round, said.status, said.body)))
 
     def turn(self, answer=True):
         """On to the time the pager waits for."""
         self.now = max(self.now, self.due)
-        self.carry(self.pager.take(self.now, TimerFired), answer)
+        self.carry(self.pager.handle_event(self.now, TimerFired), answer)
 
     def until(self, end):
         while self.due <= end:
@@ -90,7 +90,7 @@
 def test_an_unreadable_page_fails_its_round(body):
     run = PagerRun(3)
     run.turn(answer=False)
-    run.carry(run.pager.take(run.now, PageReceived(1, 200, body)))
+    run.carry(run.pager.handle_event(run.now, PageReceived(1, 200, body)))
     assert len(run.dropped) == 1 and not run.lists and run.due == run.now + 250 * MS
     run.turn()
     assert len(run.ids) == 3
@@ -102,27 +102,27 @@
     run.turn(answer=False)
     first = run.fetched[-1]
     page = run.platform.servers(SimpleNamespace(query={}))
-    run.carry(run.pager.take(run.now, PageReceived(1, 200, page.body)), answer=False)
+    run.carry(run.pager.handle_event(run.now, PageReceived(1, 200, page.body)), answer=False)
     assert run.fetched[-1].target == "/servers?PageToken=p-50" and not run.lists
-    run.carry(run.pager.take(run.now, PageFailed(1, "no answer in time")))
+    run.carry(run.pager.handle_event(run.now, PageFailed(1, "no answer in time")))
     run.platform.remove("i-000")
     run.turn(answer=False)
     for told in (PageReceived(first.round, 200, page.body), PageFailed(first.round, "late")):
-        assert run.pager.take(run.now, told) == []
+        assert run.pager.handle_event(run.now, told) == []
     run.answer()
     assert len(run.ids) == 119 and run.pager.counts["stale_responses"] == 2
     run.pager.stop()
-    assert run.pager.take(run.now, PageReceived(2, 200, page.body)) == []
+    assert run.pager.handle_event(run.now, PageReceived(2, 200, page.body)) == []
 
 
 def test_a_repeated_token_fails_the_round():
     run = PagerRun()
     run.turn(answer=False)
     again = json.dumps({"Servers": {}, "NextToken": "p/ 1"}).encode()
-    run.carry(run.pager.take(run.now, PageReceived(1, 200, again)), answer=False)
+    run.carry(run.pager.handle_event(run.now, PageReceived(1, 200, again)), answer=False)
     assert run.fetched[-1].target == "/servers?PageToken=p%2F%201"
-    run.carry(run.pager.take(run.now, PageReceived(1, 200, again)))
-    assert "again" in run.dropped[0].why
+    run.carry(run.pager.handle_event(run.now, PageReceived(1, 200, again)))
+    assert "again" in run.dropped[0].reason
 
 
 def test_pauses_double_up_to_a_limit():
@@ -184,9 +184,9 @@
         {"Address": "10.0.0.8:81"},
     ):
         run.now = max(run.now, run.due)
-        run.carry(run.pager.take(run.now, TimerFired), answer=False)
+        run.carry(run.pager.handle_event(run.now, TimerFired), answer=False)
         body = json.dumps({"Servers": {"i": ENTRY | entry}, "NextToken": None}).encode()
-        run.carry(run.pager.take(run.now, PageReceived(run.pager.round, 200, body)))
+        run.carry(run.pager.handle_event(run.now, PageReceived(run.pager.round, 200, body)))
         row = run.lists[-1].servers.endpoints[0]
         said.append((row.state[0], row.warming_until_ns // MS))
     assert said == [
--- a/tests/membership/test_endpoint_list_poller.py
+++ b/tests/membership/test_endpoint_list_poller.py
@@ -31,7 +31,7 @@
             news.clear()
             await asyncio.wait_for(news.wait(), 5)
 
-    callbacks = PollCallbacks(lambda s: told(lists, s), lambda why: told(drops, why))
+    callbacks = PollCallbacks(lambda s: told(lists, s), lambda reason: told(drops, reason))
     poller = Poller(loop, clock, PollSettings(doors[0].address, 1000.0, 2 * MS), callbacks)
     poller.start()
     run(until(lambda: len(lists) >= 2))
