--- a/rampfront/membership/deltas.py
+++ b/rampfront/membership/deltas.py
@@ -165,10 +165,10 @@
         old = self._states.get(index)
         if old is None or not old.body or not new.body:
             return new.encode()
-        plain = new.encode(include_body=False)
+        encoded = new.encode(include_body=False)
         if old.body_digest != new.body_digest:
-            plain[_STATE_BODY] = self._body_delta(old, new)
-        return plain
+            encoded[_STATE_BODY] = self._body_delta(old, new)
+        return encoded
 
     def _body_delta(self, old: State, new: State) -> list[Packed]:
         """What stands in place of the new body: the digest of the old one, and the pieces that differ."""
@@ -178,23 +178,23 @@
             self._body_deltas[old.body_digest] = delta
         return delta
 
-    def decode_since(self, plain: Packed, current_index: int) -> State | None:
+    def decode_since(self, encoded: Packed, current_index: int) -> State | None:
         """The state that another node's `encode_since` made; None: it is not newer than the one of `current_index`.
 
         Raises:
             DeltaMismatchError: its body is a difference that cannot be applied to the newest state here.
             RemoteProtocolError: it is no state.
         """
-        return self.decode(plain) if plain[_STATE_INDEX] > current_index else None
+        return self.decode(encoded) if encoded[_STATE_INDEX] > current_index else None
 
-    def decode(self, plain: Packed) -> State:
+    def decode(self, encoded: Packed) -> State:
         """As `decode_since`, whatever its index."""
         newest = self.newest
-        body = plain[_STATE_BODY]
+        body = encoded[_STATE_BODY]
         if type(body) is list:
-            body = self._apply_body_delta(body, plain[_STATE_BODY_DIGEST])
-            plain = [*plain[:_STATE_BODY], body, *plain[_STATE_BODY + 1 :]]
-        state = decode_state(plain, (newest.body,) if newest else ())
+            body = self._apply_body_delta(body, encoded[_STATE_BODY_DIGEST])
+            encoded = [*encoded[:_STATE_BODY], body, *encoded[_STATE_BODY + 1 :]]
+        state = decode_state(encoded, (newest.body,) if newest else ())
         if state is None:
             raise DeltaMismatchError
         return state
--- a/rampfront/membership/dissemination.py
+++ b/rampfront/membership/dissemination.py
@@ -267,8 +267,8 @@
             if self.responder.may_send(ip, versions, peer.versions, now):
                 targets.setdefault(peer.versions, []).append(ip)
                 peer.versions = versions
-        for peers_hold, ips in targets.items():
-            update = self.responder.update(versions, peers_hold, now)
+        for peer_versions, ips in targets.items():
+            update = self.responder.update(versions, peer_versions, now)
             self._host.send_all(ips, messages.encode_state_response(update))
 
     # ---- what responses bring
@@ -305,10 +305,10 @@
                 self._apply(messages.ROSTER, self._on_roster, response.roster, now)
         return state_is_current
 
-    def _apply(self, part: str, take_over: Callable[[Packed, int], None], packed: Packed, now: int) -> bool:
+    def _apply(self, part: str, apply_part: Callable[[Packed, int], None], packed: Packed, now: int) -> bool:
         """Takes over one part. Returns False if it is a difference that does not fit; then it is asked for again."""
         try:
-            take_over(packed, now)
+            apply_part(packed, now)
         except DeltaMismatchError as mismatch:
             if mismatch.corrupt:
                 self._corrupt_parts.add(part)
--- a/rampfront/membership/endpoint_codec.py
+++ b/rampfront/membership/endpoint_codec.py
@@ -64,10 +64,10 @@
     return [endpoint_list.version, max(0, now - endpoint_list.read_at_ns), list(positions), rows]
 
 
-def decode(plain: Packed, now: int) -> EndpointList:
+def decode(encoded: Packed, now: int) -> EndpointList:
     """The list that `encode` packed, its times by the own clock. Raises FieldError."""
     try:
-        packed = _PackedList(*plain)
+        packed = _PackedList(*encoded)
         version = packed.version
         age_ns = packed.age_ns
         if type(version) is not int or type(age_ns) is not int or version < 0 or age_ns < 0:
@@ -114,7 +114,7 @@
 
 
 def decode_since(
-    plain: list[Packed], now: int, history: DeltaHistory[Endpoint], current_version: int
+    encoded: list[Packed], now: int, history: DeltaHistory[Endpoint], current_version: int
 ) -> EndpointList | None:
     """The list that `encode_since` packed; None: it is not newer than `current_version`.
 
@@ -122,10 +122,10 @@
         FieldError: it is no list.
         DeltaMismatchError: it is a difference that cannot be applied to what `history` has under `current_version`.
     """
-    received = decode(plain[:_COMPLETE_PARTS], now)
+    received = decode(encoded[:_COMPLETE_PARTS], now)
     if received.version <= current_version:
         return None
-    if len(plain) == _COMPLETE_PARTS:
+    if len(encoded) == _COMPLETE_PARTS:
         return received
-    delta = Delta(received.endpoints, *plain[_COMPLETE_PARTS:])
+    delta = Delta(received.endpoints, *encoded[_COMPLETE_PARTS:])
     return EndpointList(received.version, history.apply(current_version, delta), received.read_at_ns)
--- a/rampfront/membership/endpoint_list.py
+++ b/rampfront/membership/endpoint_list.py
@@ -70,7 +70,7 @@
 
     added: tuple[Endpoint, ...]
     changed: tuple[Endpoint, ...]
-    gone: tuple[Endpoint, ...]
+    removed: tuple[Endpoint, ...]
 
 
 def changes(old: EndpointList | None, new: EndpointList) -> Changes:
--- a/rampfront/membership/health_registry.py
+++ b/rampfront/membership/health_registry.py
@@ -26,12 +26,12 @@
 # So many failures within the window make it unhealthy.
 UNHEALTHY_FAILURES = 3
 UNHEALTHY_WINDOW_NS = 3 * SEC
-MIN_WITNESSES = 2  # proxies that must agree: guards against one whose own link is cut
+MIN_REPORTERS = 2  # proxies that must agree: guards against one whose own link is cut
 # This part of a zone's servers, and so many, that became unreachable within the window: the whole zone is.
 ZONE_WINDOW_NS = SEC
-ZONE_PART = 0.2
-ZONE_MIN_SERVERS = 3
-REPEAT_AFTER_NS = 3 * SEC  # a verdict is repeated no sooner
+ZONE_UNREACHABLE_FRACTION = 0.2
+ZONE_MIN_UNREACHABLE_SERVERS = 3
+VERDICT_REPEAT_INTERVAL_NS = 3 * SEC  # a verdict is repeated no sooner
 MAX_OBSERVATIONS = MAX_REPORTS  # kept of a server
 SWEEP_INTERVAL_NS = SEC
 
@@ -96,21 +96,21 @@
                 verdicts += self._withdraw(server_id)
             elif server_id in self.records or server_id in self._zone_of:
                 observation = _Observation(now, proxy_ip, status)
-                verdicts += self._observe(server_id, observation, min(MIN_WITNESSES, proxies))
+                verdicts += self._observe(server_id, observation, min(MIN_REPORTERS, proxies))
         self._sweep(now)
         return verdicts
 
-    def _observe(self, server_id: str, observation: _Observation, witnesses: int) -> list[ServerReport]:
+    def _observe(self, server_id: str, observation: _Observation, min_reporters: int) -> list[ServerReport]:
         """Takes in an observation against a server; returns the verdicts that follow."""
         now = observation.at_ns
         record = self.records.setdefault(server_id, ServerRecord())
         recent = [seen for seen in record.observations if now - seen.at_ns < _window_ns(seen.status)]
         record.observations = [*recent[-MAX_OBSERVATIONS:], observation]
-        verdict = judge(record.observations, witnesses)
+        verdict = derive_verdict(record.observations, min_reporters)
         if verdict is None:
             return []
         record.inferred = False
-        if verdict == record.verdict and now - record.verdict_at_ns <= REPEAT_AFTER_NS:
+        if verdict == record.verdict and now - record.verdict_at_ns <= VERDICT_REPEAT_INTERVAL_NS:
             return []
         record.verdict = verdict
         record.verdict_at_ns = now
@@ -154,7 +154,7 @@
             if (record := self.records.get(each)) and record.verdict == UNREACHABLE and not record.inferred
         ]
         together = sum(now - record.verdict_at_ns < ZONE_WINDOW_NS for record in unreachable)
-        if together < max(ZONE_MIN_SERVERS, ZONE_PART * len(zone_servers)):
+        if together < max(ZONE_MIN_UNREACHABLE_SERVERS, ZONE_UNREACHABLE_FRACTION * len(zone_servers)):
             return []
         rest = [each for each in zone_servers if not self._is_unreachable(each)]
         for each in rest:
@@ -178,7 +178,7 @@
         self.records = {server_id: record for server_id, record in self.records.items() if _is_current(record, now)}
 
 
-def judge(observations: Sequence[_Observation], witnesses: int) -> int | None:
+def derive_verdict(observations: Sequence[_Observation], min_reporters: int) -> int | None:
     """What the observations of a server amount to.
 
     Args:
@@ -191,14 +191,14 @@
     failures = [seen for seen in observations if seen.status == REQUEST_FAILED]
     missing = [seen for seen in observations if seen.status != REQUEST_FAILED]
     weight = sum(UNREACHABLE_WEIGHTS[seen.status] for seen in missing)
-    if weight >= UNREACHABLE_SUM and _witnesses(missing) >= witnesses:
+    if weight >= UNREACHABLE_SUM and _count_reporters(missing) >= min_reporters:
         return UNREACHABLE
-    if len(failures) >= UNHEALTHY_FAILURES and _witnesses(failures) >= witnesses:
+    if len(failures) >= UNHEALTHY_FAILURES and _count_reporters(failures) >= min_reporters:
         return UNHEALTHY
     return None
 
 
-def _witnesses(observations: Iterable[_Observation]) -> int:
+def _count_reporters(observations: Iterable[_Observation]) -> int:
     return len({seen.proxy_ip for seen in observations})
 
 
@@ -207,6 +207,6 @@
 
 
 def _is_current(record: ServerRecord, now: int) -> bool:
-    if now - record.verdict_at_ns < REPEAT_AFTER_NS:
+    if now - record.verdict_at_ns < VERDICT_REPEAT_INTERVAL_NS:
         return True
     return bool(record.observations) and now - record.observations[-1].at_ns < UNHEALTHY_WINDOW_NS
--- a/rampfront/membership/health_reporter.py
+++ b/rampfront/membership/health_reporter.py
@@ -16,9 +16,9 @@
 MS = 10**6  # ns
 SEC = 10**9
 
-PATIENCE_FACTOR = 2.5  # mean times after which a request without a response is reported, within these bounds:
-MIN_PATIENCE_NS = 300 * MS
-MAX_PATIENCE_NS = 3 * SEC
+RESPONSE_TIMEOUT_FACTOR = 2.5  # mean times after which a request without a response is reported, within these bounds:
+MIN_RESPONSE_TIMEOUT_NS = 300 * MS
+MAX_RESPONSE_TIMEOUT_NS = 3 * SEC
 # A connect that failed no sooner has timed out: one refused sooner tells of a full server as well as of a gone one.
 CONNECT_TIMEOUT_NS = 150 * MS
 RECENT_CONTACT_NS = 300 * MS  # a proxy that had an answer so lately does not believe that a server is unreachable
@@ -54,8 +54,10 @@
         self._last_number += 1
         self.pending[self._last_number] = server_id, now
         if mean_duration_ns:
-            patience_ns = int(min(MAX_PATIENCE_NS, max(MIN_PATIENCE_NS, PATIENCE_FACTOR * mean_duration_ns)))
-            heappush(self.deadlines, (now + patience_ns, self._last_number))
+            timeout_ns = int(
+                min(MAX_RESPONSE_TIMEOUT_NS, max(MIN_RESPONSE_TIMEOUT_NS, RESPONSE_TIMEOUT_FACTOR * mean_duration_ns))
+            )
+            heappush(self.deadlines, (now + timeout_ns, self._last_number))
         return self._last_number
 
     def request_ended(self, number: int, server_id: str, now: int, observation: int | None = None) -> None:
@@ -97,7 +99,7 @@
         self._swept_at_ns = now
         responses = self.last_response_at_ns.items()
         verdicts = self.unreachable_since_ns.items()
-        self.last_response_at_ns = {server_id: at for server_id, at in responses if now - at < MAX_PATIENCE_NS}
+        self.last_response_at_ns = {server_id: at for server_id, at in responses if now - at < MAX_RESPONSE_TIMEOUT_NS}
         self.unreachable_since_ns = {server_id: at for server_id, at in verdicts if now - at < VERDICT_MEMORY_NS}
 
     def accept_verdicts(self, verdicts: Iterable[ServerReport], now: int) -> list[ServerReport]:
--- a/rampfront/membership/messages.py
+++ b/rampfront/membership/messages.py
@@ -245,19 +245,19 @@
 
 def encode_roster_update(update: RosterUpdate) -> list[Packed]:
     """A roster within a response: its number and entries, and what a difference needs."""
-    plain: list[Packed] = [update.version, [list(entry) for entry in update.entries]]
+    encoded: list[Packed] = [update.version, [list(entry) for entry in update.entries]]
     if update.delta is not None:
-        plain += [update.delta.base, update.delta.digest, update.delta.removed]
-    return plain
+        encoded += [update.delta.base, update.delta.digest, update.delta.removed]
+    return encoded
 
 
-def decode_roster_update(plain: Packed, current_version: int) -> RosterUpdate | None:
+def decode_roster_update(encoded: Packed, current_version: int) -> RosterUpdate | None:
     """The roster that `encode_roster_update` packed; None: it is not newer than `current_version`.
 
     Raises:
         ValueError, TypeError: see the module's text.
     """
-    version, *parts = plain
+    version, *parts = encoded
     _check_integers(version)
     if version <= current_version:
         return None
--- a/rampfront/membership/peers.py
+++ b/rampfront/membership/peers.py
@@ -100,7 +100,7 @@
             peer = self.by_ip[ip] = Peer(entry, heartbeat.versions, 0)
         return peer
 
-    def drop_silent(self, now: int) -> None:
+    def drop_timed_out(self, now: int) -> None:
         """Forgets nodes without a heartbeat for too long."""
         for ip in [ip for ip, peer in self.by_ip.items() if now - peer.received_at_ns > PEER_TIMEOUT_NS]:
             del self.by_ip[ip]
--- a/rampfront/membership/responder.py
+++ b/rampfront/membership/responder.py
@@ -6,7 +6,7 @@
 from .leadership import Leadership
 from .messages import Heartbeat, StateResponse, encode_roster_update, new_tuple
 from .roster import Roster
-from .transfer_budget import MAX_FULL_TRANSFERS_OF_OTHERS, TransferBudget, leader_limit
+from .transfer_budget import MAX_FOLLOWER_FULL_TRANSFERS, TransferBudget, leader_limit
 from .versions import ReplicaVersions
 
 
@@ -39,8 +39,8 @@
         full_endpoints = lacks_endpoints and not self._host.can_diff_endpoints_from(receiver.endpoints_version)
         if not full_state and not full_endpoints:
             return True
-        leads = self._leadership.is_leader
-        limit = leader_limit(len(self._roster.entries)) if leads else MAX_FULL_TRANSFERS_OF_OTHERS
+        is_leader = self._leadership.is_leader
+        limit = leader_limit(len(self._roster.entries)) if is_leader else MAX_FOLLOWER_FULL_TRANSFERS
         state_bytes = self._host.state_size_bytes() if full_state else None
         return self._budget.begin(ip, now, state_bytes, full_endpoints, limit)
 
--- a/rampfront/membership/roster.py
+++ b/rampfront/membership/roster.py
@@ -78,7 +78,7 @@
         self.replace(update.version, entries)
 
 
-def someone_stopped_serving(old: Iterable[RosterEntry], new: Iterable[RosterEntry]) -> bool:
+def any_node_stopped_serving(old: Iterable[RosterEntry], new: Iterable[RosterEntry]) -> bool:
     """Whether a node that was ready in `old` is gone or no longer ready in `new`."""
     ready_now = {entry.ip for entry in new if entry.ready}
     return any(entry.ready and entry.ip not in ready_now for entry in old)
--- a/rampfront/membership/roster_builder.py
+++ b/rampfront/membership/roster_builder.py
@@ -1,7 +1,7 @@
 """When the leader makes a new version of the roster, and of whom. No I/O, no clock."""
 
 from .peers import PeerTable
-from .roster import Roster, RosterEntry, someone_stopped_serving
+from .roster import Roster, RosterEntry, any_node_stopped_serving
 from .versions import first_version
 
 MS = 10**6  # ns
@@ -36,12 +36,12 @@
         Returns:
             Whether there is a new version.
         """
-        self._peers.drop_silent(now)
+        self._peers.drop_timed_out(now)
         own = self._own._replace(ready=own_ready)
         entries = tuple(sorted([own, *self._peers.entries()]))
         if entries == self._roster.entries:
             return False
-        if not someone_stopped_serving(self._roster.entries, entries):
+        if not any_node_stopped_serving(self._roster.entries, entries):
             interval_ns = min(MAX_ROSTER_INTERVAL_NS, ROSTER_INTERVAL_PER_NODE_NS * len(self._peers.by_ip))
             if now - self._made_at_ns < interval_ns:
                 return False
--- a/rampfront/membership/transfer_budget.py
+++ b/rampfront/membership/transfer_budget.py
@@ -12,9 +12,9 @@
 # Full transfers that a leader begins between two ticks, at most, and the number that is divided by the nodes of the
 # fleet: the more nodes, the fewer, as what is sent grows with them. Guards links against all nodes that start at once.
 MAX_FULL_TRANSFERS = 64
-NODES_AT_FULL_RATE = 6000
+FULL_TRANSFERS_TIMES_NODES = 6000
 MIN_FULL_TRANSFERS = 16
-MAX_FULL_TRANSFERS_OF_OTHERS = 8  # by a node that does not lead
+MAX_FOLLOWER_FULL_TRANSFERS = 8  # by a node that does not lead
 # A transfer counts as under way for so long, and for each byte of its body.
 FULL_TRANSFER_TIMEOUT_NS = 300 * MS
 FULL_TRANSFER_NS_PER_BYTE = 8_000
@@ -79,4 +79,4 @@
 
 def leader_limit(nodes: int) -> int:
     """Full transfers that the leader of so many nodes begins between two ticks, at most."""
-    return max(MIN_FULL_TRANSFERS, min(MAX_FULL_TRANSFERS, NODES_AT_FULL_RATE // max(1, nodes)))
+    return max(MIN_FULL_TRANSFERS, min(MAX_FULL_TRANSFERS, FULL_TRANSFERS_TIMES_NODES // max(1, nodes)))
--- a/rampfront/quota/codec.py
+++ b/rampfront/quota/codec.py
@@ -12,7 +12,7 @@
 from typing import Any, NoReturn
 
 from .messages import (
-    MOST_ROWS,
+    MAX_ROWS,
     CountDelta,
     CounterTotals,
     CounterUpdate,
@@ -30,7 +30,7 @@
 SEQUENCE = "s"
 COUNTS = "a"
 COUNTER_INCARNATION = "g"
-LIVED_MS = "f"
+HISTORY_MS = "f"
 WANTS_ALL = "w"
 IDLE = "z"
 # A counter's totals, besides COUNTER_INCARNATION and SEQUENCE.
@@ -40,18 +40,18 @@
 UNSOLICITED = "p"
 # A probe, and a farewell besides INCARNATION.
 PROBE_NUMBER = "q"
-FAREWELL = "b"
+DEREGISTRATION = "b"
 
-LONGEST_NAME = 128  # of a tenant or proxy, in characters
-MOST = 10**9  # the largest figure that is valid
-MOST_WINDOWS = 1 << 62  # past the largest number of a window
-MOST_TIME_MS = 1 << 50  # past the largest time of a counter
+MAX_NAME_CHARACTERS = 128  # of a tenant or proxy, in characters
+MAX_VALUE = 10**9  # the largest figure that is valid
+MAX_WINDOW_NUMBER = 1 << 62  # past the largest number of a window
+MAX_COUNTER_TIME_MS = 1 << 50  # past the largest time of a counter
 COUNT_WIDTH = len(CountDelta._fields)
 TOTAL_WIDTH = len(TenantTotal._fields)
 
-BAD_NAME = "a name is missing or too long"
-BAD_FIGURE = "a figure is missing or out of bounds"
-BAD_ROWS = "rows are missing or out of bounds"
+INVALID_NAME = "a name is missing or too long"
+INVALID_INTEGER = "a figure is missing or out of bounds"
+INVALID_ROWS = "rows are missing or out of bounds"
 
 # Named tuples from rows; in a third of the time of their own constructors, which run Python code.
 _new_count_delta = partial(tuple.__new__, CountDelta)
@@ -72,8 +72,8 @@
     }
     if update.counter_incarnation is not None:
         wire_map[COUNTER_INCARNATION] = update.counter_incarnation
-    if update.lived_ms:
-        wire_map[LIVED_MS] = update.lived_ms
+    if update.history_ms:
+        wire_map[HISTORY_MS] = update.history_ms
     if update.wants_all:
         wire_map[WANTS_ALL] = 1
     if update.idle:
@@ -106,9 +106,9 @@
     return {PROBE_NUMBER: probe.number}
 
 
-def encode_deregistration(farewell: Deregistration) -> WireMap:
+def encode_deregistration(deregistration: Deregistration) -> WireMap:
     """The farewell's wire form."""
-    return {INCARNATION: farewell.incarnation, FAREWELL: 1}
+    return {INCARNATION: deregistration.incarnation, DEREGISTRATION: 1}
 
 
 def decode_request(wire_map: object) -> CounterUpdate | Probe | Deregistration:
@@ -116,24 +116,24 @@
     fields = _check_map(wire_map)
     if PROBE_NUMBER in fields:
         return Probe(_check_integer(fields[PROBE_NUMBER]))
-    if fields.get(FAREWELL):
+    if fields.get(DEREGISTRATION):
         return Deregistration(_check_integer(fields.get(INCARNATION)))
-    lived_ms = fields.get(LIVED_MS, 0)
+    history_ms = fields.get(HISTORY_MS, 0)
     incarnation = fields.get(INCARNATION)
     sequence = fields.get(SEQUENCE)
     if not (
-        type(lived_ms) is type(incarnation) is type(sequence) is int
-        and 0 <= lived_ms <= MOST
-        and 0 <= incarnation <= MOST
-        and 1 <= sequence <= MOST
+        type(history_ms) is type(incarnation) is type(sequence) is int
+        and 0 <= history_ms <= MAX_VALUE
+        and 0 <= incarnation <= MAX_VALUE
+        and 1 <= sequence <= MAX_VALUE
     ):
-        _refuse(BAD_FIGURE)
+        _reject(INVALID_INTEGER)
     return CounterUpdate(
         incarnation,
         sequence,
-        _decode_counts(fields.get(COUNTS), _new_full_count if lived_ms else _new_count_delta),
+        _decode_counts(fields.get(COUNTS), _new_full_count if history_ms else _new_count_delta),
         fields.get(COUNTER_INCARNATION),
-        lived_ms,
+        history_ms,
         bool(fields.get(WANTS_ALL)),
         bool(fields.get(IDLE)),
     )
@@ -147,11 +147,11 @@
     time_ms = fields.get(COUNTER_TIME_MS)
     if not (
         type(incarnation) is type(sequence) is type(time_ms) is int
-        and 0 <= incarnation <= MOST
-        and 0 <= sequence <= MOST
-        and 0 <= time_ms <= MOST_TIME_MS
+        and 0 <= incarnation <= MAX_VALUE
+        and 0 <= sequence <= MAX_VALUE
+        and 0 <= time_ms <= MAX_COUNTER_TIME_MS
     ):
-        _refuse(BAD_FIGURE)
+        _reject(INVALID_INTEGER)
     rows = _decode_totals_rows(fields.get(TOTALS))
     return CounterTotals(
         incarnation, sequence, time_ms, rows, bool(fields.get(LISTS_ALL)), bool(fields.get(UNSOLICITED))
@@ -161,41 +161,41 @@
 def decode_probe_answer(wire_map: object) -> Probe | None:
     """The answer to a probe, or None for another message. Raises `InvalidMessageError` for what is no map."""
     if type(wire_map) is not dict:
-        _refuse("no message")
+        _reject("no message")
     return Probe(wire_map[PROBE_NUMBER]) if PROBE_NUMBER in wire_map else None
 
 
 def check_name(value: object) -> str:
     """Returns `value` if it can name a tenant or a proxy. Raises `InvalidMessageError`."""
-    if type(value) is not str or not 0 < len(value) <= LONGEST_NAME:
-        _refuse(BAD_NAME)
+    if type(value) is not str or not 0 < len(value) <= MAX_NAME_CHARACTERS:
+        _reject(INVALID_NAME)
     return value
 
 
-def _refuse(why: str) -> NoReturn:
-    raise InvalidMessageError(why)
+def _reject(reason: str) -> NoReturn:
+    raise InvalidMessageError(reason)
 
 
 def _check_map(value: object) -> WireMap:
     if type(value) is not dict:
-        _refuse("no message")
+        _reject("no message")
     return value
 
 
 def _check_integer(value: object) -> int:
     """`value`, if it is an integer from 0 to `MOST`."""
-    if type(value) is not int or not 0 <= value <= MOST:
-        _refuse(BAD_FIGURE)
+    if type(value) is not int or not 0 <= value <= MAX_VALUE:
+        _reject(INVALID_INTEGER)
     return value
 
 
 def _check_rows(value: object, width: int) -> list[list[Any]]:
     """`value`, if it is a list of lists of that width, not too many; what they hold is not looked at."""
-    if type(value) is not list or len(value) > MOST_ROWS:
-        _refuse(BAD_ROWS)
+    if type(value) is not list or len(value) > MAX_ROWS:
+        _reject(INVALID_ROWS)
     for row in value:
         if type(row) is not list or len(row) != width:
-            _refuse(BAD_ROWS)
+            _reject(INVALID_ROWS)
     return value
 
 
@@ -203,16 +203,16 @@
     """Rows of a proxy's update. The checks stand in line, as there are up to 40 rows to a message."""
     rows = _check_rows(value, COUNT_WIDTH)
     for tenant, window, current, previous, last in rows:
-        if type(tenant) is not str or not 0 < len(tenant) <= LONGEST_NAME:
-            _refuse(BAD_NAME)
+        if type(tenant) is not str or not 0 < len(tenant) <= MAX_NAME_CHARACTERS:
+            _reject(INVALID_NAME)
         if not (
             type(window) is type(current) is type(previous) is type(last) is int
-            and -1 <= window <= MOST_WINDOWS
-            and 0 <= current <= MOST
-            and 0 <= previous <= MOST
-            and 0 <= last <= MOST
+            and -1 <= window <= MAX_WINDOW_NUMBER
+            and 0 <= current <= MAX_VALUE
+            and 0 <= previous <= MAX_VALUE
+            and 0 <= last <= MAX_VALUE
         ):
-            _refuse(BAD_FIGURE)
+            _reject(INVALID_INTEGER)
     return list(map(new_row, rows))
 
 
@@ -220,17 +220,17 @@
     """Rows of a counter's totals, checked in line as those of an update are."""
     rows = _check_rows(value, TOTAL_WIDTH)
     for tenant, window, current, previous, remaining, proxies, requested_per_s in rows:
-        if type(tenant) is not str or not 0 < len(tenant) <= LONGEST_NAME:
-            _refuse(BAD_NAME)
+        if type(tenant) is not str or not 0 < len(tenant) <= MAX_NAME_CHARACTERS:
+            _reject(INVALID_NAME)
         if not (
             type(window) is type(current) is type(previous) is type(remaining) is int
             and type(proxies) is type(requested_per_s) is int
-            and 0 <= window <= MOST_WINDOWS
-            and 0 <= current <= MOST
-            and 0 <= previous <= MOST
-            and -MOST <= remaining <= MOST
-            and 0 <= proxies <= MOST
-            and 0 <= requested_per_s <= MOST
+            and 0 <= window <= MAX_WINDOW_NUMBER
+            and 0 <= current <= MAX_VALUE
+            and 0 <= previous <= MAX_VALUE
+            and -MAX_VALUE <= remaining <= MAX_VALUE
+            and 0 <= proxies <= MAX_VALUE
+            and 0 <= requested_per_s <= MAX_VALUE
         ):
-            _refuse(BAD_FIGURE)
+            _reject(INVALID_INTEGER)
     return list(map(_new_tenant_total, rows))
--- a/rampfront/quota/counter.py
+++ b/rampfront/quota/counter.py
@@ -16,8 +16,8 @@
 from .codec import WireMap, check_name, decode_request, encode_probe, encode_totals, with_sequence
 from .limits import DEFAULT_RULE, MS, Quota, QuotaRule, QuotaSettings, quota_of
 from .messages import (
-    MOST_ROWS,
-    SILENCE_NS,
+    MAX_ROWS,
+    PROXY_TIMEOUT_NS,
     CountDelta,
     CounterTotals,
     CounterUpdate,
@@ -28,11 +28,11 @@
 from .proxy_registry import ProxyRecord, ProxyRegistry
 from .tenant_totals import TenantTotals
 
-ANNOUNCEMENT_GAP_NS = 100 * MS  # between two announcements of a tenant
+ANNOUNCEMENT_INTERVAL_NS = 100 * MS  # between two announcements of a tenant
 LOW_DEPTH_SHARE = 0.4  # announced below that part of the bucket,
 LOW_SLACK_SHARE = 0.25  # less that part of the slack
 # Of its share that a proxy brings: the counter that it left may have given some of it out until the proxy was missed.
-BROUGHT_SHARE = 0.9
+CREDITED_SHARE = 0.9
 
 
 class QuotaCounter:
@@ -48,9 +48,9 @@
         """
         self.incarnation = incarnation
         self.rule = rule
-        self.used = False  # whether an update came
+        self.has_updates = False  # whether an update came
         self.tenants: dict[str, TenantTotals] = {}  # those with a quota, by the configuration
-        self.grown: dict[str, TenantTotals] = {}  # whose level may have to be announced; emptied by `announcements`
+        self.announcement_candidates: dict[str, TenantTotals] = {}  # whose level may have to be announced; emptied by `announcements`
         self.registry = ProxyRegistry(now)
         self.missing_share = 0.0  # part of the proxies that is not heard
         self.next_announcement_at: int | None = None  # when `announcements` has something next
@@ -64,18 +64,18 @@
                 quota = quota_of(tenant_settings.per_s, tenant_settings.burst, self.rule)
                 tenants[name] = self._with_quota(name, quota, now)
         self.tenants = tenants
-        self.grown = {name: tenant for name, tenant in self.grown.items() if tenants.get(name) is tenant}
+        self.announcement_candidates = {name: tenant for name, tenant in self.announcement_candidates.items() if tenants.get(name) is tenant}
 
     def _with_quota(self, name: str, quota: Quota, now: int) -> TenantTotals:
         """The tenant's totals under a quota, which may be another one than before."""
         tenant = self.tenants.get(name)
         if tenant is None:
-            return TenantTotals.new(name, quota, now, used_up=not self.used)
+            return TenantTotals.new(name, quota, now, exhausted=not self.has_updates)
         former = tenant.quota
         if former.window != quota.window or former.without_burst != quota.without_burst:
-            fresh = TenantTotals.new(name, quota, now, used_up=not self.used)
-            fresh.take_over(tenant, now, self.missing_share)
-            return fresh
+            replacement = TenantTotals.new(name, quota, now, exhausted=not self.has_updates)
+            replacement.take_over(tenant, now, self.missing_share)
+            return replacement
         if former != quota:
             tenant.change_quota(quota, now, self.missing_share)
         return tenant
@@ -105,32 +105,32 @@
             case Probe():
                 return encode_probe(message)
             case Deregistration():
-                self._release(now, proxy, message.incarnation)
+                self._deregister(now, proxy, message.incarnation)
                 return None
             case _:
                 assert_never(message)
 
     def _apply_update(self, now: int, proxy: str, update: CounterUpdate) -> CounterTotals:
         """Counts an update, unless it is a repeated one, and returns the totals of its tenants."""
-        record = self.registry.record_of(check_name(proxy), update.incarnation, now)
-        if not self.used:
-            self._start_use(now)
-        fresh = update.sequence > record.last_sequence
+        record = self.registry.get_or_add(check_name(proxy), update.incarnation, now)
+        if not self.has_updates:
+            self._start_refill(now)
+        is_new = update.sequence > record.last_sequence
         record.last_seen_at = now
-        if fresh and update.lived_ms:
-            self._bring_share(record, update.lived_ms * MS, now)
-        if self.registry.survey_due(now):
+        if is_new and update.history_ms:
+            self._credit_share(record, update.history_ms * MS, now)
+        if self.registry.missing_share_is_due(now):
             self.update_missing_share(now)
-        if fresh:
-            record.missed_at = now + SILENCE_NS
+        if is_new:
+            record.missing_since = now + PROXY_TIMEOUT_NS
             record.last_sequence = update.sequence
             record.idle = update.idle
-        rows = self._apply_rows(now, proxy, update, fresh)
+        rows = self._apply_rows(now, proxy, update, is_new)
         if update.wants_all:
             rows += self._others_in_use(now, rows)
         return CounterTotals(self.incarnation, update.sequence, now // MS, rows, update.wants_all)
 
-    def _apply_rows(self, now: int, proxy: str, update: CounterUpdate, fresh: bool) -> list[TenantTotal]:
+    def _apply_rows(self, now: int, proxy: str, update: CounterUpdate, is_new: bool) -> list[TenantTotal]:
         """Counts the rows if the update is `fresh`; returns the totals of their tenants."""
         same_windows = update.counter_incarnation == self.incarnation
         source = (proxy, update.incarnation)
@@ -140,46 +140,46 @@
             if tenant is None:
                 continue
             tenant.roll(now)
-            if fresh:
+            if is_new:
                 if isinstance(row, CountDelta):
-                    grown = tenant.apply_delta(source, row, same_windows, now, self.missing_share)
+                    changed = tenant.apply_delta(source, row, same_windows, now, self.missing_share)
                 else:
-                    grown = tenant.apply_full(source, row, same_windows, now, self.missing_share)
-                if grown:
-                    self.grown[tenant.name] = tenant
+                    changed = tenant.apply_full(source, row, same_windows, now, self.missing_share)
+                if changed:
+                    self.announcement_candidates[tenant.name] = tenant
             totals.append(tenant.row(now, self.missing_share))
         return totals
 
-    def _start_use(self, now: int) -> None:
+    def _start_refill(self, now: int) -> None:
         """The first update of all starts all buckets."""
-        self.used = True
+        self.has_updates = True
         for tenant in self.tenants.values():
-            tenant.start_use(now)
+            tenant.start_refill(now)
 
-    def _release(self, now: int, proxy: str, incarnation: int) -> None:
+    def _deregister(self, now: int, proxy: str, incarnation: int) -> None:
         """A proxy moves to another counter. Its even share goes with it at once; its counts stay."""
-        if self.registry.release(proxy, incarnation, now):
+        if self.registry.deregister(proxy, incarnation, now):
             self.update_missing_share(now)
 
-    def _bring_share(self, record: ProxyRecord, lived_ns: int, now: int) -> None:
+    def _credit_share(self, record: ProxyRecord, history_ns: int, now: int) -> None:
         """A proxy comes from another counter with its full counts: it brings its even share of each quota, as far as
         that was not given out here meanwhile.
 
         So a new counter that all moved to knows what is left, and those that move to and fro bring nothing twice.
         `lived_ns`: how long its counts reach back; a proxy that just started brings nothing."""
         self.update_missing_share(now)
-        unserved_ns = min(lived_ns, now - record.missed_at)
+        unserved_ns = min(history_ns, now - record.missing_since)
         if unserved_ns <= 0:
             return
         proxy_count = self.registry.known_count()
-        share = BROUGHT_SHARE / proxy_count if proxy_count else 0.0
+        share = CREDITED_SHARE / proxy_count if proxy_count else 0.0
         for tenant in self.tenants.values():
-            tenant.bring_share(share, unserved_ns, now, self.missing_share)
+            tenant.credit_share(share, unserved_ns, now, self.missing_share)
 
     def update_missing_share(self, now: int) -> None:
         """Works out which part of the proxies is missing."""
         # With no survey for long no update came, and buckets need not be brought up to date under the old share.
-        in_use = now - self.registry.missing_share_updated_at <= SILENCE_NS
+        in_use = now - self.registry.missing_share_updated_at <= PROXY_TIMEOUT_NS
         missing_share = self.registry.update_missing_share(now)
         if missing_share == self.missing_share:
             return
@@ -191,13 +191,13 @@
     def _others_in_use(self, now: int, listed: list[TenantTotal]) -> list[TenantTotal]:
         """All that is in use besides those listed, the fullest first: what a proxy that just started goes by."""
         names = {row.tenant for row in listed}
-        used = []
+        in_use = []
         for tenant in self.tenants.values():
             tenant.roll(now)
             if tenant.name not in names and tenant.in_use(now, self.missing_share):
-                used.append((tenant.remaining / tenant.quota.depth, tenant.name))
-        room = MOST_ROWS - len(listed)
-        return [self.tenants[name].row(now, self.missing_share) for _, name in sorted(used)[:room]]
+                in_use.append((tenant.remaining / tenant.quota.depth, tenant.name))
+        room = MAX_ROWS - len(listed)
+        return [self.tenants[name].row(now, self.missing_share) for _, name in sorted(in_use)[:room]]
 
     def announcements(self, now: int) -> list[tuple[str, WireMap]]:
         """What proxies are to be sent unsolicited: (proxy, message) each. To be asked after each `receive`, and at
@@ -207,24 +207,27 @@
             return []
         rows = [tenant.row(now, self.missing_share) for tenant in due]
         totals = encode_totals(CounterTotals(self.incarnation, 0, now // MS, rows, unsolicited=True))
-        return [(name, with_sequence(totals, record.last_sequence)) for name, record in self.registry.listeners(now)]
+        return [
+            (name, with_sequence(totals, record.last_sequence))
+            for name, record in self.registry.announcement_receivers(now)
+        ]
 
     def _due_announcements(self, now: int) -> list[TenantTotals]:
         """The tenants that run low and were not announced for a while; sets `next_announcement_at` for those that
         wait."""
         due: list[TenantTotals] = []
         self.next_announcement_at = None
-        for name, tenant in list(self.grown.items()):
+        for name, tenant in list(self.announcement_candidates.items()):
             low = tenant.quota.depth * LOW_DEPTH_SHARE - tenant.quota.slack * LOW_SLACK_SHARE
             if tenant.update_remaining(now, self.missing_share) >= low:
-                del self.grown[name]
-            elif now - tenant.announced_at >= ANNOUNCEMENT_GAP_NS and len(due) < MOST_ROWS:
+                del self.announcement_candidates[name]
+            elif now - tenant.announced_at >= ANNOUNCEMENT_INTERVAL_NS and len(due) < MAX_ROWS:
                 tenant.announced_at = now
                 tenant.roll(now)
                 due.append(tenant)
-                del self.grown[name]
+                del self.announcement_candidates[name]
             else:
-                at = tenant.announced_at + ANNOUNCEMENT_GAP_NS
+                at = tenant.announced_at + ANNOUNCEMENT_INTERVAL_NS
                 if self.next_announcement_at is None or at < self.next_announcement_at:
                     self.next_announcement_at = at
         return due
--- a/rampfront/quota/counter_clock.py
+++ b/rampfront/quota/counter_clock.py
@@ -26,7 +26,7 @@
         """As `time`, without taking it to be told."""
         return now + self.offset
 
-    def start_anew(self) -> None:
+    def reset_round_trip(self) -> None:
         """Whatever answers next, its time is better than what is known."""
         self.best_round_trip = inf
 
--- a/rampfront/quota/counter_link.py
+++ b/rampfront/quota/counter_link.py
@@ -9,21 +9,21 @@
 
 from ..state import Window
 from ..terms import slotted
-from .codec import MOST, WireMap, decode_totals, encode_update
+from .codec import MAX_VALUE, WireMap, decode_totals, encode_update
 from .counter_clock import CounterClock
 from .limits import MS, SEC
 from .messages import CounterTotals, CounterUpdate
 from .tenant_table import TenantTable
-from .update_schedule import LONGEST_TICK_NS, NEVER, TICK_NS, UpdateSchedule
+from .update_schedule import MAX_TICK_NS, NEVER, TICK_NS, UpdateSchedule
 
 IDLE_AFTER_NS = 2 * SEC  # without a request for so long the proxy says that it is idle,
-IDLE_GAP_NS = 5 * SEC // 4  # sends that seldom,
-SILENT_AFTER_NS = 15 * SEC  # and after so long no more
+IDLE_INTERVAL_NS = 5 * SEC // 4  # sends that seldom,
+STOP_SENDING_AFTER_NS = 15 * SEC  # and after so long no more
 FIRST_READING_NS = 50 * MS  # a first reading is asked for within so long
 OVERDUE_NS = 100 * MS  # an answer is overdue
-PATIENCE_NS = 200 * MS  # without an answer for so long the counter is taken to be silent,
+COUNTER_TIMEOUT_NS = 200 * MS  # without an answer for so long the counter is taken to be silent,
 STALE_NS = 2 * SEC  # or with nothing heard from it for so long
-MOST_FIRST_SEQUENCE = (1 << 15) - 1  # updates are numbered from somewhere up to here on: three bytes on the wire
+MAX_FIRST_SEQUENCE = (1 << 15) - 1  # updates are numbered from somewhere up to here on: three bytes on the wire
 
 
 @slotted
@@ -49,7 +49,7 @@
         self.random = random
         self.incarnation = random.randrange(1, 1 << 24)
         # Of the last update. It begins elsewhere in each incarnation: guards against a late answer to the former one.
-        self.sequence = self.incarnation & MOST_FIRST_SEQUENCE
+        self.sequence = self.incarnation & MAX_FIRST_SEQUENCE
         self.started_at = now
         self.used_at = now  # when a request came last
         self.counter_incarnation: int | None = None  # of the counter that answered last
@@ -64,10 +64,10 @@
     def is_silent(self, now: int) -> bool:
         """Whether the counter is silent: no answer to what is under way, or nothing heard for long. Or there is none:
         what was due could not be sent."""
-        if self.counter_incarnation is None or now - self.schedule.next_at > PATIENCE_NS:
+        if self.counter_incarnation is None or now - self.schedule.next_at > COUNTER_TIMEOUT_NS:
             return True
         if self.pending:
-            return now - max(self.pending.first_sent_at, self.last_contact_at) > PATIENCE_NS
+            return now - max(self.pending.first_sent_at, self.last_contact_at) > COUNTER_TIMEOUT_NS
         return now - self.last_contact_at > STALE_NS
 
     def answer_is_overdue(self, now: int) -> bool:
@@ -93,7 +93,7 @@
     def note_request(self, now: int) -> None:
         """A request of a tenant with a quota came: updates go on, or begin again."""
         self.used_at = now
-        if self.schedule.tick_at > now + LONGEST_TICK_NS:
+        if self.schedule.tick_at > now + MAX_TICK_NS:
             self.schedule.tick_after(now, TICK_NS)
 
     def tenants_changed(self, now: int, has_new: bool) -> None:
@@ -120,23 +120,23 @@
         idle = unused_ns > IDLE_AFTER_NS
         report = self.table.report(now, self.sends_full)
         self.sequence += 1
-        lived_ms = min(MOST, max(1, (now - self.started_at) // MS)) if self.sends_full else 0
+        history_ms = min(MAX_VALUE, max(1, (now - self.started_at) // MS)) if self.sends_full else 0
         update = CounterUpdate(
-            self.incarnation, self.sequence, report.rows, self.counter_incarnation, lived_ms, self.wants_all, idle
+            self.incarnation, self.sequence, report.rows, self.counter_incarnation, history_ms, self.wants_all, idle
         )
         wire_map = encode_update(update)
         self.pending = PendingUpdate(self.sequence, wire_map, report.windows, now, now, self.wants_all)
         self.sends_full = self.sends_full and report.more
         self.wants_all = False
         # Guards against a proxy whose next request comes after a while, and that cannot tell then if it is cut off.
-        gap_ns = None if unused_ns > SILENT_AFTER_NS else IDLE_GAP_NS if idle else TICK_NS
-        self.schedule.sent_new(now, now if report.more else NEVER, gap_ns)
+        interval_ns = None if unused_ns > STOP_SENDING_AFTER_NS else IDLE_INTERVAL_NS if idle else TICK_NS
+        self.schedule.sent_new(now, now if report.more else NEVER, interval_ns)
         return wire_map
 
     def switch_counter(self, now: int) -> None:
         """Another counter: full counts are sent to it."""
         self.counter_incarnation = None
-        self.clock.start_anew()
+        self.clock.reset_round_trip()
         self._send_full(now)
 
     def _send_full(self, now: int) -> None:
--- a/rampfront/quota/counter_placement.py
+++ b/rampfront/quota/counter_placement.py
@@ -16,13 +16,15 @@
 from .limits import MS, SEC
 from .messages import Deregistration, Probe
 
-PATIENCE_NS = 500 * MS  # an update is under way for so long with nothing heard: the next in rank is tried;
-ANSWER_PATIENCE_NS = 3 * PATIENCE_NS  # without an answer, whatever is announced: the counter may hear nothing of us
-MOST_BACKOFF = 4  # times both, once all in rank were tried without an answer
-PROBE_GAP_NS = 400 * MS  # of probes to those before the counter
+FAILOVER_TIMEOUT_NS = 500 * MS  # an update is under way for so long with nothing heard: the next in rank is tried;
+ANSWER_TIMEOUT_NS = (
+    3 * FAILOVER_TIMEOUT_NS
+)  # without an answer, whatever is announced: the counter may hear nothing of us
+MAX_BACKOFF = 4  # times both, once all in rank were tried without an answer
+PROBE_INTERVAL_NS = 400 * MS  # of probes to those before the counter
 PROBE_TIMEOUT_NS = 200 * MS  # an answer that comes later is none
-FEWEST_ANSWERS = 3  # in a row, behind which a node is gone back to; doubled each time that it fails soon after,
-MOST_ANSWERS = 16  # up to that
+MIN_ANSWERS = 3  # in a row, behind which a node is gone back to; doubled each time that it fails soon after,
+MAX_ANSWERS = 16  # up to that
 QUICK_FAILURE_NS = 30 * SEC
 STALL_NS = 300 * MS  # a tick that comes so late shows that this process stood still itself
 
@@ -44,13 +46,13 @@
         self.ranked: tuple[str, ...] = ()  # those that may count, by rank
         self.counter_ip: str | None = None  # the one that counts for this proxy
         self.ticked_at = 0
-        self.woke_at = 0  # when this process last went on after standing still
+        self.resumed_at = 0  # when this process last went on after standing still
         self.probe_number = link.sequence  # of the last probe to one before the counter
         self.probed_ip: str | None = None  # whom it went to
         self.probed_at = 0
         self.probe_answered = False
         self.answers = 0  # in a row
-        self.answers_needed = FEWEST_ANSWERS
+        self.answers_needed = MIN_ANSWERS
         self.failovers = 0  # to the next in rank since a counter was last heard
         self.failed_over_at = 0
         self.returned_at = -QUICK_FAILURE_NS  # to one before in rank, last
@@ -78,14 +80,14 @@
         """To be called ten times a second. Returns what is to be sent beside the updates."""
         if now - self.ticked_at > STALL_NS:
             # Guards against leaving a counter whose answers wait here unread, as this process was frozen.
-            self.woke_at = now
+            self.resumed_at = now
         self.ticked_at = now
         if self.link.last_contact_at > self.failed_over_at:
             self.failovers = 0
         rank = self.ranked.index(self.counter_ip) if self.counter_ip in self.ranked else 0
         if self._counter_fails(now):
             return self._fail_over(now, rank)
-        if not rank or now - self.probed_at < PROBE_GAP_NS:
+        if not rank or now - self.probed_at < PROBE_INTERVAL_NS:
             return ()
         return self._probe(now, self.ranked[:rank])
 
@@ -93,18 +95,18 @@
         """Whether the update under way waits for too long, and there is another counter to go to."""
         if self.link.pending is None or len(self.ranked) <= 1:
             return False
-        since = max(self.link.pending.first_sent_at, self.woke_at)
+        since = max(self.link.pending.first_sent_at, self.resumed_at)
         rounds = self.failovers // len(self.ranked)
-        backoff = min(MOST_BACKOFF, 1 << rounds)
-        unheard = now - max(since, self.link.last_contact_at) > PATIENCE_NS * backoff
-        return unheard or now - since > ANSWER_PATIENCE_NS * backoff
+        backoff = min(MAX_BACKOFF, 1 << rounds)
+        no_contact = now - max(since, self.link.last_contact_at) > FAILOVER_TIMEOUT_NS * backoff
+        return no_contact or now - since > ANSWER_TIMEOUT_NS * backoff
 
     def _fail_over(self, now: int, rank: int) -> Outgoing:
         """To the next behind `rank`. One that fails soon after a return has to answer more often next time."""
         if now - self.returned_at < QUICK_FAILURE_NS:
-            self.answers_needed = min(MOST_ANSWERS, 2 * self.answers_needed)
+            self.answers_needed = min(MAX_ANSWERS, 2 * self.answers_needed)
         elif not self.failovers:
-            self.answers_needed = FEWEST_ANSWERS
+            self.answers_needed = MIN_ANSWERS
         self.failovers += 1
         self.failed_over_at = now
         return self.switch_to(now, self.ranked[(rank + 1) % len(self.ranked)])
--- a/rampfront/quota/limiter.py
+++ b/rampfront/quota/limiter.py
@@ -17,7 +17,7 @@
 from .counter_clock import CounterClock
 from .counter_link import CounterLink
 from .limits import DEFAULT_RULE, MS, SEC, QuotaRule, QuotaSettings
-from .tenant_counts import QUIET_NS, TenantCounts
+from .tenant_counts import ANNOUNCEMENT_TIMEOUT_NS, TenantCounts
 from .tenant_table import TenantTable
 from .update_schedule import TICK_NS
 
@@ -26,11 +26,11 @@
 # Where a surge keeps the bucket: that part of the connected slack below nothing,
 LEVEL_TARGET_SHARE = 0.5
 LEVEL_SETTLING_S = 0.2  # and how soon it comes there
-SHORTEST_ADVICE_NS = 50 * MS  # when to come back
-LONGEST_ADVICE_NS = 2 * SEC
-ADVICE_FOR_OVERLOAD_S = 0.5  # times by how much the quota is exceeded
+MIN_RETRY_AFTER_NS = 50 * MS  # when to come back
+MAX_RETRY_AFTER_NS = 2 * SEC
+RETRY_AFTER_PER_OVERLOAD_S = 0.5  # times by how much the quota is exceeded
 DEFAULT_PROXY_COUNT = 32  # proxies taken to serve until it is known how many do
-ATTEMPTS_UNHEARD = 3  # without an answer, after which a proxy does not believe that there are fewer others
+MAX_UNANSWERED_ATTEMPTS = 3  # without an answer, after which a proxy does not believe that there are fewer others
 
 
 class Limiter:
@@ -62,7 +62,7 @@
 
     def set_proxy_count(self, count: int) -> None:
         """How many proxies serve now. One that nobody answers does not believe that the others are gone."""
-        if self.link.attempts >= ATTEMPTS_UNHEARD:
+        if self.link.attempts >= MAX_UNANSWERED_ATTEMPTS:
             count = max(count, self.proxy_count)
         self.proxy_count = max(1, count)
 
@@ -129,7 +129,7 @@
         if available <= -quota.connected_slack:
             return False
         rate = quota.per_s + (available + LEVEL_TARGET_SHARE * quota.connected_slack) / LEVEL_SETTLING_S
-        requested = tenant.requested_per_s * min(1.0, QUIET_NS / max(1, age_ns))
+        requested = tenant.requested_per_s * min(1.0, ANNOUNCEMENT_TIMEOUT_NS / max(1, age_ns))
         return rate >= requested or self.random.random() * requested < rate
 
     def _admit_by_chance(self, tenant: TenantCounts, available: float) -> bool:
@@ -145,13 +145,13 @@
     def _reject(self, tenant: TenantCounts, available: float, now: int) -> int:
         """Counts a rejected request; returns in how many ns to come back, later the more is asked for."""
         tenant.rejected += 1
-        if tenant.read_at < now - tenant.reading_lasts_ns:
+        if tenant.read_at < now - tenant.reading_lifetime_ns:
             self.link.request_reading(now)
         per_s = tenant.quota.per_s
         refilled_s = (1 - available) / per_s
         overload = max(1.0, tenant.requested_per_s / per_s)
-        wait_ns = max(refilled_s, ADVICE_FOR_OVERLOAD_S * overload) * SEC
-        return int(max(SHORTEST_ADVICE_NS, self.random.uniform(0.5, 1.0) * min(LONGEST_ADVICE_NS, wait_ns)))
+        wait_ns = max(refilled_s, RETRY_AFTER_PER_OVERLOAD_S * overload) * SEC
+        return int(max(MIN_RETRY_AFTER_NS, self.random.uniform(0.5, 1.0) * min(MAX_RETRY_AFTER_NS, wait_ns)))
 
     def _schedule_early_update(self, tenant: TenantCounts, now: int) -> None:
         """Guards against a surge at all proxies at once: what grew past a part of this proxy's share goes out early."""
--- a/rampfront/quota/limits.py
+++ b/rampfront/quota/limits.py
@@ -13,7 +13,7 @@
 MS = 10**6  # ns
 SEC = 10**9  # ns
 
-SHORTEST_WINDOW_NS = SEC  # below it, the ticks could not keep up
+MIN_WINDOW_NS = SEC  # below it, the ticks could not keep up
 CONNECTED_SLACK_SHARE = 1 / 7  # of the slack
 ISOLATED_SLACK_SHARE = 0.35  # of what is left of the slack where totals lag by TOTALS_LAG_S
 TOTALS_LAG_S = 0.5
@@ -65,7 +65,7 @@
         burst: requests above that at once; 0 for none.
         rule: what is tolerated beyond.
     """
-    window = max(SHORTEST_WINDOW_NS, int(burst / per_s * SEC)) if burst > 0 else rule.window_ns
+    window = max(MIN_WINDOW_NS, int(burst / per_s * SEC)) if burst > 0 else rule.window_ns
     limit = per_s * window / SEC
     allowance = per_s * rule.window_ns / SEC + burst
     slack = allowance * rule.excess_share + rule.slack_requests
--- a/rampfront/quota/messages.py
+++ b/rampfront/quota/messages.py
@@ -12,8 +12,8 @@
 
 from .limits import SEC
 
-MOST_ROWS = 40  # in one message: so it fits a datagram
-SILENCE_NS = SEC  # a proxy in use sends that often; one that does not may be cut off, and go by its even share
+MAX_ROWS = 40  # in one message: so it fits a datagram
+PROXY_TIMEOUT_NS = SEC  # a proxy in use sends that often; one that does not may be cut off, and go by its even share
 
 
 class CountDelta(NamedTuple):
@@ -46,7 +46,7 @@
     sequence: int  # number of the update within it, ascending
     rows: Sequence[CountRow]  # full counts where `lived_ms` is given, else deltas
     counter_incarnation: int | None  # of the counter by whose time windows are numbered; None: not known yet
-    lived_ms: int = 0  # how long the proxy's counts reach back; 0: the rows are deltas
+    history_ms: int = 0  # how long the proxy's counts reach back; 0: the rows are deltas
     wants_all: bool = False  # the totals of all tenants in use are asked for
     idle: bool = False  # the proxy has had no request for a while
 
--- a/rampfront/quota/slot_counts.py
+++ b/rampfront/quota/slot_counts.py
@@ -7,7 +7,7 @@
 from collections import deque
 
 from .limits import SEC, Quota
-from .messages import SILENCE_NS
+from .messages import PROXY_TIMEOUT_NS
 
 SLOTS_PER_WINDOW = 20
 # Of what comes faster than SURGE_MULTIPLE times the rate, `reserved` leaves RESERVED_SHARE of the limit less
@@ -60,8 +60,8 @@
         Guards against a surge that uses up the whole window's quota on one side within the second in which those cut
         off are not yet missed: of what comes faster than the rate, what a third of the proxies may admit meanwhile
         waits for a second, beyond a part of the slack. Usual load does not notice."""
-        recent = self._since((now - SILENCE_NS) // self.slot_ns)
-        surplus = recent - SURGE_MULTIPLE * quota.per_s * SILENCE_NS / SEC
+        recent = self._since((now - PROXY_TIMEOUT_NS) // self.slot_ns)
+        surplus = recent - SURGE_MULTIPLE * quota.per_s * PROXY_TIMEOUT_NS / SEC
         return max(0.0, min(surplus, RESERVED_SHARE * quota.limit - RESERVED_SLACK_SHARE * quota.slack))
 
     def _since(self, first: int) -> int:
--- a/rampfront/quota/tenant_counts.py
+++ b/rampfront/quota/tenant_counts.py
@@ -10,22 +10,22 @@
 from ..state import Window
 from ..terms import slotted
 from .limits import MS, SEC, Quota
-from .messages import SILENCE_NS, CountDelta, CountRow, FullCount, TenantTotal
+from .messages import PROXY_TIMEOUT_NS, CountDelta, CountRow, FullCount, TenantTotal
 from .update_schedule import TICK_NS
 
 NEVER_READ = -(10**18)  # ns: long ago
 NEVER_USED = -(1 << 62)  # ns
 NOT_GRANTED = -1
 # While a quota runs low the counter announces it more often than this: silence means that nobody uses it.
-QUIET_NS = SEC // 4
-QUIET_S = QUIET_NS / SEC
+ANNOUNCEMENT_TIMEOUT_NS = SEC // 4
+ANNOUNCEMENT_TIMEOUT_S = ANNOUNCEMENT_TIMEOUT_NS / SEC
 # Of its even share of the rate, for an isolated proxy: what many of them draw by chance scatters.
 ISOLATED_RATE_SHARE = 0.85
 ISOLATED_DEPTH_S = 0.25  # of the rate, for an isolated proxy of a tenant without burst
 READING_WITHOUT_BURST_NS = 100 * MS  # such a count falls by leaps, and is read anew sooner
 
 
-def _reading_lasts_ns(quota: Quota) -> int:
+def _reading_lifetime_ns(quota: Quota) -> int:
     return READING_WITHOUT_BURST_NS if quota.without_burst else TICK_NS
 
 
@@ -40,7 +40,7 @@
     used_at: int  # when a request came last
     remaining: float  # requests that the quota had left, as the counter said; below 0 a debt
     remaining_at: int  # when it said so
-    reading_lasts_ns: int  # how old a reading may be before it is read anew
+    reading_lifetime_ns: int  # how old a reading may be before it is read anew
     read_at: int = NEVER_READ  # when totals came last
     requested_per_s: float = 0.0  # by requests to all proxies, rejected ones too, as the counter said
     rejected: int = 0  # requests rejected here since the last update
@@ -52,7 +52,7 @@
         """A tenant without counts. Its quota is taken to be full, but to an isolated proxy, until totals come."""
         number = counter_time // quota.window
         return cls(
-            name, quota, Window(number), Window(number - 1), NEVER_USED, quota.depth, now, _reading_lasts_ns(quota)
+            name, quota, Window(number), Window(number - 1), NEVER_USED, quota.depth, now, _reading_lifetime_ns(quota)
         )
 
     def change_quota(self, quota: Quota, weight: float, counter_time: int) -> None:
@@ -65,7 +65,7 @@
             self.past = Window(number - 1)
             self.now.held = others
         self.remaining = min(quota.depth, self.remaining + max(0.0, quota.depth - self.quota.depth))
-        self.reading_lasts_ns = _reading_lasts_ns(quota)
+        self.reading_lifetime_ns = _reading_lifetime_ns(quota)
         self.quota = quota
 
     def unacknowledged(self) -> float:
@@ -93,7 +93,7 @@
 
         Only a message from the counter shows that it had no more to announce of this tenant. Guards against a proxy
         that was just cut off, to which a full quota would seem to refill."""
-        known_until = last_contact_at + QUIET_NS
+        known_until = last_contact_at + ANNOUNCEMENT_TIMEOUT_NS
         known_until = min(known_until, now)
         age_ns = known_until - self.remaining_at
         return age_ns if age_ns > 0 else 0
@@ -102,7 +102,7 @@
         """What the quota has left in requests: as last read, what refilled since, less what was admitted here and is
         not acknowledged."""
         age_s = reading_age_ns / SEC
-        known_s = min(age_s, QUIET_S)
+        known_s = min(age_s, ANNOUNCEMENT_TIMEOUT_S)
         refill = self.quota.per_s * age_s - min(self.quota.per_s, self.requested_per_s) * known_s
         return min(self.quota.depth, self.remaining + refill) - self.unacknowledged()
 
@@ -113,7 +113,7 @@
         proxy, and leaves it its share of the rate."""
         quota = self.quota
         depth = quota.depth
-        grows_from = last_contact_at + SILENCE_NS
+        grows_from = last_contact_at + PROXY_TIMEOUT_NS
         if quota.without_burst:  # the proxies in touch may have admitted a whole window's at once
             depth = quota.per_s * ISOLATED_DEPTH_S
             grows_from = last_contact_at + quota.window
@@ -144,7 +144,7 @@
         current = round(growth) if growth > 0 else 0
         growth = past.own - past.sent
         previous = round(growth) if growth > 0 else 0
-        if not (current or previous or self.rejected or self.read_at < now - self.reading_lasts_ns):
+        if not (current or previous or self.rejected or self.read_at < now - self.reading_lifetime_ns):
             return None
         present.flying = current
         past.flying = previous
--- a/rampfront/quota/tenant_table.py
+++ b/rampfront/quota/tenant_table.py
@@ -11,7 +11,7 @@
 from ..state import Window
 from .counter_clock import CounterClock
 from .limits import QuotaRule, QuotaSettings, quota_of
-from .messages import MOST_ROWS, CountRow, TenantTotal
+from .messages import MAX_ROWS, CountRow, TenantTotal
 from .tenant_counts import TenantCounts
 
 
@@ -74,7 +74,7 @@
             return Report(rows, windows, False)
         counter_time = self.clock.time(now)
         for name, tenant in list(self.unreported.items()):
-            if len(rows) == MOST_ROWS:
+            if len(rows) == MAX_ROWS:
                 return Report(rows, windows, True)
             # One without burst stays for as long as its window: its count falls without a request.
             if not tenant.quota.without_burst or now - tenant.used_at > tenant.quota.window:
--- a/rampfront/quota/tenant_totals.py
+++ b/rampfront/quota/tenant_totals.py
@@ -11,11 +11,11 @@
 from .messages import CountDelta, FullCount, TenantTotal
 from .slot_counts import SlotCounts
 
-DEMAND_FADE_NS = SEC // 4  # time constant of the requested rate: it follows a surge at once
+REQUEST_RATE_TIME_CONSTANT_NS = SEC // 4  # time constant of the requested rate: it follows a surge at once
 SPLIT_SLACK_SHARE = 0.4  # of the slack, for proxies in touch while few others are missing; none for half of them
-LEAST_SHARE = 0.05  # of a quota that the proxies in touch may use, whoever is missing
-MOST_UNUSED = 0.5  # requests missing from a full bucket below which a tenant is taken to be out of use
-FAR = 1 << 62  # ns: later than any time
+MIN_USABLE_SHARE = 0.05  # of a quota that the proxies in touch may use, whoever is missing
+FULL_BUCKET_TOLERANCE = 0.5  # requests missing from a full bucket below which a tenant is taken to be out of use
+NO_DEADLINE = 1 << 62  # ns: later than any time
 
 ProxyIncarnation = tuple[str, int]  # a proxy's name, and its incarnation
 
@@ -26,7 +26,7 @@
     The even shares of the missing ones are left to them. Two counters that each miss the other's proxies add up to one:
     the part of the slack that is added is nothing at half, and cancels out between the two."""
     spread = SPLIT_SLACK_SHARE * quota.slack / quota.allowance
-    return max(LEAST_SHARE, min(1.0, 1.0 + spread * (1.0 - 2.0 * missing_share) - missing_share))
+    return max(MIN_USABLE_SHARE, min(1.0, 1.0 + spread * (1.0 - 2.0 * missing_share) - missing_share))
 
 
 class WindowTotal:
@@ -65,10 +65,10 @@
     announced_at: int  # when it was last announced
     requested_at: int  # when `requested` was
     requested: float = 0.0  # requests a second to all proxies, fading
-    unaccounted_until: int = FAR
+    unaccounted_until: int = NO_DEADLINE
 
     @classmethod
-    def new(cls, name: str, quota: Quota, now: int, used_up: bool) -> "TenantTotals":
+    def new(cls, name: str, quota: Quota, now: int, exhausted: bool) -> "TenantTotals":
         """A tenant that is not known yet.
 
         Args:
@@ -78,7 +78,7 @@
             used_up: the quota is taken to be used up, until proxies bring their shares of it (`bring_share`). Guards
                 against a counter that starts in a surge. Harm: none to usual load, which is below the rate.
         """
-        unaccounted = quota.depth if used_up else 0.0
+        unaccounted = quota.depth if exhausted else 0.0
         return cls(
             name=name,
             quota=quota,
@@ -93,7 +93,7 @@
             requested_at=now,
         )
 
-    def start_use(self, now: int) -> None:
+    def start_refill(self, now: int) -> None:
         """The first update of all came: the bucket fills from now on."""
         self.remaining_at = now
         self.unaccounted_until = now + self.quota.window
@@ -109,7 +109,7 @@
         self.remaining = min(self.quota.depth, former.update_remaining(now, missing_share))
         self.unaccounted = 0.0
 
-    def bring_share(self, share: float, unserved_ns: int, now: int, missing_share: float) -> None:
+    def credit_share(self, share: float, unserved_ns: int, now: int, missing_share: float) -> None:
         """A proxy brings its even share of the quota from another counter.
 
         Args:
@@ -119,11 +119,11 @@
             missing_share: of the proxies.
         """
         self.update_remaining(now, missing_share)
-        brought = self.quota.depth * share * min(1.0, unserved_ns / self.quota.window)
+        credit = self.quota.depth * share * min(1.0, unserved_ns / self.quota.window)
         if self.slots is None:
-            self.remaining += brought
+            self.remaining += credit
         else:
-            self.unaccounted = max(0.0, self.unaccounted - brought)
+            self.unaccounted = max(0.0, self.unaccounted - credit)
 
     def apply_delta(
         self, proxy: ProxyIncarnation, row: CountDelta, same_windows: bool, now: int, missing_share: float
@@ -131,7 +131,7 @@
         """Adds what a proxy's counts grew by; returns whether totals changed. `same_windows`: the proxy numbers windows
         by this counter's time."""
         self.requested_per_s(now, row.current + row.previous + row.rejected)
-        growth = self._place(row, same_windows)
+        growth = self._align_windows(row, same_windows)
         if growth is None:
             return False
         current, previous = growth
@@ -152,7 +152,7 @@
         """Raises what is known of a proxy to all of its counts; returns whether totals changed. `same_windows` as in
         `apply_delta`."""
         self.requested_per_s(now)
-        counts = self._place(row, same_windows)
+        counts = self._align_windows(row, same_windows)
         if counts is None:
             return False
         current = self.current.growth_to(proxy, counts[0])
@@ -171,7 +171,7 @@
         self.remaining -= current + previous * weight
         return bool(current or previous)
 
-    def _place(self, row: CountDelta | FullCount, same_windows: bool) -> tuple[int, int] | None:
+    def _align_windows(self, row: CountDelta | FullCount, same_windows: bool) -> tuple[int, int] | None:
         """The row's counts of this counter's (current, previous) window; None: they are of windows that ended."""
         window = row.window if same_windows else self.window
         if window == self.window - 1:  # the message crossed the window's end
@@ -184,8 +184,8 @@
         """The rate of requests to all proxies, rejected ones too, with `requests` that came now."""
         if now == self.requested_at and not requests:
             return self.requested
-        self.requested *= exp((self.requested_at - now) / DEMAND_FADE_NS)
-        self.requested += requests * SEC / DEMAND_FADE_NS
+        self.requested *= exp((self.requested_at - now) / REQUEST_RATE_TIME_CONSTANT_NS)
+        self.requested += requests * SEC / REQUEST_RATE_TIME_CONSTANT_NS
         self.requested_at = now
         return self.requested
 
@@ -217,7 +217,7 @@
         """Whether there are counts, or less than a full bucket."""
         if self.current.count or self.previous.count:
             return True
-        return self.update_remaining(now, missing_share) < self.quota.depth - MOST_UNUSED
+        return self.update_remaining(now, missing_share) < self.quota.depth - FULL_BUCKET_TOLERANCE
 
     def row(self, now: int, missing_share: float) -> TenantTotal:
         """The tenant as a message has it."""
--- a/rampfront/quota/update_schedule.py
+++ b/rampfront/quota/update_schedule.py
@@ -10,9 +10,9 @@
 
 TICK_NS = 3 * SEC // 5  # mean gap of updates while a tenant is in use
 JITTER = 0.2  # part of the gap that it varies by
-LONGEST_TICK_NS = int(TICK_NS * (1 + JITTER))
+MAX_TICK_NS = int(TICK_NS * (1 + JITTER))
 RETRY_NS = 150 * MS  # an update without an answer is sent again
-MOST_BACKOFF = 8  # times RETRY_NS
+MAX_BACKOFF = 8  # times RETRY_NS
 NEVER = 1 << 62  # ns: later than any time
 
 
@@ -33,12 +33,12 @@
             self.flush_at = at
             self._update()
 
-    def tick_after(self, now: int, gap_ns: int) -> None:
+    def tick_after(self, now: int, interval_ns: int) -> None:
         """An update goes out after about `gap_ns`, whatever grew."""
-        self.tick_at = self._jittered(now, gap_ns)
+        self.tick_at = self._jittered(now, interval_ns)
         self._update()
 
-    def sent_new(self, now: int, flush_at: int, gap_ns: int | None) -> None:
+    def sent_new(self, now: int, flush_at: int, interval_ns: int | None) -> None:
         """A new update was sent.
 
         Args:
@@ -47,12 +47,12 @@
             gap_ns: after about which the next one goes out, whatever grew; None: not before something grew.
         """
         self.flush_at = flush_at
-        self.tick_at = NEVER if gap_ns is None else self._jittered(now, gap_ns)
+        self.tick_at = NEVER if interval_ns is None else self._jittered(now, interval_ns)
         self.retry_at = self.next_at = now + RETRY_NS
 
     def sent_again(self, now: int, attempts: int) -> None:
         """The update under way was sent for the nth time."""
-        backoff = min(MOST_BACKOFF, 1 << max(0, attempts - 2))
+        backoff = min(MAX_BACKOFF, 1 << max(0, attempts - 2))
         self.retry_at = self.next_at = now + RETRY_NS * backoff
 
     def end_retry(self) -> None:
@@ -60,8 +60,8 @@
         self.retry_at = None
         self.next_at = min(self.flush_at, self.tick_at)
 
-    def _jittered(self, now: int, gap_ns: int) -> int:
-        return now + int(self.random.uniform(1 - JITTER, 1 + JITTER) * gap_ns)
+    def _jittered(self, now: int, interval_ns: int) -> int:
+        return now + int(self.random.uniform(1 - JITTER, 1 + JITTER) * interval_ns)
 
     def _update(self) -> None:
         if self.retry_at is not None:
--- a/tests/membership/test_endpoint_list.py
+++ b/tests/membership/test_endpoint_list.py
@@ -10,5 +10,5 @@
     changed = Endpoint("b", "s", "10.0.0.1", 80, "z", 2, DRAINING, 7 * SEC)
     old, new = EndpointList(1, (one, two), SEC), EndpointList(2, (changed, three), 5 * SEC)
     said = changes(old, new)
-    assert (said.added, said.changed, said.gone) == ((three,), (changed,), (one,))
+    assert (said.added, said.changed, said.removed) == ((three,), (changed,), (one,))
     assert changes(None, old).added == old.endpoints
--- a/tests/membership/test_health_registry.py
+++ b/tests/membership/test_health_registry.py
@@ -1,6 +1,6 @@
 """The leader's verdicts on servers, by the reports of all proxies."""
 
-from rampfront.membership.health_registry import REPEAT_AFTER_NS, UNREACHABLE_WINDOW_NS, HealthRegistry
+from rampfront.membership.health_registry import VERDICT_REPEAT_INTERVAL_NS, UNREACHABLE_WINDOW_NS, HealthRegistry
 from rampfront.membership.server_health import (
     CONNECT_TIMED_OUT,
     HEALTHY,
@@ -47,7 +47,7 @@
     assert verdicts == [[], [], [("s1", UNHEALTHY)]]
     assert registry.add_reports("p1", [("s1", HEALTHY)], 11, T0 + 2 * SEC) == []
     assert (
-        registry.add_reports("p1", [("s1", REQUEST_FAILED)], 11, T0 + SEC + REPEAT_AFTER_NS + MS) == []
+        registry.add_reports("p1", [("s1", REQUEST_FAILED)], 11, T0 + SEC + VERDICT_REPEAT_INTERVAL_NS + MS) == []
     )  # long behind the others: not a spell any more
 
 
--- a/tests/membership/test_health_reporter.py
+++ b/tests/membership/test_health_reporter.py
@@ -1,6 +1,6 @@
 """What a proxy reports of servers, and which verdicts it believes."""
 
-from rampfront.membership.health_reporter import MAX_PATIENCE_NS, RECENT_CONTACT_NS, HealthReporter
+from rampfront.membership.health_reporter import MAX_RESPONSE_TIMEOUT_NS, RECENT_CONTACT_NS, HealthReporter
 from rampfront.membership.server_health import (
     CONNECT_TIMED_OUT,
     HEALTHY,
@@ -37,7 +37,7 @@
         and not reporter.pending
         and not reporter.deadlines
     )
-    reporter.take_reports(T0 + 3 * SEC + MAX_PATIENCE_NS + 2 * SEC)
+    reporter.take_reports(T0 + 3 * SEC + MAX_RESPONSE_TIMEOUT_NS + 2 * SEC)
     assert (
         not reporter.last_response_at_ns and not reporter.unreachable_since_ns
     )  # nothing is kept of those that it has not met lately
--- a/tests/membership/test_lease_age.py
+++ b/tests/membership/test_lease_age.py
@@ -50,7 +50,7 @@
     fleet.run(3000)
     node, host, at = fleet[3], fleet.hosts["10.0.0.3"], fleet[3].confirmed_at_ns
 
-    def fail(plain, now):
+    def fail(encoded, now):
         raise DeltaMismatchError(corrupt=True)
 
     host.on_state = fail
--- a/tests/quota/quota_fixtures.py
+++ b/tests/quota/quota_fixtures.py
@@ -5,7 +5,7 @@
 
 from cbor2 import dumps, loads
 
-from rampfront.quota.codec import FAREWELL, PROBE_NUMBER
+from rampfront.quota.codec import DEREGISTRATION, PROBE_NUMBER
 from rampfront.quota.counter import QuotaCounter
 from rampfront.quota.counter_placement import CounterPlacement
 from rampfront.quota.limiter import Limiter
@@ -91,7 +91,7 @@
         self.unreachable = set()
         self.answers_probes_only = set()
         self.in_flight = []
-        self.farewells = 0
+        self.deregistrations = 0
         self.sent = 0
         for one in (*self.counters.values(), *self.limiters.values()):
             one.set_quotas(configuration, T0), one.set_proxy_count(len(names))
@@ -104,7 +104,7 @@
 
     def send(self, name, messages):
         self.sent += len(messages)
-        self.farewells += sum(FAREWELL in m for _, m in messages)
+        self.deregistrations += sum(DEREGISTRATION in m for _, m in messages)
         self.in_flight += [(self.now + 10 * MS, name, ip, carried(m)) for ip, m in messages]
 
     def run(self, seconds, each=lambda now: None):
--- a/tests/quota/test_counter_placement.py
+++ b/tests/quota/test_counter_placement.py
@@ -4,7 +4,13 @@
 
 from quota_fixtures import T0, CounterNetwork
 
-from rampfront.quota.counter_placement import ANSWER_PATIENCE_NS, MOST_ANSWERS, PATIENCE_NS, STALL_NS, CounterPlacement
+from rampfront.quota.counter_placement import (
+    ANSWER_TIMEOUT_NS,
+    MAX_ANSWERS,
+    FAILOVER_TIMEOUT_NS,
+    STALL_NS,
+    CounterPlacement,
+)
 from rampfront.quota.limiter import Limiter
 from rampfront.quota.limits import MS, SEC
 
@@ -25,17 +31,20 @@
     network.unreachable.add("m1")
     admitted = sum(limiter.take("acme", network.now) is None for limiter in network.limiters.values() for _ in range(2))
     begun = network.now
-    network.run((60 * MS + PATIENCE_NS + 200 * MS) / SEC)
+    network.run((60 * MS + FAILOVER_TIMEOUT_NS + 200 * MS) / SEC)
     totals = network.counters["m2"].tenants["acme"]
     assert network.counter_ips() == ["m2"] * 3 and totals.current.count + totals.previous.count == admitted == 6
     network.run(1.0)
-    assert not any(limiter.is_isolated(network.now) for limiter in network.limiters.values()) and network.farewells == 3
+    assert (
+        not any(limiter.is_isolated(network.now) for limiter in network.limiters.values())
+        and network.deregistrations == 3
+    )
     assert network.counters["m2"].missing_share == 0
     network.unreachable.clear()
     network.run(
         2.0, lambda now: [limiter.take("acme", now) for limiter in network.limiters.values() if now % (500 * MS) == 0]
     )
-    assert network.counter_ips() == ["m1"] * 3 and network.farewells == 6 and network.now - begun < 5 * SEC
+    assert network.counter_ips() == ["m1"] * 3 and network.deregistrations == 6 and network.now - begun < 5 * SEC
     # Each shares out by whom it hears, at once.
     assert network.counters["m2"].missing_share == 1 and network.counters["m1"].missing_share == 0
 
@@ -44,7 +53,7 @@
     network = CounterNetwork("a", members=("m1", "m2"))
     network.answers_probes_only.add("m1")
     network.run(60, lambda now: now % (200 * MS) or network.limiters["a"].take("acme", now))
-    assert 2 < network.farewells < 25 and network.placements["a"].answers_needed == MOST_ANSWERS
+    assert 2 < network.deregistrations < 25 and network.placements["a"].answers_needed == MAX_ANSWERS
 
 
 def test_late_probe_answers_do_not_bring_a_proxy_back():
@@ -66,7 +75,7 @@
     network.run(5, lambda now: now % (200 * MS) or network.limiters["a"].take("acme", now))
     early, network.sent = network.sent, 0
     network.run(20)
-    assert network.sent < 3 * early and network.farewells < 3 + 3 + 20 // 2 + 1
+    assert network.sent < 3 * early and network.deregistrations < 3 + 3 + 20 // 2 + 1
 
 
 def test_a_proxy_that_stood_still_itself_keeps_its_counter():
@@ -74,7 +83,7 @@
     network.limiters["a"].take("acme", network.now)
     while not network.limiters["a"].link.pending:
         network.run(0.01)
-    network.now += STALL_NS + ANSWER_PATIENCE_NS  # its answer waits
+    network.now += STALL_NS + ANSWER_TIMEOUT_NS  # its answer waits
     assert network.placements["a"].tick(network.now) == ()
     network.run(0.1)
     assert network.counter_ips() == ["m1"] and not network.limiters["a"].is_isolated(network.now)
--- a/tests/quota/test_counter_restarts.py
+++ b/tests/quota/test_counter_restarts.py
@@ -37,7 +37,9 @@
     shared.take(a, 4)
     shared.now += 60 * MS
     late, _ = shared.carry(a)
-    shared.deliver("a", encode_deregistration(Deregistration(a.link.incarnation + 1)))  # of another incarnation: nothing
+    shared.deliver(
+        "a", encode_deregistration(Deregistration(a.link.incarnation + 1))
+    )  # of another incarnation: nothing
     assert shared.counter.missing_share == 0
     assert shared.deliver("a", encode_deregistration(Deregistration(a.link.incarnation))) is None
     assert shared.counter.missing_share == 0.5
--- a/tests/quota/test_isolated_proxies.py
+++ b/tests/quota/test_isolated_proxies.py
@@ -4,9 +4,9 @@
 
 from quota_fixtures import SharedCounts, quotas_by_tenant
 
-from rampfront.quota.counter_link import PATIENCE_NS, STALE_NS
+from rampfront.quota.counter_link import COUNTER_TIMEOUT_NS, STALE_NS
 from rampfront.quota.limits import MS, SEC, QuotaRule, quota_of
-from rampfront.quota.messages import SILENCE_NS
+from rampfront.quota.messages import PROXY_TIMEOUT_NS
 from rampfront.quota.tenant_totals import usable_share
 from rampfront.quota.update_schedule import NEVER
 
@@ -54,7 +54,7 @@
     shared.take(a)
     shared.now += 60 * MS
     shared.carry(a, answered=False)
-    assert not a.is_isolated(shared.now + PATIENCE_NS) and a.is_isolated(shared.now + PATIENCE_NS + 1)
+    assert not a.is_isolated(shared.now + COUNTER_TIMEOUT_NS) and a.is_isolated(shared.now + COUNTER_TIMEOUT_NS + 1)
     shared.now += 200 * MS
     shared.carry(a)
     a.link.schedule.next_at = NEVER
@@ -65,7 +65,7 @@
     shared = SharedCounts("a", serving=10)
     (a,) = shared.limiters
     assert shared.take(a) and not a.is_isolated(shared.now)
-    shared.now += PATIENCE_NS + 100 * MS  # its update was due, and nobody was there to send it to
+    shared.now += COUNTER_TIMEOUT_NS + 100 * MS  # its update was due, and nobody was there to send it to
     assert a.is_isolated(shared.now) and shared.take(a, 9) < 3
 
 
@@ -77,7 +77,7 @@
     for limiter in shared.limiters:
         shared.take(limiter)
     for _ in range(3):
-        shared.now += 2 * SILENCE_NS // 5
+        shared.now += 2 * PROXY_TIMEOUT_NS // 5
         for limiter in shared.limiters:
             shared.take(limiter)
             shared.carry(limiter)
@@ -87,7 +87,7 @@
         shared.now += 60 * MS
         shared.carry(limiter)
     for _ in range(6):
-        shared.now += 2 * SILENCE_NS // 5
+        shared.now += 2 * PROXY_TIMEOUT_NS // 5
         for limiter in shared.limiters:
             shared.take(limiter)
             shared.carry(limiter)
--- a/tests/quota/test_shared_counts.py
+++ b/tests/quota/test_shared_counts.py
@@ -5,8 +5,8 @@
 from quota_fixtures import SharedCounts, carried, quotas_by_tenant
 
 from rampfront.quota.codec import TOTALS, UNSOLICITED
-from rampfront.quota.counter import ANNOUNCEMENT_GAP_NS
-from rampfront.quota.counter_link import SILENT_AFTER_NS
+from rampfront.quota.counter import ANNOUNCEMENT_INTERVAL_NS
+from rampfront.quota.counter_link import STOP_SENDING_AFTER_NS
 from rampfront.quota.limiter import Limiter
 from rampfront.quota.limits import MS, SEC, QuotaRule, quota_of
 from rampfront.quota.update_schedule import NEVER
@@ -130,7 +130,7 @@
     shared.take(c, 3), c.link.update_by(shared.now)
     shared.carry(c)
     assert shared.counter.announcements(shared.now) == []  # not at once again
-    assert shared.now < shared.counter.next_announcement_at <= shared.now + ANNOUNCEMENT_GAP_NS
+    assert shared.now < shared.counter.next_announcement_at <= shared.now + ANNOUNCEMENT_INTERVAL_NS
 
 
 def test_an_idle_proxy_stops_sending():
@@ -139,7 +139,7 @@
     shared.take(a)
     shared.play(5)
     sent = a.link.sequence
-    shared.play(SILENT_AFTER_NS / SEC)
+    shared.play(STOP_SENDING_AFTER_NS / SEC)
     assert sent < a.link.sequence <= sent + 15 and shared.counter.registry.records["a"].idle
     sent = a.link.sequence
     shared.play(30)
