--- a/rampfront/membership/deltas.py
+++ b/rampfront/membership/deltas.py
@@ -1,10 +1,10 @@
-"""Differences between versions of replicated data, so that a node is sent only what it lacks. No I/O, no clock.
+"""Deltas between versions of replicated data, so that a node is sent only what it lacks. No I/O, no clock.
 
-A difference names the version that it is based on and carries a digest of what must result. A node that holds another
-version, or arrives at another digest, applies nothing of it and asks again (`DeltaMismatchError`). So what a node holds
-is always a complete version that a leader made, and versions are exchanged atomically.
+A delta names the version that it is based on and carries a digest of the result. A node that holds another version, or
+computes another digest, applies no part of the delta and requests the data again (`DeltaMismatchError`). A replica is
+therefore always a complete version that a leader made, and is replaced atomically.
 
-`DeltaHistory` does this for sorted rows (the roster, the endpoint list), `StateHistory` for the state of the core,
+`DeltaHistory` makes deltas of sorted rows (the roster, the endpoint list), `StateHistory` of the state of the core,
 whose largest part is the body of the operators' configuration.
 """
 
@@ -18,12 +18,12 @@
 from ..consensus.body_history import apply_delta, make_delta
 from ..consensus.state import State, decode_state, digest
 
-Packed = Any  # a value as cbor2 gives it, of any type
+Packed = Any  # any value that cbor2 can encode
 Row = TypeVar("Row", bound=tuple[Any, ...])
 
-MAX_VERSIONS = 8  # of rows, that a difference may be based on
-# Of states, and of their bodies: a burst of changes makes ten states a second, and a node behind a slow link lags by
-# some.
+MAX_VERSIONS = 8  # versions of rows that a delta may be based on
+# Limits of the retained states and of their bodies. A burst of changes makes ten states a second, and a node behind a
+# slow link lags by several of them.
 MAX_STATES = 64
 MAX_STATE_BYTES = 1 << 19
 DIGEST_BYTES = 8
@@ -34,27 +34,27 @@
 
 
 class DeltaMismatchError(Exception):
-    """A difference that cannot be applied to what is held.
+    """A delta that cannot be applied to the local replica.
 
     Attributes:
-        corrupt: its result had another digest than announced: only a full transfer helps. Otherwise it is based on
-            another version than the one held.
+        corrupt: the result's digest differs from the announced one, so only a full transfer helps. If False, the delta
+            is based on a version other than the local one.
     """
 
     def __init__(self, corrupt: bool = False) -> None:
-        """`corrupt`: see above."""
+        """See the class for `corrupt`."""
         super().__init__(corrupt)
         self.corrupt = corrupt
 
 
 class Delta(NamedTuple):
-    """A difference between two versions of a list of rows.
+    """A delta between two versions of a list of rows.
 
     Attributes:
         changed: rows that are new or differ.
-        base: number of the version that it is based on.
+        base: number of the version that the delta is based on.
         digest: `digest_rows` of the result.
-        removed: keys of the rows that are gone.
+        removed: keys of the removed rows.
     """
 
     changed: Sequence[Any]
@@ -64,33 +64,33 @@
 
 
 def digest_rows(rows: Iterable[tuple[Any, ...]], width: int) -> bytes:
-    """A digest of the first `width` fields of each row, from which fields with times by the own clock are left out."""
+    """Returns a digest of the first `width` fields of each row; fields with local clock times must follow these."""
     return blake2b(repr([tuple(row[:width]) for row in rows]).encode(), digest_size=DIGEST_BYTES).digest()
 
 
 class DeltaHistory(Generic[Row]):
-    """The last versions of a sorted list of rows. Rows that versions share are kept once."""
+    """The latest versions of a sorted list of rows. Rows that versions share are stored once."""
 
     def __init__(self, key: Callable[[Row], str], digest_width: int) -> None:
-        """`key` gives what identifies a row; `digest_width` is how many of its fields the digest covers."""
+        """`key` returns the key of a row; `digest_width` is the number of its fields that the digest covers."""
         self._key = key
         self._digest_width = digest_width
         self._versions: dict[int, tuple[Row, ...]] = {}  # newest last
-        self._deltas: dict[int, Delta | None] = {}  # to the newest version, by base
+        self._deltas: dict[int, Delta | None] = {}  # deltas to the newest version, by base
 
     def add(self, version: int, rows: tuple[Row, ...]) -> None:
-        """Remembers `rows` as the newest version."""
+        """Adds `rows` as the newest version, and drops the oldest version beyond MAX_VERSIONS."""
         self._versions[version] = rows
         self._deltas.clear()
         while len(self._versions) > MAX_VERSIONS:
             del self._versions[next(iter(self._versions))]
 
     def can_diff_from(self, version: int) -> bool:
-        """Whether a node that holds `version` can be sent less than all rows."""
+        """Whether a node that holds `version` can be sent a delta."""
         return version in self._versions
 
     def delta_since(self, base: int) -> Delta | None:
-        """The difference from version `base` to the newest; None where all rows are shorter or `base` is not known."""
+        """Returns the delta from version `base` to the newest; None if all rows are shorter or `base` is not known."""
         if base not in self._versions:
             return None
         if base not in self._deltas:
@@ -110,10 +110,10 @@
         return Delta(changed, base, digest_rows(new, self._digest_width), removed)
 
     def apply(self, current_version: int, delta: Delta) -> tuple[Row, ...]:
-        """The rows that `delta` makes of those held under `current_version`.
+        """Returns the rows that result from applying `delta` to those of `current_version`.
 
         Raises:
-            DeltaMismatchError: it is based on another version, or results in other rows than its sender holds.
+            DeltaMismatchError: the delta is based on another version, or its result differs from the sender's rows.
         """
         if delta.base != current_version or current_version not in self._versions:
             raise DeltaMismatchError
@@ -128,30 +128,30 @@
 
 
 class StateHistory:
-    """The last states of the core.
+    """The latest states of the core.
 
-    A node that holds one of them is sent no body where the body is still the same, else the difference between bodies.
+    A node that holds one of them is sent no body if the body is unchanged, and otherwise a delta between the bodies.
     """
 
     def __init__(self) -> None:
         """Starts empty."""
         self._states: dict[int, State] = {}  # by index, newest last
-        self._body_deltas: dict[bytes, list[Packed]] = {}  # to the newest body, as sent, by digest of the base
+        self._body_deltas: dict[bytes, list[Packed]] = {}  # deltas to the newest body, as sent, by digest of the base
 
     @property
     def newest(self) -> State | None:
-        """The newest state; None: there is none yet."""
+        """The newest state; None if there is none yet."""
         return next(reversed(self._states.values()), None)
 
     def add(self, state: State) -> None:
-        """Remembers `state` as the newest one."""
+        """Adds `state` as the newest one, and drops the oldest states beyond the limits."""
         self._states[state.index] = state
         self._body_deltas.clear()
         while len(self._states) > MAX_STATES or len(self._states) > 1 and self._body_bytes() > MAX_STATE_BYTES:
             del self._states[next(iter(self._states))]
 
     def _body_bytes(self) -> int:
-        """Bytes of the bodies; equal ones count once."""
+        """Total size of the bodies; equal bodies count once."""
         return sum({state.body_digest: len(state.body) for state in self._states.values()}.values())
 
     def can_diff_from(self, index: int) -> bool:
@@ -160,7 +160,7 @@
         return old is not None and bool(old.body)
 
     def encode_since(self, index: int) -> Packed:
-        """The newest state as cbor2 carries it, for a node that holds the state of `index`."""
+        """Encodes the newest state for cbor2, for a node that holds the state of `index`."""
         new = next(reversed(self._states.values()))
         old = self._states.get(index)
         if old is None or not old.body or not new.body:
@@ -171,7 +171,7 @@
         return encoded
 
     def _body_delta(self, old: State, new: State) -> list[Packed]:
-        """What stands in place of the new body: the digest of the old one, and the pieces that differ."""
+        """Encodes the delta that replaces the new body: the old digest, and the operations that rebuild it."""
         delta = self._body_deltas.get(old.body_digest)
         if delta is None:
             delta = [old.body_digest, make_delta(zlib.decompress(old.body), zlib.decompress(new.body))]
@@ -179,16 +179,16 @@
         return delta
 
     def decode_since(self, encoded: Packed, current_index: int) -> State | None:
-        """The state that another node's `encode_since` made; None: it is not newer than the one of `current_index`.
+        """Decodes what another node's `encode_since` made; returns None if it is not newer than `current_index`.
 
         Raises:
-            DeltaMismatchError: its body is a difference that cannot be applied to the newest state here.
-            RemoteProtocolError: it is no state.
+            DeltaMismatchError: its body is a delta that cannot be applied to the newest local state.
+            RemoteProtocolError: it is not a valid state.
         """
         return self.decode(encoded) if encoded[_STATE_INDEX] > current_index else None
 
     def decode(self, encoded: Packed) -> State:
-        """As `decode_since`, whatever its index."""
+        """Decodes a state like `decode_since`, whatever its index."""
         newest = self.newest
         body = encoded[_STATE_BODY]
         if type(body) is list:
@@ -206,5 +206,6 @@
             raise DeltaMismatchError
         body = zlib.compress(apply_delta(zlib.decompress(newest.body), operations))
         if digest(body) != wanted_digest:
-            raise DeltaMismatchError(corrupt=True)  # also where another compressor made the operator's body smaller
+            # This also happens if another compressor made the operator's body smaller.
+            raise DeltaMismatchError(corrupt=True)
         return body
--- a/rampfront/membership/dissemination.py
+++ b/rampfront/membership/dissemination.py
@@ -1,20 +1,20 @@
-"""Keeps every node up to date with the core: its state, the endpoint list, the roster, and the lease's age.
+"""Keeps every node up to date with the core: its state, the endpoint list, the roster, and the age of the lease.
 
 No I/O, no clock.
 
-This is anti-entropy with a leader. Every node sends heartbeats to the leader of the core and tells by numbers what it
-holds (`versions.py`). The leader answers how long ago a majority stood behind it, and sends what the node lacks; a
-change it pushes at once, and the next heartbeat makes up for a push that was lost. A node that does not lead answers
-with what it was sent itself, so that one which is cut off from the leader alone still learns of everything through the
-others.
+The protocol is anti-entropy with a leader. Every node sends heartbeats to the leader of the core, with the version
+numbers of its replicas (`versions.py`). The leader responds with the time since a majority last confirmed it, and with
+the data that the node lacks. It pushes each change at once; the next heartbeat recovers a push that was lost. A node
+that is not the leader responds from its own replicas, so that a node that is partitioned from the leader alone still
+receives everything through its peers.
 
-What is sent is a difference to what the receiver holds where that is known (`deltas.py`), else a full transfer, of
-which there is a budget (`transfer_budget.py`). A state that could not be applied brings no age with it: what is held
-must be as young as the lease claims.
+A response carries a delta to the receiver's version where that version is known (`deltas.py`), and otherwise a full
+transfer, which counts against a budget (`transfer_budget.py`). If a state cannot be applied, the age in the same
+response is not applied either: the replica must be as recent as the lease claims.
 
-`Disseminator` joins the parts, each of which decides one thing: when to send a heartbeat and to whom (`heartbeats.py`),
-what to answer (`responder.py`), which leader to follow and how old the lease is (`leadership.py`), which nodes live
-(`peers.py`), when a new roster is made of them (`roster_builder.py`, `roster.py`).
+`Disseminator` combines parts that each make one decision: when to send a heartbeat and to whom (`heartbeats.py`), what
+to respond (`responder.py`), which leader to follow and how old the lease is (`leadership.py`), which nodes are alive
+(`peers.py`), and when to build a new roster from them (`roster_builder.py`, `roster.py`).
 """
 
 from __future__ import annotations
@@ -39,28 +39,28 @@
 
 
 class Disseminator:
-    """A node's part in the dissemination, the leader's included.
+    """A node's part in the dissemination, including the leader's part.
 
     Attributes:
         state_index: index of the state that the host holds; the host reports it (`state_changed`).
         endpoints_version: number of the endpoint list that the host holds (`endpoints_changed`).
-        ready: whether this node takes requests (`set_ready`).
+        ready: whether this node accepts requests (`set_ready`).
         must_renumber_endpoints: a node holds an endpoint list that an older leader numbered above this leader's.
-        leadership: the leader that is followed, and the lease's age.
+        leadership: the leader that this node follows, and the age of the lease.
         roster_replica: this node's replica of the roster.
-        peer_table: the other nodes, as this node hears them while it leads.
+        peer_table: the other nodes from which this node receives heartbeats while it is the leader.
         schedule: when heartbeats are sent, and to whom.
-        responder: what other nodes are answered.
-        incarnation: of this process; goes with each heartbeat and comes back in its answer.
+        responder: makes the responses to other nodes.
+        incarnation: of this process; each heartbeat carries it and the response returns it.
     """
 
     def __init__(self, own: RosterEntry, seeds: Sequence[str], random: Random, host: DisseminationHost) -> None:
-        """Holds nothing yet.
+        """Starts without any replicas.
 
         Args:
             own: this node, not ready.
-            seeds: addresses of nodes to ask while no others are known.
-            random: spreads intervals and targets.
+            seeds: addresses of the nodes to contact while no others are known.
+            random: source of the jitter of intervals, and of the choice of targets.
             host: the process.
         """
         self._own = own
@@ -78,48 +78,48 @@
         self._roster_builder = RosterBuilder(own, self.roster_replica, self.peer_table)
         self._remembered = RememberedNodes()
         self._versions = NO_VERSIONS
-        self._corrupt_parts: set[str] = set()  # keys of parts of which a difference came out wrong
+        self._corrupt_parts: set[str] = set()  # keys of parts for which a delta had the wrong digest
 
-    # ---- what others read
+    # ---- state of this node
 
     @property
     def leader(self) -> str | None:
-        """Address of the leader; None: not known."""
+        """Address of the leader; None if it is not known."""
         return self.leadership.leader
 
     @property
     def term(self) -> int:
-        """The term in which it leads, as far as is known."""
+        """The newest term that is known of the leader."""
         return self.leadership.term
 
     @property
     def is_leader(self) -> bool:
-        """Whether this node leads."""
+        """Whether this node is the leader."""
         return self.leadership.is_leader
 
     @property
     def confirmed_at_ns(self) -> int | None:
-        """When a majority last stood behind what is held, by the own clock; None: never heard of."""
+        """When a majority last confirmed the local replicas, by the local clock; None if that is not known yet."""
         return self.leadership.confirmed_at_ns
 
     @property
     def roster(self) -> tuple[RosterEntry, ...]:
-        """All nodes."""
+        """All nodes of the roster."""
         return self.roster_replica.entries
 
     @property
     def roster_version(self) -> int:
-        """Number of that roster."""
+        """Version number of the roster."""
         return self.roster_replica.version
 
     @property
     def peer_addresses(self) -> Iterable[str]:
-        """Addresses of the other nodes, as far as this node hears them while it leads."""
+        """Addresses of the other nodes from which this node received heartbeats while it is the leader."""
         return self.peer_table.by_ip
 
     @property
     def versions(self) -> ReplicaVersions:
-        """What this node holds. Made anew only where it has changed: each heartbeat needs it."""
+        """Versions of the local replicas. Cached until one changes, since each heartbeat needs them."""
         versions = self._versions
         if (
             versions.state_index != self.state_index
@@ -130,50 +130,51 @@
             self._versions = versions
         return versions
 
-    # ---- what the host reports
+    # ---- reports of the host
 
     def set_seeds(self, seeds: Sequence[str]) -> None:
-        """The settings name other seeds from now on."""
+        """Replaces the seeds, as the settings have changed."""
         self.schedule.seeds = seeds
 
     def remember_nodes(self, addresses: Iterable[str]) -> None:
-        """The disk held the addresses of these nodes; this one tells them of itself if it comes to lead."""
+        """Loads node addresses from the disk; this node announces itself to them once it becomes the leader."""
         self._remembered.load(address for address in addresses if address != self._own.ip)
 
     def set_ready(self, ready: bool) -> None:
-        """Whether this node takes requests; a change goes with a heartbeat at once."""
+        """Sets whether this node accepts requests; a change triggers a heartbeat at once."""
         if ready != self.ready:
             self.ready = ready
             self.schedule.expedite()
 
     def state_changed(self, index: int) -> None:
-        """The host holds the state of `index` from now on."""
+        """Records the index of the state that the host now holds."""
         self.state_index = index
 
     def endpoints_changed(self, version: int) -> None:
-        """The host holds the endpoint list `version` from now on."""
+        """Records the version of the endpoint list that the host now holds."""
         self.endpoints_version = version
 
     def number_endpoints(self) -> int:
-        """The number of a new endpoint list that this leader makes."""
+        """Returns the number for a new endpoint list that this leader makes."""
         self.must_renumber_endpoints = False
         return max(self.endpoints_version + 1, first_version(self.term))
 
     def set_leadership(self, status: CoreStatus, now: int) -> None:
-        """The member of the core beside this node reports who leads. A new leader tells all nodes.
+        """Applies the status of the core member on this node. A new leader announces itself to all nodes.
 
-        That guards leases, and the leader's own roster, against nodes that find out only by asking around.
+        Without the announcement, leases and the leader's own roster would depend on nodes finding the new leader by
+        asking others.
         """
-        begins_to_lead = status.is_leader and not self.is_leader
-        if begins_to_lead:
+        becomes_leader = status.is_leader and not self.is_leader
+        if becomes_leader:
             self.peer_table.reset(self.roster, self.versions, now)
         self.leadership.update(status, now)
-        if begins_to_lead:
+        if becomes_leader:
             self._remembered.begin(now)
             self._announce(self.peer_table.by_ip, now)
 
     def _announce(self, addresses: Iterable[str], now: int) -> None:
-        """Tells nodes that this one leads; they ask for what they lack."""
+        """Announces to nodes that this one is the leader; they request what they lack."""
         announcement = messages.encode_state_response(self.responder.update(self.versions, self.versions, now))
         for ip in addresses:
             self._host.send(ip, announcement)
@@ -181,12 +182,12 @@
     # ---- heartbeats
 
     def tick(self, now: int) -> None:
-        """Looks at the time: sends what is due, and as the leader renews the roster."""
+        """Runs the periodic work: sends heartbeats that are due and, as the leader, updates the roster."""
         self.responder.start_tick(now)
         if self.is_leader:
             self._refresh_roster(now)
-            if unheard := self._remembered.due(self.peer_table.by_ip, now):
-                self._announce(unheard, now)
+            if unreached := self._remembered.due(self.peer_table.by_ip, now):
+                self._announce(unreached, now)
         if not self.schedule.is_due(now):
             return
         in_contact = self.leadership.in_contact(now)
@@ -203,7 +204,7 @@
                 self._host.send(alternate, frame)
 
     def heartbeat(self, now: int) -> Heartbeat:
-        """This node's heartbeat. Of a part that came out wrong it claims to hold nothing: that asks for all of it."""
+        """Makes this node's heartbeat. Version 0 for a corrupt part requests a full transfer of it."""
         versions = self.versions
         if self._corrupt_parts:
             versions = ReplicaVersions(
@@ -214,13 +215,13 @@
         own = self._own
         return Heartbeat(versions, now, self.incarnation, own.name, own.zone, own.front, self.ready)
 
-    # ---- heartbeats of other nodes, and what they are answered
+    # ---- heartbeats of other nodes, and the responses to them
 
     def on_heartbeat(self, ip: str, message: Message, now: int) -> None:
-        """A node sent a heartbeat: as the leader notes it, and answers what that node lacks.
+        """Handles a node's heartbeat: the leader records it, and any node responds with what the sender lacks.
 
         Raises:
-            ValueError, LookupError: it is no heartbeat.
+            ValueError, LookupError: the heartbeat is not valid.
         """
         is_leader = self.leadership.is_leader
         heartbeat = messages.decode_heartbeat(message, is_leader)
@@ -230,14 +231,14 @@
                 return
             self._record(peer, heartbeat, now)
         versions = self.versions
-        if self.responder.may_send(ip, versions, heartbeat.versions, now):  # else it asks again
+        if self.responder.may_send(ip, versions, heartbeat.versions, now):  # otherwise the sender asks again
             response = self.responder.response(versions, heartbeat, now)
             self._host.send(ip, messages.encode_state_response(response))
 
     def _record(self, peer: Peer, heartbeat: Heartbeat, now: int) -> None:
-        """The leader takes note of a heartbeat.
+        """Records a heartbeat at the leader.
 
-        A node that stops serving is out of the roster at once; one that joins waits for a tick, with others.
+        A node that stops serving leaves the roster at once; a node that joins waits for a tick, together with others.
         """
         was_ready = peer.entry.ready
         peer.record(heartbeat, now)
@@ -247,22 +248,22 @@
             self._refresh_roster(now)
 
     def _renumber_above(self, versions: ReplicaVersions, now: int) -> None:
-        """Guards against what an old leader numbered when another led already: whoever took it would keep it."""
+        """Renumbers data that a deposed leader numbered higher; nodes would otherwise never replace it."""
         if self.endpoints_version < versions.endpoints_version < first_version(self.term):
             self.must_renumber_endpoints = True
         if self._roster_builder.renumber_above(versions.roster_version, self.term):
             self.push_updates(now)
 
     def _refresh_roster(self, now: int) -> None:
-        """Makes a new roster where the nodes that this leader hears have changed, and pushes it to all."""
+        """Builds a new roster if the nodes known to this leader have changed, and pushes it to all."""
         if self._roster_builder.renew(self.ready, self.term, now):
             self._host.on_roster()
             self.push_updates(now)
 
     def push_updates(self, now: int) -> None:
-        """Sends what changed to every node that lacks it, as far as this leader knows."""
+        """Sends each change to every node that lacks it according to this leader's peer table."""
         versions = self.versions
-        targets: dict[ReplicaVersions, list[str]] = {}  # addresses by what they hold
+        targets: dict[ReplicaVersions, list[str]] = {}  # addresses by the versions that the nodes hold
         for ip, peer in self.peer_table.lagging(versions):
             if self.responder.may_send(ip, versions, peer.versions, now):
                 targets.setdefault(peer.versions, []).append(ip)
@@ -271,18 +272,18 @@
             update = self.responder.update(versions, peer_versions, now)
             self._host.send_all(ips, messages.encode_state_response(update))
 
-    # ---- what responses bring
+    # ---- responses
 
     def on_state_response(self, ip: str, message: Message, now: int) -> None:
-        """A node sent what this one lacks: takes it over, with its age, and follows the leader that it names.
+        """Handles a response: applies the data and its age, and follows the leader that it names.
 
         Raises:
-            ValueError, LookupError, TypeError: it is no response.
+            ValueError, LookupError, TypeError: the response is not valid.
         """
         response = messages.decode_state_response(message)
         state_is_current = self._apply_parts(response, now)
-        # Guards revocation against an age that comes beside a state which was not applied: it would vouch for the older
-        # one.
+        # The age belongs to the state in the response. If that state was not applied, the age would vouch for an older
+        # state, in which a revoked key may still be valid.
         leadership = self.leadership
         if leadership.is_leader or not state_is_current:
             return
@@ -292,12 +293,12 @@
             self.schedule.expedite()
 
     def _apply_parts(self, response: StateResponse, now: int) -> bool:
-        """Takes over the parts of a response. Returns whether the state is as new as the response claims."""
+        """Applies the parts of a response. Returns whether the state is as recent as the response claims."""
         state_is_current = True
         if response.state is not None:
             state_is_current = self._apply(messages.STATE, self._host.on_state, response.state, now)
-        # Guards lists and rosters against what a leader numbered that had been deposed without knowing. A committed
-        # state is one, whoever sends it.
+        # A deposed leader that is not aware of its successor may still number lists and rosters. A state is committed
+        # whoever sends it, so it is applied in any case.
         if response.term >= self.leadership.term:
             if response.endpoints is not None:
                 self._apply(messages.ENDPOINTS, self._host.on_endpoints, response.endpoints, now)
@@ -306,7 +307,7 @@
         return state_is_current
 
     def _apply(self, part: str, apply_part: Callable[[Packed, int], None], packed: Packed, now: int) -> bool:
-        """Takes over one part. Returns False if it is a difference that does not fit; then it is asked for again."""
+        """Applies one part. Returns False if it is a delta that does not fit; the part is then requested again."""
         try:
             apply_part(packed, now)
         except DeltaMismatchError as mismatch:
@@ -324,9 +325,9 @@
             self._host.on_roster()
 
     def _is_own_answer(self, response: StateResponse, now: int) -> bool:
-        """Whether a response answers a question of this process.
+        """Whether a response answers a request of this process.
 
-        Guards against an answer to the process before, which held more: it says nothing of what this one lacks.
+        A late answer to the previous process, which held more data, says nothing about what this process lacks.
         """
         is_own = response.incarnation is None or response.incarnation == self.incarnation
         return 0 < response.requested_at_ns <= now and is_own
--- a/rampfront/membership/endpoint_codec.py
+++ b/rampfront/membership/endpoint_codec.py
@@ -1,9 +1,9 @@
-"""Endpoint lists between nodes: as values for cbor2, in full or as a difference. No I/O, no clock.
+"""Encodes endpoint lists for other nodes as values for cbor2, in full or as a delta. No I/O, no clock.
 
-Packed is `[version, age, names, rows]`: services and zones go as positions in `names`, and times as ns that are left or
-past, since two nodes' clocks differ. A difference has `rows` for what changed, and three parts more: the version that
-it is based on, the digest of the result, ids that are gone. A list from another node is not trusted: what is not valid
-raises `FieldError`, a `ValueError`.
+The encoded form is `[version, age, names, rows]`. Services and zones are encoded as positions in `names`. Times are
+encoded as remaining or elapsed ns, since the clocks of two nodes differ. A delta lists only the changed endpoints in
+`rows` and has three more parts: the version that it is based on, the digest of the result, and the removed ids. A list
+from another node is not trusted: an invalid one raises `FieldError`, a `ValueError`.
 """
 
 from __future__ import annotations
@@ -28,8 +28,8 @@
 )
 
 
-class _PackedList(NamedTuple):
-    """The parts of a complete list."""
+class _EncodedList(NamedTuple):
+    """The parts of an encoded complete list."""
 
     version: Packed
     age_ns: Packed
@@ -37,16 +37,16 @@
     rows: Packed
 
 
-_COMPLETE_PARTS = len(_PackedList._fields)
+_COMPLETE_PARTS = len(_EncodedList._fields)
 
 
 def endpoint_history() -> DeltaHistory[Endpoint]:
-    """An empty history of lists. The last field is not in the digest: a time by the own clock."""
+    """Returns an empty history of lists. The digest leaves out the last field, which is a time by the local clock."""
     return DeltaHistory(attrgetter("id"), len(Endpoint._fields) - 1)
 
 
 def encode(endpoint_list: EndpointList, now: int) -> list[Packed]:
-    """The complete list."""
+    """Encodes the complete list."""
     positions: dict[str, int] = {}
     rows = [
         [
@@ -65,32 +65,32 @@
 
 
 def decode(encoded: Packed, now: int) -> EndpointList:
-    """The list that `encode` packed, its times by the own clock. Raises FieldError."""
+    """Decodes what `encode` made, with times by the local clock. Raises FieldError."""
     try:
-        packed = _PackedList(*encoded)
-        version = packed.version
-        age_ns = packed.age_ns
+        parts = _EncodedList(*encoded)
+        version = parts.version
+        age_ns = parts.age_ns
         if type(version) is not int or type(age_ns) is not int or version < 0 or age_ns < 0:
-            raise FieldError("no list of servers")
-        if len(packed.rows) > MAX_ENDPOINTS:
-            raise FieldError("no list of servers")
-        names = [check_name(name, "a name") for name in packed.names]
-        endpoints = _decode_endpoints(packed.rows, names, now)
+            raise FieldError("invalid endpoint list")
+        if len(parts.rows) > MAX_ENDPOINTS:
+            raise FieldError("invalid endpoint list")
+        names = [check_name(name, "a name") for name in parts.names]
+        endpoints = _decode_endpoints(parts.rows, names, now)
     except FieldError:
         raise
     except (TypeError, ValueError, IndexError) as error:
-        raise FieldError(f"no list of servers: {error}") from None
+        raise FieldError(f"invalid endpoint list: {error}") from None
     return EndpointList(version, endpoints, now - age_ns)
 
 
 def _decode_endpoints(rows: Packed, names: list[str], now: int) -> tuple[Endpoint, ...]:
-    """Of several rows with the same id, the last one counts."""
+    """Decodes the rows; of several rows with the same id, the last one counts."""
     endpoints: dict[str, Endpoint] = {}
     for server_id, service, host, port, zone, capacity, draining, warming_ns in rows:
         if type(warming_ns) is not int or not 0 <= warming_ns <= MAX_WARMING_NS or type(draining) is not bool:
-            raise FieldError(f"a row: {quoted(server_id)}")
+            raise FieldError(f"invalid endpoint row: {quoted(server_id)}")
         if service < 0 or zone < 0:
-            raise FieldError(f"a row: {quoted(server_id)}")
+            raise FieldError(f"invalid endpoint row: {quoted(server_id)}")
         endpoints[server_id] = Endpoint(
             check_name(server_id, "Id"),
             names[service],
@@ -105,7 +105,7 @@
 
 
 def encode_since(endpoint_list: EndpointList, now: int, history: DeltaHistory[Endpoint], version: int) -> list[Packed]:
-    """The list for a node that holds `version`: the difference where `history` has one, else the complete list."""
+    """Encodes the list for a node that holds `version`: as a delta if `history` has one, otherwise complete."""
     delta = history.delta_since(version)
     if delta is None:
         return encode(endpoint_list, now)
@@ -116,11 +116,11 @@
 def decode_since(
     encoded: list[Packed], now: int, history: DeltaHistory[Endpoint], current_version: int
 ) -> EndpointList | None:
-    """The list that `encode_since` packed; None: it is not newer than `current_version`.
+    """Decodes what `encode_since` made; returns None if it is not newer than `current_version`.
 
     Raises:
-        FieldError: it is no list.
-        DeltaMismatchError: it is a difference that cannot be applied to what `history` has under `current_version`.
+        FieldError: the list is not valid.
+        DeltaMismatchError: it is a delta that cannot be applied to version `current_version` of `history`.
     """
     received = decode(encoded[:_COMPLETE_PARTS], now)
     if received.version <= current_version:
--- a/rampfront/membership/endpoint_list.py
+++ b/rampfront/membership/endpoint_list.py
@@ -1,7 +1,7 @@
-"""The endpoint list: all servers that requests may go to, as the platform lists them. No I/O, no clock.
+"""The endpoint list: all servers that can receive requests, as the platform lists them. No I/O, no clock.
 
 The leader reads the platform's pages (`endpoint_pages.py`, `endpoint_list_pager.py`, `endpoint_list_poller.py`),
-numbers each list that differs from the one before, and passes it on to all nodes (`endpoint_codec.py`).
+gives each list that differs from the one before a new version, and sends it to all nodes (`endpoint_codec.py`).
 """
 
 from socket import AF_INET, inet_pton
@@ -11,12 +11,12 @@
 from ..settings.scalars import SEC
 
 READY = "ready"
-DRAINING = "emptying"  # the platform's word for it
-STATES = {READY: READY, DRAINING: DRAINING}  # the keys interned, so that all rows share them
+DRAINING = "emptying"  # the platform's name for this state
+STATES = {READY: READY, DRAINING: DRAINING}  # maps each state to one string object, so that all rows share it
 
 MAX_ENDPOINTS = 20_000
-MAX_NAME_CHARACTERS = 200  # of an id, a service, a zone
-MAX_CAPACITY = 100_000  # slots of a server
+MAX_NAME_CHARACTERS = 200  # of an id, a service or a zone
+MAX_CAPACITY = 100_000  # concurrent requests of a server
 MAX_WARMING_NS = 3600 * SEC
 
 
@@ -24,15 +24,15 @@
     """One server.
 
     Attributes:
-        id: its id.
-        service: the service that it belongs to.
-        host: an IPv4 address in numbers.
-        port: its port.
-        zone: the failure domain that it stands in.
-        capacity: requests that it serves at a time.
+        id: unique id of the server.
+        service: the service that the server belongs to.
+        host: an IPv4 address in dotted decimal.
+        port: TCP port.
+        zone: failure domain of the server.
+        capacity: maximum number of concurrent requests.
         state: READY or DRAINING.
-        warming_until_ns: end of its slow start, by the own clock; 0: it is not warming up. It stays the last field:
-            digests leave it out (`endpoint_codec.endpoint_history`).
+        warming_until_ns: end of the slow start, by the local clock; 0 if the server is not warming up. This must remain
+            the last field, since digests leave it out (`endpoint_codec.endpoint_history`).
     """
 
     id: str
@@ -49,9 +49,9 @@
     """One complete list.
 
     Attributes:
-        version: rises when an endpoint differs from the list before.
+        version: increases whenever an endpoint differs from the list before.
         endpoints: sorted by id.
-        read_at_ns: when its first page was asked for, by the own clock.
+        read_at_ns: when the first page was requested, by the local clock.
     """
 
     version: int
@@ -60,12 +60,12 @@
 
 
 class Changes(NamedTuple):
-    """What differs between two lists.
+    """The differences between two lists.
 
     Attributes:
         added: endpoints that only the new list has.
         changed: endpoints that differ, as the new list has them.
-        gone: endpoints that only the old list has.
+        removed: endpoints that only the old list has.
     """
 
     added: tuple[Endpoint, ...]
@@ -74,7 +74,7 @@
 
 
 def changes(old: EndpointList | None, new: EndpointList) -> Changes:
-    """What `new` says that `old` did not; `old` None: an empty list."""
+    """Returns the differences between `old` and `new`; None stands for an empty list."""
     old_by_id = {endpoint.id: endpoint for endpoint in old.endpoints} if old else {}
     added, changed = [], []
     for endpoint in new.endpoints:
@@ -87,23 +87,23 @@
 
 
 def check_name(value: object, field: str) -> str:
-    """`value`, if it can be an id or a name. Raises FieldError, which names `field`."""
+    """Returns `value` if it is a valid id or name. Raises FieldError, which names `field`."""
     if type(value) is not str or not 0 < len(value) <= MAX_NAME_CHARACTERS or not value.isprintable():
         raise FieldError(f"{field}: {quoted(value)}")
     return value
 
 
 def check_count(value: object, maximum: int, field: str) -> int:
-    """`value`, if it is an integer from 1 to `maximum`. Raises FieldError, which names `field`."""
+    """Returns `value` if it is an integer from 1 to `maximum`. Raises FieldError, which names `field`."""
     if type(value) is not int or not 0 < value <= maximum:
         raise FieldError(f"{field}: {quoted(value)}")
     return value
 
 
 def check_ip(host: str) -> str:
-    """`host`, if it is an IPv4 address. Raises FieldError.
+    """Returns `host` if it is an IPv4 address. Raises FieldError.
 
-    Guards against a name: to resolve it would block the event loop, and the platform gives none.
+    A host name is rejected: resolving it would block the event loop, and the platform lists none.
     """
     try:
         inet_pton(AF_INET, host)
--- a/rampfront/membership/endpoint_list_pager.py
+++ b/rampfront/membership/endpoint_list_pager.py
@@ -1,10 +1,10 @@
-"""Decides when to ask the platform for which page of its list of servers, round after round. No I/O, no clock.
+"""Decides when to request which page of the platform's server list, round after round. No I/O, no clock.
 
-A round is all pages of the list. `Pager.take` is given what happened and when, and returns what is to be done; the
-`Poller` does it. Pages of two rounds are never mixed, and a list that is not complete is never shown.
+A round reads all pages of the list. `Pager.handle_event` takes an event and its time, and returns effects, which the
+`Poller` applies. Pages of two rounds are never mixed, and an incomplete list is never published.
 
-The rate of calls is kept by a token bucket. A round that failed is followed by a pause that doubles with each further
-failure. Good news of a server, or that it is gone, is believed of two rounds in a row (`endpoint_pages.confirm`).
+A token bucket limits the rate of calls. After a failed round the pager backs off exponentially. An improvement of a
+server's state, or its removal, counts only once two rounds in a row show it (`endpoint_pages.confirm`).
 """
 
 from collections import Counter
@@ -20,25 +20,26 @@
 
 OK = 200
 TOO_MANY_REQUESTS = 429
-MAX_PAGES = 512  # of a round
+MAX_PAGES = 512  # per round
 MIN_CALLS_PER_S = 0.01
-BUCKET_NS = SEC // 2  # what the bucket holds, at least: a round's pages lie close together
-# Behind a round that failed: the first pause, or the interval if that is shorter; doubled up to the longest, or the
-# interval if that is longer. No longer: once the platform is back, what it shows must be everywhere within `Drain`.
+BUCKET_NS = SEC // 2  # minimum size of the bucket, since the pages of a round are requested in quick succession
+# Backoff after a failed round: it starts at FIRST_PAUSE_NS, or at the interval if that is shorter, and doubles up to
+# MAX_PAUSE_NS, or the interval if that is longer. The maximum is short, since the list of a platform that has recovered
+# must reach all nodes within `Drain`.
 FIRST_PAUSE_NS = SEC // 4
 MAX_PAUSE_NS = SEC
-MAX_FAILURES = 16  # that are told apart
+MAX_FAILURES = 16  # upper limit of the failure count
 MAX_DOUBLINGS = 8
-FAILURES_OF_REJECTION = 2  # a round that was answered with 429 counts as so many failures
-MIN_SPREAD = 0.75  # of a pause; at random up to half as much again
+FAILURES_OF_REJECTION = 2  # a round that ended with status 429 counts as this many failures
+MIN_SPREAD = 0.75  # the jitter multiplies a pause by a factor from MIN_SPREAD to MIN_SPREAD + SPREAD
 SPREAD = 0.5
 
 
-# ---- events, which a pager takes
+# ---- events that a pager handles
 
 
 class PageReceived(NamedTuple):
-    """The platform answered a `FetchPage`: its round, and the status and body."""
+    """The platform's response to a `FetchPage`: the round, the status and the body."""
 
     round: int
     status: int
@@ -46,40 +47,40 @@
 
 
 class PageFailed(NamedTuple):
-    """The platform did not answer a `FetchPage`, and why."""
+    """A `FetchPage` failed without a response, for `reason`."""
 
     round: int
     reason: str
 
 
 class TimerFired:
-    """The time set by `SetTimer` has come."""
+    """The time that `SetTimer` set was reached."""
 
 
-# ---- effects, which it returns
+# ---- effects that it returns
 
 
 class FetchPage(NamedTuple):
-    """Ask the platform for a page."""
+    """Requests a page from the platform."""
 
     round: int
     target: str
 
 
 class SetTimer(NamedTuple):
-    """Give `TimerFired` at this time (ns); it replaces the one before."""
+    """Sets the time (ns) of the next `TimerFired`; it replaces an earlier one."""
 
     until: int
 
 
 class ListCompleted(NamedTuple):
-    """The round is complete: this is the list."""
+    """Publishes the list of a complete round."""
 
     servers: EndpointList
 
 
 class RoundFailed(NamedTuple):
-    """The round brought no list, and why."""
+    """Reports a round that failed, for `reason`."""
 
     reason: str
 
@@ -89,7 +90,7 @@
 
 
 class _CachedPage(NamedTuple):
-    """A page as it was last received, and what it says."""
+    """A page as last received, and its decoded contents."""
 
     body: bytes
     rows: list[Endpoint]
@@ -98,14 +99,14 @@
 
 
 class _RoundResult(NamedTuple):
-    """What a complete round amounts to: the endpoints, and ids whose good news waits for the next round."""
+    """The result of a complete round: the endpoints, and the ids whose change waits for confirmation."""
 
     endpoints: tuple[Endpoint, ...]
     pending: frozenset[str]
 
 
 class Pager:
-    """Asks for the pages of one round after another, and makes a list of each round that is complete."""
+    """Requests the pages of one round after another, and makes a list of each complete round."""
 
     def __init__(
         self,
@@ -114,13 +115,13 @@
         random: Callable[[], float] | None = None,
         version: int = 0,
     ) -> None:
-        """No round is running.
+        """Starts without a running round.
 
         Args:
             interval_ns: from the start of one round to the start of the next.
-            max_calls_per_s: calls of the platform at most, on average.
-            random: a `random.Random`'s `random`, which spreads pauses; None: they are not spread.
-            version: lists to come carry numbers above this one.
+            max_calls_per_s: average limit of calls to the platform.
+            random: the `random` method of a `random.Random`, for the jitter of pauses; None: no jitter.
+            version: new lists get versions above this one.
         """
         self.counts: Counter[str] = Counter()
         self.round = 0  # number of the newest round
@@ -129,31 +130,31 @@
         self._random = random
         self._version = version
         self._last: EndpointList | None = None  # the newest list
-        self._pending: frozenset[str] = frozenset()  # ids whose good news waits for the next round
-        # The token bucket.
+        self._pending: frozenset[str] = frozenset()  # ids whose change waits for confirmation
+        # State of the token bucket.
         self._call_cost_ns = round(SEC / max(max_calls_per_s, MIN_CALLS_PER_S))
         self._bucket_ns = max(self._call_cost_ns, BUCKET_NS)
         self._bucket_full_at_ns = 0
-        self._deferred_until_ns: int | None = None  # a page waits for the bucket; None: none does
-        # The round that is running.
+        self._deferred_until_ns: int | None = None  # when the bucket allows the deferred page; None: none is deferred
+        # State of the running round.
         self._is_running = False
         self._started_at_ns = 0
-        self._token: str | None = None  # of the page asked for; None: of the first one
+        self._token: str | None = None  # of the requested page; None: the first one
         self._tokens_seen: set[str] = set()
         self._rows: dict[str, Endpoint] = {}  # by id
         self._pages = 0
         self._cache: dict[str | None, _CachedPage] = {}  # pages of the newest round, by token
 
     def skip_versions(self, version: int) -> None:
-        """Lists to come carry numbers above this one: another node's lists went up to it."""
+        """Makes new lists get versions above this one, which another node's lists had reached."""
         self._version = max(self._version, version)
 
     def handle_event(self, now: int, event: Event) -> list[Effect]:
-        """Takes in an event at `now` (ns); returns what is to be done, in order."""
+        """Handles an event at `now` (ns); returns the effects in the order in which to apply them."""
         if isinstance(event, type):  # `TimerFired`
             return self._continue(now)
         if not self._is_running or event.round != self.round:
-            self.counts["stale_responses"] += 1  # of a round that was given up
+            self.counts["stale_responses"] += 1  # of a round that was abandoned
             return []
         if isinstance(event, PageFailed):
             return self._fail_round(now, event.reason, 1)
@@ -163,14 +164,14 @@
         return self._take_page(now, event.body)
 
     def stop(self) -> None:
-        """Gives up the round that is running; what is still received of it is ignored."""
+        """Abandons the running round; responses that still arrive for it are ignored."""
         self._is_running = False
         self._deferred_until_ns = None
         self._rows = {}
         self._tokens_seen = set()
 
     def _continue(self, now: int) -> list[Effect]:
-        """Goes on with a page that was deferred, or with the next round."""
+        """Continues with the deferred page, or with the next round."""
         if self._deferred_until_ns is not None:
             return self._fetch_page(now)
         return [] if self._is_running else self._start_round(now)
@@ -186,7 +187,7 @@
         return self._fetch_page(now)
 
     def _fetch_page(self, now: int) -> list[Effect]:
-        """Asks for the next page, once the bucket allows it."""
+        """Requests the next page, or defers it until the bucket allows it."""
         start_ns = max(self._bucket_full_at_ns, now)
         if start_ns + self._call_cost_ns - now > self._bucket_ns:
             self._deferred_until_ns = start_ns + self._call_cost_ns - self._bucket_ns
@@ -199,7 +200,7 @@
         return [FetchPage(self.round, target)]
 
     def _take_page(self, now: int, body: bytes) -> list[Effect]:
-        """Takes in the page that was asked for."""
+        """Handles the requested page."""
         try:
             page = self._read_page(body, now)
         except FieldError as error:
@@ -214,13 +215,13 @@
         return self._fetch_page(now)
 
     def _read_page(self, body: bytes, now: int) -> _CachedPage:
-        """Reads the page that was asked for.
+        """Decodes the requested page.
 
-        Most pages come again byte for byte. Such a one is not parsed again, unless a server on it is warming up, whose
-        time left counts from now.
+        Most pages are byte for byte the same as in the round before. Such a page is not parsed again, unless a server
+        on it is warming up, since its remaining time counts from now.
 
         Raises:
-            FieldError: it cannot be the next page.
+            FieldError: it is not a valid next page.
         """
         page = self._cache.get(self._token)
         if page is None or page.body != body:
@@ -231,13 +232,13 @@
             else:
                 self._cache[self._token] = page
         if page.token is not None and (page.token in self._tokens_seen or self._pages >= MAX_PAGES):
-            raise FieldError(f"NextToken: {quoted(page.token)} again")
+            raise FieldError(f"NextToken: {quoted(page.token)} again, or too many pages")
         if len(self._rows) + len(page.rows) > MAX_ENDPOINTS:
-            raise FieldError("more servers than can be")
+            raise FieldError("too many servers")
         return page
 
     def _fail_round(self, now: int, reason: str, failures: int) -> list[Effect]:
-        """Ends a round without a list; it counts as so many `failures`."""
+        """Ends a round without a list; it adds `failures` to the failure count."""
         self.counts["failed_rounds"] += 1
         self.failures = min(MAX_FAILURES, self.failures + failures)
         self.stop()
@@ -248,7 +249,7 @@
         return [SetTimer(now + pause_ns), RoundFailed(reason)]
 
     def _complete_round(self, now: int) -> list[Effect]:
-        """Makes a list of the round. The timer goes first, so that a fault of the list's receiver ends no rounds."""
+        """Makes a list of the round. The timer comes first, so that polling continues if the list's receiver raises."""
         result = self._merge_round(now)
         self._pending = result.pending
         self.counts["pending"] += len(result.pending)
@@ -264,7 +265,7 @@
         return [SetTimer(max(now, self._started_at_ns + self._interval_ns)), ListCompleted(self._last)]
 
     def _merge_round(self, now: int) -> _RoundResult:
-        """Compares the round's rows with the list before."""
+        """Merges the round's rows with the list before."""
         unmatched = self._rows
         pending: set[str] = set()
         endpoints: list[Endpoint] = []
@@ -278,7 +279,7 @@
                 endpoints.append(confirmation.endpoint)
                 if confirmation.pending:
                     pending.add(old.id)
-            elif old.state == READY and not was_pending:  # gone without having drained: kept for a round
+            elif old.state == READY and not was_pending:  # removed without draining: kept for one round
                 endpoints.append(old)
                 pending.add(old.id)
         endpoints += unmatched.values()
--- a/rampfront/membership/endpoint_list_poller.py
+++ b/rampfront/membership/endpoint_list_poller.py
@@ -1,6 +1,6 @@
-"""Asks the platform for its list of servers, round after round, while it is started.
+"""Polls the platform for its server list, round after round, while it is started.
 
-It owns the connection to the platform and one timer, and carries out the effects of a `Pager`, which decides.
+It owns the connection to the platform and one timer, and applies the effects of a `Pager`, which makes the decisions.
 """
 
 from asyncio import AbstractEventLoop, Task, TimerHandle
@@ -27,9 +27,9 @@
     TimerFired,
 )
 
-PAGE_TIMEOUT_S = 1.0  # for one page, the connect included
-# Behind a failure, for a platform that is slow would never be heard. No longer: a call that hangs since the network was
-# partitioned is found out only then.
+PAGE_TIMEOUT_S = 1.0  # for one page, including the connect
+# After a failure, since a slow platform would otherwise never answer in time. Not longer, since only the time-out
+# detects a call that hangs because of a network partition.
 RETRY_TIMEOUT_S = 2.0
 MAX_PAGE_BYTES = 4 << 20
 
@@ -37,11 +37,11 @@
 
 
 class PollSettings(NamedTuple):
-    """Whom to ask, and how often.
+    """Settings of the poller.
 
     Attributes:
-        address: the platform's.
-        max_calls_per_s: calls at most, on average.
+        address: of the platform.
+        max_calls_per_s: average limit of calls.
         interval_ns: from the start of one round to the start of the next.
     """
 
@@ -51,15 +51,15 @@
 
 
 def _ignore(_reason: str) -> None:
-    """Nobody is to be told."""
+    """Ignores a failure."""
 
 
 class PollCallbacks(NamedTuple):
-    """Who is told of a round's end.
+    """Callbacks at the end of a round.
 
     Attributes:
-        on_list: called with the list of a round that was complete.
-        on_failure: called with the reason why a round brought none.
+        on_list: called with the list of a complete round.
+        on_failure: called with the reason of a failed round.
     """
 
     on_list: Callable[[EndpointList], None]
@@ -67,11 +67,11 @@
 
 
 class Poller:
-    """Carries out the effects of a `Pager` on sockets.
+    """Applies the effects of a `Pager` to sockets and timers.
 
     Attributes:
-        since_ns: time of the last success, or else of the start.
-        running: whether it is started.
+        since_ns: time of the last success, or of the start if there was none.
+        running: whether the poller is started.
     """
 
     def __init__(
@@ -82,7 +82,7 @@
         callbacks: PollCallbacks,
         random: Random | None = None,
     ) -> None:
-        """`clock` gives ns; `random` spreads the pauses behind failures, None: they are not spread."""
+        """`clock` returns ns; `random` adds jitter to the pauses after failures, None: no jitter."""
         self.loop = loop
         self.clock = clock
         self.callbacks = callbacks
@@ -96,18 +96,18 @@
 
     @property
     def counts(self) -> Counter[str]:
-        """What the pager counted: calls, rounds, what was dropped and why."""
+        """The pager's counters: calls, rounds, and dropped responses and rows."""
         return self._pager.counts
 
     def start(self) -> None:
-        """Begins a round at once, whatever pause was under way before."""
+        """Starts a round at once, without waiting for the rest of an earlier pause."""
         if not self.running:
             self.running = True
             self.since_ns = self.clock()
             self.handle_event(TimerFired)
 
     def stop(self) -> None:
-        """Ends the round that is running, and the connection."""
+        """Abandons the running round, and closes the connection."""
         self.running = False
         self._pager.stop()
         if self.timer:
@@ -121,7 +121,7 @@
         self._client = None
 
     def change_address(self, address: Address) -> None:
-        """The platform is elsewhere from now on: an answer from the old address would be outdated."""
+        """Switches to another address of the platform; responses from the old address would be outdated."""
         if address != self._address:
             was_running = self.running
             self._address = address
@@ -131,15 +131,15 @@
                 self.handle_event(TimerFired)
 
     def failing_ns(self, now: int) -> int:
-        """Time since the last complete list, or since the start when there was none."""
+        """Time since the last complete list, or since the start if there was none."""
         return max(0, now - self.since_ns)
 
     def handle_event(self, event: Event) -> None:
-        """Gives the pager an event, and carries out its effects."""
+        """Passes an event to the pager, and applies the effects."""
         now = self.clock()
         for effect in self._pager.handle_event(now, event):
             self._apply_effect(effect, now)
-            if not self.running:  # stopped by whoever took the list
+            if not self.running:  # the receiver of the list stopped the poller
                 return
 
     def _apply_effect(self, effect: Effect, now: int) -> None:
@@ -163,7 +163,7 @@
         self.handle_event(TimerFired)
 
     async def fetch(self, effect: FetchPage) -> None:
-        """Asks for a page, and gives the pager the answer."""
+        """Requests a page, and passes the result to the pager."""
         if self._client is None:
             self._client = HttpClient(self.loop, self._address, MAX_PAGE_BYTES)
         timeout_s = RETRY_TIMEOUT_S if self._pager.failures else PAGE_TIMEOUT_S
--- a/rampfront/membership/endpoint_pages.py
+++ b/rampfront/membership/endpoint_pages.py
@@ -1,6 +1,6 @@
-"""Pages of the platform's list of servers: read, checked, and compared with what was read before. No I/O, no clock.
+"""Parses and validates pages of the platform's server list, and compares them with earlier reads. No I/O, no clock.
 
-Source of the fields: PROTOCOL.md, "The platform". A page is not trusted: what is not valid raises `FieldError`, a
+The fields are defined in PROTOCOL.md, "The platform". A page is not trusted: an invalid one raises `FieldError`, a
 `ValueError`.
 """
 
@@ -23,17 +23,17 @@
 
 MAX_TOKEN_CHARACTERS = 512
 MAX_QUOTED_ID_CHARACTERS = 40
-# A warm-up that reads so much shorter than before is the list's lag, not a change.
+# A remaining warm-up that is shorter by at most this much is a lagging list, not a change.
 WARMING_TOLERANCE_NS = 500 * MS
 
 
 class ListPage(NamedTuple):
-    """What a page of the platform's list says.
+    """The decoded contents of a page.
 
     Attributes:
-        rows: its servers.
-        token: of the next page; None: this is the last one.
-        faults: why rows were dropped.
+        rows: the servers on the page.
+        token: of the next page; None: this is the last page.
+        faults: reasons why rows were dropped.
     """
 
     rows: list[Endpoint]
@@ -42,11 +42,11 @@
 
 
 class Confirmation(NamedTuple):
-    """What is believed of a server.
+    """The state of a server that is accepted after a round.
 
     Attributes:
-        endpoint: as it is believed to be.
-        pending: good news of it waits for the next round.
+        endpoint: the accepted state.
+        pending: an improvement waits for confirmation by the next round.
     """
 
     endpoint: Endpoint
@@ -54,9 +54,9 @@
 
 
 def parse_endpoint(server_id: object, entry: Json, now: int) -> Endpoint:
-    """A server of a page. Fields that are not known are ignored. Raises FieldError."""
+    """Parses one server of a page. Unknown fields are ignored. Raises FieldError."""
     if type(entry) is not dict:
-        raise FieldError(f"not a table: {quoted(entry)}")
+        raise FieldError(f"not a JSON object: {quoted(entry)}")
     host, port = parse_address(entry.get("Address"))
     state = entry.get("State")
     if type(state) is not str or state not in STATES:
@@ -76,19 +76,19 @@
 
 
 def parse_page(body: bytes, now: int) -> ListPage:
-    """A page of the platform's list. A row that is not valid is dropped.
+    """Parses a page of the platform's list. Invalid rows are dropped.
 
     Raises:
-        FieldError: the page itself is not valid.
+        FieldError: the page itself is invalid.
     """
     try:
         page = json.loads(body)
     except (ValueError, RecursionError):
         raise FieldError("not JSON") from None
     if type(page) is not dict or type(page.get("Servers")) is not dict:
-        raise FieldError("no table Servers")
+        raise FieldError("no Servers object")
     if "NextToken" not in page:
-        raise FieldError("NextToken: missing")  # guards against a page cut short that reads as the last
+        raise FieldError("NextToken: missing")  # a truncated page must not pass for the last one
     token = page["NextToken"]
     if token is not None and (type(token) is not str or not 0 < len(token) <= MAX_TOKEN_CHARACTERS):
         raise FieldError(f"NextToken: {quoted(token)}")
@@ -102,20 +102,20 @@
 
 
 def confirm(old: Endpoint, read: Endpoint, now: int, seen_before: bool) -> Confirmation:
-    """What is believed of a server that was `old` and now reads `read`.
+    """Returns the accepted state of a server that was `old` and now reads `read`.
 
-    Bad news counts at once. Guards against a list that lags unevenly, or moved under its pages: that a server no longer
-    drains, or is warm sooner than it said, counts once two rounds in a row say so. The same holds for a server that is
-    gone without having drained (`Pager`).
+    A change for the worse is accepted at once. The end of draining, or a warm-up that ends sooner than announced, is
+    accepted once two rounds in a row show it, since the list may lag unevenly, or change between its pages. The same
+    applies to a server that is removed without having drained (`Pager`).
 
     Args:
-        old: as it was believed to be.
-        read: as this round has it.
+        old: the accepted state so far.
+        read: the state in this round.
         now: ns.
-        read_before: the round before had such news of it too.
+        seen_before: the round before showed such an improvement too.
     """
     if (old.service, old.host, old.port) != (read.service, read.host, read.port):
-        return Confirmation(read, False)  # nothing of the old one can be relied on
+        return Confirmation(read, False)  # not the same server: its earlier state does not apply
     state = read.state
     warming_until_ns = read.warming_until_ns
     pending = False
--- a/rampfront/membership/health_registry.py
+++ b/rampfront/membership/health_registry.py
@@ -1,4 +1,4 @@
-"""The leader's view of the servers' health: the reports of all proxies together, and its verdicts. No I/O, no clock."""
+"""The leader's view of server health: combines the reports of all proxies into verdicts. No I/O, no clock."""
 
 from collections.abc import Iterable, Sequence
 from dataclasses import field
@@ -19,25 +19,25 @@
 MS = 10**6  # ns
 SEC = 10**9
 
-# Observations within the window whose weights reach the sum make a server unreachable.
+# A server is unreachable once the weights of the observations within the window reach the sum.
 UNREACHABLE_WEIGHTS = {NO_RESPONSE: 1, CONNECT_TIMED_OUT: 2}
 UNREACHABLE_SUM = 3
 UNREACHABLE_WINDOW_NS = 1200 * MS
-# So many failures within the window make it unhealthy.
+# A server is unhealthy after this many failures within the window.
 UNHEALTHY_FAILURES = 3
 UNHEALTHY_WINDOW_NS = 3 * SEC
-MIN_REPORTERS = 2  # proxies that must agree: guards against one whose own link is cut
-# This part of a zone's servers, and so many, that became unreachable within the window: the whole zone is.
+MIN_REPORTERS = 2  # proxies that must agree, in case one proxy's own link is down
+# A whole zone is unreachable once at least this fraction of its servers, and this number, became so within the window.
 ZONE_WINDOW_NS = SEC
 ZONE_UNREACHABLE_FRACTION = 0.2
 ZONE_MIN_UNREACHABLE_SERVERS = 3
-VERDICT_REPEAT_INTERVAL_NS = 3 * SEC  # a verdict is repeated no sooner
-MAX_OBSERVATIONS = MAX_REPORTS  # kept of a server
+VERDICT_REPEAT_INTERVAL_NS = 3 * SEC  # minimum interval at which a verdict is repeated
+MAX_OBSERVATIONS = MAX_REPORTS  # kept per server
 SWEEP_INTERVAL_NS = SEC
 
 
 class _Observation(NamedTuple):
-    """What one proxy saw of a server."""
+    """One proxy's observation of a server."""
 
     at_ns: int
     proxy_ip: str
@@ -46,13 +46,13 @@
 
 @slotted
 class ServerRecord:
-    """What is known of one server.
+    """The health record of one server.
 
     Attributes:
         observations: recent ones, oldest first.
-        verdict_at_ns: when the last verdict was given; 0: none stands.
-        verdict: UNREACHABLE or UNHEALTHY; None: none was given, or it was withdrawn.
-        inferred: the verdict was given with the server's zone, without observations of its own.
+        verdict_at_ns: time of the last verdict; 0: none is in force.
+        verdict: UNREACHABLE or UNHEALTHY; None: there was none, or it was withdrawn.
+        inferred: the verdict was derived from the server's zone, without observations of the server itself.
     """
 
     observations: list[_Observation] = field(default_factory=list)
@@ -62,33 +62,33 @@
 
 
 class HealthRegistry:
-    """Observations of all proxies, by server."""
+    """The observations of all proxies, by server."""
 
     def __init__(self) -> None:
-        """No server is listed yet."""
-        self.records: dict[str, ServerRecord] = {}  # by server; swept a window behind the last observation
+        """Starts without servers."""
+        self.records: dict[str, ServerRecord] = {}  # by server; swept (`_is_current`)
         self._servers_by_zone: dict[str, list[str]] = {}
         self._zone_of: dict[str, str] = {}
         self._swept_at_ns = 0
 
     def set_servers(self, servers: Iterable[tuple[str, str]]) -> None:
-        """The endpoint list: (server's id, zone) of all."""
+        """Replaces the known servers by those of the endpoint list, each as (id, zone)."""
         self._zone_of = dict(servers)
         self._servers_by_zone = {}
         for server_id, zone in self._zone_of.items():
             self._servers_by_zone.setdefault(zone, []).append(server_id)
 
     def add_reports(self, proxy_ip: str, reports: Iterable[ServerReport], proxies: int, now: int) -> list[ServerReport]:
-        """Takes in one proxy's reports.
+        """Records one proxy's reports.
 
         Args:
-            proxy_ip: its address.
-            reports: its observations.
-            proxies: how many proxies serve.
+            proxy_ip: address of the proxy.
+            reports: the proxy's observations.
+            proxies: number of proxies that serve.
             now: ns.
 
         Returns:
-            The verdicts that all proxies are to be told.
+            The verdicts to send to all proxies.
         """
         verdicts: list[ServerReport] = []
         for server_id, status in reports:
@@ -101,7 +101,7 @@
         return verdicts
 
     def _observe(self, server_id: str, observation: _Observation, min_reporters: int) -> list[ServerReport]:
-        """Takes in an observation against a server; returns the verdicts that follow."""
+        """Records an observation of a server; returns the resulting verdicts."""
         now = observation.at_ns
         record = self.records.setdefault(server_id, ServerRecord())
         recent = [seen for seen in record.observations if now - seen.at_ns < _window_ns(seen.status)]
@@ -120,9 +120,9 @@
         return verdicts
 
     def _withdraw(self, server_id: str) -> list[ServerReport]:
-        """An unreachable server has answered; returns who is healthy again.
+        """Withdraws the verdict on an unreachable server that has answered; returns the servers that are healthy again.
 
-        Guards against a zone that was taken for unreachable and is not: all that was inferred goes with the first.
+        If its verdict was inferred, the zone is reachable, so all inferred verdicts of the zone are withdrawn.
         """
         record = self.records.get(server_id)
         if record is None or record.verdict != UNREACHABLE:
@@ -143,9 +143,9 @@
         record.inferred = False
 
     def _infer_zone(self, server_id: str, now: int) -> list[ServerReport]:
-        """The rest of a server's zone, once so many became unreachable together that the zone must be.
+        """Returns verdicts on the rest of a server's zone once enough of its servers became unreachable together.
 
-        So no proxy need find out each of them by a request of its own.
+        This spares the proxies from losing a request to each of these servers.
         """
         zone_servers = self._servers_in_zone_of(server_id)
         unreachable = [
@@ -171,7 +171,7 @@
         return server_id in self.records and self.records[server_id].verdict == UNREACHABLE
 
     def _sweep(self, now: int) -> None:
-        """Forgets what is over, once a second."""
+        """Drops outdated records, once per SWEEP_INTERVAL_NS."""
         if now - self._swept_at_ns <= SWEEP_INTERVAL_NS:
             return
         self._swept_at_ns = now
@@ -179,14 +179,14 @@
 
 
 def derive_verdict(observations: Sequence[_Observation], min_reporters: int) -> int | None:
-    """What the observations of a server amount to.
+    """Derives a verdict from the observations of a server.
 
     Args:
         observations: recent ones.
-        witnesses: proxies that must agree, at least.
+        min_reporters: number of proxies that must agree.
 
     Returns:
-        UNREACHABLE, UNHEALTHY, or None where they do not suffice.
+        UNREACHABLE, UNHEALTHY, or None if the observations do not suffice.
     """
     failures = [seen for seen in observations if seen.status == REQUEST_FAILED]
     missing = [seen for seen in observations if seen.status != REQUEST_FAILED]
--- a/rampfront/membership/health_reporter.py
+++ b/rampfront/membership/health_reporter.py
@@ -1,4 +1,4 @@
-"""What one proxy's requests show of the servers, and which of the leader's verdicts it believes. No I/O, no clock."""
+"""Collects one proxy's observations of servers, and filters the leader's verdicts. No I/O, no clock."""
 
 from collections.abc import Iterable
 from heapq import heappop, heappush
@@ -16,40 +16,41 @@
 MS = 10**6  # ns
 SEC = 10**9
 
-RESPONSE_TIMEOUT_FACTOR = 2.5  # mean times after which a request without a response is reported, within these bounds:
+# A request without a response is reported after this multiple of the mean duration, within the bounds below.
+RESPONSE_TIMEOUT_FACTOR = 2.5
 MIN_RESPONSE_TIMEOUT_NS = 300 * MS
 MAX_RESPONSE_TIMEOUT_NS = 3 * SEC
-# A connect that failed no sooner has timed out: one refused sooner tells of a full server as well as of a gone one.
+# A connect that fails no sooner than this timed out. A server that refuses sooner may be full as well as gone.
 CONNECT_TIMEOUT_NS = 150 * MS
-RECENT_CONTACT_NS = 300 * MS  # a proxy that had an answer so lately does not believe that a server is unreachable
+RECENT_CONTACT_NS = 300 * MS  # a proxy with a response this recent rejects the verdict that the server is unreachable
 VERDICT_MEMORY_NS = 3 * SEC
 SWEEP_INTERVAL_NS = SEC
 
 
 class HealthReporter:
-    """Observes requests as they start and end, and collects what is to be reported."""
+    """Observes the start and end of requests, and collects observations to report."""
 
     def __init__(self) -> None:
-        """Nothing has been observed yet."""
-        self.pending: dict[int, tuple[str, int]] = {}  # requests under way: number to (server, sent at); no class: each
-        # request pays for it
-        self.deadlines: list[tuple[int, int]] = []  # heap of (when patience ends, request number)
+        """Starts without observations."""
+        self.pending: dict[int, tuple[str, int]] = {}  # in-flight requests: number to (server, sent at); a plain tuple,
+        # since each request pays for it
+        self.deadlines: list[tuple[int, int]] = []  # heap of (response deadline, request number)
         self._last_number = 0
         self.last_response_at_ns: dict[str, int] = {}  # by server; swept
-        self.unreachable_since_ns: dict[str, int] = {}  # by server, as the leader told; emptied by answers, and swept
+        self.unreachable_since_ns: dict[str, int] = {}  # by server, from verdicts; cleared by responses, and swept
         self._reports: list[ServerReport] = []
         self._swept_at_ns = 0
 
     def request_started(self, server_id: str, mean_duration_ns: float, now: int) -> int:
-        """A request goes to a server.
+        """Records the start of a request to a server.
 
         Args:
             server_id: the server's id.
-            mean_duration_ns: what such requests take; 0: not known yet.
+            mean_duration_ns: mean duration of such requests; 0: not known yet.
             now: ns.
 
         Returns:
-            The number by which it ends (`request_ended`).
+            The request number to pass to `request_ended`.
         """
         self._last_number += 1
         self.pending[self._last_number] = server_id, now
@@ -61,13 +62,13 @@
         return self._last_number
 
     def request_ended(self, number: int, server_id: str, now: int, observation: int | None = None) -> None:
-        """A request has ended.
+        """Records the end of a request.
 
         Args:
-            number: as `request_started` gave it.
+            number: returned by `request_started`.
             server_id: the server's id.
             now: ns.
-            observation: CONNECT_TIMED_OUT, REQUEST_FAILED or HEALTHY; None: it shows nothing of the server.
+            observation: CONNECT_TIMED_OUT, REQUEST_FAILED or HEALTHY; None: it shows nothing about the server.
         """
         self.pending.pop(number, None)
         if observation in (HEALTHY, REQUEST_FAILED):
@@ -79,7 +80,7 @@
             self._reports.append(ServerReport(server_id, observation))
 
     def take_reports(self, now: int) -> list[ServerReport]:
-        """What is to be reported to the leader now; the rest beyond one message is dropped."""
+        """Returns the observations to report to the leader now; those that exceed one message are dropped."""
         self._report_missing_responses(now)
         if now - self._swept_at_ns > SWEEP_INTERVAL_NS:
             self._sweep(now)
@@ -88,7 +89,7 @@
         return reports
 
     def _report_missing_responses(self, now: int) -> None:
-        """Notes requests whose patience has ended, unless the server answered another one since they were sent."""
+        """Reports requests past their deadline, unless the server answered another request since they were sent."""
         while self.deadlines and self.deadlines[0][0] <= now:
             _, number = heappop(self.deadlines)
             server_id, sent_at_ns = self.pending.get(number, (None, 0))
@@ -103,7 +104,7 @@
         self.unreachable_since_ns = {server_id: at for server_id, at in verdicts if now - at < VERDICT_MEMORY_NS}
 
     def accept_verdicts(self, verdicts: Iterable[ServerReport], now: int) -> list[ServerReport]:
-        """The leader's verdicts that this proxy believes. It contradicts one of a server that has just answered it."""
+        """Returns the accepted verdicts. Contradicts a verdict that a server is unreachable if it answered recently."""
         accepted: list[ServerReport] = []
         for verdict in verdicts:
             server_id = verdict.server_id
--- a/rampfront/membership/messages.py
+++ b/rampfront/membership/messages.py
@@ -1,20 +1,20 @@
-"""The frames by which nodes keep each other up to date: built, checked and encoded here alone. No I/O, no clock.
+"""Builds, validates and encodes the frames by which nodes keep each other up to date. No I/O, no clock.
 
 | kind on the wire | class | from, to |
 | --- | --- | --- |
-| `hail` | `Heartbeat` | every node to the leader: that it lives, and what it holds |
-| `word` | `StateResponse` | the answer: the lease's age and what the asker lacks; or the leader's push of a change |
-| `sight` | `HealthReports` | every node to the leader: what its requests show of the servers |
-| `dim` | `HealthVerdicts` | the leader to every node: what the reports of all together show |
+| `hail` | `Heartbeat` | every node to the leader: liveness, and the versions that it holds |
+| `word` | `StateResponse` | response with the lease's age and the missing data; or the leader's push of a change |
+| `sight` | `HealthReports` | every node to the leader: what its requests show about the servers |
+| `dim` | `HealthVerdicts` | the leader to every node: what the reports of all nodes show |
 
-The constants below are the keys on the wire. Kinds, keys and the order of keys never change: nodes of an older and a
-newer version run side by side. A key whose value is `None` in the class is left out of the frame.
+The constants below are the keys on the wire. Kinds, keys and the order of keys never change, since nodes of an older
+and a newer version run side by side. A key whose value is `None` in the class is left out of the frame.
 
-Frames come from other machines. A decoder raises `ValueError`, `LookupError` or `TypeError` for a field that is missing
-or cannot be what it should; the transport then drops the frame and counts it. Keys that are not known are ignored.
+Frames come from other machines. A decoder raises `ValueError`, `LookupError` or `TypeError` for a missing or invalid
+field; the transport then drops the frame and counts it. Unknown keys are ignored.
 
-The state, the endpoint list and the roster within a `StateResponse` stay packed until they are known to be newer than
-what is held, since only then, and with what is held, can a difference be decoded: by `deltas.StateHistory`,
+The state, the endpoint list and the roster in a `StateResponse` stay encoded until they are known to be newer than the
+local replicas, since a delta can only be decoded against a replica: by `deltas.StateHistory`,
 `endpoint_codec.decode_since` and `decode_roster_update`.
 """
 
@@ -26,7 +26,7 @@
 from .server_health import MAX_REPORTS, OBSERVATIONS, VERDICTS, ServerReport
 from .versions import ReplicaVersions
 
-Message = Mapping[str, Any]  # a frame as cbor2 gives it
+Message = Mapping[str, Any]  # a frame as cbor2 decodes it
 
 KIND = "k"
 
@@ -38,12 +38,12 @@
 STATE_INDEX = "i"
 ENDPOINTS_VERSION = "s"
 ROSTER_VERSION = "o"
-INCARNATION = "b"  # of the asking process; comes back in the response
+INCARNATION = "b"  # of the requesting process; returned in the response
 
 STATE_RESPONSE = "word"
 LEADER = "l"
 LEADER_TERM = "e"
-SENT_AT = "t"  # in a heartbeat: when it was sent, by its sender's clock
+SENT_AT = "t"  # in a heartbeat: the time of sending, by the sender's clock
 AGE = "a"
 STATE = "S"
 ENDPOINTS = "V"
@@ -59,19 +59,19 @@
 MAX_ROSTER_ENTRIES = 10_000
 MAX_SERVER_ID_CHARACTERS = 200
 
-# Makes the messages that every node sends and receives all the time: a named tuple's own constructor costs as much as
-# all checks of its fields.
+# Constructs the messages that every node exchanges continuously. The constructor of a named tuple costs as much as all
+# checks of its fields together.
 new_tuple = tuple.__new__
 
 
 class Heartbeat(NamedTuple):
-    """A node tells what it holds, and asks for what it lacks.
+    """Reports a node's versions, and requests the data that it lacks.
 
     Attributes:
-        versions: what it holds, by number.
-        sent_at_ns: when it was sent, by the sender's clock.
-        incarnation: drawn at the start of the sending process; None: an older version, which sends none.
-        name, zone, front, ready: the node as it is to stand in the roster (`RosterEntry`).
+        versions: the versions that the node holds.
+        sent_at_ns: time of sending, by the sender's clock.
+        incarnation: random number drawn at the start of the sending process; None: an older version, which sends none.
+        name, zone, front, ready: the fields of the node's entry in the roster (`RosterEntry`).
     """
 
     versions: ReplicaVersions
@@ -84,17 +84,17 @@
 
 
 class StateResponse(NamedTuple):
-    """What a node lacks, and how recently a majority of the core confirmed it.
+    """The data that a node lacks, and how recently a majority of the core confirmed it.
 
     Attributes:
-        leader: address of the leader that the sender follows; empty: it knows none.
-        term: the term in which that leader leads.
+        leader: address of the leader that the sender follows; empty if it knows none.
+        term: term of that leader.
         requested_at_ns: `sent_at_ns` of the heartbeat that is answered; 0: a push, which proves no age.
-        age_ns: how long before the heartbeat arrived a majority stood behind the leader; None: not known.
-        state: the core's state, packed; None: the receiver has it.
-        endpoints: the endpoint list, packed; None: the receiver has it.
-        roster: the roster, packed; None: the receiver has it.
-        incarnation: that of the heartbeat, None for a push.
+        age_ns: how long before the heartbeat arrived a majority confirmed the leader; None: not known.
+        state: the core's state, encoded; None: the receiver has it.
+        endpoints: the endpoint list, encoded; None: the receiver has it.
+        roster: the roster, encoded; None: the receiver has it.
+        incarnation: of the heartbeat; None for a push.
     """
 
     leader: str
@@ -108,13 +108,13 @@
 
 
 class HealthReports(NamedTuple):
-    """What one node's requests show of servers: (server, observation) each."""
+    """What one node's requests show about servers, as (server, observation) pairs."""
 
     reports: Sequence[ServerReport]
 
 
 class HealthVerdicts(NamedTuple):
-    """What the leader of `term` concludes from the reports: (server, verdict) each."""
+    """What the leader of `term` concludes from the reports, as (server, verdict) pairs."""
 
     term: int
     verdicts: Sequence[ServerReport]
@@ -129,11 +129,11 @@
 def _check_texts(*values: object) -> None:
     for value in values:
         if type(value) is not str or len(value) > MAX_TEXT_CHARACTERS:
-            raise ValueError("not a short text")
+            raise ValueError("not a string, or too long")
 
 
 def encode_heartbeat(heartbeat: Heartbeat) -> dict[str, Packed]:
-    """The frame of a heartbeat."""
+    """Encodes a heartbeat."""
     versions = heartbeat.versions
     return {
         KIND: HEARTBEAT,
@@ -150,18 +150,18 @@
 
 
 def decode_heartbeat(message: Message, with_sender: bool) -> Heartbeat:
-    """The heartbeat in a frame. Raises ValueError and LookupError: see the module's text.
+    """Decodes a heartbeat. Raises ValueError and LookupError: see the module's description.
 
     Args:
         message: the frame.
-        with_sender: whether a roster is made here; else the sender's description is not read.
+        with_sender: whether to decode the sender's roster fields, which only the leader needs.
     """
     state_index = message[STATE_INDEX]
     endpoints_version = message[ENDPOINTS_VERSION]
     roster_version = message[ROSTER_VERSION]
     sent_at_ns = message[SENT_AT]
     incarnation = message.get(INCARNATION, 0)
-    if not (  # in line, as every node sends one to the leader about once a second
+    if not (  # inline, since every node sends one to the leader about once a second
         type(state_index) is type(endpoints_version) is type(roster_version) is int
         and type(sent_at_ns) is type(incarnation) is int
         and 0 <= state_index < INTEGER_LIMIT
@@ -173,7 +173,7 @@
         raise ValueError("not an integer in range")
     versions = new_tuple(ReplicaVersions, (state_index, endpoints_version, roster_version))
     if INCARNATION not in message:
-        incarnation = None  # an older version sends none
+        incarnation = None  # older versions send none
     if not with_sender:
         return new_tuple(Heartbeat, (versions, sent_at_ns, incarnation, "", "", "", False))
     name = message[NODE_NAME]
@@ -186,12 +186,12 @@
         and len(zone) <= MAX_TEXT_CHARACTERS
         and len(front) <= MAX_TEXT_CHARACTERS
     ):
-        raise ValueError("not a short text")
+        raise ValueError("not a string, or too long")
     return new_tuple(Heartbeat, (versions, sent_at_ns, incarnation, name, zone, front, ready))
 
 
 def encode_state_response(response: StateResponse) -> dict[str, Packed]:
-    """The frame of a response or a push."""
+    """Encodes a response or a push."""
     message = {
         KIND: STATE_RESPONSE,
         LEADER: response.leader,
@@ -212,10 +212,10 @@
 
 
 def decode_state_response(message: Message) -> StateResponse:
-    """The response in a frame, its parts still packed.
+    """Decodes a response; its parts stay encoded.
 
     Raises:
-        ValueError, LookupError: see the module's text.
+        ValueError, LookupError: see the module's description.
     """
     leader = message[LEADER]
     term = message[LEADER_TERM]
@@ -224,7 +224,7 @@
     age_ns = get(AGE, 0)
     incarnation = get(INCARNATION, 0)
     if type(leader) is not str or len(leader) > MAX_TEXT_CHARACTERS:
-        raise ValueError("not a short text")
+        raise ValueError("not a string, or too long")
     if not (
         type(term) is type(requested_at_ns) is type(age_ns) is type(incarnation) is int
         and 0 <= term < INTEGER_LIMIT
@@ -234,7 +234,7 @@
     ):
         raise ValueError("not an integer in range")
     if None in message.values():
-        raise ValueError("a key without a value")
+        raise ValueError("key without a value")
     if AGE not in message:
         age_ns = None
     if INCARNATION not in message:
@@ -244,7 +244,7 @@
 
 
 def encode_roster_update(update: RosterUpdate) -> list[Packed]:
-    """A roster within a response: its number and entries, and what a difference needs."""
+    """Encodes a roster for a response: its version and entries and, for a delta, what is needed to apply it."""
     encoded: list[Packed] = [update.version, [list(entry) for entry in update.entries]]
     if update.delta is not None:
         encoded += [update.delta.base, update.delta.digest, update.delta.removed]
@@ -252,44 +252,44 @@
 
 
 def decode_roster_update(encoded: Packed, current_version: int) -> RosterUpdate | None:
-    """The roster that `encode_roster_update` packed; None: it is not newer than `current_version`.
+    """Decodes what `encode_roster_update` made; returns None if it is not newer than `current_version`.
 
     Raises:
-        ValueError, TypeError: see the module's text.
+        ValueError, TypeError: see the module's description.
     """
     version, *parts = encoded
     _check_integers(version)
     if version <= current_version:
         return None
-    packed_entries, *packed_delta = parts
-    entries = _decode_roster_entries(packed_entries)
-    if not packed_delta:
+    encoded_entries, *encoded_delta = parts
+    entries = _decode_roster_entries(encoded_entries)
+    if not encoded_delta:
         return RosterUpdate(version, entries)
-    return RosterUpdate(version, entries, Delta(entries, *packed_delta))
+    return RosterUpdate(version, entries, Delta(entries, *encoded_delta))
 
 
-def _decode_roster_entries(packed: Packed) -> tuple[RosterEntry, ...]:
-    if type(packed) is not list or len(packed) > MAX_ROSTER_ENTRIES:
-        raise ValueError("the roster is no list")
+def _decode_roster_entries(encoded: Packed) -> tuple[RosterEntry, ...]:
+    if type(encoded) is not list or len(encoded) > MAX_ROSTER_ENTRIES:
+        raise ValueError("roster is not a list, or too long")
     entries = []
-    for name, ip, zone, front, ready in packed:
+    for name, ip, zone, front, ready in encoded:
         _check_texts(name, ip, zone, front)
         entries.append(RosterEntry(name, ip, zone, front, bool(ready)))
     return tuple(entries)
 
 
 def encode_health_reports(message: HealthReports) -> dict[str, Packed]:
-    """The frame of a node's reports."""
+    """Encodes a node's reports."""
     return {KIND: HEALTH_REPORTS, REPORTS: [list(report) for report in message.reports]}
 
 
 def decode_health_reports(message: Message) -> HealthReports:
-    """The reports in a frame. Raises ValueError, LookupError."""
+    """Decodes a node's reports. Raises ValueError, LookupError."""
     return HealthReports(_decode_server_reports(message[REPORTS], OBSERVATIONS))
 
 
 def encode_health_verdicts(message: HealthVerdicts) -> dict[str, Packed]:
-    """The frame of the leader's verdicts."""
+    """Encodes the leader's verdicts."""
     return {
         KIND: HEALTH_VERDICTS,
         TERM: message.term,
@@ -298,22 +298,22 @@
 
 
 def decode_health_verdicts(message: Message) -> HealthVerdicts:
-    """The verdicts in a frame. Raises ValueError, LookupError."""
+    """Decodes the leader's verdicts. Raises ValueError, LookupError."""
     term = message[TERM]
     _check_integers(term)
     return HealthVerdicts(term, _decode_server_reports(message[REPORTS], VERDICTS))
 
 
-def _decode_server_reports(packed: Packed, statuses: Container[int]) -> list[ServerReport]:
-    if type(packed) is not list or len(packed) > MAX_REPORTS:
-        raise ValueError("server reports are no list")
-    if any(type(row) is not list for row in packed):
-        raise ValueError("a server report is no row")
+def _decode_server_reports(encoded: Packed, statuses: Container[int]) -> list[ServerReport]:
+    if type(encoded) is not list or len(encoded) > MAX_REPORTS:
+        raise ValueError("server reports are not a list, or too many")
+    if any(type(row) is not list for row in encoded):
+        raise ValueError("server report is not a row")
     reports = []
-    for server_id, status in packed:
+    for server_id, status in encoded:
         if type(server_id) is not str or len(server_id) > MAX_SERVER_ID_CHARACTERS:
-            raise ValueError("a server report without a server")
+            raise ValueError("server report without a valid server id")
         if type(status) is not int or status not in statuses:
-            raise ValueError("a server report of no known status")
+            raise ValueError("server report with an unknown status")
         reports.append(ServerReport(server_id, status))
     return reports
--- a/rampfront/membership/peers.py
+++ b/rampfront/membership/peers.py
@@ -1,4 +1,4 @@
-"""The nodes as the leader hears them: who they are, what they hold, when they last sent a heartbeat.
+"""The nodes that the leader receives heartbeats from: their roster entries, versions and last heartbeats.
 
 No I/O, no clock.
 """
@@ -13,22 +13,22 @@
 SEC = 10**9
 
 MAX_PEERS = 4096
-PEER_TIMEOUT_NS = 2400 * MS  # a node without a heartbeat for so long leaves the roster
-# A frame of a process that has ended may arrive so long behind the first one of its successor.
+PEER_TIMEOUT_NS = 2400 * MS  # a node without a heartbeat for this long leaves the roster
+# How long after the first frame of a process a late frame of its predecessor may still arrive.
 PREVIOUS_INCARNATION_NS = 3 * SEC
 
 
 class Peer:
-    """A node as the leader hears it.
+    """A node that sends heartbeats to the leader.
 
     Attributes:
-        entry: as it stands in the roster.
-        versions: what it holds, as far as is known.
-        received_at_ns: when its last heartbeat arrived.
-        sent_at_ns: when that was sent, by its own clock.
-        incarnation: of the process at this address; None: not heard of yet.
+        entry: its entry in the roster.
+        versions: the versions that it holds, as far as is known.
+        received_at_ns: arrival time of the last heartbeat.
+        sent_at_ns: when that heartbeat was sent, by the node's clock.
+        incarnation: of the process at this address; None: no heartbeat received yet.
         previous_incarnation: of the process before.
-        incarnation_since_ns: when `incarnation` was first heard.
+        incarnation_since_ns: when `incarnation` was first received.
     """
 
     __slots__ = (
@@ -42,7 +42,7 @@
     )
 
     def __init__(self, entry: RosterEntry, versions: ReplicaVersions, received_at_ns: int) -> None:
-        """Known from a roster: no heartbeat of its process has been received yet."""
+        """Adds a node from a roster; no heartbeat of its process has been received yet."""
         self.entry = entry
         self.versions = versions
         self.received_at_ns = received_at_ns
@@ -52,7 +52,7 @@
         self.incarnation_since_ns = 0
 
     def record(self, heartbeat: Heartbeat, now: int) -> None:
-        """Takes over a heartbeat, unless it is an old one."""
+        """Records a heartbeat, unless it is outdated."""
         if self._accept(heartbeat.incarnation or 0, heartbeat.sent_at_ns, now):
             self.entry = _updated_entry(self.entry, heartbeat)
             self.versions = heartbeat.versions
@@ -60,10 +60,10 @@
             self.sent_at_ns = heartbeat.sent_at_ns
 
     def _accept(self, incarnation: int, sent_at_ns: int, now: int) -> bool:
-        """Notes the process that a heartbeat comes from; returns whether the heartbeat is newer than what is known.
+        """Updates the incarnation; returns whether the heartbeat is newer than the last one.
 
-        Guards the roster against a late one of a node that has announced its end since, or of the process before a
-        restart, by whose clock it may look newer.
+        An outdated heartbeat must not change the roster. It may be from before the node announced its shutdown, or from
+        the process before a restart, whose clock may make it look newer.
         """
         if incarnation == self.incarnation:
             return sent_at_ns > self.sent_at_ns
@@ -76,24 +76,24 @@
 
 
 class PeerTable:
-    """All nodes that the leader hears, by address."""
+    """All nodes that send heartbeats to the leader, by address."""
 
     def __init__(self, own_ip: str) -> None:
-        """Nobody has been heard yet."""
+        """Starts without peers."""
         self.by_ip: dict[str, Peer] = {}
         self._own_ip = own_ip
 
     def reset(self, entries: Iterable[RosterEntry], versions: ReplicaVersions, now: int) -> None:
-        """Begins with the nodes of an existing roster as if heard now.
+        """Starts a leader's table with the nodes of the existing roster, as if their heartbeats had arrived now.
 
-        Guards the directory against a new leader that has heard nobody yet: the old roster stands for a while.
-        `versions` is what the leader holds: what a node lacks, its next heartbeat tells. That guards links against full
-        transfers to all at once.
+        A new leader has received no heartbeats yet, so the directory keeps the old roster for a while. `versions` are
+        those of the leader. What a node lacks is known from its next heartbeat, which avoids full transfers to all
+        nodes at once.
         """
         self.by_ip = {entry.ip: Peer(entry, versions, now) for entry in entries if entry.ip != self._own_ip}
 
     def get_or_add(self, ip: str, heartbeat: Heartbeat) -> Peer | None:
-        """The peer at that address; None: it is not known, and there are too many."""
+        """Returns the peer at that address, adding it if needed; None if it is not known and the table is full."""
         peer = self.by_ip.get(ip)
         if peer is None and len(self.by_ip) < MAX_PEERS:
             entry = RosterEntry(heartbeat.name, ip, heartbeat.zone, heartbeat.front, heartbeat.ready)
@@ -101,16 +101,16 @@
         return peer
 
     def drop_timed_out(self, now: int) -> None:
-        """Forgets nodes without a heartbeat for too long."""
+        """Removes nodes without a heartbeat for PEER_TIMEOUT_NS."""
         for ip in [ip for ip, peer in self.by_ip.items() if now - peer.received_at_ns > PEER_TIMEOUT_NS]:
             del self.by_ip[ip]
 
     def entries(self) -> list[RosterEntry]:
-        """The other nodes as they are to stand in the roster."""
+        """Roster entries of the other nodes."""
         return [peer.entry for ip, peer in self.by_ip.items() if ip != self._own_ip]
 
     def lagging(self, versions: ReplicaVersions) -> Iterator[tuple[str, Peer]]:
-        """The other nodes that lack something of `versions`, with their addresses."""
+        """Yields the other nodes that lack something of `versions`, with their addresses."""
         for ip, peer in self.by_ip.items():
             if ip == self._own_ip:
                 continue
@@ -121,7 +121,7 @@
 
 
 def _updated_entry(entry: RosterEntry, heartbeat: Heartbeat) -> RosterEntry:
-    """The entry that a node's heartbeat asks for; the same object where nothing has changed, as is usual."""
+    """Returns the entry that a heartbeat describes; the same object if nothing has changed, as is usual."""
     same_place = entry.name == heartbeat.name and entry.zone == heartbeat.zone and entry.front == heartbeat.front
     if same_place and entry.ready == heartbeat.ready:
         return entry
--- a/rampfront/membership/responder.py
+++ b/rampfront/membership/responder.py
@@ -1,4 +1,4 @@
-"""What a node sends to another that holds less, and whether it may be sent now. No I/O, no clock."""
+"""Makes responses and pushes for nodes that hold less, and decides whether to send them. No I/O, no clock."""
 
 from __future__ import annotations
 
@@ -14,23 +14,23 @@
     """Makes responses and pushes; sends nothing itself."""
 
     def __init__(self, host: DisseminationHost, leadership: Leadership, roster: Roster) -> None:
-        """The parts of the node that responses are made of."""
+        """Takes the parts of the node from which responses are made."""
         self._host = host
         self._leadership = leadership
         self._roster = roster
         self._budget = TransferBudget()
 
     def start_tick(self, now: int) -> None:
-        """Gives the budget of full transfers until the next tick."""
+        """Resets the budget of full transfers for the next tick."""
         self._budget.start_tick(now)
 
     def may_send(self, ip: str, own: ReplicaVersions, receiver: ReplicaVersions, now: int) -> bool:
-        """Whether a response may go to a node now; if it needs a full transfer, begins that.
+        """Whether a response may be sent to a node now. Reserves a full transfer if one is needed.
 
         Args:
-            ip: the receiver's address.
-            own: what this node holds.
-            receiver: what the receiver holds.
+            ip: address of the receiver.
+            own: versions that this node holds.
+            receiver: versions that the receiver holds.
             now: ns.
         """
         lacks_state = receiver.state_index < own.state_index
@@ -45,17 +45,17 @@
         return self._budget.begin(ip, now, state_bytes, full_endpoints, limit)
 
     def update(self, own: ReplicaVersions, receiver: ReplicaVersions, now: int) -> StateResponse:
-        """A push to a node that holds `receiver`. It proves no age, since nobody asked."""
+        """Makes a push to a node that holds `receiver`. It proves no age, since it answers no request."""
         return self.response(own, Heartbeat(receiver, 0, None), now)
 
     def response(self, own: ReplicaVersions, heartbeat: Heartbeat, now: int) -> StateResponse:
-        """The answer to a heartbeat: what its sender lacks of `own`, and how old that is at most."""
+        """Makes the response to a heartbeat: the data of `own` that its sender lacks, and its maximum age."""
         leadership = self._leadership
         leader = leadership.leader or ""
         term = leadership.term
         age_ns = leadership.age_ns(now)
         if age_ns is None:
-            # What an earlier process left on the disk may be hundreds of versions old: it is not handed on.
+            # Data from the disk of an earlier process may be hundreds of versions old, so it is not passed on.
             return StateResponse(leader, term, heartbeat.sent_at_ns, incarnation=heartbeat.incarnation)
         versions = heartbeat.versions
         state = endpoints = roster = None
--- a/rampfront/membership/roster.py
+++ b/rampfront/membership/roster.py
@@ -1,8 +1,8 @@
-"""The roster: the list of all nodes, as the leader numbers it and every node keeps a replica of it. No I/O, no clock.
+"""The roster: the list of all nodes. The leader assigns its versions, every node holds a replica. No I/O, no clock.
 
-The leader alone makes new versions (`peers.py` holds what it makes them of). A version's number contains the leader's
-term (`versions.py`), so versions of two leaders never share a number. What goes to other nodes is a `RosterUpdate`, in
-full or as a difference to a version that the receiver holds; `messages.py` encodes it.
+Only the leader makes new versions (from the nodes in `peers.py`). A version's number contains the leader's term
+(`versions.py`), so the versions of two leaders never share a number. Other nodes are sent a `RosterUpdate`, in full or
+as a delta to a version that the receiver holds; `messages.py` encodes it.
 """
 
 from collections.abc import Iterable
@@ -16,11 +16,11 @@
     """One node.
 
     Attributes:
-        name: the node's name; entries of a roster are sorted by it.
-        ip: its address between nodes, an IPv4 address in numbers.
-        zone: the failure domain that it stands in.
-        front: `host:port` at which clients reach it; empty: it serves none.
-        ready: whether it takes requests.
+        name: the node's name; the entries of a roster are sorted by it.
+        ip: IPv4 address for traffic between nodes, in dotted decimal.
+        zone: failure domain of the node.
+        front: `host:port` for clients; empty if it serves none.
+        ready: whether it accepts requests.
     """
 
     name: str
@@ -31,12 +31,12 @@
 
 
 class RosterUpdate(NamedTuple):
-    """A version of the roster as one node sends it to another.
+    """A version of the roster, as one node sends it to another.
 
     Attributes:
         version: its number.
-        entries: all nodes, or the changed ones where `delta` is there.
-        delta: what the entries are a difference to; None: they are complete.
+        entries: all nodes, or only the changed ones of a delta.
+        delta: the base and digest of a delta; None: the entries are complete.
     """
 
     version: int
@@ -45,7 +45,7 @@
 
 
 class Roster:
-    """A node's replica of the roster, with the versions that differences may be based on."""
+    """A node's replica of the roster, with the versions that deltas may be based on."""
 
     def __init__(self) -> None:
         """Starts empty, as version 0."""
@@ -60,17 +60,17 @@
         self._history.add(version, entries)
 
     def update_since(self, version: int) -> RosterUpdate:
-        """What a node lacks that holds `version`: a difference where that is shorter, else all entries."""
+        """Makes the update for a node that holds `version`: a delta if that is shorter, otherwise all entries."""
         delta = self._history.delta_since(version)
         if delta is None:
             return RosterUpdate(self.version, self.entries)
         return RosterUpdate(self.version, tuple(delta.changed), delta)
 
     def apply(self, update: RosterUpdate) -> None:
-        """Takes over a newer version.
+        """Applies a newer version.
 
         Raises:
-            DeltaMismatchError: it is a difference that cannot be applied to what is held; nothing has changed.
+            DeltaMismatchError: it is a delta that cannot be applied to the replica, which stays unchanged.
         """
         entries = update.entries
         if update.delta is not None:
@@ -79,6 +79,6 @@
 
 
 def any_node_stopped_serving(old: Iterable[RosterEntry], new: Iterable[RosterEntry]) -> bool:
-    """Whether a node that was ready in `old` is gone or no longer ready in `new`."""
+    """Whether a node that was ready in `old` is missing or not ready in `new`."""
     ready_now = {entry.ip for entry in new if entry.ready}
     return any(entry.ready and entry.ip not in ready_now for entry in old)
--- a/rampfront/membership/roster_builder.py
+++ b/rampfront/membership/roster_builder.py
@@ -1,4 +1,4 @@
-"""When the leader makes a new version of the roster, and of whom. No I/O, no clock."""
+"""Decides when the leader makes a new version of the roster, and from which nodes. No I/O, no clock."""
 
 from .peers import PeerTable
 from .roster import Roster, RosterEntry, any_node_stopped_serving
@@ -7,30 +7,30 @@
 MS = 10**6  # ns
 SEC = 10**9
 
-# Interval between rosters in which nobody stopped serving: at most, and for each node that they go to. Guards links
-# against a roster for each node that joins.
+# Interval between rosters in which no node stopped serving: the maximum, and the part per receiving node. It avoids one
+# roster per node when many nodes join.
 MAX_ROSTER_INTERVAL_NS = SEC
 ROSTER_INTERVAL_PER_NODE_NS = MS
 
 
 class RosterBuilder:
-    """Makes new versions of a leader's roster out of the nodes that it hears."""
+    """Makes new versions of a leader's roster from the nodes that send it heartbeats."""
 
     def __init__(self, own: RosterEntry, roster: Roster, peers: PeerTable) -> None:
-        """`own`: this node; `roster`: its replica; `peers`: the other nodes as it hears them."""
+        """`own` is this node; `roster` its replica; `peers` the other nodes that send it heartbeats."""
         self._own = own
         self._roster = roster
         self._peers = peers
         self._made_at_ns = 0  # when this leader made its last version
 
     def renew(self, own_ready: bool, term: int, now: int) -> bool:
-        """Makes a new version where the nodes have changed.
+        """Makes a new version if the nodes have changed.
 
-        A node that stops serving is left out at once; for one that joins, a version may wait for others.
+        A node that stops serving is removed at once; a node that joins may wait, so that several share one version.
 
         Args:
-            own_ready: whether this node takes requests.
-            term: the term in which it leads.
+            own_ready: whether this node accepts requests.
+            term: the term in which it is the leader.
             now: ns.
 
         Returns:
@@ -50,9 +50,9 @@
         return True
 
     def renumber_above(self, version: int, term: int) -> bool:
-        """Gives the roster a number of this term where a node holds `version` of an older leader, above this one's.
+        """Gives the roster a number of this term if a node holds `version` of an older leader, above this leader's.
 
-        Guards against what an old leader numbered when another led already: whoever took it would keep it.
+        Otherwise a node that accepted the version of a deposed leader would never replace it.
 
         Returns:
             Whether the roster has a new number.
--- a/rampfront/membership/transfer_budget.py
+++ b/rampfront/membership/transfer_budget.py
@@ -1,27 +1,27 @@
-"""How many full transfers a node gives away: complete states and endpoint lists, where no difference can be made.
+"""Limits the full transfers that a node sends: complete states and endpoint lists, where no delta can be made.
 
-They are large, and many nodes may ask at once: after a start of the whole fleet, or when all are far behind. Each node
-has one under way at a time, and only so many are begun between two looks at the time; who is refused asks again. No
-I/O, no clock.
+They are large, and many nodes may request them at once: after a start of the whole fleet, or when all nodes lag far
+behind. Each receiver has one transfer in flight at a time, and a sender starts a limited number per tick; a node that
+is refused asks again. No I/O, no clock.
 """
 
 from typing import NamedTuple
 
 MS = 10**6  # ns
 
-# Full transfers that a leader begins between two ticks, at most, and the number that is divided by the nodes of the
-# fleet: the more nodes, the fewer, as what is sent grows with them. Guards links against all nodes that start at once.
+# Full transfers that a leader starts per tick: the bounds, and the number that is divided by the nodes of the fleet,
+# since the size of a transfer grows with the fleet. Protects links when all nodes start at once.
 MAX_FULL_TRANSFERS = 64
 FULL_TRANSFERS_TIMES_NODES = 6000
 MIN_FULL_TRANSFERS = 16
-MAX_FOLLOWER_FULL_TRANSFERS = 8  # by a node that does not lead
-# A transfer counts as under way for so long, and for each byte of its body.
+MAX_FOLLOWER_FULL_TRANSFERS = 8  # per tick, by a node that is not the leader
+# A transfer counts as in flight for this time, plus a time for each byte of the state's body.
 FULL_TRANSFER_TIMEOUT_NS = 300 * MS
 FULL_TRANSFER_NS_PER_BYTE = 8_000
 
 
 class _Transfer(NamedTuple):
-    """What is under way to a node."""
+    """The full transfer in flight to a node."""
 
     until_ns: int
     has_state: bool
@@ -32,31 +32,31 @@
 
 
 class TransferBudget:
-    """Full transfers begun since the last tick, and those under way by address."""
+    """The full transfers started since the last tick, and those in flight by address."""
 
     def __init__(self) -> None:
-        """None is under way."""
+        """Starts without transfers."""
         self._begun = 0
-        self._under_way: dict[str, _Transfer] = {}  # emptied by `start_tick`
+        self._under_way: dict[str, _Transfer] = {}  # expired entries are removed by `start_tick`
 
     def start_tick(self, now: int) -> None:
-        """Gives the budget of the next tick, and forgets transfers that are over."""
+        """Resets the budget, and removes transfers that have expired."""
         self._begun = 0
         if self._under_way:
             self._under_way = {ip: transfer for ip, transfer in self._under_way.items() if now < transfer.until_ns}
 
     def begin(self, ip: str, now: int, state_bytes: int | None, with_endpoints: bool, limit: int) -> bool:
-        """Begins a full transfer if it may be sent now.
+        """Starts a full transfer if it may be sent now.
 
-        Guards slow links against a full transfer with each change to a node that is far behind: what is under way to it
-        is not sent again, though what it lacks beside that is.
+        Data in flight to a node is not sent again, so that a node that lags far behind over a slow link is not sent a
+        full transfer with each change. Other data that it lacks is still sent.
 
         Args:
-            ip: the receiver.
+            ip: address of the receiver.
             now: ns.
-            state_bytes: size of the state's body; None: no state goes.
-            with_endpoints: whether the endpoint list goes.
-            limit: transfers between two ticks, at most (`leader_limit`).
+            state_bytes: size of the state's body; None if the state is not sent.
+            with_endpoints: whether the endpoint list is sent.
+            limit: maximum number of transfers per tick (`leader_limit`).
 
         Returns:
             Whether it may be sent.
@@ -78,5 +78,5 @@
 
 
 def leader_limit(nodes: int) -> int:
-    """Full transfers that the leader of so many nodes begins between two ticks, at most."""
+    """Maximum number of full transfers per tick by the leader of a fleet of this size."""
     return max(MIN_FULL_TRANSFERS, min(MAX_FULL_TRANSFERS, FULL_TRANSFERS_TIMES_NODES // max(1, nodes)))
--- a/rampfront/membership/versions.py
+++ b/rampfront/membership/versions.py
@@ -1,7 +1,7 @@
-"""Numbers by which nodes compare what they hold, so that nothing goes backwards, however late, repeated or reordered.
+"""Version numbers of replicated data. They only increase on a node, however late, repeated or reordered frames are.
 
-The state goes by the index of the core's log. The roster and the endpoint list are numbered by the leader, with the
-leader's term in the upper bits: whatever a later leader numbers is newer than all that an earlier one did.
+The state's version is its index in the core's log. The leader numbers the roster and the endpoint list, with its term
+in the upper bits, so that any number of a later leader is above all numbers of earlier ones.
 """
 
 from typing import NamedTuple
@@ -10,7 +10,7 @@
 
 
 class ReplicaVersions(NamedTuple):
-    """What a node holds; 0: nothing of that kind.
+    """The versions that a node holds; 0: none of that kind.
 
     Attributes:
         state_index: index of the core's state in its log.
@@ -27,5 +27,5 @@
 
 
 def first_version(term: int) -> int:
-    """The lowest number that the leader of `term` gives; all numbers of earlier leaders are below it."""
+    """The lowest number that the leader of `term` assigns; all numbers of earlier leaders are below it."""
     return term * VERSIONS_PER_TERM + 1
--- a/tests/membership/test_health_registry.py
+++ b/tests/membership/test_health_registry.py
@@ -1,6 +1,6 @@
 """The leader's verdicts on servers, by the reports of all proxies."""
 
-from rampfront.membership.health_registry import VERDICT_REPEAT_INTERVAL_NS, UNREACHABLE_WINDOW_NS, HealthRegistry
+from rampfront.membership.health_registry import UNREACHABLE_WINDOW_NS, VERDICT_REPEAT_INTERVAL_NS, HealthRegistry
 from rampfront.membership.server_health import (
     CONNECT_TIMED_OUT,
     HEALTHY,
