--- a/rampfront/membership/leadership.py
+++ b/rampfront/membership/leadership.py
@@ -46,9 +46,7 @@
         self.confirmed_at_ns: int | None = None
         self._own_ip = own_ip
         self._answered_at_ns = 0  # when the leader last gave a current answer
-        self._leader_request_at_ns: int | None = (
-            None  # when this node sent the request that the leader itself last answered
-        )
+        self._leader_request_at_ns: int | None = None  # when this node sent the request that the leader last answered
 
     @property
     def had_response(self) -> bool:
--- a/rampfront/quota/codec.py
+++ b/rampfront/quota/codec.py
@@ -1,10 +1,10 @@
-"""Checks, decodes and encodes the messages of `messages.py`. Wire keys stand here and nowhere else.
+"""Validates, decodes and encodes the messages of `messages.py`. Only this module knows the keys on the wire.
 
-On the wire a message is a map with keys of one letter and rows are arrays without keys, as each byte between regions is
-priced. A row's named tuple is encoded as such an array, its fields in order; what is decoded has lists. Old and new
-nodes run side by side: keys, their order, and which of them are absent stay as they are.
+On the wire a message is a map with keys of one letter, and rows are arrays without keys, since each byte between
+regions has a price. The named tuple of a row is encoded as such an array, its fields in order; decoding yields lists.
+Nodes of an older and a newer version run side by side, so keys, their order and which of them are omitted stay.
 
-A map that is not valid raises `InvalidMessageError`. What the checks below do not name is only compared, or a flag.
+An invalid map raises `InvalidMessageError`. Fields without a check below are only compared, or used as flags.
 """
 
 from collections.abc import Callable, Mapping
@@ -25,7 +25,7 @@
 
 WireMap = Mapping[str, Any]
 
-# A proxy's update.
+# Keys of a proxy's update.
 INCARNATION = "l"
 SEQUENCE = "s"
 COUNTS = "a"
@@ -33,38 +33,38 @@
 HISTORY_MS = "f"
 WANTS_ALL = "w"
 IDLE = "z"
-# A counter's totals, besides COUNTER_INCARNATION and SEQUENCE.
+# Keys of a counter's totals, besides COUNTER_INCARNATION and SEQUENCE.
 COUNTER_TIME_MS = "h"
 TOTALS = "t"
 LISTS_ALL = "w"
 UNSOLICITED = "p"
-# A probe, and a farewell besides INCARNATION.
+# Keys of a probe, and of a deregistration, which also has INCARNATION.
 PROBE_NUMBER = "q"
 DEREGISTRATION = "b"
 
-MAX_NAME_CHARACTERS = 128  # of a tenant or proxy, in characters
-MAX_VALUE = 10**9  # the largest figure that is valid
-MAX_WINDOW_NUMBER = 1 << 62  # past the largest number of a window
-MAX_COUNTER_TIME_MS = 1 << 50  # past the largest time of a counter
+MAX_NAME_CHARACTERS = 128  # of a tenant or a proxy
+MAX_VALUE = 10**9  # limit of most integers
+MAX_WINDOW_NUMBER = 1 << 62  # above all numbers of windows
+MAX_COUNTER_TIME_MS = 1 << 50  # above all times of a counter
 COUNT_WIDTH = len(CountDelta._fields)
 TOTAL_WIDTH = len(TenantTotal._fields)
 
-INVALID_NAME = "a name is missing or too long"
-INVALID_INTEGER = "a figure is missing or out of bounds"
-INVALID_ROWS = "rows are missing or out of bounds"
+INVALID_NAME = "name missing or too long"
+INVALID_INTEGER = "integer missing or out of range"
+INVALID_ROWS = "rows missing, malformed or too many"
 
-# Named tuples from rows; in a third of the time of their own constructors, which run Python code.
+# Construct named tuples from rows in a third of the time of their own constructors, which run Python code.
 _new_count_delta = partial(tuple.__new__, CountDelta)
 _new_full_count = partial(tuple.__new__, FullCount)
 _new_tenant_total = partial(tuple.__new__, TenantTotal)
 
 
 class InvalidMessageError(ValueError):
-    """A message from another machine that is not taken in."""
+    """A message from another machine was rejected as invalid."""
 
 
 def encode_update(update: CounterUpdate) -> WireMap:
-    """The update's wire form."""
+    """Encodes an update."""
     wire_map: dict[str, Any] = {
         INCARNATION: update.incarnation,
         SEQUENCE: update.sequence,
@@ -82,7 +82,7 @@
 
 
 def encode_totals(totals: CounterTotals) -> WireMap:
-    """The totals' wire form."""
+    """Encodes a counter's totals."""
     wire_map: dict[str, Any] = {
         COUNTER_INCARNATION: totals.counter_incarnation,
         SEQUENCE: totals.sequence,
@@ -97,22 +97,22 @@
 
 
 def with_sequence(totals: WireMap, sequence: int) -> WireMap:
-    """Encoded totals under another sequence number: an announcement is encoded once for all proxies."""
+    """Returns encoded totals with another sequence number, so that an announcement is encoded once for all proxies."""
     return {**totals, SEQUENCE: sequence}
 
 
 def encode_probe(probe: Probe) -> WireMap:
-    """The probe's wire form, which is that of its answer too."""
+    """Encodes a probe, or the answer to it, which is the same."""
     return {PROBE_NUMBER: probe.number}
 
 
 def encode_deregistration(deregistration: Deregistration) -> WireMap:
-    """The farewell's wire form."""
+    """Encodes a deregistration."""
     return {INCARNATION: deregistration.incarnation, DEREGISTRATION: 1}
 
 
 def decode_request(wire_map: object) -> CounterUpdate | Probe | Deregistration:
-    """Decodes what a proxy sent to the counter. Raises `InvalidMessageError`."""
+    """Decodes a proxy's message to the counter. Raises `InvalidMessageError`."""
     fields = _check_map(wire_map)
     if PROBE_NUMBER in fields:
         return Probe(_check_integer(fields[PROBE_NUMBER]))
@@ -140,7 +140,7 @@
 
 
 def decode_totals(wire_map: object) -> CounterTotals:
-    """Decodes what a counter sent to a proxy, other than a probe's answer. Raises `InvalidMessageError`."""
+    """Decodes a counter's message to a proxy, other than the answer to a probe. Raises `InvalidMessageError`."""
     fields = _check_map(wire_map)
     incarnation = fields.get(COUNTER_INCARNATION)
     sequence = fields.get(SEQUENCE)
@@ -159,14 +159,14 @@
 
 
 def decode_probe_answer(wire_map: object) -> Probe | None:
-    """The answer to a probe, or None for another message. Raises `InvalidMessageError` for what is no map."""
+    """Decodes the answer to a probe; returns None for another message. Raises `InvalidMessageError` if it is no map."""
     if type(wire_map) is not dict:
-        _reject("no message")
+        _reject("message is not a map")
     return Probe(wire_map[PROBE_NUMBER]) if PROBE_NUMBER in wire_map else None
 
 
 def check_name(value: object) -> str:
-    """Returns `value` if it can name a tenant or a proxy. Raises `InvalidMessageError`."""
+    """Returns `value` if it is a valid name of a tenant or a proxy. Raises `InvalidMessageError`."""
     if type(value) is not str or not 0 < len(value) <= MAX_NAME_CHARACTERS:
         _reject(INVALID_NAME)
     return value
@@ -178,19 +178,19 @@
 
 def _check_map(value: object) -> WireMap:
     if type(value) is not dict:
-        _reject("no message")
+        _reject("message is not a map")
     return value
 
 
 def _check_integer(value: object) -> int:
-    """`value`, if it is an integer from 0 to `MOST`."""
+    """Returns `value` if it is an integer from 0 to `MAX_VALUE`."""
     if type(value) is not int or not 0 <= value <= MAX_VALUE:
         _reject(INVALID_INTEGER)
     return value
 
 
 def _check_rows(value: object, width: int) -> list[list[Any]]:
-    """`value`, if it is a list of lists of that width, not too many; what they hold is not looked at."""
+    """Returns `value` if it is a list of at most `MAX_ROWS` lists of that width. Does not check their contents."""
     if type(value) is not list or len(value) > MAX_ROWS:
         _reject(INVALID_ROWS)
     for row in value:
@@ -200,7 +200,7 @@
 
 
 def _decode_counts(value: object, new_row: Callable[[list[Any]], CountRow]) -> list[CountRow]:
-    """Rows of a proxy's update. The checks stand in line, as there are up to 40 rows to a message."""
+    """Decodes the rows of a proxy's update. The checks are inline, since a message has up to 40 rows."""
     rows = _check_rows(value, COUNT_WIDTH)
     for tenant, window, current, previous, last in rows:
         if type(tenant) is not str or not 0 < len(tenant) <= MAX_NAME_CHARACTERS:
@@ -217,7 +217,7 @@
 
 
 def _decode_totals_rows(value: object) -> list[TenantTotal]:
-    """Rows of a counter's totals, checked in line as those of an update are."""
+    """Decodes the rows of a counter's totals. The checks are inline, as in `_decode_counts`."""
     rows = _check_rows(value, TOTAL_WIDTH)
     for tenant, window, current, previous, remaining, proxies, requested_per_s in rows:
         if type(tenant) is not str or not 0 < len(tenant) <= MAX_NAME_CHARACTERS:
--- a/rampfront/quota/counter.py
+++ b/rampfront/quota/counter.py
@@ -1,13 +1,14 @@
-"""The counter: adds up what proxies admitted, for each tenant and window (the fleet counter that RFC 0015 assumes).
+"""The counter: adds up the requests that proxies admitted, by tenant and window (the fleet counter that RFC 0015
+assumes).
 
-Each node has one; the proxies choose whose they use (`counter_placement.py`). An update is known by proxy, incarnation
-and sequence number, so a repeated one counts once. Full counts, sent after the counter changed, raise what is known of
-that proxy to the larger value (the RFC's GREATEST). The counter also keeps each quota's bucket, since it alone sees all
-updates in order, and announces its level as it runs low: proxies that admit nothing for the tenant just then would go
-by an old reading.
+Each node has one; the proxies choose which one they use (`counter_placement.py`). An update is identified by proxy,
+incarnation and sequence number, so a repeated one counts once. Full counts, sent after a change of the counter, raise
+the known count of that proxy to the larger value (the RFC's GREATEST). The counter also keeps the token bucket of each
+quota, since only it sees all updates in order. It announces the level of a bucket that runs low, because proxies that
+admit nothing for the tenant at that time would otherwise use an outdated reading.
 
-No I/O, no clock; times in ns. What is received comes from other machines: what is not valid raises
-`codec.InvalidMessageError`, a `ValueError`, and changes nothing.
+No I/O, no clock; times in ns. Messages come from other machines: an invalid one raises `codec.InvalidMessageError`, a
+`ValueError`, and changes nothing.
 """
 
 from collections.abc import Mapping
@@ -28,10 +29,12 @@
 from .proxy_registry import ProxyRecord, ProxyRegistry
 from .tenant_totals import TenantTotals
 
-ANNOUNCEMENT_INTERVAL_NS = 100 * MS  # between two announcements of a tenant
-LOW_DEPTH_SHARE = 0.4  # announced below that part of the bucket,
-LOW_SLACK_SHARE = 0.25  # less that part of the slack
-# Of its share that a proxy brings: the counter that it left may have given some of it out until the proxy was missed.
+ANNOUNCEMENT_INTERVAL_NS = 100 * MS  # minimum interval between announcements of a tenant
+# A tenant is announced below this share of the bucket's depth, less a share of the slack.
+LOW_DEPTH_SHARE = 0.4
+LOW_SLACK_SHARE = 0.25
+# Fraction of its even share that a moving proxy is credited with. The rest allows for requests that its former counter
+# may have admitted from that share before it noticed that the proxy was missing.
 CREDITED_SHARE = 0.9
 
 
@@ -42,32 +45,36 @@
         """Starts with no counts.
 
         Args:
-            incarnation: a drawn whole number that tells this start of this counter from all others.
+            incarnation: a random integer that distinguishes this start of the counter from all others.
             now: ns.
-            rule: what is tolerated beyond quotas.
+            rule: the tolerance beyond quotas.
         """
         self.incarnation = incarnation
         self.rule = rule
-        self.has_updates = False  # whether an update came
-        self.tenants: dict[str, TenantTotals] = {}  # those with a quota, by the configuration
-        self.announcement_candidates: dict[str, TenantTotals] = {}  # whose level may have to be announced; emptied by `announcements`
+        self.has_updates = False  # whether an update was ever received
+        self.tenants: dict[str, TenantTotals] = {}  # the tenants with a quota in the configuration
+        self.announcement_candidates: dict[str, TenantTotals] = {}  # by name
         self.registry = ProxyRegistry(now)
-        self.missing_share = 0.0  # part of the proxies that is not heard
-        self.next_announcement_at: int | None = None  # when `announcements` has something next
+        self.missing_share = 0.0  # share of the proxies that are missing
+        self.next_announcement_at: int | None = None  # when to call `announcements` next; None: no announcement waits
 
     def set_quotas(self, settings: Mapping[str, QuotaSettings], now: int) -> None:
-        """Takes in a configuration's quotas by tenant. One that changed keeps its counts, one that is gone is dropped.
-        To be called before the first update: what grew for an unknown tenant is not counted."""
+        """Applies a configuration's quotas by tenant. A changed quota keeps its counts, a removed one is dropped.
+
+        Must be called before the first update, since updates of unknown tenants are not counted.
+        """
         tenants = {}
         for name, tenant_settings in settings.items():
             if tenant_settings.per_s > 0:
                 quota = quota_of(tenant_settings.per_s, tenant_settings.burst, self.rule)
                 tenants[name] = self._with_quota(name, quota, now)
         self.tenants = tenants
-        self.announcement_candidates = {name: tenant for name, tenant in self.announcement_candidates.items() if tenants.get(name) is tenant}
+        self.announcement_candidates = {
+            name: tenant for name, tenant in self.announcement_candidates.items() if tenants.get(name) is tenant
+        }
 
     def _with_quota(self, name: str, quota: Quota, now: int) -> TenantTotals:
-        """The tenant's totals under a quota, which may be another one than before."""
+        """Returns the tenant's totals under a quota, which may differ from the previous one."""
         tenant = self.tenants.get(name)
         if tenant is None:
             return TenantTotals.new(name, quota, now, exhausted=not self.has_updates)
@@ -81,22 +88,22 @@
         return tenant
 
     def set_proxy_count(self, count: int) -> None:
-        """How many proxies serve by the membership: those of them that are not heard may be cut off."""
+        """Sets how many proxies serve according to the membership; those not heard from may be isolated."""
         self.registry.serving_count = count
 
     def receive(self, now: int, proxy: str, wire_map: object) -> WireMap | None:
-        """Takes in a proxy's message.
+        """Handles a proxy's message.
 
         Args:
             now: ns.
-            proxy: what names it: its address.
-            wire_map: the message as it came.
+            proxy: identifies the proxy: its address.
+            wire_map: the message as received.
 
         Returns:
-            The answer to it, or None.
+            The answer, or None.
 
         Raises:
-            InvalidMessageError: the message is not valid, or of a process that has ended.
+            InvalidMessageError: the message is invalid, or comes from a former incarnation of the proxy.
         """
         message = decode_request(wire_map)
         match message:
@@ -111,7 +118,7 @@
                 assert_never(message)
 
     def _apply_update(self, now: int, proxy: str, update: CounterUpdate) -> CounterTotals:
-        """Counts an update, unless it is a repeated one, and returns the totals of its tenants."""
+        """Counts an update unless it is repeated, and returns the totals of its tenants."""
         record = self.registry.get_or_add(check_name(proxy), update.incarnation, now)
         if not self.has_updates:
             self._start_refill(now)
@@ -131,7 +138,7 @@
         return CounterTotals(self.incarnation, update.sequence, now // MS, rows, update.wants_all)
 
     def _apply_rows(self, now: int, proxy: str, update: CounterUpdate, is_new: bool) -> list[TenantTotal]:
-        """Counts the rows if the update is `fresh`; returns the totals of their tenants."""
+        """Counts the rows if `is_new`; returns the totals of their tenants."""
         same_windows = update.counter_incarnation == self.incarnation
         source = (proxy, update.incarnation)
         totals = []
@@ -151,22 +158,23 @@
         return totals
 
     def _start_refill(self, now: int) -> None:
-        """The first update of all starts all buckets."""
+        """Starts to refill all buckets at the first update from any proxy."""
         self.has_updates = True
         for tenant in self.tenants.values():
             tenant.start_refill(now)
 
     def _deregister(self, now: int, proxy: str, incarnation: int) -> None:
-        """A proxy moves to another counter. Its even share goes with it at once; its counts stay."""
+        """Handles a proxy's move to another counter. Its even share is reserved for it at once; its counts stay."""
         if self.registry.deregister(proxy, incarnation, now):
             self.update_missing_share(now)
 
     def _credit_share(self, record: ProxyRecord, history_ns: int, now: int) -> None:
-        """A proxy comes from another counter with its full counts: it brings its even share of each quota, as far as
-        that was not given out here meanwhile.
+        """Credits a proxy that moves here from another counter, with full counts, with its even share of each quota.
 
-        So a new counter that all moved to knows what is left, and those that move to and fro bring nothing twice.
-        `lived_ns`: how long its counts reach back; a proxy that just started brings nothing."""
+        The credit covers only the time in which this counter did not give out that share. So a new counter to which all
+        proxies move knows what is left, and proxies that move back and forth are not credited twice.
+        `history_ns` is how far the proxy's counts reach back; a proxy that has just started is not credited.
+        """
         self.update_missing_share(now)
         unserved_ns = min(history_ns, now - record.missing_since)
         if unserved_ns <= 0:
@@ -177,8 +185,8 @@
             tenant.credit_share(share, unserved_ns, now, self.missing_share)
 
     def update_missing_share(self, now: int) -> None:
-        """Works out which part of the proxies is missing."""
-        # With no survey for long no update came, and buckets need not be brought up to date under the old share.
+        """Updates the share of the proxies that are missing."""
+        # After a long time without a call there was no update, so buckets need not be refilled with the previous share.
         in_use = now - self.registry.missing_share_updated_at <= PROXY_TIMEOUT_NS
         missing_share = self.registry.update_missing_share(now)
         if missing_share == self.missing_share:
@@ -189,7 +197,7 @@
         self.missing_share = missing_share
 
     def _others_in_use(self, now: int, listed: list[TenantTotal]) -> list[TenantTotal]:
-        """All that is in use besides those listed, the fullest first: what a proxy that just started goes by."""
+        """Returns all tenants in use besides those listed, least remaining first: a new proxy starts with them."""
         names = {row.tenant for row in listed}
         in_use = []
         for tenant in self.tenants.values():
@@ -200,8 +208,7 @@
         return [self.tenants[name].row(now, self.missing_share) for _, name in sorted(in_use)[:room]]
 
     def announcements(self, now: int) -> list[tuple[str, WireMap]]:
-        """What proxies are to be sent unsolicited: (proxy, message) each. To be asked after each `receive`, and at
-        `next_announcement_at`."""
+        """Returns unsolicited messages as (proxy, message). Call after each `receive` and at `next_announcement_at`."""
         due = self._due_announcements(now)
         if not due:
             return []
@@ -213,8 +220,7 @@
         ]
 
     def _due_announcements(self, now: int) -> list[TenantTotals]:
-        """The tenants that run low and were not announced for a while; sets `next_announcement_at` for those that
-        wait."""
+        """Returns tenants that run low and were not announced recently; sets `next_announcement_at` for the rest."""
         due: list[TenantTotals] = []
         self.next_announcement_at = None
         for name, tenant in list(self.announcement_candidates.items()):
--- a/rampfront/quota/counter_link.py
+++ b/rampfront/quota/counter_link.py
@@ -1,8 +1,8 @@
 """A proxy's exchange with the counter, off the request path (RFC 0015, "Flush path" and "Sync path").
 
-At most one update is under way. It is sent again unchanged until it is answered, and has a sequence number, so one that
-timed out and landed nevertheless counts once. A counter that is new to the proxy, or started again, which its
-incarnation shows, is sent full counts of both windows and asked for the totals of all that is in use.
+At most one update is in flight. It is resent unchanged until it is answered; its sequence number makes it idempotent,
+so an update that timed out but arrived counts once. A counter that is new to the proxy, or has restarted (its
+incarnation shows that), is sent the full counts of both windows and asked for the totals of all tenants in use.
 """
 
 from random import Random
@@ -16,23 +16,23 @@
 from .tenant_table import TenantTable
 from .update_schedule import MAX_TICK_NS, NEVER, TICK_NS, UpdateSchedule
 
-IDLE_AFTER_NS = 2 * SEC  # without a request for so long the proxy says that it is idle,
-IDLE_INTERVAL_NS = 5 * SEC // 4  # sends that seldom,
-STOP_SENDING_AFTER_NS = 15 * SEC  # and after so long no more
-FIRST_READING_NS = 50 * MS  # a first reading is asked for within so long
-OVERDUE_NS = 100 * MS  # an answer is overdue
-COUNTER_TIMEOUT_NS = 200 * MS  # without an answer for so long the counter is taken to be silent,
-STALE_NS = 2 * SEC  # or with nothing heard from it for so long
-MAX_FIRST_SEQUENCE = (1 << 15) - 1  # updates are numbered from somewhere up to here on: three bytes on the wire
+IDLE_AFTER_NS = 2 * SEC  # without a request for this time, the proxy reports that it is idle
+IDLE_INTERVAL_NS = 5 * SEC // 4  # interval of updates while idle
+STOP_SENDING_AFTER_NS = 15 * SEC  # without a request for this time, the proxy sends no more updates
+FIRST_READING_NS = 50 * MS  # maximum delay of the request for a first reading
+OVERDUE_NS = 100 * MS  # after this time an answer is overdue
+COUNTER_TIMEOUT_NS = 200 * MS  # after this time without an answer the counter is silent
+STALE_NS = 2 * SEC  # after this time without any message the counter is silent
+MAX_FIRST_SEQUENCE = (1 << 15) - 1  # limit of the first sequence number, so that it takes three bytes on the wire
 
 
 @slotted
 class PendingUpdate:
-    """The update under way."""
+    """The update in flight."""
 
     sequence: int
     wire_map: WireMap
-    windows: list[Window]  # whose growth it reports
+    windows: list[Window]  # the windows whose increase it reports
     first_sent_at: int
     sent_at: int
     wants_all: bool
@@ -43,27 +43,30 @@
     """One proxy's exchange with the counter."""
 
     def __init__(self, table: TenantTable, clock: CounterClock, random: Random, now: int) -> None:
-        """`table`: what is reported and read. `random` draws the incarnation and the schedule."""
+        """`table` holds the counts to report and update. `random` is used for the incarnation and the schedule."""
         self.table = table
         self.clock = clock
         self.random = random
         self.incarnation = random.randrange(1, 1 << 24)
-        # Of the last update. It begins elsewhere in each incarnation: guards against a late answer to the former one.
+        # Of the last update. It starts at another number in each incarnation, so that late answers to the former one
+        # are ignored.
         self.sequence = self.incarnation & MAX_FIRST_SEQUENCE
         self.started_at = now
-        self.used_at = now  # when a request came last
+        self.used_at = now  # when the last request arrived
         self.counter_incarnation: int | None = None  # of the counter that answered last
-        self.last_contact_at = -NEVER  # when it was heard last
+        self.last_contact_at = -NEVER  # when the counter was last heard from
         self.pending: PendingUpdate | None = None
-        self.sends_full = False  # the next update has full counts,
-        self.wants_all = True  # and asks for all that is in use
+        self.sends_full = False  # the next update has full counts
+        self.wants_all = True  # the next update requests the totals of all tenants in use
         self.schedule = UpdateSchedule(random, now + int(random.random() * FIRST_READING_NS))
 
-    # ---- is the counter there
+    # ---- state of the counter
 
     def is_silent(self, now: int) -> bool:
-        """Whether the counter is silent: no answer to what is under way, or nothing heard for long. Or there is none:
-        what was due could not be sent."""
+        """Whether the counter does not answer the update in flight, or has sent nothing for a long time.
+
+        It is also silent if there is none, so that a due update could not be sent.
+        """
         if self.counter_incarnation is None or now - self.schedule.next_at > COUNTER_TIMEOUT_NS:
             return True
         if self.pending:
@@ -71,40 +74,40 @@
         return now - self.last_contact_at > STALE_NS
 
     def answer_is_overdue(self, now: int) -> bool:
-        """Whether the update under way should have been answered, ahead of `is_silent`."""
+        """Whether an answer to the update in flight is late; this comes before `is_silent`."""
         pending = self.pending
         return pending is not None and now - max(pending.first_sent_at, self.last_contact_at) > OVERDUE_NS
 
     @property
     def attempts(self) -> int:
-        """How often the update under way was sent; 0: none is."""
+        """How often the update in flight was sent; 0: none is in flight."""
         return self.pending.attempts if self.pending else 0
 
-    # ---- what is sent
+    # ---- sending
 
     def request_reading(self, now: int) -> None:
-        """Asks for a first reading."""
+        """Schedules an update that requests a first reading."""
         self.schedule.flush_by(now + FIRST_READING_NS)
 
     def update_by(self, at: int) -> None:
-        """An update goes out by then."""
+        """Schedules an update no later than `at`."""
         self.schedule.flush_by(at)
 
     def note_request(self, now: int) -> None:
-        """A request of a tenant with a quota came: updates go on, or begin again."""
+        """Records a request of a tenant with a quota; updates continue, or start again."""
         self.used_at = now
         if self.schedule.tick_at > now + MAX_TICK_NS:
             self.schedule.tick_after(now, TICK_NS)
 
     def tenants_changed(self, now: int, has_new: bool) -> None:
-        """A configuration came. `has_new`: there are tenants whose totals are not known."""
+        """Handles a new configuration. `has_new`: some of its tenants have no known totals."""
         if has_new:
             self.wants_all = True
         if self.wants_all:
             self.schedule.flush_by(now + int(self.random.random() * FIRST_READING_NS))
 
     def due_update(self, now: int) -> WireMap | None:
-        """The update to the counter that is due now, or None."""
+        """Returns the update that is due now, or None."""
         if now < self.schedule.next_at:
             return None
         if self.pending:
@@ -115,7 +118,7 @@
         return self.compose_update(now)
 
     def compose_update(self, now: int) -> WireMap:
-        """The next update, which is under way from now on."""
+        """Makes the next update, which is in flight from now on."""
         unused_ns = now - self.used_at
         idle = unused_ns > IDLE_AFTER_NS
         report = self.table.report(now, self.sends_full)
@@ -128,19 +131,20 @@
         self.pending = PendingUpdate(self.sequence, wire_map, report.windows, now, now, self.wants_all)
         self.sends_full = self.sends_full and report.more
         self.wants_all = False
-        # Guards against a proxy whose next request comes after a while, and that cannot tell then if it is cut off.
+        # The counter must stay in contact for a while after the last request. Otherwise the proxy could not tell at the
+        # next request whether it is isolated.
         interval_ns = None if unused_ns > STOP_SENDING_AFTER_NS else IDLE_INTERVAL_NS if idle else TICK_NS
         self.schedule.sent_new(now, now if report.more else NEVER, interval_ns)
         return wire_map
 
     def switch_counter(self, now: int) -> None:
-        """Another counter: full counts are sent to it."""
+        """Switches to another counter, which is sent full counts."""
         self.counter_incarnation = None
         self.clock.reset_round_trip()
         self._send_full(now)
 
     def _send_full(self, now: int) -> None:
-        """The counter knows nothing of this proxy's counts."""
+        """Schedules full counts for a counter that knows none of this proxy's counts."""
         self.table.forget_acknowledged(now)
         self.pending = None
         self.sends_full = True
@@ -148,14 +152,14 @@
         self.schedule.end_retry()
         self.schedule.flush_by(now + int(self.random.random() * FIRST_READING_NS / 2))
 
-    # ---- what is received
+    # ---- receiving
 
     def receive(self, now: int, wire_map: object) -> None:
-        """Takes in the counter's answer, or what it announces. Raises `codec.InvalidMessageError`."""
+        """Handles the counter's answer or announcement. Raises `codec.InvalidMessageError`."""
         totals = decode_totals(wire_map)
         pending = self.pending if self.pending and self.pending.sequence == totals.sequence else None
         if totals.counter_incarnation != self.counter_incarnation and (pending is None or totals.unsolicited):
-            return  # of a counter that was left
+            return  # from a counter that this proxy has left
         self.last_contact_at = now
         if pending and not totals.unsolicited and self._counter_restarted(now, totals, pending):
             self._send_full(now)
@@ -164,12 +168,12 @@
             self._end_update(now, pending, totals.lists_all)
         self.table.read(totals.rows, now, acknowledges=self.pending is None)
         for window in pending.windows if pending else ():
-            if window.flying is not None:  # its total did not come: it is a window that ended
+            if window.flying is not None:  # the totals do not include this window, as it has ended
                 window.sent += window.flying
                 window.flying = None
 
     def _counter_restarted(self, now: int, totals: CounterTotals, pending: PendingUpdate) -> bool:
-        """Learns the counter's time and incarnation from an answer; returns whether it has forgotten all counts."""
+        """Updates the counter's time and incarnation from an answer; returns whether it has lost all counts."""
         known = self.counter_incarnation
         counter_time = totals.counter_time_ms * MS
         repeated = pending.attempts > 1
@@ -181,7 +185,7 @@
         return known is not None
 
     def _end_update(self, now: int, pending: PendingUpdate, lists_all: bool) -> None:
-        """The update under way was answered. `lists_all`: with all that is in use."""
+        """Completes the update in flight. `lists_all`: the answer has the totals of all tenants in use."""
         self.pending = None
         if pending.wants_all and not lists_all:
             self.wants_all = True
--- a/rampfront/quota/counter_placement.py
+++ b/rampfront/quota/counter_placement.py
@@ -1,11 +1,11 @@
-"""Which node's counter a proxy uses: the first by rank that answers it. No I/O, no clock; times in ns.
-
-Every node has a `QuotaCounter`; the members of the core may be asked to count with it. All proxies rank them alike, by
-address alone (highest random weight, also called rendezvous hashing), so one counter follows from what every node knows
-and nothing has to be agreed on. A proxy that its counter leaves unanswered goes to the next in rank by itself, probes
-those before it, and goes back to the first that answered several times in a row. While some proxies use one counter and
-some another, each counter shares out by how many proxies it hears (`tenant_totals.usable_share`); so a proxy that moves
-says farewell to the counter that it leaves.
+"""Chooses which node's counter a proxy uses: the first in rank that answers. No I/O, no clock; times in ns.
+
+Every node has a `QuotaCounter`, but only members of the core are candidates. All proxies rank them in the same order,
+by address alone (highest random weight, also called rendezvous hashing). Every node can therefore compute the counter
+from what it knows, without an agreement protocol. A proxy whose counter does not answer fails over to the next in rank
+on its own, probes the higher-ranked ones, and returns to the first that answers several probes in a row. While proxies
+use different counters, each counter limits admissions by the number of proxies that it hears from
+(`tenant_totals.usable_share`), so a proxy that moves deregisters from the counter that it leaves.
 """
 
 from collections.abc import Callable, Collection, Iterable
@@ -16,57 +16,57 @@
 from .limits import MS, SEC
 from .messages import Deregistration, Probe
 
-FAILOVER_TIMEOUT_NS = 500 * MS  # an update is under way for so long with nothing heard: the next in rank is tried;
-ANSWER_TIMEOUT_NS = (
-    3 * FAILOVER_TIMEOUT_NS
-)  # without an answer, whatever is announced: the counter may hear nothing of us
-MAX_BACKOFF = 4  # times both, once all in rank were tried without an answer
-PROBE_INTERVAL_NS = 400 * MS  # of probes to those before the counter
-PROBE_TIMEOUT_NS = 200 * MS  # an answer that comes later is none
-MIN_ANSWERS = 3  # in a row, behind which a node is gone back to; doubled each time that it fails soon after,
-MAX_ANSWERS = 16  # up to that
+FAILOVER_TIMEOUT_NS = 500 * MS  # an update in flight with no message for this time fails over to the next in rank
+# An update without an answer for this time fails over even if announcements arrive, since the counter may not receive
+# updates.
+ANSWER_TIMEOUT_NS = 3 * FAILOVER_TIMEOUT_NS
+MAX_BACKOFF = 4  # limit of the factor for both time-outs, which grows after all counters in rank failed
+PROBE_INTERVAL_NS = 400 * MS  # interval of probes to higher-ranked counters
+PROBE_TIMEOUT_NS = 200 * MS  # a later answer does not count
+MIN_ANSWERS = 3  # answers in a row before a return; doubled each time that the node fails soon after,
+MAX_ANSWERS = 16  # up to this limit
 QUICK_FAILURE_NS = 30 * SEC
-STALL_NS = 300 * MS  # a tick that comes so late shows that this process stood still itself
+STALL_NS = 300 * MS  # a tick that is late by this much shows that this process itself was suspended
 
-Outgoing = tuple[tuple[str, WireMap], ...]  # what is to be sent: (address, message) each
+Outgoing = tuple[tuple[str, WireMap], ...]  # messages to send, as (address, message)
 
 
 def weight_of(ip: str) -> float:
-    """Of a node: alike on all nodes, and without a pattern. `Random` of a text is drawn from its SHA-512."""
+    """Pseudo-random rank weight of a node, the same on all nodes. `Random` seeds itself with the text's SHA-512."""
     return Random(ip).getrandbits(32)
 
 
 class CounterPlacement:
-    """Chooses the counter for one proxy's `CounterLink`, and watches whether it answers."""
+    """Chooses the counter for one proxy's `CounterLink`, and monitors whether it answers."""
 
     def __init__(self, link: CounterLink, weight: Callable[[str], float] = weight_of) -> None:
-        """`weight` ranks the members: the larger, the sooner."""
+        """`weight` ranks the members; larger weights come first."""
         self.link = link
         self.weight = weight
-        self.ranked: tuple[str, ...] = ()  # those that may count, by rank
-        self.counter_ip: str | None = None  # the one that counts for this proxy
+        self.ranked: tuple[str, ...] = ()  # candidates in the order of rank
+        self.counter_ip: str | None = None  # the counter in use
         self.ticked_at = 0
-        self.resumed_at = 0  # when this process last went on after standing still
-        self.probe_number = link.sequence  # of the last probe to one before the counter
-        self.probed_ip: str | None = None  # whom it went to
+        self.resumed_at = 0  # when this process last resumed after it was suspended
+        self.probe_number = link.sequence  # of the last probe to a higher-ranked counter
+        self.probed_ip: str | None = None  # target of the last probe
         self.probed_at = 0
         self.probe_answered = False
-        self.answers = 0  # in a row
+        self.answers = 0  # consecutive answers
         self.answers_needed = MIN_ANSWERS
-        self.failovers = 0  # to the next in rank since a counter was last heard
+        self.failovers = 0  # since a counter was last heard from
         self.failed_over_at = 0
-        self.returned_at = -QUICK_FAILURE_NS  # to one before in rank, last
+        self.returned_at = -QUICK_FAILURE_NS  # time of the last return to a higher-ranked counter
 
     def rank(self, now: int, members: Iterable[str], serving: Collection[str]) -> Outgoing:
-        """Takes in a change of the membership.
+        """Applies a change of the membership.
 
         Args:
             now: ns.
             members: addresses of the core's members.
-            serving: addresses of the nodes that serve; members among them go first.
+            serving: addresses of the nodes that serve; members among them come first.
 
         Returns:
-            What is to be sent.
+            Messages to send.
         """
         self.ranked = tuple(sorted(members, key=lambda ip: (ip not in serving, -self.weight(ip))))
         if not self.ranked:
@@ -77,9 +77,9 @@
         return ()
 
     def tick(self, now: int) -> Outgoing:
-        """To be called ten times a second. Returns what is to be sent beside the updates."""
+        """Runs the periodic work; call it ten times a second. Returns messages to send besides the updates."""
         if now - self.ticked_at > STALL_NS:
-            # Guards against leaving a counter whose answers wait here unread, as this process was frozen.
+            # Answers may have queued up unread while this process was suspended, so the counter must not be replaced.
             self.resumed_at = now
         self.ticked_at = now
         if self.link.last_contact_at > self.failed_over_at:
@@ -92,7 +92,7 @@
         return self._probe(now, self.ranked[:rank])
 
     def _counter_fails(self, now: int) -> bool:
-        """Whether the update under way waits for too long, and there is another counter to go to."""
+        """Whether the update in flight has timed out, and there is another counter."""
         if self.link.pending is None or len(self.ranked) <= 1:
             return False
         since = max(self.link.pending.first_sent_at, self.resumed_at)
@@ -102,7 +102,7 @@
         return no_contact or now - since > ANSWER_TIMEOUT_NS * backoff
 
     def _fail_over(self, now: int, rank: int) -> Outgoing:
-        """To the next behind `rank`. One that fails soon after a return has to answer more often next time."""
+        """Switches to the next in rank. A counter that fails soon after a return needs more answers next time."""
         if now - self.returned_at < QUICK_FAILURE_NS:
             self.answers_needed = min(MAX_ANSWERS, 2 * self.answers_needed)
         elif not self.failovers:
@@ -112,7 +112,7 @@
         return self.switch_to(now, self.ranked[(rank + 1) % len(self.ranked)])
 
     def _probe(self, now: int, preferred: tuple[str, ...]) -> Outgoing:
-        """Probes one of those before the counter: each in turn until one answers."""
+        """Probes one of the higher-ranked counters, in turn until one answers."""
         probed = self.probed_ip
         if probed is None or probed not in preferred or not self.probe_answered:
             turn = preferred.index(probed) + 1 if probed in preferred else 0
@@ -125,18 +125,18 @@
         return ((probed, encode_probe(Probe(self.probe_number))),)
 
     def receive(self, now: int, ip: str, wire_map: object) -> Outgoing:
-        """Takes in what a counter sent: the proxy's own one for the link, another one the answer to a probe.
+        """Handles a counter's message: the link handles those of the counter in use, others can only answer a probe.
 
         Args:
             now: ns.
-            ip: the sender's address.
-            wire_map: the message as it came.
+            ip: address of the sender.
+            wire_map: the message as received.
 
         Returns:
-            What is to be sent.
+            Messages to send.
 
         Raises:
-            InvalidMessageError: the message is not valid.
+            InvalidMessageError: the message is invalid.
         """
         answer = decode_probe_answer(wire_map)
         if answer is None:
@@ -154,7 +154,7 @@
         return self.switch_to(now, ip)
 
     def switch_to(self, now: int, ip: str) -> Outgoing:
-        """Makes the node at `ip` the counter; the one that is left is sent a farewell."""
+        """Makes the node at `ip` the counter, and deregisters from the one before."""
         left = self.counter_ip
         self.counter_ip = ip
         self.probed_ip = None
--- a/rampfront/quota/limiter.py
+++ b/rampfront/quota/limiter.py
@@ -1,12 +1,12 @@
-"""A proxy's verdict on each request by its tenant's quota, from shared counts (RFC 0015).
+"""A proxy's decision on each request by its tenant's quota, from shared counts (RFC 0015).
 
-`Limiter.take` decides on the request path and asks nobody. The design's test: requests admitted here and by others in a
-sliding window, the past fixed window counted by the weight that it has left, against the limit. Guards around it: the
-bucket that the counter keeps (`available`), fewer admitted as it runs low (`_admit_at_rate`), and an even
-share for a proxy that nobody answers (`TenantCounts.update_even_share`).
+`Limiter.take` decides on the request path without a remote call. The RFC's check compares the limit with the requests
+that this proxy and the others admitted in a sliding window, with the previous fixed window weighted by the share that
+remains of it. Three more rules protect the quota: the bucket that the counter keeps (`available`), a lower admission
+rate as it runs low (`_admit_at_rate`), and an even share for an isolated proxy (`TenantCounts.update_even_share`).
 
-Off the request path `due_update` has the messages to the counter, `receive` takes in its answers (`counter_link.py`).
-No I/O, no clock; times in ns.
+Off the request path, `due_update` returns the messages to the counter and `receive` handles its answers
+(`counter_link.py`). No I/O, no clock; times in ns.
 """
 
 from collections.abc import Mapping
@@ -21,29 +21,31 @@
 from .tenant_table import TenantTable
 from .update_schedule import TICK_NS
 
-EARLY_UPDATE_NS = 60 * MS  # an early update goes out within so long,
-EARLY_SHARE = 0.5  # once what grew passes that part of the proxy's share of what is left
-# Where a surge keeps the bucket: that part of the connected slack below nothing,
+# An early update is sent within this time once the unsent increase exceeds a fraction of the proxy's share of the
+# remaining quota.
+EARLY_UPDATE_NS = 60 * MS
+EARLY_SHARE = 0.5
+# Level at which a surge keeps the bucket: this fraction of the connected slack below zero.
 LEVEL_TARGET_SHARE = 0.5
-LEVEL_SETTLING_S = 0.2  # and how soon it comes there
-MIN_RETRY_AFTER_NS = 50 * MS  # when to come back
+LEVEL_SETTLING_S = 0.2  # time constant with which the bucket approaches that level
+MIN_RETRY_AFTER_NS = 50 * MS  # bounds of the time after which to retry
 MAX_RETRY_AFTER_NS = 2 * SEC
-RETRY_AFTER_PER_OVERLOAD_S = 0.5  # times by how much the quota is exceeded
-DEFAULT_PROXY_COUNT = 32  # proxies taken to serve until it is known how many do
-MAX_UNANSWERED_ATTEMPTS = 3  # without an answer, after which a proxy does not believe that there are fewer others
+RETRY_AFTER_PER_OVERLOAD_S = 0.5  # multiplied by the ratio of requests to the quota
+DEFAULT_PROXY_COUNT = 32  # assumed number of proxies until it is known
+MAX_UNANSWERED_ATTEMPTS = 3  # after this many, a proxy no longer lowers its number of proxies
 
 
 class Limiter:
     """One proxy's quotas. `link` is its exchange with the counter."""
 
     def __init__(self, proxy_name: str, random: Random, now: int = 0, rule: QuotaRule = DEFAULT_RULE) -> None:
-        """Starts with no counts, and asks for all totals.
+        """Starts with no counts, and requests all totals.
 
         Args:
-            proxy_name: names it among the proxies.
-            random: draws chances and jitter.
+            proxy_name: name that distinguishes this proxy from others.
+            random: source of random admissions and jitter.
             now: ns.
-            rule: what is tolerated beyond quotas.
+            rule: the tolerance beyond quotas.
         """
         self.proxy_name = proxy_name
         self.random = random
@@ -56,12 +58,12 @@
     # ---- configuration and membership
 
     def set_quotas(self, settings: Mapping[str, QuotaSettings], now: int) -> None:
-        """Takes in a configuration's quotas by tenant. One that changed keeps its counts; one that is gone ages out."""
+        """Applies a configuration's quotas by tenant. A changed quota keeps its counts; a removed one expires."""
         has_new = self.table.set_quotas(settings, now)
         self.link.tenants_changed(now, has_new)
 
     def set_proxy_count(self, count: int) -> None:
-        """How many proxies serve now. One that nobody answers does not believe that the others are gone."""
+        """Sets how many proxies serve. An isolated proxy does not lower it, as it cannot tell if others stopped."""
         if self.link.attempts >= MAX_UNANSWERED_ATTEMPTS:
             count = max(count, self.proxy_count)
         self.proxy_count = max(1, count)
@@ -72,11 +74,11 @@
         """Decides on one request of a tenant.
 
         Args:
-            name: of the tenant; one without a quota is always admitted.
+            name: of the tenant; requests of tenants without a quota are always admitted.
             now: ns.
 
         Returns:
-            None if it is admitted, and counted; else in how many ns the client should come back.
+            None if the request is admitted and counted, otherwise the time in ns after which the client should retry.
         """
         tenant = self.tenants.get(name)
         if tenant is None:
@@ -93,7 +95,7 @@
             available = tenant.update_even_share(now, link.last_contact_at, self.proxy_count)
         else:
             available = tenant.available(age_ns)
-        # The design's test. The bucket admits what a window rejects that remembers a burst longer than it does.
+        # The RFC's check. The window remembers a burst longer than the bucket, which then still admits the request.
         if own + others + 1 > quota.limit + quota.connected_slack and available < 1:
             admitted = False
         elif isolated:
@@ -108,23 +110,26 @@
         return None
 
     def refund(self, name: str, now: int) -> None:
-        """A request of the tenant that was admitted reached no server."""
+        """Removes an admitted request that reached no server from the counts."""
         if tenant := self.tenants.get(name):
             self.table.roll(tenant, now)
             tenant.refund()
 
     def _reading_is_doubtful(self, tenant: TenantCounts, now: int) -> bool:
-        """Whether an answer is late and requests of the tenant have been admitted meanwhile.
+        """Whether an answer is late and requests of the tenant have been admitted since the last one.
 
-        Guards against a surge at all proxies as some are cut off: each would use up the same full reading until it
-        finds out. The first request of a tenant goes by the reading still, so that a slow link rejects nobody who
-        seldom asks."""
+        In a surge at all proxies while some are partitioned, each of these would use up the same full reading before it
+        detects the partition. The first request of a tenant still uses the reading, so that a slow link does not reject
+        tenants that rarely send requests.
+        """
         return self.link.answer_is_overdue(now) and tenant.unacknowledged() >= 1
 
     def _admit_at_rate(self, tenant: TenantCounts, available: float, age_ns: int) -> bool:
-        """Guards against proxies that all find the last of a quota free: of what all are asked for, such a fraction is
-        admitted that the bucket comes to its target level soon. That is a little below nothing, on the rule's slack, so
-        that none is rejected while there is room."""
+        """Admits the fraction of all requests that brings the bucket to its target level soon.
+
+        Otherwise all proxies would use the last of a quota at once. The target is slightly below zero, within the
+        rule's slack, so that no request is rejected while quota is left.
+        """
         quota = tenant.quota
         if available <= -quota.connected_slack:
             return False
@@ -133,7 +138,7 @@
         return rate >= requested or self.random.random() * requested < rate
 
     def _admit_by_chance(self, tenant: TenantCounts, available: float) -> bool:
-        """A fraction of a request is a chance, drawn once, so that the shares of many proxies add up to the quota."""
+        """Admits a request if a whole one is left. A fraction is a probability, so that all shares add up."""
         if available >= 1:
             return True
         if available <= 0:
@@ -143,7 +148,7 @@
         return won
 
     def _reject(self, tenant: TenantCounts, available: float, now: int) -> int:
-        """Counts a rejected request; returns in how many ns to come back, later the more is asked for."""
+        """Counts a rejected request; returns the time in ns after which to retry, which grows with the overload."""
         tenant.rejected += 1
         if tenant.read_at < now - tenant.reading_lifetime_ns:
             self.link.request_reading(now)
@@ -154,7 +159,7 @@
         return int(max(MIN_RETRY_AFTER_NS, self.random.uniform(0.5, 1.0) * min(MAX_RETRY_AFTER_NS, wait_ns)))
 
     def _schedule_early_update(self, tenant: TenantCounts, now: int) -> None:
-        """Guards against a surge at all proxies at once: what grew past a part of this proxy's share goes out early."""
+        """Schedules an early update if the unsent increase exceeds a part of this proxy's share, for fast surges."""
         share = 0.0
         if not tenant.quota.without_burst:
             share = (max(0.0, tenant.remaining) + tenant.quota.slack / 2) / self.proxy_count
@@ -163,32 +168,32 @@
         elif tenant.read_at < now - TICK_NS:
             self.link.request_reading(now)
 
-    # ---- what the proxy knows
+    # ---- state of this proxy
 
     def is_isolated(self, now: int) -> bool:
-        """Whether the counter is silent, so that all tenants go by even shares."""
+        """Whether the counter is silent, so that all tenants are limited to even shares."""
         return self.link.is_silent(now)
 
     def available(self, tenant: TenantCounts, now: int) -> float:
-        """What the tenant's quota has left in requests, as far as this proxy knows; below 0 a debt."""
+        """The tenant's remaining quota in requests, as far as this proxy knows; negative if it is overdrawn."""
         return tenant.available(tenant.reading_age(now, self.link.last_contact_at))
 
     def in_present_window(self, tenant: TenantCounts, now: int) -> bool:
-        """Whether the tenant's counts are of the window that runs: one that is out of use has older ones."""
+        """Whether the tenant's counts are of the current window; an unused tenant has older ones."""
         return tenant.now.number == self.clock.peek(now) // tenant.quota.window
 
     # ---- exchange with the counter
 
     @property
     def next_update_at(self) -> int:
-        """When `due_update` has the next message; later than any time while nothing is in use. To be looked at after
-        `take` and `receive`: an early update may be due."""
+        """When `due_update` has the next message; `NEVER` while no tenant is in use. May be earlier after `take` or
+        `receive`."""
         return self.link.schedule.next_at
 
     def due_update(self, now: int) -> WireMap | None:
-        """The message to the counter that is due now, or None."""
+        """Returns the message to the counter that is due now, or None."""
         return self.link.due_update(now)
 
     def receive(self, now: int, wire_map: object) -> None:
-        """Takes in the counter's message. Raises `codec.InvalidMessageError`."""
+        """Handles the counter's message. Raises `codec.InvalidMessageError`."""
         self.link.receive(now, wire_map)
--- a/rampfront/quota/messages.py
+++ b/rampfront/quota/messages.py
@@ -1,10 +1,10 @@
-"""What proxies and the counter send each other. Immutable; `codec.py` checks them and puts them on the wire.
+"""The messages between proxies and the counter. Immutable; `codec.py` validates and encodes them.
 
-A proxy sends `CounterUpdate` (one under way at a time, repeated unchanged until it is answered), `Probe` to a node that
-it might move to, and `Farewell` to the counter that it leaves. A counter answers an update with `CounterTotals`, which
-it also sends unsolicited as a quota runs low, and a probe with the same `Probe`.
+A proxy sends a `CounterUpdate` (one in flight at a time, resent unchanged until it is answered), a `Probe` to a node
+that it might switch to, and a `Deregistration` to the counter that it leaves. A counter answers an update with
+`CounterTotals`, which it also sends unsolicited as a quota runs low, and a probe with the same `Probe`.
 
-An *incarnation* is a drawn number that tells one start of a process from all others.
+An *incarnation* is a random number that distinguishes one start of a process from all others.
 """
 
 from collections.abc import Sequence
@@ -12,42 +12,42 @@
 
 from .limits import SEC
 
-MAX_ROWS = 40  # in one message: so it fits a datagram
-PROXY_TIMEOUT_NS = SEC  # a proxy in use sends that often; one that does not may be cut off, and go by its even share
+MAX_ROWS = 40  # per message, so that it fits into one datagram
+PROXY_TIMEOUT_NS = SEC  # a proxy in use sends at least this often; another may be isolated, and use its even share
 
 
 class CountDelta(NamedTuple):
-    """What a proxy's counts of a tenant grew by since its last acknowledged update."""
+    """The increase of a proxy's counts of a tenant since its last acknowledged update."""
 
     tenant: str
-    window: int  # number of the present one, by the counter's time; -1: before time 0
-    current: int  # requests admitted in it
-    previous: int  # requests admitted in the window before
-    rejected: int  # requests, since the last update
+    window: int  # number of the current window, by the counter's time; -1: before time 0
+    current: int  # requests admitted in the current window
+    previous: int  # requests admitted in the previous window
+    rejected: int  # requests rejected since the last update
 
 
 class FullCount(NamedTuple):
-    """All of a proxy's counts of a tenant: for a counter that is new to the proxy."""
+    """All of a proxy's counts of a tenant, for a counter that is new to the proxy."""
 
     tenant: str
     window: int  # as in `CountDelta`
     current: int
     previous: int
-    previous_weight_percent: int  # of the previous window, what the sliding window still covers
+    previous_weight_percent: int  # share of the previous window that the sliding window still covers
 
 
 CountRow = CountDelta | FullCount
 
 
 class CounterUpdate(NamedTuple):
-    """A proxy's counts, for the counter."""
+    """A proxy's counts, sent to the counter."""
 
     incarnation: int  # of the proxy
-    sequence: int  # number of the update within it, ascending
-    rows: Sequence[CountRow]  # full counts where `lived_ms` is given, else deltas
-    counter_incarnation: int | None  # of the counter by whose time windows are numbered; None: not known yet
-    history_ms: int = 0  # how long the proxy's counts reach back; 0: the rows are deltas
-    wants_all: bool = False  # the totals of all tenants in use are asked for
+    sequence: int  # increasing number of the update within the incarnation
+    rows: Sequence[CountRow]  # full counts if `history_ms` is given, otherwise deltas
+    counter_incarnation: int | None  # of the counter whose time numbers the windows; None: not known yet
+    history_ms: int = 0  # how far the proxy's counts reach back; 0: the rows are deltas
+    wants_all: bool = False  # requests the totals of all tenants in use
     idle: bool = False  # the proxy has had no request for a while
 
 
@@ -55,32 +55,32 @@
     """A tenant's totals over all proxies."""
 
     tenant: str
-    window: int  # number of the present one
-    current: int  # requests admitted in it
-    previous: int  # requests admitted in the window before
-    remaining: int  # requests that the quota has left; below 0 a debt
-    proxies: int  # that admitted any in this window, 1 at least
-    requested_per_s: int  # of all proxies, rejected ones too
+    window: int  # number of the current window
+    current: int  # requests admitted in the current window
+    previous: int  # requests admitted in the previous window
+    remaining: int  # requests left in the quota; negative if it is overdrawn
+    proxies: int  # proxies that admitted requests in the current window, at least 1
+    requested_per_s: int  # at all proxies, including rejected requests
 
 
 class CounterTotals(NamedTuple):
-    """The counter's totals, for a proxy."""
+    """The counter's totals, sent to a proxy."""
 
     counter_incarnation: int
-    sequence: int  # of the last update taken in from this proxy
+    sequence: int  # of the last update accepted from this proxy
     counter_time_ms: int
     rows: Sequence[TenantTotal]
-    lists_all: bool = False  # a tenant that is not listed is not in use
-    unsolicited: bool = False  # announced, and no answer to an update
+    lists_all: bool = False  # tenants that are not listed are not in use
+    unsolicited: bool = False  # an announcement, not the answer to an update
 
 
 class Probe(NamedTuple):
-    """Asks a node whether it is there; sent back unchanged it is the answer."""
+    """Checks that a node answers; the node returns it unchanged."""
 
     number: int
 
 
 class Deregistration(NamedTuple):
-    """A proxy moves to another counter."""
+    """Tells a counter that a proxy moves to another counter."""
 
     incarnation: int  # of the proxy
--- a/rampfront/quota/tenant_counts.py
+++ b/rampfront/quota/tenant_counts.py
@@ -1,9 +1,9 @@
-"""A proxy's counts of one tenant: what it admitted itself, the others' admissions, and what the quota has left.
+"""A proxy's counts of one tenant: its own admissions, those of the other proxies, and the remaining quota.
 
-Windows are `state.Window`, aged, weighed and settled by `epoch`, as the edge node's are (RFC 0015, "Counter entry
-shape" and "Sync path"). In a window `own` is what was admitted here, `sent` the part of it that the counter
-acknowledged, `flying` the part that is in the update under way, `held` the others' admissions, which are only ever
-raised, and `seen` the last total.
+Windows are `state.Window`; `epoch` rolls, weights and settles them, as for the edge node (RFC 0015, "Counter entry
+shape" and "Sync path"). In a window, `own` is the count of requests admitted here, `sent` the part of it that the
+counter has acknowledged, `flying` the part in the update in flight, `held` the count of the other proxies, which only
+increases, and `seen` the last total.
 """
 
 from ..epoch import settle, weigh
@@ -13,16 +13,16 @@
 from .messages import PROXY_TIMEOUT_NS, CountDelta, CountRow, FullCount, TenantTotal
 from .update_schedule import TICK_NS
 
-NEVER_READ = -(10**18)  # ns: long ago
+NEVER_READ = -(10**18)  # ns; long ago
 NEVER_USED = -(1 << 62)  # ns
 NOT_GRANTED = -1
-# While a quota runs low the counter announces it more often than this: silence means that nobody uses it.
+# The counter announces a quota that runs low more often than this; without an announcement nobody uses it.
 ANNOUNCEMENT_TIMEOUT_NS = SEC // 4
 ANNOUNCEMENT_TIMEOUT_S = ANNOUNCEMENT_TIMEOUT_NS / SEC
-# Of its even share of the rate, for an isolated proxy: what many of them draw by chance scatters.
+# Fraction of its even share of the rate that an isolated proxy uses, since many proxies admit at random and exceed it.
 ISOLATED_RATE_SHARE = 0.85
-ISOLATED_DEPTH_S = 0.25  # of the rate, for an isolated proxy of a tenant without burst
-READING_WITHOUT_BURST_NS = 100 * MS  # such a count falls by leaps, and is read anew sooner
+ISOLATED_DEPTH_S = 0.25  # bucket depth of an isolated proxy for a tenant without burst, at the quota's rate
+READING_WITHOUT_BURST_NS = 100 * MS  # the remaining quota of such a tenant rises in steps, so it is read more often
 
 
 def _reading_lifetime_ns(quota: Quota) -> int:
@@ -31,34 +31,34 @@
 
 @slotted
 class TenantCounts:
-    """One tenant as a proxy knows it."""
+    """One tenant, as a proxy knows it."""
 
     name: str
     quota: Quota
-    now: Window  # of the present; named as `epoch` reads it
-    past: Window  # the one before
-    used_at: int  # when a request came last
-    remaining: float  # requests that the quota had left, as the counter said; below 0 a debt
-    remaining_at: int  # when it said so
-    reading_lifetime_ns: int  # how old a reading may be before it is read anew
-    read_at: int = NEVER_READ  # when totals came last
-    requested_per_s: float = 0.0  # by requests to all proxies, rejected ones too, as the counter said
+    now: Window  # the current window; `epoch` uses this name
+    past: Window  # the previous window
+    used_at: int  # when the last request arrived
+    remaining: float  # requests left in the quota according to the counter; negative if it is overdrawn
+    remaining_at: int  # time of that information
+    reading_lifetime_ns: int  # age after which the totals are requested again
+    read_at: int = NEVER_READ  # when the last totals arrived
+    requested_per_s: float = 0.0  # at all proxies, including rejected requests, according to the counter
     rejected: int = 0  # requests rejected here since the last update
-    even_share: float = 0.0  # requests that an isolated proxy has left of its even share of the quota
-    even_share_at: int = NOT_GRANTED  # when that was
+    even_share: float = 0.0  # requests left in the even share of an isolated proxy
+    even_share_at: int = NOT_GRANTED  # when `even_share` was computed
 
     @classmethod
     def new(cls, name: str, quota: Quota, now: int, counter_time: int) -> "TenantCounts":
-        """A tenant without counts. Its quota is taken to be full, but to an isolated proxy, until totals come."""
+        """Makes a tenant without counts. Until totals arrive its quota counts as full, except at an isolated proxy."""
         number = counter_time // quota.window
         return cls(
             name, quota, Window(number), Window(number - 1), NEVER_USED, quota.depth, now, _reading_lifetime_ns(quota)
         )
 
     def change_quota(self, quota: Quota, weight: float, counter_time: int) -> None:
-        """Goes on under another quota; the windows are rolled, and the past one counts by `weight`."""
+        """Changes the quota. The windows have been rolled; the previous one counts by `weight`."""
         if quota.window != self.quota.window:
-            # Windows of another length: both counts as one, all of it acknowledged under the old quota already.
+            # The new windows have another length, so both counts are merged, and treated as already acknowledged.
             own, others = weigh(self, weight)
             number = counter_time // quota.window
             self.now = Window(number, own, own)
@@ -73,48 +73,49 @@
         return self.now.own - self.now.sent + self.past.own - self.past.sent
 
     def unsent(self) -> float:
-        """Requests admitted here that are not in the update under way either."""
+        """Requests admitted here that are neither acknowledged nor in the update in flight."""
         present = self.now
         past = self.past
         unacknowledged = present.own - present.sent + past.own - past.sent
         return unacknowledged - (present.flying or 0) - (past.flying or 0)
 
     def refund(self) -> None:
-        """One admitted request reached no server. Where it is acknowledged already, it nets against later growth."""
+        """Removes an admitted request that reached no server. If it is acknowledged, it offsets later increases."""
         window = self.now if self.now.own >= 1 else self.past
         if window.own >= 1:
             window.own -= 1
             self.even_share += 1
 
-    # ---- what the quota has left
+    # ---- remaining quota
 
     def reading_age(self, now: int, last_contact_at: int) -> int:
-        """How old the reading of the quota is known to be, in ns.
+        """Age in ns up to which the reading of the quota is known to be valid.
 
-        Only a message from the counter shows that it had no more to announce of this tenant. Guards against a proxy
-        that was just cut off, to which a full quota would seem to refill."""
+        Only a message from the counter shows that it had nothing more to announce about this tenant. Otherwise, a
+        quota would seem to refill at a proxy that has just become isolated.
+        """
         known_until = last_contact_at + ANNOUNCEMENT_TIMEOUT_NS
         known_until = min(known_until, now)
         age_ns = known_until - self.remaining_at
         return age_ns if age_ns > 0 else 0
 
     def available(self, reading_age_ns: int) -> float:
-        """What the quota has left in requests: as last read, what refilled since, less what was admitted here and is
-        not acknowledged."""
+        """Remaining quota in requests: the last reading plus the refill since, minus the unacknowledged requests."""
         age_s = reading_age_ns / SEC
         known_s = min(age_s, ANNOUNCEMENT_TIMEOUT_S)
         refill = self.quota.per_s * age_s - min(self.quota.per_s, self.requested_per_s) * known_s
         return min(self.quota.depth, self.remaining + refill) - self.unacknowledged()
 
     def update_even_share(self, now: int, last_contact_at: int, proxy_count: int) -> float:
-        """Works out and returns what an isolated proxy has left, in requests.
+        """Updates and returns the even share that an isolated proxy has left, in requests.
 
-        It is an even share of what the quota had left at the last reading, and grows from when the counter misses the
-        proxy, and leaves it its share of the rate."""
+        It is an even share of the remaining quota at the last reading. It grows by the proxy's share of the rate from
+        the time at which the counter counts the proxy as missing, and reserves that share for it.
+        """
         quota = self.quota
         depth = quota.depth
         grows_from = last_contact_at + PROXY_TIMEOUT_NS
-        if quota.without_burst:  # the proxies in touch may have admitted a whole window's at once
+        if quota.without_burst:  # connected proxies may have used the quota of a whole window at once
             depth = quota.per_s * ISOLATED_DEPTH_S
             grows_from = last_contact_at + quota.window
         if self.even_share_at < self.remaining_at:
@@ -131,11 +132,11 @@
     # ---- exchange with the counter
 
     def report(self, full: bool, weight: float, now: int) -> CountRow | None:
-        """What is to be sent of the tenant, which is under way from now on; None if there is nothing.
+        """Returns the tenant's row for an update, which is in flight from now on; None if there is nothing to report.
 
         Args:
-            full: all counts are sent, not what grew; none are acknowledged then.
-            weight: of the past window.
+            full: report all counts instead of the increase; none of them are acknowledged in this case.
+            weight: of the previous window.
             now: ns.
         """
         present = self.now
@@ -155,26 +156,28 @@
         return CountDelta(self.name, present.number, current, previous, rejected)
 
     def forget_acknowledged(self) -> None:
-        """The counter knows nothing of this proxy's counts."""
+        """Marks all counts as not acknowledged, for a counter that does not know them."""
         for window in (self.now, self.past):
             window.sent = 0.0
             window.seen = 0.0
             window.flying = None
 
     def renumber(self, counter_time: int) -> None:
-        """Another counter's windows begin at other moments: the present ones are taken to be the same."""
+        """Renumbers the windows for another counter, whose windows start at other times but count as the same."""
         self.now.number = counter_time // self.quota.window
         self.past.number = self.now.number - 1
 
     def read_full(self, now: int) -> None:
-        """The counter said that nobody uses the tenant."""
+        """Sets the quota to full, as the counter reported that the tenant is not in use."""
         self.remaining = self.quota.depth
         self.remaining_at = now
         self.read_at = now
 
     def read(self, total: TenantTotal, now: int, acknowledges: bool) -> None:
-        """Takes in a tenant's totals: the others' figures are raised to the larger value (the RFC's `atomicMax`).
-        `acknowledges`: no update is under way, so that what was in the last one is in the totals."""
+        """Applies a tenant's totals: the others' counts are raised to the larger value (the RFC's `atomicMax`).
+
+        `acknowledges`: no update is in flight, so the totals include the counts of the last one.
+        """
         for window in (self.now, self.past):
             if window.number == total.window:
                 count = total.current
@@ -185,7 +188,7 @@
             amount = (window.flying or 0.0) if acknowledges else 0.0
             if count >= window.seen + amount:
                 settle(window, amount, count)
-            else:  # an older total than the last raises nothing
+            else:  # totals older than the last ones raise nothing
                 window.sent += amount
             if acknowledges:
                 window.flying = None
--- a/rampfront/quota/tenant_table.py
+++ b/rampfront/quota/tenant_table.py
@@ -1,6 +1,6 @@
-"""A proxy's table of tenants: those with a quota, those that a configuration dropped lately, and who is to be reported.
+"""A proxy's table of tenants: those with a quota, those recently removed from the configuration, and those to report.
 
-RFC 0015, "Flush path": only tenants that were asked for since their last acknowledged update are reported (the change
+RFC 0015, "Flush path": only tenants with requests since their last acknowledged update are reported (the change
 filter).
 """
 
@@ -19,24 +19,26 @@
     """The rows of one update."""
 
     rows: list[CountRow]
-    windows: list[Window]  # whose growth the rows tell
-    more: bool  # whether there is more than fits into one message
+    windows: list[Window]  # the windows whose increase is in the rows
+    more: bool  # whether more rows are left than fit into one message
 
 
 class TenantTable:
-    """All tenants as one proxy knows them."""
+    """All tenants, as one proxy knows them."""
 
     def __init__(self, rule: QuotaRule, clock: CounterClock) -> None:
-        """`clock`: windows are numbered by it."""
+        """`clock` numbers the windows."""
         self.rule = rule
         self.clock = clock
-        self.tenants: dict[str, TenantCounts] = {}  # those with a quota; the same object throughout
-        self.dropped: dict[str, TenantCounts] = {}  # by a configuration; emptied by the next one, once out of use
-        self.unreported: dict[str, TenantCounts] = {}  # asked for since they were last reported
+        self.tenants: dict[str, TenantCounts] = {}  # those with a quota; always the same dict object
+        self.dropped: dict[str, TenantCounts] = {}  # by a configuration; the next one removes them, once out of use
+        self.unreported: dict[str, TenantCounts] = {}  # tenants with requests since they were last reported
 
     def set_quotas(self, settings: Mapping[str, QuotaSettings], now: int) -> bool:
-        """Takes in a configuration's quotas by tenant. One that changed keeps its counts; one that is gone ages out.
-        Returns whether there are tenants that were not known."""
+        """Applies a configuration's quotas by tenant. A changed quota keeps its counts; a removed one expires.
+
+        Returns whether there are tenants that were not known.
+        """
         counter_time = self.clock.time(now)
         known = self.dropped | self.tenants
         tenants = {}
@@ -63,11 +65,11 @@
         return has_new
 
     def roll(self, tenant: TenantCounts, now: int) -> float:
-        """Ages windows out; returns the past window's weight."""
+        """Rolls the windows; returns the weight of the previous one."""
         return roll(tenant, self.clock.time(now))
 
     def report(self, now: int, full: bool) -> Report:
-        """Takes the rows of an update, which is under way from now on. `full`: with all counts, not what grew."""
+        """Takes the rows of an update, which is in flight from now on. `full`: all counts instead of the increase."""
         rows: list[CountRow] = []
         windows: list[Window] = []
         if not self.unreported:
@@ -76,7 +78,7 @@
         for name, tenant in list(self.unreported.items()):
             if len(rows) == MAX_ROWS:
                 return Report(rows, windows, True)
-            # One without burst stays for as long as its window: its count falls without a request.
+            # A tenant without burst stays for the length of its window, since its count falls without a request.
             if not tenant.quota.without_burst or now - tenant.used_at > tenant.quota.window:
                 del self.unreported[name]
             weight = roll(tenant, counter_time)
@@ -87,15 +89,17 @@
         return Report(rows, windows, False)
 
     def read(self, totals: Sequence[TenantTotal], now: int, acknowledges: bool) -> None:
-        """Takes in the totals of those tenants that have a quota here. `acknowledges`: no update is under way, so that
-        what was in the last one is in the totals."""
+        """Applies the totals of the tenants that have a quota here.
+
+        `acknowledges`: no update is in flight, so the totals include the counts of the last one.
+        """
         for total in totals:
             if tenant := self.tenants.get(total.tenant):
                 roll(tenant, self.clock.time(now))
                 tenant.read(total, now, acknowledges)
 
     def forget_acknowledged(self, now: int) -> None:
-        """The counter knows nothing of this proxy: all counts are to be reported again."""
+        """Marks all counts as not acknowledged, so that they are reported again: the counter does not know them."""
         for name, tenant in self.tenants.items():
             self.roll(tenant, now)
             tenant.forget_acknowledged()
@@ -103,11 +107,11 @@
                 self.unreported[name] = tenant
 
     def renumber(self, counter_time: int) -> None:
-        """Another counter's windows begin at other moments: the present ones are taken to be the same."""
+        """Renumbers the windows for another counter, whose windows start at other times but count as the same."""
         for tenant in self.tenants.values():
             tenant.renumber(counter_time)
 
     def read_unused(self, now: int) -> None:
-        """The counter listed all tenants in use: the others' quotas are full. To be called before `read`."""
+        """Sets all quotas to full, since the counter lists all tenants in use. Must be called before `read`."""
         for tenant in self.tenants.values():
             tenant.read_full(now)
--- a/tests/quota/test_counter_placement.py
+++ b/tests/quota/test_counter_placement.py
@@ -6,8 +6,8 @@
 
 from rampfront.quota.counter_placement import (
     ANSWER_TIMEOUT_NS,
-    MAX_ANSWERS,
     FAILOVER_TIMEOUT_NS,
+    MAX_ANSWERS,
     STALL_NS,
     CounterPlacement,
 )
--- a/tests/quota/test_quota_incarnations.py
+++ b/tests/quota/test_quota_incarnations.py
@@ -42,8 +42,8 @@
         return counter.receive(now, PROXY, {"l": incarnation, "s": number, "a": []})
 
     assert add(2, 1, 0) and add(1, 7, 0)
-    with pytest.raises(ValueError, match="over"):
+    with pytest.raises(ValueError, match="former incarnation"):
         add(2, 2, 2 * SEC)
     assert add(2, 3, 4 * SEC)
-    with pytest.raises(ValueError, match="over"):
+    with pytest.raises(ValueError, match="former incarnation"):
         add(1, 8, 5 * SEC)
