--- a/tests/fake_fleet.py
+++ b/tests/fake_fleet.py
@@ -1,6 +1,6 @@
-"""Nodes that disseminate over a fake network, on a fake clock: frames are lost, delayed, reordered and repeated.
+"""Nodes that disseminate over a fake network with a fake clock: frames are lost, delayed, reordered and repeated.
 
-States and endpoint lists are their numbers here. Nothing sleeps.
+States and endpoint lists are represented by their version numbers. Nothing sleeps.
 """
 
 import random
@@ -17,23 +17,23 @@
 from rampfront.membership.versions import ReplicaVersions
 
 MS, SEC = 10**6, 10**9
-EPOCH = 10**18  # the fake clock's start
+EPOCH = 10**18  # start of the fake clock
 
 
 def heartbeat_frame(disseminator, now):
-    """The frame of a heartbeat that it sends."""
+    """The frame of a heartbeat from this node."""
     return messages.encode_heartbeat(disseminator.heartbeat(now))
 
 
 def response_frame(disseminator, now, versions, requested_at_ns):
-    """The frame of its answer to a node that holds `versions`: of the state, the endpoint list, the roster."""
+    """The frame of the response to a node with these `versions`: of the state, the endpoint list and the roster."""
     heartbeat = Heartbeat(ReplicaVersions(*versions), requested_at_ns, None)
     response = disseminator.responder.response(disseminator.versions, heartbeat, now)
     return messages.encode_state_response(response)
 
 
 def names(disseminator, ready=True):
-    """Names on its roster: of the ready nodes, or of all."""
+    """Names on the node's roster: of the ready nodes, or of all."""
     return [entry.name for entry in disseminator.roster if entry.ready or not ready]
 
 
@@ -83,7 +83,7 @@
 
 
 class Frame(NamedTuple):
-    """A frame between nodes: when it is sent or due, in which order, from and to which address."""
+    """A frame between nodes: when it was sent or is due, its number, the two addresses, and the message."""
 
     at: int
     number: int
@@ -96,12 +96,12 @@
     """Nodes n1, n2, ... at 10.0.0.1, 10.0.0.2, ...; `fleet[k]` is the disseminator of the k-th.
 
     Attributes:
-        partitions: pairs of addresses between which nothing gets through.
-        silent: addresses of nodes that are cut off from all others, and stand still.
+        partitions: pairs of addresses that cannot reach each other.
+        silent: addresses of nodes that are isolated from all others, and do not run.
         unreliable: frames are lost, repeated, and delayed by up to 3 s.
-        has_quorum: a majority of the core stands behind the leader.
+        has_quorum: whether a majority of the core confirms the leader.
         quorum_at: when it last did.
-        committed: (when, index) of what it stood behind.
+        committed: (time, index) of each state that it confirmed.
         recorded: frames sent since `record_frames`.
     """
 
@@ -124,30 +124,30 @@
         return self.hosts[f"10.0.0.{k}"].disseminator
 
     def record_frames(self):
-        """The list to which frames are added from now on."""
+        """Starts recording; returns the list to which sent frames are added."""
         self.recorded = []
         return self.recorded
 
     def lead(self, k, index=1, term=1):
-        """The core's leader stands beside node k, and a majority stands behind it all the time."""
+        """Makes node k the leader, confirmed by a majority all the time while `has_quorum` is set."""
         self.leader, self.term = k, term
         self[k].state_changed(max(index, self[k].state_index))
 
     def start_ready(self):
-        """Runs for 3 s with node 1 in the lead and all nodes ready."""
+        """Runs for 3 s with node 1 as the leader and all nodes ready."""
         self.lead(1)
         for host in self.hosts.values():
             host.disseminator.ready = True
         self.run(3000)
 
-    def is_cut(self, sender, receiver):
-        """Whether nothing gets through between two addresses."""
+    def is_partitioned(self, sender, receiver):
+        """Whether two addresses cannot reach each other."""
         one_is_silent = sender in self.silent or receiver in self.silent
         return one_is_silent or (sender, receiver) in self.partitions or (receiver, sender) in self.partitions
 
     def transmit(self, sender, receiver, message):
         """Sends a frame."""
-        if self.is_cut(sender, receiver):
+        if self.is_partitioned(sender, receiver):
             return
         message = cbor2.loads(cbor2.dumps(message))
         if self.recorded is not None:
@@ -159,11 +159,11 @@
             self.in_flight.append(Frame(self.now + delay, self.frame_number, sender, receiver, message))
 
     def committed_index_at(self, at):
-        """The newest index that a majority stood behind at that moment."""
+        """The newest index that a majority had confirmed at that time."""
         return self.committed[bisect(self.committed, (at, 1 << 60)) - 1][1]
 
     def run(self, ms, every=None):
-        """In steps of 10 ms; `every()` is called after each."""
+        """Runs in steps of 10 ms, and calls `every()` after each."""
         for _ in range(ms // 10):
             self.now += 10 * MS
             self.deliver()
@@ -174,7 +174,7 @@
                 every()
 
     def deliver(self):
-        """Gives the frames that are due to their receivers."""
+        """Delivers the frames that are due."""
         due = sorted(frame for frame in self.in_flight if frame.at <= self.now)
         self.in_flight = [frame for frame in self.in_flight if frame.at > self.now]
         for frame in due:
@@ -187,7 +187,7 @@
                 disseminator.on_state_response(frame.sender, frame.message, self.now)
 
     def step(self, host, leads):
-        """A node looks at the time; the leader hears from its core first."""
+        """Runs one tick of a node; the leader first receives the status of its core member."""
         if leads:
             if self.has_quorum:
                 self.quorum_at = self.now
--- a/tests/membership/test_endpoint_codec.py
+++ b/tests/membership/test_endpoint_codec.py
@@ -1,4 +1,4 @@
-"""Endpoint lists between nodes: encoded, decoded, as differences, and refused."""
+"""Tests of encoding and decoding endpoint lists for other nodes, in full and as deltas."""
 
 import cbor2
 import pytest
@@ -16,11 +16,11 @@
     three = Endpoint("c", "s", "10.0.0.1", 80, "z", 2, READY, 0)
     changed = Endpoint("b", "s", "10.0.0.1", 80, "z", 2, DRAINING, 7 * SEC)
     new = EndpointList(2, (changed, three), 5 * SEC)
-    there = decode(cbor2.loads(cbor2.dumps(encode(new, 6 * SEC))), 100 * SEC)  # the clock of another node
-    assert there.version == 2 and there.read_at_ns == 99 * SEC
+    decoded = decode(cbor2.loads(cbor2.dumps(encode(new, 6 * SEC))), 100 * SEC)  # the clock of another node
+    assert decoded.version == 2 and decoded.read_at_ns == 99 * SEC
     assert (
-        there.endpoints[0] == Endpoint("b", "s", "10.0.0.1", 80, "z", 2, DRAINING, 101 * SEC)
-        and there.endpoints[1] == three
+        decoded.endpoints[0] == Endpoint("b", "s", "10.0.0.1", 80, "z", 2, DRAINING, 101 * SEC)
+        and decoded.endpoints[1] == three
     )
 
 
@@ -29,7 +29,7 @@
     changed = Endpoint("b", "s", "10.0.0.1", 80, "z", 2, DRAINING, 7 * SEC)
     new = EndpointList(2, (changed, three), 5 * SEC)
     good = encode(new, 6 * SEC)
-    for odd in (
+    for invalid in (
         None,
         [],
         good[:3],
@@ -42,16 +42,16 @@
         [1, 0, good[2], [["a", 0, "10.0.0.1", 80, 1, 2, False, -5]]],
     ):
         with pytest.raises(FieldError):
-            decode(odd, SEC)
+            decode(invalid, SEC)
 
 
-def server(k, port=80, cold=0):
-    return Endpoint(f"i-{k}", "one", "10.0.0.1", port, "a1", 4, "ready", cold)
+def server(k, port=80, warming_until_ns=0):
+    return Endpoint(f"i-{k}", "one", "10.0.0.1", port, "a1", 4, "ready", warming_until_ns)
 
 
 def test_endpoint_lists_travel_as_differences():
-    """By ids; a time goes as what is left of it and is not in the digest; late, repeated and foreign ones change
-    nothing.
+    """Deltas are made by id; a remaining time is sent, but is not part of the digest; outdated, repeated or foreign
+    deltas change nothing.
     """
 
     def of(*numbers):
@@ -68,9 +68,9 @@
     }
     packed = endpoint_codec.encode_since(lists[3], 2 * SEC, of(1, 2, 3), 1)
     assert len(packed[3]) == 1 and packed[6] == ["i-15"]
-    got = endpoint_codec.decode_since(packed, 102 * SEC, of(1), 1)
-    assert [row[:7] for row in got.endpoints] == [row[:7] for row in lists[3].endpoints]
-    assert got.endpoints[3].warming_until_ns == 107 * SEC
+    decoded = endpoint_codec.decode_since(packed, 102 * SEC, of(1), 1)
+    assert [row[:7] for row in decoded.endpoints] == [row[:7] for row in lists[3].endpoints]
+    assert decoded.endpoints[3].warming_until_ns == 107 * SEC
     assert endpoint_codec.decode_since(packed, 0, of(1, 2, 3), 3) is None
     with pytest.raises(DeltaMismatchError) as mismatch:
         endpoint_codec.decode_since(packed, 0, of(1, 2), 2)
@@ -78,4 +78,5 @@
     with pytest.raises(DeltaMismatchError) as mismatch:
         endpoint_codec.decode_since([*packed[:5], b"another", packed[6]], 0, of(1), 1)
     assert mismatch.value.corrupt
-    assert len(endpoint_codec.encode_since(lists[3], 0, of(2, 3), 1)) == 4  # of what is not known any more: whole
+    # Version 1 is no longer known, so the complete list is sent.
+    assert len(endpoint_codec.encode_since(lists[3], 0, of(2, 3), 1)) == 4
--- a/tests/membership/test_endpoint_list_poller.py
+++ b/tests/membership/test_endpoint_list_poller.py
@@ -1,4 +1,4 @@
-"""The poller on loopback."""
+"""Tests of the poller on the loopback interface."""
 
 import asyncio
 import time
@@ -10,8 +10,8 @@
 
 
 def test_the_poller_follows_the_platform(loop):
-    """Complete lists only; a platform that moved is asked at its new address, and the old one's answers are ignored;
-    one that answers nonsense is asked again; stopped, it asks nothing.
+    """Only complete lists are published. After a change of address only the new platform's answers count, invalid
+    answers are retried, and a stopped poller sends no requests.
     """
     run = loop.run_until_complete
     clock = time.monotonic_ns
@@ -19,44 +19,45 @@
     for k in range(5):
         one.put(f"i-{k}", "s", f"10.0.0.{k + 1}:80", "z")
     two.put("j", "s", "10.0.0.1:80", "z")
-    doors = [run(open_platform(loop, p)) for p in (one, two)]
-    lists, drops, news = [], [], asyncio.Event()
+    listeners = [run(open_platform(loop, p)) for p in (one, two)]
+    lists, failures, notified = [], [], asyncio.Event()
 
-    def told(to, what):
-        to.append(what)
-        news.set()
+    def notify(to, item):
+        to.append(item)
+        notified.set()
 
-    async def until(true):
-        while not true():
-            news.clear()
-            await asyncio.wait_for(news.wait(), 5)
+    async def until(condition):
+        while not condition():
+            notified.clear()
+            await asyncio.wait_for(notified.wait(), 5)
 
-    callbacks = PollCallbacks(lambda s: told(lists, s), lambda reason: told(drops, reason))
-    poller = Poller(loop, clock, PollSettings(doors[0].address, 1000.0, 2 * MS), callbacks)
+    callbacks = PollCallbacks(lambda s: notify(lists, s), lambda reason: notify(failures, reason))
+    poller = Poller(loop, clock, PollSettings(listeners[0].address, 1000.0, 2 * MS), callbacks)
     poller.start()
     run(until(lambda: len(lists) >= 2))
     assert [row.id for row in lists[-1].endpoints] == [f"i-{k}" for k in range(5)]
-    assert doors[0].counts["connections"] == 1
+    assert listeners[0].counts["connections"] == 1
     assert poller.failing_ns(poller.since_ns + SEC) == SEC and poller.since_ns > lists[0].read_at_ns
     one.ill = "garbled"
-    run(until(lambda: drops))
+    run(until(lambda: failures))
     one.ill = "silent"
     run(asyncio.wait_for(poll(lambda: one.held), 5))
-    poller.change_address(doors[1].address)
+    poller.change_address(listeners[1].address)
     held = len(one.held)
     one.ill, count = None, len(lists)
     run(until(lambda: len(lists) > count))
-    assert lists[count].endpoints[0].id == "i-0"  # a move does not forget: five are held for a round, then gone
+    # A change of address keeps the list: the five servers are kept for a round, then removed.
+    assert lists[count].endpoints[0].id == "i-0"
     run(until(lambda: len(lists) > count + 1))
     assert [row.id for row in lists[count + 1].endpoints] == ["j"] and len(one.held) == held
     poller.stop()
     calls = two.counts["calls"]
-    run(asyncio.wait_for(poll(lambda: not doors[1].connections), 5))
+    run(asyncio.wait_for(poll(lambda: not listeners[1].connections), 5))
     assert two.counts["calls"] == calls and poller.timer is None
-    for door in doors:
-        door.close()
+    for listener in listeners:
+        listener.close()
 
 
-async def poll(true):
-    while not true():
+async def poll(condition):
+    while not condition():
         await asyncio.sleep(0)
--- a/tests/membership/test_endpoint_pages.py
+++ b/tests/membership/test_endpoint_pages.py
@@ -1,4 +1,4 @@
-"""Pages of the platform's list."""
+"""Tests of parsing pages of the platform's list."""
 
 import json
 
@@ -42,6 +42,6 @@
 def test_invalid_rows_are_dropped_alone():
     servers = {f"bad-{k}": {**ENTRY, field: value} for k, (field, value) in enumerate(BAD_ROWS)}
     servers |= {"none": None, "": ENTRY, "good": ENTRY | {"ColdLeft": "1.5s", "New": 1}}
-    rows, token, odd = parse_page(json.dumps({"Servers": servers, "NextToken": "p"}), SEC)
+    rows, token, faults = parse_page(json.dumps({"Servers": servers, "NextToken": "p"}), SEC)
     assert rows == [Endpoint("good", "s", "10.128.0.9", 8080, "z", 2, READY, SEC + 1500 * MS)]
-    assert token == "p" and len(odd) == len(BAD_ROWS) + 2, odd
+    assert token == "p" and len(faults) == len(BAD_ROWS) + 2, faults
--- a/tests/membership/test_full_transfers.py
+++ b/tests/membership/test_full_transfers.py
@@ -1,4 +1,4 @@
-"""The budget of full transfers."""
+"""Tests of the budget of full transfers."""
 
 from itertools import pairwise
 
@@ -13,30 +13,30 @@
 
 
 def test_nodes_that_start_together_share_the_transfer_budget():
-    """No node is sent everything twice while it is in flight; the leader begins so many transfers a tick; who waits
-    sends fewer heartbeats.
+    """No node is sent a full transfer twice while one is in flight; the leader starts a limited number per tick; nodes
+    that wait send heartbeats less often.
     """
     fleet = FakeFleet(60)
     fleet.lead(1)
     sent = fleet.record_frames()
-    given = []
+    transfers = []
     for _ in range(40):
         fleet.run(100)
-        given.append(sum("S" in frame.message and frame.sender == "10.0.0.1" for frame in sent))
-    begun = [after - before for before, after in pairwise(given)]
-    assert max(begun) <= 11 * MAX_FULL_TRANSFERS  # ten ticks in 100 ms here
-    assert all(fleet[k].state_index == 1 for k in range(1, 61)) and given[-1] < 2 * 60
+        transfers.append(sum("S" in frame.message and frame.sender == "10.0.0.1" for frame in sent))
+    begun = [after - before for before, after in pairwise(transfers)]
+    assert max(begun) <= 11 * MAX_FULL_TRANSFERS  # 100 ms have ten ticks in this test
+    assert all(fleet[k].state_index == 1 for k in range(1, 61)) and transfers[-1] < 2 * 60
     fleet = FakeFleet(3)
     fleet.leader, sent = None, fleet.record_frames()
     fleet.run(10000)
     assert sum(frame.message["k"] == "hail" and frame.sender == "10.0.0.3" for frame in sent) < 80
     late = [frame for frame in sent if frame.at > fleet.now - 3 * SEC]
-    asked = {frame.receiver for frame in late if frame.sender == "10.0.0.3"}
-    assert asked == {"10.0.0.1", "10.0.0.2"}  # neither is given up
+    targets = {frame.receiver for frame in late if frame.sender == "10.0.0.3"}
+    assert targets == {"10.0.0.1", "10.0.0.2"}  # both seeds are still contacted
 
 
 def test_a_list_does_not_wait_for_a_state_in_flight():
-    """What is in flight is not sent again, but what changed since is; and what was lost, a little later."""
+    """Data in flight is not sent again, but later changes are; lost data is sent again a little later."""
     fleet = FakeFleet(3)
     fleet.lead(1)
     fleet[1].set_leadership(CoreStatus(True, "10.0.0.1", 1, fleet.now), fleet.now)
@@ -56,7 +56,7 @@
 
 
 def test_a_node_far_behind_gets_one_full_transfer_at_a_time():
-    """One while it may be in flight, by pushes and by answers; each change still goes to those that are in step."""
+    """Only one full transfer, by push or response, is in flight at a time; nodes that keep up receive each change."""
     fleet = FakeFleet(3)
     fleet.lead(1, index=300)
     fleet.run(3000)
--- a/tests/membership/test_health_messages.py
+++ b/tests/membership/test_health_messages.py
@@ -1,4 +1,4 @@
-"""Health reports and verdicts that cannot be."""
+"""Tests of invalid health reports and verdicts."""
 
 import pytest
 
--- a/tests/membership/test_health_registry.py
+++ b/tests/membership/test_health_registry.py
@@ -1,4 +1,4 @@
-"""The leader's verdicts on servers, by the reports of all proxies."""
+"""Tests of the leader's verdicts on servers, from the reports of all proxies."""
 
 from rampfront.membership.health_registry import UNREACHABLE_WINDOW_NS, VERDICT_REPEAT_INTERVAL_NS, HealthRegistry
 from rampfront.membership.server_health import (
@@ -16,18 +16,18 @@
 
 def registry_of(**zones):
     registry = HealthRegistry()
-    registry.set_servers((uid, zone) for zone, uids in zones.items() for uid in uids)
+    registry.set_servers((server_id, zone) for zone, server_ids in zones.items() for server_id in server_ids)
     return registry
 
 
 def test_two_proxies_must_agree():
-    """One proxy alone may have lost its own link; a late response or two make no server unreachable; nor do
-    observations far apart.
+    """A single proxy may have lost its own link, so two must agree. One or two missing responses make no server
+    unreachable, nor do observations far apart.
     """
     registry = registry_of(a=["s1", "s2"])
     assert [registry.add_reports("p1", [("s1", CONNECT_TIMED_OUT)], 11, T0 + k) for k in range(5)] == [[]] * 5
     assert registry.add_reports("p2", [("s1", NO_RESPONSE)], 11, T0 + 10) == [("s1", UNREACHABLE)]
-    assert registry.add_reports("p3", [("s1", CONNECT_TIMED_OUT)], 11, T0 + 20) == []  # verdicts lately
+    assert registry.add_reports("p3", [("s1", CONNECT_TIMED_OUT)], 11, T0 + 20) == []  # the verdict was sent recently
     assert (
         registry.add_reports("p1", [("s2", NO_RESPONSE)], 11, T0)
         == registry.add_reports("p2", [("s2", NO_RESPONSE)], 11, T0 + 1)
@@ -37,29 +37,31 @@
     assert registry.add_reports("p1", [("gone", CONNECT_TIMED_OUT)], 11, T0) == [] and "gone" not in registry.records
     assert registry_of(a=["s1"]).add_reports("p1", [("s1", CONNECT_TIMED_OUT), ("s1", NO_RESPONSE)], 1, T0) == [
         ("s1", UNREACHABLE)
-    ]  # the only proxy there is
+    ]  # the only proxy that serves
 
 
 def test_failures_make_unhealthy_and_answers_do_not_heal():
-    """A grey server answers some requests and fails some: what it answers clears nothing."""
+    """A server that answers some requests and fails others stays unhealthy; its successes clear nothing."""
     registry = registry_of(a=["s1"])
     verdicts = [registry.add_reports(f"p{k % 2}", [("s1", REQUEST_FAILED)], 11, T0 + k * 500 * MS) for k in range(3)]
     assert verdicts == [[], [], [("s1", UNHEALTHY)]]
     assert registry.add_reports("p1", [("s1", HEALTHY)], 11, T0 + 2 * SEC) == []
     assert (
         registry.add_reports("p1", [("s1", REQUEST_FAILED)], 11, T0 + SEC + VERDICT_REPEAT_INTERVAL_NS + MS) == []
-    )  # long behind the others: not a spell any more
+    )  # outside the window of the other failures
 
 
 def test_a_zone_becomes_unreachable_as_one():
-    """Once a fifth of its servers, and three, became unreachable together, the rest need no request each; other zones
-    are left alone; the first of the rest that answers clears them all, but not those that were seen unreachable.
+    """Once a fifth of a zone's servers, and at least three, become unreachable together, the whole zone is unreachable.
+
+    Other zones are not affected. The first inferred server that answers clears all inferred verdicts, but not those on
+    servers that were observed as unreachable.
     """
     registry = registry_of(a=[f"a{k}" for k in range(10)], b=["b1", "b2"])
 
-    def unreachable(uid, at):
-        return registry.add_reports("p1", [(uid, CONNECT_TIMED_OUT)], 11, at) + registry.add_reports(
-            "p2", [(uid, CONNECT_TIMED_OUT)], 11, at
+    def unreachable(server_id, at):
+        return registry.add_reports("p1", [(server_id, CONNECT_TIMED_OUT)], 11, at) + registry.add_reports(
+            "p2", [(server_id, CONNECT_TIMED_OUT)], 11, at
         )
 
     assert unreachable("a0", T0) == [("a0", UNREACHABLE)] and unreachable("a1", T0 + 100 * MS) == [("a1", UNREACHABLE)]
@@ -79,4 +81,4 @@
             + slow.add_reports("p2", [(f"a{k}", CONNECT_TIMED_OUT)], 2, at)
         )
         for k in range(4)
-    ] == [1, 1, 1, 1]  # one by one
+    ] == [1, 1, 1, 1]  # each server gets its own verdict
--- a/tests/membership/test_health_reporter.py
+++ b/tests/membership/test_health_reporter.py
@@ -1,4 +1,4 @@
-"""What a proxy reports of servers, and which verdicts it believes."""
+"""Tests of a proxy's reports on servers, and of the verdicts that it accepts."""
 
 from rampfront.membership.health_reporter import MAX_RESPONSE_TIMEOUT_NS, RECENT_CONTACT_NS, HealthReporter
 from rampfront.membership.server_health import (
@@ -15,7 +15,7 @@
 
 
 def test_a_proxy_reports_missing_responses():
-    """A request without a response for long, once; not where the server answered another one since."""
+    """A request without a response is reported once, unless the server has answered another one since."""
     reporter = HealthReporter()
     ref = reporter.request_started("s1", 200 * MS, T0)
     assert (
@@ -38,9 +38,8 @@
         and not reporter.deadlines
     )
     reporter.take_reports(T0 + 3 * SEC + MAX_RESPONSE_TIMEOUT_NS + 2 * SEC)
-    assert (
-        not reporter.last_response_at_ns and not reporter.unreachable_since_ns
-    )  # nothing is kept of those that it has not met lately
+    # Records of servers without recent contact are removed.
+    assert not reporter.last_response_at_ns and not reporter.unreachable_since_ns
 
 
 def test_a_proxy_that_had_an_answer_does_not_believe_a_server_unreachable():
@@ -50,7 +49,7 @@
         [ServerReport("s1", UNREACHABLE), ServerReport("s2", UNREACHABLE), ServerReport("s1", UNHEALTHY)],
         T0 + RECENT_CONTACT_NS - 1,
     ) == [("s2", UNREACHABLE), ("s1", UNHEALTHY)]
-    assert reporter.take_reports(T0 + RECENT_CONTACT_NS) == [("s1", HEALTHY)]  # and says so
+    assert reporter.take_reports(T0 + RECENT_CONTACT_NS) == [("s1", HEALTHY)]  # it contradicts the verdict
     reporter.request_ended(reporter.request_started("s2", 0, T0 + RECENT_CONTACT_NS), "s2", T0 + SEC, HEALTHY)
     reporter.request_ended(reporter.request_started("s2", 0, T0 + RECENT_CONTACT_NS), "s2", T0 + SEC, HEALTHY)
-    assert reporter.take_reports(T0 + SEC) == [("s2", HEALTHY)]  # once
+    assert reporter.take_reports(T0 + SEC) == [("s2", HEALTHY)]  # reported once
--- a/tests/membership/test_heartbeat_incarnations.py
+++ b/tests/membership/test_heartbeat_incarnations.py
@@ -1,4 +1,4 @@
-"""Heartbeats of a node's former incarnation, at the leader."""
+"""Tests of heartbeats from a node's former incarnation, at the leader."""
 
 from fake_fleet import EPOCH, SEC, FakeFleet
 
@@ -12,7 +12,7 @@
 
 
 def test_a_late_heartbeat_of_the_former_incarnation_does_not_count():
-    """Reported as ready by a clock that stood ahead of the new process', or as leaving behind its return."""
+    """A late heartbeat may say ready, by a clock ahead of the new process, or leaving although the node is back."""
     fleet = FakeFleet(1)
     disseminator, now = fleet[1], EPOCH
     disseminator.set_leadership(CoreStatus(True, "10.0.0.1", 1, now), now)
@@ -22,15 +22,14 @@
 
     disseminator.on_heartbeat(PEER, heartbeat(1, 900 * SEC), now)
     disseminator.on_heartbeat(PEER, heartbeat(1, 901 * SEC, ready=False), now)
-    disseminator.on_heartbeat(PEER, heartbeat(1, 900 * SEC + 1), now)  # of the same incarnation, late
+    disseminator.on_heartbeat(PEER, heartbeat(1, 900 * SEC + 1), now)  # late, of the same incarnation
     assert not ready()
-    disseminator.on_heartbeat(PEER, heartbeat(2, 5 * SEC), now + SEC)  # starts again, its clock set back
+    disseminator.on_heartbeat(PEER, heartbeat(2, 5 * SEC), now + SEC)  # restarted, with a clock that was set back
     assert ready()
     disseminator.on_heartbeat(PEER, heartbeat(1, 902 * SEC, ready=False), now + SEC)
     assert ready()
     disseminator.on_heartbeat(PEER, heartbeat(2, 6 * SEC, ready=False), now + SEC)
     assert not ready()
-    disseminator.on_heartbeat(
-        PEER, heartbeat(1, 903 * SEC), now + 5 * SEC
-    )  # no longer late: the same number drawn twice, or a mix-up
+    # This is too late to be a delayed frame, so another process must have drawn the same number.
+    disseminator.on_heartbeat(PEER, heartbeat(1, 903 * SEC), now + 5 * SEC)
     assert ready()
--- a/tests/membership/test_leader_change.py
+++ b/tests/membership/test_leader_change.py
@@ -1,4 +1,4 @@
-"""What a deposed leader still sends, and what a new one begins with."""
+"""Tests of frames from a deposed leader, and of the start of a new leader."""
 
 from fake_fleet import MS, SEC, FakeFleet, names, response_frame
 
@@ -8,8 +8,8 @@
 
 
 def test_versions_of_a_deposed_leader_are_overruled():
-    """Not aware of it, it numbers its roster and its list above those that the new leader found. The new leader's hold
-    everywhere all the same."""
+    """A deposed leader that is not aware of it numbers its roster and its list above those that the new leader found.
+    The new leader's versions must replace them everywhere."""
     fleet = FakeFleet(6)
     fleet.lead(1)
     fleet.run(3000)
@@ -25,11 +25,11 @@
     fleet[1].set_leadership(CoreStatus(False, None, 1, None), fleet.now)
     fleet.run(3000)
     assert all(fleet[k].roster == fleet[2].roster and len(fleet[k].roster) == 6 for k in range(1, 7))
-    assert fleet[2].must_renumber_endpoints  # the next list gets a new number
+    assert fleet[2].must_renumber_endpoints  # the next list gets a number of the new term
 
 
 def test_a_deposed_leader_is_not_followed():
-    """Whoever still names it, itself included, in whatever order that comes; while a newer one is asked at once."""
+    """No response that names a deposed leader, in any order, is followed; a newer leader is contacted at once."""
     fleet = FakeFleet(5)
     fleet.lead(1)
     fleet.run(3000)
@@ -38,23 +38,22 @@
     fleet.lead(2, term=2)
     fleet.run(50)
     assert node.leader == "10.0.0.2" and fleet.now - node.confirmed_at_ns < 100 * MS
-    fleet[1].set_leadership(
-        CoreStatus(False, None, 1, None), fleet.now
-    )  # it learns that it leads no more, not yet who does, and asks nobody who says 'you'
+    # It knows that it is deposed but not by whom, and must not follow responses that name itself.
+    fleet[1].set_leadership(CoreStatus(False, None, 1, None), fleet.now)
     fleet[1].on_state_response(
         "10.0.0.4",
         response_frame(fleet[4], fleet.now, (1, 1, 1 << 40), fleet.now) | {"l": "10.0.0.1", "e": 1},
         fleet.now,
     )
     assert fleet[1].leader is None
-    for later in (0, 2 * SEC):  # the second time it has lost contact
+    for later in (0, 2 * SEC):  # the second time the node has lost contact
         node.on_state_response("10.0.0.1", old, fleet.now + later)
         node.on_state_response("10.0.0.4", old, fleet.now + later)
         assert node.leader == "10.0.0.2"
 
 
 def test_a_new_leader_keeps_the_roster():
-    """It has heard nobody yet: the old roster stands until nodes are silent for too long; then they are dropped."""
+    """A new leader has received no heartbeats, so it keeps the old roster until nodes have timed out."""
     fleet = FakeFleet(6)
     fleet.start_ready()
     fleet.silent |= {"10.0.0.1", "10.0.0.6"}
@@ -62,7 +61,7 @@
     fleet.lead(2, term=2)
     fleet.run(100)
     assert set(names(fleet[2])) == {"n1", "n2", "n3", "n4", "n5", "n6"}
-    assert all(fleet[k].leader == "10.0.0.2" for k in range(2, 6))  # it told them
+    assert all(fleet[k].leader == "10.0.0.2" for k in range(2, 6))  # the new leader announced itself
     assert not any("S" in message or "V" in message for message in (frame.message for frame in sent))
     seen = []
     fleet.run(PEER_TIMEOUT_NS // MS, lambda: seen.append(set(names(fleet[2]))))
@@ -71,7 +70,7 @@
 
 
 def test_lists_and_rosters_of_a_deposed_leader_are_dropped():
-    """It numbers on as it does not know that another leads; a committed state is taken over whoever sends it."""
+    """A deposed leader may continue numbering; its lists and rosters are dropped, but a committed state is applied."""
     fleet = FakeFleet(3)
     fleet.lead(1, term=4)
     fleet.run(3000)
--- a/tests/membership/test_lease_age.py
+++ b/tests/membership/test_lease_age.py
@@ -1,4 +1,4 @@
-"""The age of the lease: never younger than a majority of the core confirmed."""
+"""Tests of the lease's age: it is never younger than the last confirmation by a majority of the core."""
 
 from fake_fleet import EPOCH, MS, SEC, FakeFleet, heartbeat_frame, response_frame
 
@@ -6,8 +6,8 @@
 
 
 def test_the_lease_ages_without_a_majority():
-    """A leader that lost its majority answers on; no node takes that for a recent confirmation, by whatever way it
-    comes.
+    """A leader that lost its majority continues to answer. No node may treat that as a recent confirmation, whatever
+    way the response takes.
     """
     fleet = FakeFleet(6)
     fleet.lead(1)
@@ -20,8 +20,8 @@
 
 
 def test_the_age_counts_from_the_heartbeat():
-    """A late answer is as old as its heartbeat; a push proves no age, nor does the answer to a heartbeat of the
-    future.
+    """The age of a late answer counts from its heartbeat; a push proves no age, nor does an answer to a heartbeat from
+    the future.
     """
     fleet = FakeFleet(3)
     node = fleet[2]
@@ -32,19 +32,19 @@
     fleet[1].on_heartbeat("10.0.0.2", heartbeat_frame(node, EPOCH + SEC) | {"b": node.incarnation ^ 1}, EPOCH + SEC)
     answer[0].pop("S")
     node.on_state_response("10.0.0.1", answer[0], EPOCH + 9 * SEC)
-    assert answer[0]["a"] == SEC and node.confirmed_at_ns is None  # an answer to the process before, which held more
+    assert answer[0]["a"] == SEC and node.confirmed_at_ns is None  # an answer to the previous process, which held more
     node.on_state_response("10.0.0.1", response, EPOCH + 9 * SEC)
     assert node.confirmed_at_ns == EPOCH + 800 * MS
     node.on_state_response("10.0.0.1", response | {"t": 0, "a": 0}, EPOCH + 9 * SEC)
     node.on_state_response("10.0.0.1", response | {"t": EPOCH + 10 * SEC}, EPOCH + 9 * SEC)
     node.on_state_response("10.0.0.1", response | {"a": 900 * MS}, EPOCH + 9 * SEC)
     assert node.confirmed_at_ns == EPOCH + 800 * MS
-    # Without a state there is nothing that could be young.
+    # Without a state, a response has no age.
     assert "a" not in response_frame(node, fleet.now, (0, 0, 0), 0)
 
 
 def test_a_state_that_was_not_applied_confirms_no_lease():
-    """Else the age would vouch for the state before, with a key that was revoked; and the node asks again at once."""
+    """The age would otherwise vouch for the older state, in which a revoked key is still valid. The node asks again."""
     fleet = FakeFleet(3)
     fleet.lead(1)
     fleet.run(3000)
--- a/tests/membership/test_membership_messages.py
+++ b/tests/membership/test_membership_messages.py
@@ -1,4 +1,4 @@
-"""Frames with fields that cannot be: refused, and nothing of them stays."""
+"""Tests of frames with invalid fields: they are rejected and change nothing."""
 
 import pytest
 from fake_fleet import FakeFleet, heartbeat_frame
--- a/tests/membership/test_membership_roster.py
+++ b/tests/membership/test_membership_roster.py
@@ -1,4 +1,4 @@
-"""The roster: who is on it, and how it reaches every node."""
+"""Tests of the roster's entries, and of its replication to every node."""
 
 import pytest
 from fake_fleet import MS, FakeFleet, heartbeat_frame, names
@@ -10,7 +10,7 @@
 
 
 def test_silent_nodes_leave_the_roster_and_return():
-    """Not at the first lost heartbeat, but soon; and they are taken in again."""
+    """A node leaves not after its first lost heartbeat but soon after, and is added again when it returns."""
     fleet = FakeFleet(6)
     fleet.start_ready()
     assert names(fleet[4]) == ["n1", "n2", "n3", "n4", "n5", "n6"]
@@ -25,12 +25,12 @@
 
 
 def test_a_node_that_stops_serving_leaves_the_roster_at_once():
-    """It is out of every roster in two hops; a late heartbeat does not bring it back."""
+    """The node is removed from all rosters within two hops; a late heartbeat does not add it again."""
     fleet = FakeFleet(6)
     fleet.start_ready()
     late = heartbeat_frame(fleet[5], fleet.now)
     fleet.run(10)
-    fleet[5].set_ready(False)  # as the station does
+    fleet[5].set_ready(False)  # as the node does at the start of a shutdown
     fleet.run(30)
     assert all("n5" not in names(fleet[k]) for k in (1, 2, 3, 4, 6))
     fleet[1].on_heartbeat("10.0.0.5", late, fleet.now)
@@ -40,8 +40,8 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_rosters_travel_as_differences(seed):
-    """Most are differences, one that was lost is made up for, a new leader with numbers of its own goes on from the
-    roster that all hold; and every node ends with the leader's.
+    """Most rosters are sent as deltas, a lost one is recovered, and a new leader with its own numbers continues from
+    the roster that all nodes hold. Every node ends with the leader's roster.
     """
     fleet = FakeFleet(12, seed)
     fleet.lead(1)
@@ -57,7 +57,7 @@
     fleet[7].ready = True
     fleet.run(4000)
     rosters = [frame.message["O"] for frame in sent if "O" in frame.message]
-    assert sum(len(told) == 5 for told in rosters) > 0.9 * len(rosters) > 30
+    assert sum(len(updates) == 5 for updates in rosters) > 0.9 * len(rosters) > 30
     assert all(
         fleet[k].roster == fleet[2].roster
         and fleet[k].roster_version == fleet[2].roster_version > 2 * VERSIONS_PER_TERM
--- a/tests/membership/test_remembered_nodes.py
+++ b/tests/membership/test_remembered_nodes.py
@@ -1,22 +1,24 @@
-"""Nodes that a leader knew before its restart are told of it until they are heard."""
+"""Tests of the announcements to nodes that a leader knew before its restart."""
 
 from rampfront.membership.remembered_nodes import FIRST_PAUSE_NS, ROUNDS, RememberedNodes
 
 MS = 10**6
 
 
-def told(remembered: RememberedNodes, heard: set[str], span: int, began: int = 0) -> list[tuple[int, list[str]]]:
-    """What is due in a span (ns), looked at ten times a second."""
-    found = ((now, remembered.due(heard, now)) for now in range(began, began + span, 100 * MS))
+def due_announcements(
+    remembered: RememberedNodes, peers: set[str], span: int, start: int = 0
+) -> list[tuple[int, list[str]]]:
+    """The announcements due in a span (ns), checked ten times a second."""
+    found = ((now, remembered.due(peers, now)) for now in range(start, start + span, 100 * MS))
     return [(now, due) for now, due in found if due]
 
 
 def test_those_that_are_not_heard_are_told_with_a_growing_pause_a_few_times() -> None:
     remembered = RememberedNodes()
     remembered.load(["10.0.0.5", "10.0.0.6"])
-    assert not told(remembered, set(), 1000 * MS)  # it does not lead
+    assert not due_announcements(remembered, set(), 1000 * MS)  # not the leader yet
     remembered.begin(0)
-    rows = told(remembered, {"10.0.0.6"}, 60_000 * MS)
+    rows = due_announcements(remembered, {"10.0.0.6"}, 60_000 * MS)
     assert [due for _, due in rows] == [["10.0.0.5"]] * ROUNDS
     assert [now // FIRST_PAUSE_NS for now, _ in rows] == [0, 1, 3, 7, 15, 31]
 
@@ -26,13 +28,13 @@
     remembered.load(["10.0.0.5"])
     remembered.begin(0)
     assert remembered.due(set(), 0) == ["10.0.0.5"]
-    assert not told(remembered, {"10.0.0.5"}, 60_000 * MS)
+    assert not due_announcements(remembered, {"10.0.0.5"}, 60_000 * MS)
 
 
 def test_each_leadership_begins_anew() -> None:
     remembered = RememberedNodes()
     remembered.load(["10.0.0.5"])
     remembered.begin(0)
-    told(remembered, set(), 60_000 * MS)
+    due_announcements(remembered, set(), 60_000 * MS)
     remembered.begin(90_000 * MS)
-    assert len(told(remembered, set(), 60_000 * MS, 90_000 * MS)) == ROUNDS
+    assert len(due_announcements(remembered, set(), 60_000 * MS, 90_000 * MS)) == ROUNDS
--- a/tests/membership/test_state_deltas.py
+++ b/tests/membership/test_state_deltas.py
@@ -1,4 +1,4 @@
-"""Differences between states: the body of the configuration."""
+"""Tests of deltas between states: the body of the configuration."""
 
 import random
 import zlib
@@ -36,7 +36,7 @@
 
 
 def test_bodies_are_rebuilt_byte_for_byte():
-    """Of one weight that changed little is sent; of an evacuation no body at all."""
+    """A change of one weight is sent as a small delta; an evacuation needs no body at all."""
     rules = [rule(f"/{random.Random(k).getrandbits(60)}/") for k in range(100)]
     one = entry(5, orders(5, rules=rules))
     two = entry(6, orders(6, rules=rules[:50] + [rule("/new/")] + rules[51:]))
@@ -50,7 +50,7 @@
     assert packed[3] is None and replica.decode(packed).evacuated_zones == {"a1"}
     assert (
         history_of(one, two, three).encode_since(5)[3] and history_of(two, three).encode_since(5)[3] == two.body
-    )  # unknown there: whole
+    )  # the base is not known, so the complete body is sent
 
 
 def test_a_delta_to_another_body_is_refused():
@@ -64,8 +64,8 @@
     with pytest.raises(DeltaMismatchError) as mismatch:
         history_of(one).decode(packed)
     assert mismatch.value.corrupt
-    for odd in ([[0, 99]], [[-1, 1]], [["0", 1]], [[0, 0]], [5], [[True, 1]]):
+    for invalid in ([[0, 99]], [[-1, 1]], [["0", 1]], [[0, 0]], [5], [[True, 1]]):
         with pytest.raises((ValueError, TypeError)):
-            apply_delta(b"a{b", odd)
+            apply_delta(b"a{b", invalid)
     with pytest.raises(ValueError):
         apply_delta(b"a" * (1 << 20) + b"{b", [[0, 1]] * 100)
--- a/tests/membership/test_state_dissemination.py
+++ b/tests/membership/test_state_dissemination.py
@@ -1,4 +1,4 @@
-"""How states reach every node, whatever the network does."""
+"""Tests of how states reach every node under network faults."""
 
 import pytest
 from fake_fleet import SEC, FakeFleet, heartbeat_frame
@@ -18,7 +18,7 @@
 
 
 def test_every_node_learns_the_state_from_the_seeds():
-    """Soon after the start, knowing nothing but the seeds; from then on the lease's age stays about an interval."""
+    """All nodes, which know only the seeds, soon have the state; after that the lease's age stays about an interval."""
     fleet = FakeFleet(12)
     fleet.lead(3)
     fleet.run(1500)
@@ -32,7 +32,7 @@
 
 
 def test_changes_are_pushed_at_once_and_once():
-    """Not with the next heartbeat, and once to each node; the next heartbeat makes up for a push that was lost."""
+    """Each node is sent a change once, before the next heartbeat; the next heartbeat recovers a push that was lost."""
     fleet = FakeFleet(8)
     fleet.lead(1)
     fleet.run(5000)
@@ -42,7 +42,8 @@
     fleet[1].push_updates(fleet.now)
     fleet.run(10)
     assert all((fleet[k].state_index, fleet[k].endpoints_version) == (2, 1) for k in range(1, 8))
-    assert [len(m.received) for m in list(fleet.hosts.values())[1:7]] == [3] * 6  # the first state, then these two
+    # Each received the first state, then the two changes.
+    assert [len(m.received) for m in list(fleet.hosts.values())[1:7]] == [3] * 6
     fleet.silent.clear()
     fleet.run(1300)
     assert (fleet[8].state_index, fleet[8].endpoints_version) == (2, 1)
@@ -50,25 +51,25 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_versions_never_go_backwards(seed):
-    """Though responses come late, out of order, twice or never, and leaders change without knowing it: versions only
-    rise, and the age is true: all that a majority had committed by then is held.
+    """Responses come late, out of order, repeated or not at all, and a deposed leader may be unaware of it. Versions
+    must never decrease, and the age must be true: the node holds everything that a majority had committed by then.
     """
     fleet = FakeFleet(6, seed)
     fleet.unreliable = True
     fleet.lead(1)
-    held = {}
+    versions = {}
 
     def check():
         for ip, host in fleet.hosts.items():
             node = host.disseminator
             now = node.state_index, node.endpoints_version, node.roster_version
-            assert all(new >= old for new, old in zip(now, held.get(ip, now), strict=True))
+            assert all(new >= old for new, old in zip(now, versions.get(ip, now), strict=True))
             if node.confirmed_at_ns is not None:
-                # What was committed by then is held: so nobody uses a key that was revoked before.
+                # The node holds everything committed by then, so it uses no key that was revoked before.
                 assert node.confirmed_at_ns <= fleet.quorum_at and node.state_index >= fleet.committed_index_at(
                     node.confirmed_at_ns
                 )
-            held[ip] = now
+            versions[ip] = now
 
     for step in range(1, 40):
         fleet.has_quorum = step % 5 > 1
@@ -79,7 +80,7 @@
         )
         node.push_updates(fleet.now)
         fleet.run(1000, check)
-        if step == 20:  # another leads, the old one has no majority any more and goes on telling what it knows
+        if step == 20:  # a new leader; the old one has lost its majority, and still sends its versions
             fleet.lead(2, index=fleet[1].state_index + 1, term=2)
             fleet[2].endpoints_version = 2 * VERSIONS_PER_TERM
         if step == 30:
@@ -94,7 +95,7 @@
 
 
 def test_a_node_cut_off_from_the_leader_learns_through_peers():
-    """The lease's age and changes come through the others, a little later."""
+    """The lease's age and changes arrive through other nodes, a little later."""
     fleet = FakeFleet(8)
     fleet.lead(1)
     fleet.run(3000)
@@ -106,18 +107,18 @@
         fleet[1].push_updates(fleet.now)
     fleet.run(2500)
     assert fleet[8].state_index == 7 and max(ages) < 2.5
-    fleet.silent.add("10.0.0.8")  # cut off from all: nothing keeps its response young
+    fleet.silent.add("10.0.0.8")  # isolated from all nodes, so its lease must age
     at = fleet[8].confirmed_at_ns
     fleet.run(5000)
     assert fleet[8].confirmed_at_ns == at
     fleet.silent.clear()
     fleet.partitions.clear()
-    fleet.run(500)  # back: asks at once, not at the next beat
+    fleet.run(500)  # reconnected, it asks at once instead of at the next heartbeat
     assert fleet.now - fleet[8].confirmed_at_ns < SEC
 
 
 def test_a_node_without_peers_asks_nobody():
-    """One that knows no other node sends nothing, and goes on."""
+    """A node that knows no other node sends nothing, and keeps running."""
     fleet = FakeFleet(1)
     fleet.leader = None
     fleet[1].set_seeds(["10.0.0.1"])
@@ -128,7 +129,7 @@
 
 
 def test_a_fleet_with_datagram_loss_converges():
-    """Real frames: bodies, lists and rosters through quick changes, with a tenth of all datagrams lost."""
+    """Real frames: bodies, lists and rosters converge after quick changes although a tenth of all datagrams is lost."""
     sea = Sea(24, 3, loss=0.1)
     sea.run(300)
     sea.listed(sea.rows)
@@ -145,8 +146,8 @@
 
 
 def test_what_an_earlier_process_stored_is_not_passed_on():
-    """A member of the core that has had no response since its start names the leader it knows, and passes on nothing
-    else.
+    """A member of the core without a response since its start names the leader that it knows, and passes on nothing
+    else. Its stored data may be outdated.
     """
     fleet = FakeFleet(3)
     fleet.lead(1, index=300)
--- a/tests/quota/quota_fixtures.py
+++ b/tests/quota/quota_fixtures.py
@@ -1,4 +1,4 @@
-"""Proxies and counters on a fake clock, which exchange their messages as they come over the wire."""
+"""Proxies and counters on a fake clock, which exchange their messages in encoded form."""
 
 from random import Random
 from types import SimpleNamespace
@@ -18,20 +18,20 @@
     return {name: SimpleNamespace(per_s=per_s, burst=burst) for name, (per_s, burst) in tenants.items()}
 
 
-def carried(message):
-    """The message as it comes over the wire."""
+def transmitted(message):
+    """The message after encoding and decoding."""
     return loads(dumps(message))
 
 
 class SharedCounts:
-    """Some proxies and one counter that answers at once, all on one clock."""
+    """Several proxies and one counter that answers at once, all on one clock."""
 
     def __init__(self, *names, now=T0, serving=None, **tenants):
         self.now = now
         self.configuration = quotas_by_tenant(**tenants or {"acme": (10, 10)})
         self.counter = self.new_counter(7)
         self.limiters = [self.new_limiter(name, serving or len(names)) for name in names]
-        self.play()
+        self.run()
 
     def new_counter(self, incarnation):
         counter = QuotaCounter(incarnation, self.now)
@@ -44,8 +44,8 @@
         limiter.set_quotas(self.configuration, self.now)
         return limiter
 
-    def carry(self, limiter, answered=True):
-        """What is due and the answer to it; None if nothing is due. `answered`: the answer arrives."""
+    def exchange(self, limiter, answered=True):
+        """Exchanges the update that is due; returns it and its answer, or None. `answered`: the answer arrives."""
         message = limiter.due_update(self.now)
         if message is None:
             return None
@@ -55,16 +55,16 @@
         return message, answer
 
     def deliver(self, name, message):
-        """The counter's answer to a proxy's message, both as they come over the wire."""
-        return carried(self.counter.receive(self.now, name, carried(message)))
+        """The counter's answer to a proxy's message, both encoded and decoded."""
+        return transmitted(self.counter.receive(self.now, name, transmitted(message)))
 
-    def play(self, seconds=3.0):
-        """All that is due is exchanged; by default until quotas are full."""
+    def run(self, seconds=3.0):
+        """Exchanges all updates that are due; by default for as long as quotas take to fill."""
         until = self.now + int(seconds * SEC)
         while self.now < until:
             self.now += 20 * MS
             for limiter in self.limiters:
-                self.carry(limiter)
+                self.exchange(limiter)
 
     def take(self, limiter, times=1, name="acme"):
         return sum(limiter.take(name, self.now) is None for _ in range(times))
@@ -76,8 +76,8 @@
 
 
 class CounterNetwork:
-    """Proxies with placements, and a counter on each of the members, 10 ms apart. Members in `unreachable` get nothing;
-    those in `answers_probes_only` get probes alone."""
+    """Proxies with placements, and a counter on each member, with a one-way delay of 10 ms. Members in `unreachable`
+    receive nothing; those in `answers_probes_only` receive only probes."""
 
     def __init__(self, *names, members=("m1", "m2", "m3"), acme=(10, 10), age=20.0):
         configuration = quotas_by_tenant(acme=acme)
@@ -105,7 +105,7 @@
     def send(self, name, messages):
         self.sent += len(messages)
         self.deregistrations += sum(DEREGISTRATION in m for _, m in messages)
-        self.in_flight += [(self.now + 10 * MS, name, ip, carried(m)) for ip, m in messages]
+        self.in_flight += [(self.now + 10 * MS, name, ip, transmitted(m)) for ip, m in messages]
 
     def run(self, seconds, each=lambda now: None):
         until = self.now + int(seconds * SEC)
@@ -122,7 +122,7 @@
             for _, name, ip, message in due:
                 is_lost = ip in self.unreachable or PROBE_NUMBER not in message and ip in self.answers_probes_only
                 if not is_lost and (answer := self.counters[ip].receive(self.now, name, message)):
-                    self.send(name, self.placements[name].receive(self.now, ip, carried(answer)))
+                    self.send(name, self.placements[name].receive(self.now, ip, transmitted(answer)))
 
     def counter_ips(self):
         return [placement.counter_ip for placement in self.placements.values()]
--- a/tests/quota/test_counter_placement.py
+++ b/tests/quota/test_counter_placement.py
@@ -1,4 +1,4 @@
-"""Which node counts for a proxy: rank, failover, return."""
+"""Tests of the choice of a proxy's counter: rank, failover and return."""
 
 from random import Random
 
@@ -45,7 +45,7 @@
         2.0, lambda now: [limiter.take("acme", now) for limiter in network.limiters.values() if now % (500 * MS) == 0]
     )
     assert network.counter_ips() == ["m1"] * 3 and network.deregistrations == 6 and network.now - begun < 5 * SEC
-    # Each shares out by whom it hears, at once.
+    # Each counter counts as missing the proxies that it does not hear from, at once.
     assert network.counters["m2"].missing_share == 1 and network.counters["m1"].missing_share == 0
 
 
@@ -57,7 +57,7 @@
 
 
 def test_late_probe_answers_do_not_bring_a_proxy_back():
-    """A counter that stood still answers all probes of meanwhile at once."""
+    """A counter that was suspended answers all earlier probes at once when it resumes."""
     network = CounterNetwork("a", members=("m1", "m2"))
     placement, ip = network.placements["a"], "m2"
     placement.switch_to(network.now, ip)
@@ -83,21 +83,21 @@
     network.limiters["a"].take("acme", network.now)
     while not network.limiters["a"].link.pending:
         network.run(0.01)
-    network.now += STALL_NS + ANSWER_TIMEOUT_NS  # its answer waits
+    network.now += STALL_NS + ANSWER_TIMEOUT_NS  # its answer is not read yet
     assert network.placements["a"].tick(network.now) == ()
     network.run(0.1)
     assert network.counter_ips() == ["m1"] and not network.limiters["a"].is_isolated(network.now)
 
 
 def test_a_proxy_brings_its_share_of_a_quota_once():
-    """To a counter that others came to, as far as that did not give it out meanwhile; one that just started brings
-    none."""
+    """A proxy that moves is credited with the part of its share that the counter did not give out meanwhile; a proxy
+    that has just started is not."""
     network = CounterNetwork("a", "b", "c", "d", acme=(40, 40))
     for name in "abcd":
         network.rank(name, {"m2", "m3"})
     network.run(0.2)
     totals = network.counters["m2"].tenants["acme"]
-    # Not empty: all reported that they admitted nothing.
+    # The bucket is not empty, since all proxies reported that they admitted nothing.
     assert network.counter_ips() == ["m2"] * 4 and totals.remaining > 0.88 * 40
     for limiter in network.limiters.values():
         while limiter.take("acme", network.now) is None:
@@ -105,12 +105,12 @@
     network.run(0.1)
     low = totals.update_remaining(network.now, network.counters["m2"].missing_share)
     assert low < 5
-    for _ in range(4):  # to and fro
+    for _ in range(4):  # back and forth
         for serving in ({"m1"}, {"m2"}):
             network.rank("a", serving)
             network.run(0.05)
     assert totals.update_remaining(network.now, network.counters["m2"].missing_share) < low + 40 * 0.4 + 1
-    young = CounterNetwork("a", "b", acme=(40, 40), age=0.1)
-    young.rank("a", {"m2"}), young.rank("b", {"m2"})
-    young.run(0.1)
-    assert young.counters["m2"].tenants["acme"].remaining < 40 * 0.35
+    recent = CounterNetwork("a", "b", acme=(40, 40), age=0.1)
+    recent.rank("a", {"m2"}), recent.rank("b", {"m2"})
+    recent.run(0.1)
+    assert recent.counters["m2"].tenants["acme"].remaining < 40 * 0.35
--- a/tests/quota/test_counter_restarts.py
+++ b/tests/quota/test_counter_restarts.py
@@ -1,4 +1,4 @@
-"""Counters and proxies that start again or move: full counts, incarnations, farewells."""
+"""Tests of counters and proxies that restart or move: full counts, incarnations, deregistration."""
 
 from random import Random
 
@@ -16,19 +16,19 @@
     for limiter in shared.limiters:
         shared.take(limiter, 4)
     shared.now += 60 * MS
-    [shared.carry(limiter) for limiter in shared.limiters]
+    [shared.exchange(limiter) for limiter in shared.limiters]
     old, shared.counter = shared.counter, shared.new_counter(8)
     for counter, incarnation in ((shared.counter, 8), (old, 7)):
         shared.counter = counter
         for limiter in shared.limiters:
             limiter.link.switch_counter(shared.now)
         shared.now += 60 * MS
-        [shared.carry(limiter) for limiter in shared.limiters]
+        [shared.exchange(limiter) for limiter in shared.limiters]
         assert shared.total() == 8 and all(
             limiter.link.counter_incarnation == incarnation and not limiter.is_isolated(shared.now)
             for limiter in shared.limiters
         )
-        assert shared.counter.tenants["acme"].remaining <= 10 - 8 + 2  # and a second burst is not admitted
+        assert shared.counter.tenants["acme"].remaining <= 10 - 8 + 2  # a second burst is not admitted
 
 
 def test_a_proxy_that_said_farewell_is_missing_at_once_and_its_late_updates_count_once():
@@ -36,10 +36,8 @@
     a, b = shared.limiters
     shared.take(a, 4)
     shared.now += 60 * MS
-    late, _ = shared.carry(a)
-    shared.deliver(
-        "a", encode_deregistration(Deregistration(a.link.incarnation + 1))
-    )  # of another incarnation: nothing
+    late, _ = shared.exchange(a)
+    shared.deliver("a", encode_deregistration(Deregistration(a.link.incarnation + 1)))  # another incarnation: ignored
     assert shared.counter.missing_share == 0
     assert shared.deliver("a", encode_deregistration(Deregistration(a.link.incarnation))) is None
     assert shared.counter.missing_share == 0.5
@@ -52,14 +50,14 @@
     (a,) = shared.limiters
     shared.take(a, 6)
     shared.now += 60 * MS
-    shared.carry(a)
+    shared.exchange(a)
     shared.counter = shared.new_counter(9)
     shared.take(a)
     shared.now += 30 * MS
     a.link.update_by(shared.now)
-    shared.carry(a)
+    shared.exchange(a)
     shared.now += 60 * MS
-    shared.carry(a)
+    shared.exchange(a)
     assert a.link.counter_incarnation == 9 and shared.total() == 7
 
 
@@ -68,12 +66,12 @@
     (a,) = shared.limiters
     shared.take(a, 3)
     shared.now += 60 * MS
-    stray, _ = shared.carry(a)
+    stray, _ = shared.exchange(a)
     shared.limiters[0] = again = shared.new_limiter("a", 1)
     again.random = again.link.random = again.link.schedule.random = Random(5)
     again.link.incarnation = a.link.incarnation + 1
     shared.now += 60 * MS
-    shared.carry(again)
+    shared.exchange(again)
     assert not again.is_isolated(shared.now)
     with pytest.raises(FormerIncarnationError):
         shared.deliver("a", stray)
--- a/tests/quota/test_isolated_proxies.py
+++ b/tests/quota/test_isolated_proxies.py
@@ -1,4 +1,4 @@
-"""Proxies that reach no counter go by even shares, which the counter leaves to them."""
+"""Tests of isolated proxies: they use even shares, which the counter reserves for them."""
 
 from random import Random
 
@@ -17,7 +17,7 @@
     part = (40 + quota_of(40, 40, QuotaRule()).isolated_slack) / 10
     assert part - 1 < shared.take(fresh, 8) <= part + 1 < 8
     shared.now += 60 * MS
-    shared.carry(fresh)
+    shared.exchange(fresh)
     assert shared.take(fresh, 10) == 10
 
 
@@ -29,12 +29,12 @@
         one.set_quotas(shared.configuration, shared.now)
     assert shared.take(a, 8, "late") < 8 and shared.take(a, 8) == 8
     shared.now += 60 * MS
-    shared.carry(a)
+    shared.exchange(a)
     assert shared.take(a, 8, "late") == 8
 
 
 def test_isolated_proxies_keep_to_the_rule_in_sum():
-    """82 proxies cut off one by one as a surge begins: below one unit, an even share is a chance."""
+    """82 proxies become isolated one by one as a surge begins. An even share below one request is a probability."""
     quota = quota_of(27, 27, QuotaRule())
     shared = SharedCounts(*[f"n{i}" for i in range(82)], acme=(27, 27))
     random, times, until = Random(1), [], shared.now + 8 * SEC
@@ -53,10 +53,10 @@
     (a,) = shared.limiters
     shared.take(a)
     shared.now += 60 * MS
-    shared.carry(a, answered=False)
+    shared.exchange(a, answered=False)
     assert not a.is_isolated(shared.now + COUNTER_TIMEOUT_NS) and a.is_isolated(shared.now + COUNTER_TIMEOUT_NS + 1)
     shared.now += 200 * MS
-    shared.carry(a)
+    shared.exchange(a)
     a.link.schedule.next_at = NEVER
     assert not a.is_isolated(shared.now + STALE_NS) and a.is_isolated(shared.now + STALE_NS + 1)
 
@@ -65,7 +65,7 @@
     shared = SharedCounts("a", serving=10)
     (a,) = shared.limiters
     assert shared.take(a) and not a.is_isolated(shared.now)
-    shared.now += COUNTER_TIMEOUT_NS + 100 * MS  # its update was due, and nobody was there to send it to
+    shared.now += COUNTER_TIMEOUT_NS + 100 * MS  # its update was due, but there was no counter to send it to
     assert a.is_isolated(shared.now) and shared.take(a, 9) < 3
 
 
@@ -80,15 +80,15 @@
         shared.now += 2 * PROXY_TIMEOUT_NS // 5
         for limiter in shared.limiters:
             shared.take(limiter)
-            shared.carry(limiter)
+            shared.exchange(limiter)
     assert shared.counter.missing_share == 0.0  # they had reported that they were idle
     for limiter in cut_off:
         shared.take(limiter, 9)
         shared.now += 60 * MS
-        shared.carry(limiter)
+        shared.exchange(limiter)
     for _ in range(6):
         shared.now += 2 * PROXY_TIMEOUT_NS // 5
         for limiter in shared.limiters:
             shared.take(limiter)
-            shared.carry(limiter)
+            shared.exchange(limiter)
     assert shared.counter.missing_share == 0.5 and usable_share(quota, shared.counter.missing_share) == 0.5
--- a/tests/quota/test_quota_incarnations.py
+++ b/tests/quota/test_quota_incarnations.py
@@ -1,10 +1,10 @@
-"""Messages of a proxy's former incarnation, at the proxy and at the counter of quotas."""
+"""Tests of messages from or to a proxy's former incarnation, at the proxy and at the counter."""
 
 import random
 from types import SimpleNamespace
 
 import pytest
-from quota_fixtures import carried
+from quota_fixtures import transmitted
 
 from rampfront.quota.counter import QuotaCounter
 from rampfront.quota.limiter import Limiter
@@ -14,8 +14,8 @@
 
 
 def test_an_answer_to_the_former_incarnation_acknowledges_nothing():
-    """A node starts again at once; the counter's answer to its former incarnation must not pass for one to the first
-    counts of the new one, which would then never be sent."""
+    """A node restarts at once. The counter's answer to its former incarnation must not acknowledge the first counts of
+    the new one, since they would then never be sent."""
     tenants = {"ann": SimpleNamespace(per_s=5.0, burst=5.0)}
     limiters, counter = [], QuotaCounter(9, 0)
     counter.set_quotas(tenants, 0)
@@ -25,17 +25,17 @@
         limiter.take("ann", 0)
         limiters.append((limiter, limiter.due_update(SEC)))
     before, message = limiters[0]
-    late = carried(counter.receive(SEC, PROXY, carried(message)))
+    late = transmitted(counter.receive(SEC, PROXY, transmitted(message)))
     before.receive(SEC, late)
     assert before.link.pending is None
     for limiter, message in limiters[1:]:
         limiter.receive(SEC, late)
-        assert limiter.link.pending is not None and limiter.due_update(2 * SEC) == message  # it is sent again
+        assert limiter.link.pending is not None and limiter.due_update(2 * SEC) == message  # the update is resent
 
 
 def test_a_late_update_locks_out_the_current_incarnation_only_for_a_while():
-    """An update of the former incarnation, the first that this counter gets of it, comes behind one of the new one. The
-    new one is dropped for as long as a frame may be late, and not for ever."""
+    """The counter's first update from the former incarnation arrives after one from the new incarnation. The new one is
+    rejected only for as long as a frame may be late."""
     counter = QuotaCounter(9, 0)
 
     def add(incarnation, number, now):
--- a/tests/quota/test_quota_messages.py
+++ b/tests/quota/test_quota_messages.py
@@ -1,11 +1,11 @@
-"""Invalid messages, and messages lost, repeated and reordered."""
+"""Tests of invalid messages, and of messages that are lost, repeated and reordered."""
 
 from contextlib import suppress
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
-from quota_fixtures import T0, SharedCounts, carried
+from quota_fixtures import T0, SharedCounts, transmitted
 
 from rampfront.quota.codec import encode_deregistration
 from rampfront.quota.limits import MS
@@ -34,13 +34,13 @@
 
 
 class CountingMachine(RuleBasedStateMachine):
-    """Messages lost, repeated and reordered, counters that change or start again: within one window the counter never
-    counts more than was admitted, and once all is exchanged it counts all of it."""
+    """Messages are lost, repeated and reordered, counters change or restart. Within one window the counter never counts
+    more than was admitted, and once everything is exchanged it counts all of it."""
 
     @initialize()
     def begin(self):
         self.now = T0
-        self.shared = SharedCounts("a", "b", now=T0, acme=(10**6, 50 * 10**6))  # one window throughout
+        self.shared = SharedCounts("a", "b", now=T0, acme=(10**6, 50 * 10**6))  # a single window throughout
         self.admitted, self.in_flight = {t.link.incarnation: 0 for t in self.shared.limiters}, []
 
     @rule(i=st.integers(0, 1), n=st.integers(1, 3))
@@ -52,7 +52,7 @@
     def send(self, i, wait):
         self.shared.now += wait * MS
         if message := self.shared.limiters[i].due_update(self.shared.now):
-            self.in_flight.append((i, self.shared.limiters[i], carried(message)))
+            self.in_flight.append((i, self.shared.limiters[i], transmitted(message)))
 
     @rule(pick=st.integers(0, 50), keep=st.booleans(), answered=st.booleans())
     def receive(self, pick, keep, answered):
@@ -70,18 +70,18 @@
     @rule()
     def switch_counter(self):
         self.shared.counter = self.shared.new_counter(self.shared.counter.incarnation + 1)
-        self.in_flight.clear()  # they were for the other one
+        self.in_flight.clear()  # they were sent to the former counter
         for limiter in self.shared.limiters:
             limiter.link.switch_counter(self.shared.now)
 
     @rule(i=st.integers(0, 1))
-    def say_farewell_and_return(self, i):
+    def deregister_and_return(self, i):
         limiter = self.shared.limiters[i]
         self.shared.deliver(limiter.proxy_name, encode_deregistration(Deregistration(limiter.link.incarnation)))
         limiter.link.switch_counter(self.shared.now)
 
     @rule()
-    def restart_counter(self):  # the counter starts again, and nobody says so
+    def restart_counter(self):  # the counter restarts without notice
         self.shared.counter = self.shared.new_counter(self.shared.counter.incarnation + 1)
 
     @invariant()
@@ -94,7 +94,7 @@
             for _ in range(60):
                 self.shared.now += 100 * MS
                 for limiter in self.shared.limiters:
-                    self.shared.carry(limiter)
+                    self.shared.exchange(limiter)
             assert self.shared.total() == sum(self.admitted.values())
 
 
--- a/tests/quota/test_quota_scenes.py
+++ b/tests/quota/test_quota_scenes.py
@@ -1,4 +1,4 @@
-"""Scenes of the quota simulation: the rule holds, and usual load is not rejected."""
+"""Scenes of the quota simulation: the rule holds, and normal load is not rejected."""
 
 from dataclasses import replace
 
--- a/tests/quota/test_quota_without_burst.py
+++ b/tests/quota/test_quota_without_burst.py
@@ -1,4 +1,4 @@
-"""Tenants without burst: the window is the rule's own, counted by slots."""
+"""Tests of tenants without burst: the window is the rule's own, counted by slots."""
 
 import pytest
 from quota_fixtures import T0, SharedCounts
@@ -10,21 +10,21 @@
 def test_without_burst_nothing_within_quota_is_rejected_and_the_rule_holds(bursts):
     shared = SharedCounts("a", acme=(8, 0))
     (a,) = shared.limiters
-    shared.play(6)
-    begun, span = shared.now, 5600 * MS  # QuotaWindow, and what slots and readings lag behind
+    shared.run(6)
+    begun, span = shared.now, 5600 * MS  # QuotaWindow, and the lag of slots and readings
     for turn in range(4):
-        for at, asked in bursts.items():
-            shared.play((begun + turn * span + at * MS - shared.now) / SEC)
-            got = shared.take(a, asked)
-            for _ in range(3 * (got < asked)):  # its count fell by a leap since the last reading: told to come back
-                shared.play(0.2)
-                got += shared.take(a, asked - got)
-            assert got == asked
+        for at, requests in bursts.items():
+            shared.run((begun + turn * span + at * MS - shared.now) / SEC)
+            admitted = shared.take(a, requests)
+            for _ in range(3 * (admitted < requests)):  # the remaining quota rose since the last reading: retry
+                shared.run(0.2)
+                admitted += shared.take(a, requests - admitted)
+            assert admitted == requests
     times = []
     for _ in range(600):
         shared.now += 20 * MS
         times += [shared.now] * shared.take(a, 3)
-        shared.carry(a)
+        shared.exchange(a)
     assert max(sum(t - 5 * SEC < at <= t for at in times) for t in times) <= 8 * 5 * 1.1 + 20
 
 
@@ -37,10 +37,10 @@
         while shared.now < until:
             shared.now += 20 * MS
             admitted += shared.take(a, 6)
-            shared.carry(a)
+            shared.exchange(a)
         return admitted
 
-    shared.play(6)
+    shared.run(6)
     quota = quota_of(27, 0, QuotaRule())
     first = surge(0.9)
     assert first <= quota.limit + quota.connected_slack - (quota.limit / 3 - 0.6 * quota.slack) + 6
@@ -48,9 +48,9 @@
 
 
 def test_without_burst_a_new_counter_without_known_proxies_admits_nothing_for_a_window():
-    """All started again in a surge; who was there before tells what it admitted, and is believed."""
+    """After all restarted in a surge, only a proxy that was running before has counts, and the counter trusts them."""
     shared = SharedCounts("a", acme=(27, 0), now=T0)
-    shared.play(6)
+    shared.run(6)
     for age, least, most in ((10.0, 50, 141), (0.0, 0, 15)):
         shared.counter = shared.new_counter(8)
         shared.counter.set_proxy_count(1)
@@ -60,21 +60,21 @@
         for _ in range(100):
             shared.now += 20 * MS
             admitted += shared.take(a, 6)
-            shared.carry(a)
+            shared.exchange(a)
         assert least <= admitted <= most
 
 
 def test_without_burst_full_counts_age_from_the_end_of_their_window():
     shared = SharedCounts("a", acme=(27, 0))
     (a,) = shared.limiters
-    shared.play((5 * SEC - shared.now % (5 * SEC) + 4 * SEC) / SEC)  # a second before a window's end
+    shared.run((5 * SEC - shared.now % (5 * SEC) + 4 * SEC) / SEC)  # a second before the end of a window
     assert shared.take(a, 90) == 90
-    shared.play(3.5)
+    shared.run(3.5)
     shared.counter = shared.new_counter(8)
     shared.counter.set_proxy_count(1)
     a.link.switch_counter(shared.now)
-    shared.play(0.2)
+    shared.run(0.2)
     totals = shared.counter.tenants["acme"]
     assert totals.update_remaining(shared.now, shared.counter.missing_share) <= 45
-    shared.now += 2800 * MS  # a QuotaWindow and a slot behind that end
+    shared.now += 2800 * MS  # a QuotaWindow and a slot after that end
     assert totals.update_remaining(shared.now, shared.counter.missing_share) >= 0.9 * 135
--- a/tests/quota/test_shared_counts.py
+++ b/tests/quota/test_shared_counts.py
@@ -1,8 +1,8 @@
-"""Counting over several proxies: sliding windows, updates, announcements, changed quotas."""
+"""Tests of counting over several proxies: sliding windows, updates, announcements, changed quotas."""
 
 from random import Random
 
-from quota_fixtures import SharedCounts, carried, quotas_by_tenant
+from quota_fixtures import SharedCounts, quotas_by_tenant, transmitted
 
 from rampfront.quota.codec import TOTALS, UNSOLICITED
 from rampfront.quota.counter import ANNOUNCEMENT_INTERVAL_NS
@@ -17,38 +17,38 @@
     a, b = shared.limiters
     assert shared.take(b, 8) == 8
     shared.now += 60 * MS
-    shared.carry(b)
-    shared.take(a)  # a reading follows off the path
+    shared.exchange(b)
+    shared.take(a)  # requests a reading off the request path
     shared.now += 60 * MS
-    shared.carry(a)
+    shared.exchange(a)
     counts = a.tenants["acme"]
     assert counts.now.own + counts.past.own == 1 and counts.now.held + counts.past.held == 8
-    got = [a.take("acme", shared.now) for _ in range(40)]
-    admitted = sum(back is None for back in got)
+    results = [a.take("acme", shared.now) for _ in range(40)]
+    admitted = sum(retry_after_ns is None for retry_after_ns in results)
     assert 1 <= admitted <= 10 + quota_of(10, 10, QuotaRule()).connected_slack - 9 + 1
-    assert all(50 * MS <= back <= 2 * SEC for back in got if back is not None)
-    assert got[-1] is not None and a.take("unlimited", shared.now) is None
+    assert all(50 * MS <= retry_after_ns <= 2 * SEC for retry_after_ns in results if retry_after_ns is not None)
+    assert results[-1] is not None and a.take("unlimited", shared.now) is None
 
 
 def test_figures_of_other_proxies_only_rise():
     shared = SharedCounts("a", "b")
     a, b = shared.limiters
-    shared.now = (shared.counter.tenants["acme"].window + 20) * SEC + 100 * MS  # a window's start
+    shared.now = (shared.counter.tenants["acme"].window + 20) * SEC + 100 * MS  # start of a window
     for limiter in shared.limiters:
-        shared.carry(limiter)
+        shared.exchange(limiter)
     shared.take(b, 3), shared.take(a)
     shared.now += 60 * MS
-    _, old = shared.carry(a, answered=False)
-    shared.carry(b)
+    _, old = shared.exchange(a, answered=False)
+    shared.exchange(b)
     shared.take(b, 4)
     shared.now += 730 * MS
-    shared.carry(b)
-    _, fresh = shared.carry(a)
+    shared.exchange(b)
+    _, fresh = shared.exchange(a)
     a.receive(shared.now, {**fresh, UNSOLICITED: 1})
     held = a.tenants["acme"].now.held
     a.receive(shared.now, {**old, UNSOLICITED: 1})  # reordered: older totals
     assert held == 7 and a.tenants["acme"].now.held == held
-    assert a.tenants["acme"].unacknowledged() == 0  # nor is what was acknowledged sent again
+    assert a.tenants["acme"].unacknowledged() == 0  # acknowledged counts are not sent again
 
 
 def test_an_update_that_timed_out_yet_arrived_counts_once():
@@ -56,14 +56,14 @@
     (a,) = shared.limiters
     shared.take(a, 4)
     shared.now += 60 * MS
-    first, _ = shared.carry(a, answered=False)
-    shared.take(a, 2)  # grows meanwhile
+    first, _ = shared.exchange(a, answered=False)
+    shared.take(a, 2)  # admitted while the update is in flight
     shared.now += 200 * MS
-    second, answer = shared.carry(a, answered=False)
+    second, answer = shared.exchange(a, answered=False)
     assert second is first and shared.total() == 4
     a.receive(shared.now, answer), a.receive(shared.now, answer)
     shared.now += 700 * MS
-    shared.carry(a)
+    shared.exchange(a)
     assert shared.total() == 6 and a.tenants["acme"].unacknowledged() == 0
 
 
@@ -72,12 +72,13 @@
     a, b = shared.limiters
     shared.take(a, 30), a.link.update_by(shared.now)
     shared.now += MS
-    shared.carry(a)
-    counts, announced = b.tenants["acme"], carried(dict(shared.counter.announcements(shared.now)))["b"]
+    shared.exchange(a)
+    counts, announced = b.tenants["acme"], transmitted(dict(shared.counter.announcements(shared.now)))["b"]
     b.receive(shared.now, announced)
     low = b.available(counts, shared.now)
     assert low <= 0 and b.available(counts, shared.now + 5 * SEC) < low + 20 * 0.25 + 1
-    b.receive(shared.now + SEC, {**announced, TOTALS: []})  # whatever it is about: there was no more of this tenant
+    # Any message shows that the counter had no other announcement of this tenant.
+    b.receive(shared.now + SEC, {**announced, TOTALS: []})
     assert b.available(counts, shared.now + SEC) >= low + 15
 
 
@@ -87,7 +88,7 @@
     a = Limiter("far", Random(1), shared.now + far)
     a.set_proxy_count(2), a.set_quotas(shared.configuration, shared.now + far)
     shared.take(b, 3), b.link.update_by(shared.now)
-    shared.carry(b)
+    shared.exchange(b)
     shared.now += SEC
     a.receive(
         shared.now + far,
@@ -114,22 +115,22 @@
     a, b, c = shared.limiters
     shared.take(a, 2)
     shared.now += 60 * MS
-    shared.carry(a)
+    shared.exchange(a)
     assert shared.counter.announcements(shared.now) == []
     shared.take(a, 7), shared.take(c, 7)
     shared.now += 60 * MS
     a.link.update_by(shared.now), c.link.update_by(shared.now)
-    shared.carry(c)
-    shared.carry(a)
-    announced = carried(dict(shared.counter.announcements(shared.now)))
+    shared.exchange(c)
+    shared.exchange(a)
+    announced = transmitted(dict(shared.counter.announcements(shared.now)))
     assert set(announced) == {"a", "b", "c"} and shared.counter.announcements(shared.now) == []
     before = b.available(b.tenants["acme"], shared.now)
     b.receive(shared.now, announced["b"])
     assert b.available(b.tenants["acme"], shared.now) < before - 8 and b.tenants["acme"].now.held >= 10
     a.take("acme", shared.now), a.link.update_by(shared.now)
     shared.take(c, 3), c.link.update_by(shared.now)
-    shared.carry(c)
-    assert shared.counter.announcements(shared.now) == []  # not at once again
+    shared.exchange(c)
+    assert shared.counter.announcements(shared.now) == []  # not again so soon
     assert shared.now < shared.counter.next_announcement_at <= shared.now + ANNOUNCEMENT_INTERVAL_NS
 
 
@@ -137,12 +138,12 @@
     shared = SharedCounts("a")
     (a,) = shared.limiters
     shared.take(a)
-    shared.play(5)
+    shared.run(5)
     sent = a.link.sequence
-    shared.play(STOP_SENDING_AFTER_NS / SEC)
+    shared.run(STOP_SENDING_AFTER_NS / SEC)
     assert sent < a.link.sequence <= sent + 15 and shared.counter.registry.records["a"].idle
     sent = a.link.sequence
-    shared.play(30)
+    shared.run(30)
     assert a.link.sequence == sent and a.next_update_at == NEVER
     assert a.take("acme", shared.now) is None and a.next_update_at < shared.now + 100 * MS
 
@@ -154,12 +155,12 @@
     for _ in range(2):
         a.refund("acme", shared.now)
     shared.now += 60 * MS
-    shared.carry(a)
+    shared.exchange(a)
     assert shared.total() == 3
     shared.take(a, 2), a.refund("acme", shared.now), a.refund("acme", shared.now), a.refund("acme", shared.now)
     shared.take(a, 2)
     shared.now += 700 * MS
-    shared.carry(a)
+    shared.exchange(a)
     assert shared.total() == 4 and a.tenants["acme"].unacknowledged() == 0
 
 
@@ -168,11 +169,11 @@
     (a,) = shared.limiters
     shared.take(a, 9)
     shared.now += 60 * MS
-    shared.carry(a)
+    shared.exchange(a)
     shared.configuration = quotas_by_tenant(acme=(4, 4))
     for one in (a, shared.counter):
         one.set_quotas(shared.configuration, shared.now)
-    assert shared.take(a, 20) <= 2 + quota_of(4, 4, QuotaRule()).connected_slack  # lower: bound at once
+    assert shared.take(a, 20) <= 2 + quota_of(4, 4, QuotaRule()).connected_slack  # a lower quota applies at once
     shared.configuration = quotas_by_tenant(acme=(10, 40))  # windows of another length
     for one in (a, shared.counter):
         one.set_quotas(shared.configuration, shared.now)
