--- a/rampfront/quota/limiter.py
+++ b/rampfront/quota/limiter.py
@@ -89,7 +89,7 @@
         own, others = weigh(tenant, roll(tenant, self.clock.time(now)))
         quota = tenant.quota
         link = self.link
-        isolated = link.is_silent(now) or tenant.read_at < 0 or self._reading_is_doubtful(tenant, now)
+        isolated = link.is_silent(now) or tenant.read_at < 0 or self._reading_is_unreliable(tenant, now)
         age_ns = tenant.reading_age(now, link.last_contact_at)
         if isolated:
             available = tenant.update_even_share(now, link.last_contact_at, self.proxy_count)
@@ -115,7 +115,7 @@
             self.table.roll(tenant, now)
             tenant.refund()
 
-    def _reading_is_doubtful(self, tenant: TenantCounts, now: int) -> bool:
+    def _reading_is_unreliable(self, tenant: TenantCounts, now: int) -> bool:
         """Whether an answer is late and requests of the tenant have been admitted since the last one.
 
         In a surge at all proxies while some are partitioned, each of these would use up the same full reading before it
@@ -143,9 +143,9 @@
             return True
         if available <= 0:
             return False
-        won = self.random.random() < available
-        tenant.even_share = 1.0 if won else 0.0
-        return won
+        admitted = self.random.random() < available
+        tenant.even_share = 1.0 if admitted else 0.0
+        return admitted
 
     def _reject(self, tenant: TenantCounts, available: float, now: int) -> int:
         """Counts a rejected request; returns the time in ns after which to retry, which grows with the overload."""
--- a/rampfront/quota/tenant_counts.py
+++ b/rampfront/quota/tenant_counts.py
@@ -15,7 +15,7 @@
 
 NEVER_READ = -(10**18)  # ns; long ago
 NEVER_USED = -(1 << 62)  # ns
-NOT_GRANTED = -1
+NOT_COMPUTED = -1
 # The counter announces a quota that runs low more often than this; without an announcement nobody uses it.
 ANNOUNCEMENT_TIMEOUT_NS = SEC // 4
 ANNOUNCEMENT_TIMEOUT_S = ANNOUNCEMENT_TIMEOUT_NS / SEC
@@ -45,7 +45,7 @@
     requested_per_s: float = 0.0  # at all proxies, including rejected requests, according to the counter
     rejected: int = 0  # requests rejected here since the last update
     even_share: float = 0.0  # requests left in the even share of an isolated proxy
-    even_share_at: int = NOT_GRANTED  # when `even_share` was computed
+    even_share_at: int = NOT_COMPUTED  # when `even_share` was computed
 
     @classmethod
     def new(cls, name: str, quota: Quota, now: int, counter_time: int) -> "TenantCounts":
@@ -94,9 +94,9 @@
         Only a message from the counter shows that it had nothing more to announce about this tenant. Otherwise, a
         quota would seem to refill at a proxy that has just become isolated.
         """
-        known_until = last_contact_at + ANNOUNCEMENT_TIMEOUT_NS
-        known_until = min(known_until, now)
-        age_ns = known_until - self.remaining_at
+        valid_until = last_contact_at + ANNOUNCEMENT_TIMEOUT_NS
+        valid_until = min(valid_until, now)
+        age_ns = valid_until - self.remaining_at
         return age_ns if age_ns > 0 else 0
 
     def available(self, reading_age_ns: int) -> float:
@@ -110,7 +110,7 @@
         """Updates and returns the even share that an isolated proxy has left, in requests.
 
         It is an even share of the remaining quota at the last reading. It grows by the proxy's share of the rate from
-        the time at which the counter counts the proxy as missing, and reserves that share for it.
+        the time at which the counter counts the proxy as missing and reserves that share for it.
         """
         quota = self.quota
         depth = quota.depth
