--- a/rampfront/membership/endpoint_list_pager.py
+++ b/rampfront/membership/endpoint_list_pager.py
@@ -249,7 +249,7 @@
         return [SetTimer(now + pause_ns), RoundFailed(reason)]
 
     def _complete_round(self, now: int) -> list[Effect]:
-        """Makes a list of the round. The timer comes first, so that polling continues if the list's receiver raises."""
+        """Makes a list of the round. The timer is the first effect, so polling continues if the receiver raises."""
         result = self._merge_round(now)
         self._pending = result.pending
         self.counts["pending"] += len(result.pending)
--- a/rampfront/quota/counter.py
+++ b/rampfront/quota/counter.py
@@ -169,7 +169,7 @@
             self.update_missing_share(now)
 
     def _credit_share(self, record: ProxyRecord, history_ns: int, now: int) -> None:
-        """Credits a proxy that moves here from another counter, with full counts, with its even share of each quota.
+        """Credits a proxy that moves here, and sends full counts, with its even share of each quota.
 
         The credit covers only the time in which this counter did not give out that share. So a new counter to which all
         proxies move knows what is left, and proxies that move back and forth are not credited twice.
@@ -186,7 +186,7 @@
 
     def update_missing_share(self, now: int) -> None:
         """Updates the share of the proxies that are missing."""
-        # After a long time without a call there was no update, so buckets need not be refilled with the previous share.
+        # After a long time without a call there was no update, so buckets need no refill with the previous share.
         in_use = now - self.registry.missing_share_updated_at <= PROXY_TIMEOUT_NS
         missing_share = self.registry.update_missing_share(now)
         if missing_share == self.missing_share:
--- a/rampfront/quota/counter_link.py
+++ b/rampfront/quota/counter_link.py
@@ -74,7 +74,7 @@
         return now - self.last_contact_at > STALE_NS
 
     def answer_is_overdue(self, now: int) -> bool:
-        """Whether an answer to the update in flight is late; this comes before `is_silent`."""
+        """Whether an answer to the update in flight is late; this is True earlier than `is_silent`."""
         pending = self.pending
         return pending is not None and now - max(pending.first_sent_at, self.last_contact_at) > OVERDUE_NS
 
--- a/rampfront/quota/counter_placement.py
+++ b/rampfront/quota/counter_placement.py
@@ -23,8 +23,10 @@
 MAX_BACKOFF = 4  # limit of the factor for both time-outs, which grows after all counters in rank failed
 PROBE_INTERVAL_NS = 400 * MS  # interval of probes to higher-ranked counters
 PROBE_TIMEOUT_NS = 200 * MS  # a later answer does not count
-MIN_ANSWERS = 3  # answers in a row before a return; doubled each time that the node fails soon after,
-MAX_ANSWERS = 16  # up to this limit
+# Consecutive probe answers that a return to a node requires. The number doubles, up to MAX_ANSWERS, each time that a
+# node fails within QUICK_FAILURE_NS after a return.
+MIN_ANSWERS = 3
+MAX_ANSWERS = 16
 QUICK_FAILURE_NS = 30 * SEC
 STALL_NS = 300 * MS  # a tick that is late by this much shows that this process itself was suspended
 
