--- a/rampfront/membership/health_registry.py
+++ b/rampfront/membership/health_registry.py
@@ -1,4 +1,4 @@
-"""The leader's view of the servers' health: the reports of all proxies together, and its verdicts. No I/O, no clock."""
+"""The leader's view of server health: combines the reports of all proxies into verdicts. No I/O, no clock."""
 
 from collections.abc import Iterable, Sequence
 from dataclasses import field
@@ -19,25 +19,25 @@
 MS = 10**6  # ns
 SEC = 10**9
 
-# Observations within the window whose weights reach the sum make a server unreachable.
+# A server is unreachable once the weights of the observations within the window reach the sum.
 UNREACHABLE_WEIGHTS = {NO_RESPONSE: 1, CONNECT_TIMED_OUT: 2}
 UNREACHABLE_SUM = 3
 UNREACHABLE_WINDOW_NS = 1200 * MS
-# So many failures within the window make it unhealthy.
+# A server is unhealthy after this many failures within the window.
 UNHEALTHY_FAILURES = 3
 UNHEALTHY_WINDOW_NS = 3 * SEC
-MIN_WITNESSES = 2  # proxies that must agree: guards against one whose own link is cut
-# This part of a zone's servers, and so many, that became unreachable within the window: the whole zone is.
+MIN_REPORTERS = 2  # proxies that must agree, in case one proxy's own link is down
+# A whole zone is unreachable once at least this fraction of its servers, and this number, became so within the window.
 ZONE_WINDOW_NS = SEC
-ZONE_PART = 0.2
-ZONE_MIN_SERVERS = 3
-REPEAT_AFTER_NS = 3 * SEC  # a verdict is repeated no sooner
-MAX_OBSERVATIONS = MAX_REPORTS  # kept of a server
+ZONE_UNREACHABLE_FRACTION = 0.2
+ZONE_MIN_UNREACHABLE_SERVERS = 3
+VERDICT_REPEAT_INTERVAL_NS = 3 * SEC  # minimum interval at which a verdict is repeated
+MAX_OBSERVATIONS = MAX_REPORTS  # kept per server
 SWEEP_INTERVAL_NS = SEC
 
 
 class _Observation(NamedTuple):
-    """What one proxy saw of a server."""
+    """One proxy's observation of a server."""
 
     at_ns: int
     proxy_ip: str
@@ -46,13 +46,13 @@
 
 @slotted
 class ServerRecord:
-    """What is known of one server.
+    """The health record of one server.
 
     Attributes:
         observations: recent ones, oldest first.
-        verdict_at_ns: when the last verdict was given; 0: none stands.
-        verdict: UNREACHABLE or UNHEALTHY; None: none was given, or it was withdrawn.
-        inferred: the verdict was given with the server's zone, without observations of its own.
+        verdict_at_ns: time of the last verdict; 0: none is in force.
+        verdict: UNREACHABLE or UNHEALTHY; None: there was none, or it was withdrawn.
+        inferred: the verdict was derived from the server's zone, without observations of the server itself.
     """
 
     observations: list[_Observation] = field(default_factory=list)
@@ -62,33 +62,33 @@
 
 
 class HealthRegistry:
-    """Observations of all proxies, by server."""
+    """The observations of all proxies, by server."""
 
     def __init__(self) -> None:
-        """No server is listed yet."""
-        self.records: dict[str, ServerRecord] = {}  # by server; swept a window behind the last observation
+        """Starts without servers."""
+        self.records: dict[str, ServerRecord] = {}  # by server; swept (`_is_current`)
         self._servers_by_zone: dict[str, list[str]] = {}
         self._zone_of: dict[str, str] = {}
         self._swept_at_ns = 0
 
     def set_servers(self, servers: Iterable[tuple[str, str]]) -> None:
-        """The endpoint list: (server's id, zone) of all."""
+        """Replaces the known servers by those of the endpoint list, each as (id, zone)."""
         self._zone_of = dict(servers)
         self._servers_by_zone = {}
         for server_id, zone in self._zone_of.items():
             self._servers_by_zone.setdefault(zone, []).append(server_id)
 
     def add_reports(self, proxy_ip: str, reports: Iterable[ServerReport], proxies: int, now: int) -> list[ServerReport]:
-        """Takes in one proxy's reports.
+        """Records one proxy's reports.
 
         Args:
-            proxy_ip: its address.
-            reports: its observations.
-            proxies: how many proxies serve.
+            proxy_ip: address of the proxy.
+            reports: the proxy's observations.
+            proxies: number of proxies that serve.
             now: ns.
 
         Returns:
-            The verdicts that all proxies are to be told.
+            The verdicts to send to all proxies.
         """
         verdicts: list[ServerReport] = []
         for server_id, status in reports:
@@ -96,21 +96,21 @@
                 verdicts += self._withdraw(server_id)
             elif server_id in self.records or server_id in self._zone_of:
                 observation = _Observation(now, proxy_ip, status)
-                verdicts += self._observe(server_id, observation, min(MIN_WITNESSES, proxies))
+                verdicts += self._observe(server_id, observation, min(MIN_REPORTERS, proxies))
         self._sweep(now)
         return verdicts
 
-    def _observe(self, server_id: str, observation: _Observation, witnesses: int) -> list[ServerReport]:
-        """Takes in an observation against a server; returns the verdicts that follow."""
+    def _observe(self, server_id: str, observation: _Observation, min_reporters: int) -> list[ServerReport]:
+        """Records an observation of a server; returns the resulting verdicts."""
         now = observation.at_ns
         record = self.records.setdefault(server_id, ServerRecord())
         recent = [seen for seen in record.observations if now - seen.at_ns < _window_ns(seen.status)]
         record.observations = [*recent[-MAX_OBSERVATIONS:], observation]
-        verdict = judge(record.observations, witnesses)
+        verdict = derive_verdict(record.observations, min_reporters)
         if verdict is None:
             return []
         record.inferred = False
-        if verdict == record.verdict and now - record.verdict_at_ns <= REPEAT_AFTER_NS:
+        if verdict == record.verdict and now - record.verdict_at_ns <= VERDICT_REPEAT_INTERVAL_NS:
             return []
         record.verdict = verdict
         record.verdict_at_ns = now
@@ -120,9 +120,9 @@
         return verdicts
 
     def _withdraw(self, server_id: str) -> list[ServerReport]:
-        """An unreachable server has answered; returns who is healthy again.
+        """Withdraws the verdict on an unreachable server that has answered; returns the servers that are healthy again.
 
-        Guards against a zone that was taken for unreachable and is not: all that was inferred goes with the first.
+        If its verdict was inferred, the zone is reachable, so all inferred verdicts of the zone are withdrawn.
         """
         record = self.records.get(server_id)
         if record is None or record.verdict != UNREACHABLE:
@@ -143,9 +143,9 @@
         record.inferred = False
 
     def _infer_zone(self, server_id: str, now: int) -> list[ServerReport]:
-        """The rest of a server's zone, once so many became unreachable together that the zone must be.
+        """Returns verdicts on the rest of a server's zone once enough of its servers became unreachable together.
 
-        So no proxy need find out each of them by a request of its own.
+        This spares the proxies from losing a request to each of these servers.
         """
         zone_servers = self._servers_in_zone_of(server_id)
         unreachable = [
@@ -154,7 +154,7 @@
             if (record := self.records.get(each)) and record.verdict == UNREACHABLE and not record.inferred
         ]
         together = sum(now - record.verdict_at_ns < ZONE_WINDOW_NS for record in unreachable)
-        if together < max(ZONE_MIN_SERVERS, ZONE_PART * len(zone_servers)):
+        if together < max(ZONE_MIN_UNREACHABLE_SERVERS, ZONE_UNREACHABLE_FRACTION * len(zone_servers)):
             return []
         rest = [each for each in zone_servers if not self._is_unreachable(each)]
         for each in rest:
@@ -171,34 +171,34 @@
         return server_id in self.records and self.records[server_id].verdict == UNREACHABLE
 
     def _sweep(self, now: int) -> None:
-        """Forgets what is over, once a second."""
+        """Drops outdated records, once per SWEEP_INTERVAL_NS."""
         if now - self._swept_at_ns <= SWEEP_INTERVAL_NS:
             return
         self._swept_at_ns = now
         self.records = {server_id: record for server_id, record in self.records.items() if _is_current(record, now)}
 
 
-def judge(observations: Sequence[_Observation], witnesses: int) -> int | None:
-    """What the observations of a server amount to.
+def derive_verdict(observations: Sequence[_Observation], min_reporters: int) -> int | None:
+    """Derives a verdict from the observations of a server.
 
     Args:
         observations: recent ones.
-        witnesses: proxies that must agree, at least.
+        min_reporters: number of proxies that must agree.
 
     Returns:
-        UNREACHABLE, UNHEALTHY, or None where they do not suffice.
+        UNREACHABLE, UNHEALTHY, or None if the observations do not suffice.
     """
     failures = [seen for seen in observations if seen.status == REQUEST_FAILED]
     missing = [seen for seen in observations if seen.status != REQUEST_FAILED]
     weight = sum(UNREACHABLE_WEIGHTS[seen.status] for seen in missing)
-    if weight >= UNREACHABLE_SUM and _witnesses(missing) >= witnesses:
+    if weight >= UNREACHABLE_SUM and _count_reporters(missing) >= min_reporters:
         return UNREACHABLE
-    if len(failures) >= UNHEALTHY_FAILURES and _witnesses(failures) >= witnesses:
+    if len(failures) >= UNHEALTHY_FAILURES and _count_reporters(failures) >= min_reporters:
         return UNHEALTHY
     return None
 
 
-def _witnesses(observations: Iterable[_Observation]) -> int:
+def _count_reporters(observations: Iterable[_Observation]) -> int:
     return len({seen.proxy_ip for seen in observations})
 
 
@@ -207,6 +207,6 @@
 
 
 def _is_current(record: ServerRecord, now: int) -> bool:
-    if now - record.verdict_at_ns < REPEAT_AFTER_NS:
+    if now - record.verdict_at_ns < VERDICT_REPEAT_INTERVAL_NS:
         return True
     return bool(record.observations) and now - record.observations[-1].at_ns < UNHEALTHY_WINDOW_NS
--- a/rampfront/quota/counter.py
+++ b/rampfront/quota/counter.py
@@ -1,13 +1,14 @@
-"""The counter: adds up what proxies admitted, for each tenant and window (the fleet counter that RFC 0015 assumes).
+"""The counter: adds up the requests that proxies admitted, by tenant and window (the fleet counter that RFC 0015
+assumes).
 
-Each node has one; the proxies choose whose they use (`counter_placement.py`). An update is known by proxy, incarnation
-and sequence number, so a repeated one counts once. Full counts, sent after the counter changed, raise what is known of
-that proxy to the larger value (the RFC's GREATEST). The counter also keeps each quota's bucket, since it alone sees all
-updates in order, and announces its level as it runs low: proxies that admit nothing for the tenant just then would go
-by an old reading.
+Each node has one; the proxies choose which one they use (`counter_placement.py`). An update is identified by proxy,
+incarnation and sequence number, so a repeated one counts once. Full counts, sent after a change of the counter, raise
+the known count of that proxy to the larger value (the RFC's GREATEST). The counter also keeps the token bucket of each
+quota, since only it sees all updates in order. It announces the level of a bucket that runs low, because proxies that
+admit nothing for the tenant at that time would otherwise use an outdated reading.
 
-No I/O, no clock; times in ns. What is received comes from other machines: what is not valid raises
-`codec.InvalidMessageError`, a `ValueError`, and changes nothing.
+No I/O, no clock; times in ns. Messages come from other machines: an invalid one raises `codec.InvalidMessageError`, a
+`ValueError`, and changes nothing.
 """
 
 from collections.abc import Mapping
@@ -16,23 +17,25 @@
 from .codec import WireMap, check_name, decode_request, encode_probe, encode_totals, with_sequence
 from .limits import DEFAULT_RULE, MS, Quota, QuotaRule, QuotaSettings, quota_of
 from .messages import (
-    MOST_ROWS,
-    SILENCE_NS,
+    MAX_ROWS,
+    PROXY_TIMEOUT_NS,
     CountDelta,
     CounterTotals,
     CounterUpdate,
-    Farewell,
+    Deregistration,
     Probe,
     TenantTotal,
 )
 from .proxy_registry import ProxyRecord, ProxyRegistry
 from .tenant_totals import TenantTotals
 
-ANNOUNCEMENT_GAP_NS = 100 * MS  # between two announcements of a tenant
-LOW_DEPTH_SHARE = 0.4  # announced below that part of the bucket,
-LOW_SLACK_SHARE = 0.25  # less that part of the slack
-# Of its share that a proxy brings: the counter that it left may have given some of it out until the proxy was missed.
-BROUGHT_SHARE = 0.9
+ANNOUNCEMENT_INTERVAL_NS = 100 * MS  # minimum interval between announcements of a tenant
+# A tenant is announced below this share of the bucket's depth, less a share of the slack.
+LOW_DEPTH_SHARE = 0.4
+LOW_SLACK_SHARE = 0.25
+# Fraction of its even share that a moving proxy is credited with. The rest allows for requests that its former counter
+# may have admitted from that share before it noticed that the proxy was missing.
+CREDITED_SHARE = 0.9
 
 
 class QuotaCounter:
@@ -42,61 +45,65 @@
         """Starts with no counts.
 
         Args:
-            incarnation: a drawn whole number that tells this start of this counter from all others.
+            incarnation: a random integer that distinguishes this start of the counter from all others.
             now: ns.
-            rule: what is tolerated beyond quotas.
+            rule: the tolerance beyond quotas.
         """
         self.incarnation = incarnation
         self.rule = rule
-        self.used = False  # whether an update came
-        self.tenants: dict[str, TenantTotals] = {}  # those with a quota, by the configuration
-        self.grown: dict[str, TenantTotals] = {}  # whose level may have to be announced; emptied by `announcements`
+        self.has_updates = False  # whether an update was ever received
+        self.tenants: dict[str, TenantTotals] = {}  # the tenants with a quota in the configuration
+        self.announcement_candidates: dict[str, TenantTotals] = {}  # by name
         self.registry = ProxyRegistry(now)
-        self.missing_share = 0.0  # part of the proxies that is not heard
-        self.next_announcement_at: int | None = None  # when `announcements` has something next
+        self.missing_share = 0.0  # share of the proxies that are missing
+        self.next_announcement_at: int | None = None  # when to call `announcements` next; None: no announcement waits
 
     def set_quotas(self, settings: Mapping[str, QuotaSettings], now: int) -> None:
-        """Takes in a configuration's quotas by tenant. One that changed keeps its counts, one that is gone is dropped.
-        To be called before the first update: what grew for an unknown tenant is not counted."""
+        """Applies a configuration's quotas by tenant. A changed quota keeps its counts, a removed one is dropped.
+
+        Must be called before the first update, since updates of unknown tenants are not counted.
+        """
         tenants = {}
         for name, tenant_settings in settings.items():
             if tenant_settings.per_s > 0:
                 quota = quota_of(tenant_settings.per_s, tenant_settings.burst, self.rule)
                 tenants[name] = self._with_quota(name, quota, now)
         self.tenants = tenants
-        self.grown = {name: tenant for name, tenant in self.grown.items() if tenants.get(name) is tenant}
+        self.announcement_candidates = {
+            name: tenant for name, tenant in self.announcement_candidates.items() if tenants.get(name) is tenant
+        }
 
     def _with_quota(self, name: str, quota: Quota, now: int) -> TenantTotals:
-        """The tenant's totals under a quota, which may be another one than before."""
+        """Returns the tenant's totals under a quota, which may differ from the previous one."""
         tenant = self.tenants.get(name)
         if tenant is None:
-            return TenantTotals.new(name, quota, now, used_up=not self.used)
+            return TenantTotals.new(name, quota, now, exhausted=not self.has_updates)
         former = tenant.quota
         if former.window != quota.window or former.without_burst != quota.without_burst:
-            fresh = TenantTotals.new(name, quota, now, used_up=not self.used)
-            fresh.take_over(tenant, now, self.missing_share)
-            return fresh
+            replacement = TenantTotals.new(name, quota, now, exhausted=not self.has_updates)
+            replacement.take_over(tenant, now, self.missing_share)
+            return replacement
         if former != quota:
             tenant.change_quota(quota, now, self.missing_share)
         return tenant
 
     def set_proxy_count(self, count: int) -> None:
-        """How many proxies serve by the membership: those of them that are not heard may be cut off."""
+        """Sets how many proxies serve according to the membership; those not heard from may be isolated."""
         self.registry.serving_count = count
 
     def receive(self, now: int, proxy: str, wire_map: object) -> WireMap | None:
-        """Takes in a proxy's message.
+        """Handles a proxy's message.
 
         Args:
             now: ns.
-            proxy: what names it: its address.
-            wire_map: the message as it came.
+            proxy: identifies the proxy: its address.
+            wire_map: the message as received.
 
         Returns:
-            The answer to it, or None.
+            The answer, or None.
 
         Raises:
-            InvalidMessageError: the message is not valid, or of a process that has ended.
+            InvalidMessageError: the message is invalid, or comes from a former incarnation of the proxy.
         """
         message = decode_request(wire_map)
         match message:
@@ -104,34 +111,34 @@
                 return encode_totals(self._apply_update(now, proxy, message))
             case Probe():
                 return encode_probe(message)
-            case Farewell():
-                self._release(now, proxy, message.incarnation)
+            case Deregistration():
+                self._deregister(now, proxy, message.incarnation)
                 return None
             case _:
                 assert_never(message)
 
     def _apply_update(self, now: int, proxy: str, update: CounterUpdate) -> CounterTotals:
-        """Counts an update, unless it is a repeated one, and returns the totals of its tenants."""
-        record = self.registry.record_of(check_name(proxy), update.incarnation, now)
-        if not self.used:
-            self._start_use(now)
-        fresh = update.sequence > record.last_sequence
+        """Counts an update unless it is repeated, and returns the totals of its tenants."""
+        record = self.registry.get_or_add(check_name(proxy), update.incarnation, now)
+        if not self.has_updates:
+            self._start_refill(now)
+        is_new = update.sequence > record.last_sequence
         record.last_seen_at = now
-        if fresh and update.lived_ms:
-            self._bring_share(record, update.lived_ms * MS, now)
-        if self.registry.survey_due(now):
-            self.survey(now)
-        if fresh:
-            record.missed_at = now + SILENCE_NS
+        if is_new and update.history_ms:
+            self._credit_share(record, update.history_ms * MS, now)
+        if self.registry.missing_share_is_due(now):
+            self.update_missing_share(now)
+        if is_new:
+            record.missing_since = now + PROXY_TIMEOUT_NS
             record.last_sequence = update.sequence
             record.idle = update.idle
-        rows = self._apply_rows(now, proxy, update, fresh)
+        rows = self._apply_rows(now, proxy, update, is_new)
         if update.wants_all:
             rows += self._others_in_use(now, rows)
         return CounterTotals(self.incarnation, update.sequence, now // MS, rows, update.wants_all)
 
-    def _apply_rows(self, now: int, proxy: str, update: CounterUpdate, fresh: bool) -> list[TenantTotal]:
-        """Counts the rows if the update is `fresh`; returns the totals of their tenants."""
+    def _apply_rows(self, now: int, proxy: str, update: CounterUpdate, is_new: bool) -> list[TenantTotal]:
+        """Counts the rows if `is_new`; returns the totals of their tenants."""
         same_windows = update.counter_incarnation == self.incarnation
         source = (proxy, update.incarnation)
         totals = []
@@ -140,47 +147,48 @@
             if tenant is None:
                 continue
             tenant.roll(now)
-            if fresh:
+            if is_new:
                 if isinstance(row, CountDelta):
-                    grown = tenant.apply_delta(source, row, same_windows, now, self.missing_share)
+                    changed = tenant.apply_delta(source, row, same_windows, now, self.missing_share)
                 else:
-                    grown = tenant.apply_full(source, row, same_windows, now, self.missing_share)
-                if grown:
-                    self.grown[tenant.name] = tenant
+                    changed = tenant.apply_full(source, row, same_windows, now, self.missing_share)
+                if changed:
+                    self.announcement_candidates[tenant.name] = tenant
             totals.append(tenant.row(now, self.missing_share))
         return totals
 
-    def _start_use(self, now: int) -> None:
-        """The first update of all starts all buckets."""
-        self.used = True
+    def _start_refill(self, now: int) -> None:
+        """Starts to refill all buckets at the first update from any proxy."""
+        self.has_updates = True
         for tenant in self.tenants.values():
-            tenant.start_use(now)
+            tenant.start_refill(now)
 
-    def _release(self, now: int, proxy: str, incarnation: int) -> None:
-        """A proxy moves to another counter. Its even share goes with it at once; its counts stay."""
-        if self.registry.release(proxy, incarnation, now):
-            self.survey(now)
+    def _deregister(self, now: int, proxy: str, incarnation: int) -> None:
+        """Handles a proxy's move to another counter. Its even share is reserved for it at once; its counts stay."""
+        if self.registry.deregister(proxy, incarnation, now):
+            self.update_missing_share(now)
 
-    def _bring_share(self, record: ProxyRecord, lived_ns: int, now: int) -> None:
-        """A proxy comes from another counter with its full counts: it brings its even share of each quota, as far as
-        that was not given out here meanwhile.
+    def _credit_share(self, record: ProxyRecord, history_ns: int, now: int) -> None:
+        """Credits a proxy that moves here, and sends full counts, with its even share of each quota.
 
-        So a new counter that all moved to knows what is left, and those that move to and fro bring nothing twice.
-        `lived_ns`: how long its counts reach back; a proxy that just started brings nothing."""
-        self.survey(now)
-        unserved_ns = min(lived_ns, now - record.missed_at)
+        The credit covers only the time in which this counter did not give out that share. So a new counter to which all
+        proxies move knows what is left, and proxies that move back and forth are not credited twice.
+        `history_ns` is how far the proxy's counts reach back; a proxy that has just started is not credited.
+        """
+        self.update_missing_share(now)
+        unserved_ns = min(history_ns, now - record.missing_since)
         if unserved_ns <= 0:
             return
         proxy_count = self.registry.known_count()
-        share = BROUGHT_SHARE / proxy_count if proxy_count else 0.0
+        share = CREDITED_SHARE / proxy_count if proxy_count else 0.0
         for tenant in self.tenants.values():
-            tenant.bring_share(share, unserved_ns, now, self.missing_share)
+            tenant.credit_share(share, unserved_ns, now, self.missing_share)
 
-    def survey(self, now: int) -> None:
-        """Works out which part of the proxies is missing."""
-        # With no survey for long no update came, and buckets need not be brought up to date under the old share.
-        in_use = now - self.registry.surveyed_at <= SILENCE_NS
-        missing_share = self.registry.survey(now)
+    def update_missing_share(self, now: int) -> None:
+        """Updates the share of the proxies that are missing."""
+        # After a long time without a call there was no update, so buckets need no refill with the previous share.
+        in_use = now - self.registry.missing_share_updated_at <= PROXY_TIMEOUT_NS
+        missing_share = self.registry.update_missing_share(now)
         if missing_share == self.missing_share:
             return
         if in_use:
@@ -189,42 +197,43 @@
         self.missing_share = missing_share
 
     def _others_in_use(self, now: int, listed: list[TenantTotal]) -> list[TenantTotal]:
-        """All that is in use besides those listed, the fullest first: what a proxy that just started goes by."""
+        """Returns all tenants in use besides those listed, least remaining first: a new proxy starts with them."""
         names = {row.tenant for row in listed}
-        used = []
+        in_use = []
         for tenant in self.tenants.values():
             tenant.roll(now)
             if tenant.name not in names and tenant.in_use(now, self.missing_share):
-                used.append((tenant.remaining / tenant.quota.depth, tenant.name))
-        room = MOST_ROWS - len(listed)
-        return [self.tenants[name].row(now, self.missing_share) for _, name in sorted(used)[:room]]
+                in_use.append((tenant.remaining / tenant.quota.depth, tenant.name))
+        room = MAX_ROWS - len(listed)
+        return [self.tenants[name].row(now, self.missing_share) for _, name in sorted(in_use)[:room]]
 
     def announcements(self, now: int) -> list[tuple[str, WireMap]]:
-        """What proxies are to be sent unsolicited: (proxy, message) each. To be asked after each `receive`, and at
-        `next_announcement_at`."""
+        """Returns unsolicited messages as (proxy, message). Call after each `receive` and at `next_announcement_at`."""
         due = self._due_announcements(now)
         if not due:
             return []
         rows = [tenant.row(now, self.missing_share) for tenant in due]
         totals = encode_totals(CounterTotals(self.incarnation, 0, now // MS, rows, unsolicited=True))
-        return [(name, with_sequence(totals, record.last_sequence)) for name, record in self.registry.listeners(now)]
+        return [
+            (name, with_sequence(totals, record.last_sequence))
+            for name, record in self.registry.announcement_receivers(now)
+        ]
 
     def _due_announcements(self, now: int) -> list[TenantTotals]:
-        """The tenants that run low and were not announced for a while; sets `next_announcement_at` for those that
-        wait."""
+        """Returns tenants that run low and were not announced recently; sets `next_announcement_at` for the rest."""
         due: list[TenantTotals] = []
         self.next_announcement_at = None
-        for name, tenant in list(self.grown.items()):
+        for name, tenant in list(self.announcement_candidates.items()):
             low = tenant.quota.depth * LOW_DEPTH_SHARE - tenant.quota.slack * LOW_SLACK_SHARE
             if tenant.update_remaining(now, self.missing_share) >= low:
-                del self.grown[name]
-            elif now - tenant.announced_at >= ANNOUNCEMENT_GAP_NS and len(due) < MOST_ROWS:
+                del self.announcement_candidates[name]
+            elif now - tenant.announced_at >= ANNOUNCEMENT_INTERVAL_NS and len(due) < MAX_ROWS:
                 tenant.announced_at = now
                 tenant.roll(now)
                 due.append(tenant)
-                del self.grown[name]
+                del self.announcement_candidates[name]
             else:
-                at = tenant.announced_at + ANNOUNCEMENT_GAP_NS
+                at = tenant.announced_at + ANNOUNCEMENT_INTERVAL_NS
                 if self.next_announcement_at is None or at < self.next_announcement_at:
                     self.next_announcement_at = at
         return due
