--- a/rampfront/config.py
+++ b/rampfront/config.py
@@ -34,7 +34,7 @@
 Level = Literal["debug", "info", "warning", "error"]
 
 
-class BadConfig(Exception):
+class ConfigFileError(Exception):
     """The configuration file does not hold what it should; the text names line, key and reason."""
 
 
@@ -168,16 +168,16 @@
     for where, rows in (("products", config.products), ("plans", config.plans)):
         for k, row in enumerate(rows):
             if row.name in [other.name for other in rows[:k]]:
-                raise BadConfig(f"{where}[{k}].name: {row.name!r} is taken already")
+                raise ConfigFileError(f"{where}[{k}].name: {row.name!r} is taken already")
     for k, plan in enumerate(config.plans):
         if plan.rate > 0 and plan.burst <= 0:
-            raise BadConfig(f"plans[{k}].burst: a plan with a rate needs one above 0")
+            raise ConfigFileError(f"plans[{k}].burst: a plan with a rate needs one above 0")
         if plan.ceiling_rate > 0 and plan.ceiling_depth <= 0:
-            raise BadConfig(f"plans[{k}].ceiling_depth: a ceiling needs one above 0")
+            raise ConfigFileError(f"plans[{k}].ceiling_depth: a ceiling needs one above 0")
     for key in ("counter", "admin"):
         value = getattr(config, key)
         if value and not re.match(r"^[^\s:]+:[1-9][0-9]{0,4}$", value):
-            raise BadConfig(f"{key}: should be host:port, not {value!r}")
+            raise ConfigFileError(f"{key}: should be host:port, not {value!r}")
     for place in [
         config.listen,
         config.discovery,
@@ -187,12 +187,12 @@
         config.mqtt.listen if config.mqtt else "",
     ]:
         if place and int(place.rpartition(":")[2]) > 65535:
-            raise BadConfig(f"{place!r}: no such port")
+            raise ConfigFileError(f"{place!r}: no such port")
     if config.quotas.marks and not config.counter:
-        raise BadConfig("quotas.marks: there is no counter to mark")
+        raise ConfigFileError("quotas.marks: there is no counter to mark")
     for module in config.log.modules:
         if module not in MODULES:
-            raise BadConfig(f"log.modules.{module}: no such module; there are {', '.join(MODULES)}")
+            raise ConfigFileError(f"log.modules.{module}: no such module; there are {', '.join(MODULES)}")
     try:
         tables.check(
             {name: getattr(config, name) for name in tables.KINDS},
@@ -200,10 +200,10 @@
             [plan.name for plan in config.plans],
         )
     except tables.Odd as odd:
-        raise BadConfig(str(odd)) from None
+        raise ConfigFileError(str(odd)) from None
     for k, box in enumerate(config.boxes):
         if box.zone and box.zone not in config.fleet.zones:
-            raise BadConfig(f"boxes[{k}].zone: {box.zone!r} is not among fleet.zones")
+            raise ConfigFileError(f"boxes[{k}].zone: {box.zone!r} is not among fleet.zones")
     return config
 
 
@@ -314,7 +314,7 @@
     try:
         table = tomllib.loads(text)
     except tomllib.TOMLDecodeError as trouble:
-        raise BadConfig(f"{where}: no TOML: {trouble}") from None
+        raise ConfigFileError(f"{where}: no TOML: {trouble}") from None
     try:
         return check(msgspec.convert(table, Config))
     except msgspec.ValidationError as trouble:
@@ -322,19 +322,19 @@
         if odd := re.search(r"(?:unknown|required) field `([^`]+)`", reason):
             path = f"{path}.{odd.group(1)}".lstrip(".")
             reason = "no such key" if "unknown" in reason else "is missing"
-    except BadConfig as trouble:
+    except ConfigFileError as trouble:
         path, _, reason = str(trouble).partition(": ")
     line = line_of(text, path)
-    raise BadConfig(f"{where}{f', line {line}' if line else ''}: {path}: {reason}")
+    raise ConfigFileError(f"{where}{f', line {line}' if line else ''}: {path}: {reason}")
 
 
 def read_toml(path):
     try:
         text = Path(path).read_text(encoding="utf-8")
     except OSError as trouble:
-        raise BadConfig(f"{path}: {trouble.strerror}") from None
+        raise ConfigFileError(f"{path}: {trouble.strerror}") from None
     except UnicodeDecodeError:
-        raise BadConfig(f"{path}: not UTF-8") from None
+        raise ConfigFileError(f"{path}: not UTF-8") from None
     return parse_toml(text, str(path))
 
 
--- a/rampfront/edge/configuration.py
+++ b/rampfront/edge/configuration.py
@@ -172,12 +172,12 @@
 
 def _load_toml(path: str) -> dict[str, Any]:
     """A file of TOML in the platform's form. Raises ConfigurationError, OSError."""
-    from ..config import BadConfig, load_toml  # its libraries are for those who use it
+    from ..config import ConfigFileError, load_toml  # its libraries are for those who use it
 
     load: Callable[[str], dict[str, Any]] = load_toml  # it has no types
     try:
         content = load(path)
-    except BadConfig as error:
+    except ConfigFileError as error:
         raise ConfigurationError(str(error)) from None
     content["seed"] = content["seed"] or secrets.randbits(_SEED_BITS)
     return content
--- a/tests/test_mqtt.py
+++ b/tests/test_mqtt.py
@@ -19,7 +19,7 @@
 from paho.mqtt.packettypes import PacketTypes
 from paho.mqtt.properties import Properties
 
-from rampfront.config import BadConfig, parse_toml
+from rampfront.config import ConfigFileError, parse_toml
 from rampfront.edge.configuration import read_configuration
 from rampfront.edge.configuration_checks import ConfigurationError
 from rampfront.lab.emulator import Lab
@@ -162,7 +162,7 @@
         'name="n"\nlisten="h:1"\ndiscovery="h:2"\n[[products]]\nname="p"\neffect="inquiry"\nsla_ms=1.0\n'
         '[[plans]]\nname="q"\n[mqtt]\nlisten="h:3"\n[[mqtt.topics]]\nfilter="a/+"\nproduct="p"\npath="/{2}"\n'
     )
-    with pytest.raises(BadConfig, match=r"mqtt.topics\[0\].path"):
+    with pytest.raises(ConfigFileError, match=r"mqtt.topics\[0\].path"):
         parse_toml(text)
     assert parse_toml(text.replace("{2}", "{1}")).mqtt.topics[0].units == 1.0
 
