--- a/rampfront/config.py
+++ b/rampfront/config.py
@@ -199,7 +199,7 @@
             [product.name for product in config.products],
             [plan.name for plan in config.plans],
         )
-    except tables.Odd as odd:
+    except tables.TableError as odd:
         raise ConfigFileError(str(odd)) from None
     for k, box in enumerate(config.boxes):
         if box.zone and box.zone not in config.fleet.zones:
--- a/rampfront/edge/optional_settings.py
+++ b/rampfront/edge/optional_settings.py
@@ -106,7 +106,7 @@
     read: Callable[[dict[str, Any], object, object], Tables] = tables.read  # it has no types
     try:
         return read(content, names.products, names.plans)
-    except tables.Odd as error:
+    except tables.TableError as error:
         raise ConfigurationError(str(error)) from None
 
 
--- a/rampfront/tables.py
+++ b/rampfront/tables.py
@@ -19,7 +19,7 @@
 Place = Annotated[str, Meta(pattern=r"^[^\s:]+:[1-9][0-9]{0,4}$")]
 
 
-class Odd(Exception):
+class TableError(Exception):
     """A key does not hold what it should: `path`, and the `reason`."""
 
     def __init__(self, path, reason):
@@ -111,23 +111,23 @@
     journal, mqtt = tables.get("journal"), tables.get("mqtt")
     for name in tables["storm"].values if tables.get("storm") else ():
         if name not in products:
-            raise Odd(f"storm.values.{name}", "no such product")
+            raise TableError(f"storm.values.{name}", "no such product")
     for k, topic in enumerate(mqtt.topics if mqtt else ()):
         if topic.product not in products:
-            raise Odd(f"mqtt.topics[{k}].product", "no such product")
+            raise TableError(f"mqtt.topics[{k}].product", "no such product")
         from .mqtt.codec import Malformed, topic_filter  # for those who use it
 
         try:
             topic_filter(topic.filter)
         except Malformed as trouble:
-            raise Odd(f"mqtt.topics[{k}].filter", str(trouble)) from None
+            raise TableError(f"mqtt.topics[{k}].filter", str(trouble)) from None
         wild = len([level for level in topic.filter.split("/") if level in ("+", "#")])
         if any(not 0 < int(number) <= wild for number in re.findall(r"{(\d+)}", topic.path)):
-            raise Odd(f"mqtt.topics[{k}].path", "a level that the filter does not have")
+            raise TableError(f"mqtt.topics[{k}].path", "a level that the filter does not have")
     if mqtt and mqtt.plan and mqtt.plan not in plans:
-        raise Odd("mqtt.plan", "no such plan")
+        raise TableError("mqtt.plan", "no such plan")
     if journal and journal.most_mb < 2 * journal.segment_mb:
-        raise Odd("journal.most_mb", "should be twice segment_mb or more")
+        raise TableError("journal.most_mb", "should be twice segment_mb or more")
 
 
 def known(told, kind):
@@ -152,6 +152,6 @@
             path, reason = placed(trouble)
             if lacks := re.search(r"required field `([^`]+)`", reason):
                 path, reason = f"{path}.{lacks.group(1)}".lstrip("."), "is missing"
-            raise Odd(f"{name}.{path}".rstrip("."), reason) from None
+            raise TableError(f"{name}.{path}".rstrip("."), reason) from None
     check(found, products, plans)
     return found
