--- a/rampfront/config.py
+++ b/rampfront/config.py
@@ -18,9 +18,9 @@
     Count,
     Count0,
     JournalTable,
-    Least0,
     MqttTable,
     MqttTopic,
+    NonNegative,
     Part,
     Place,
     Positive,
@@ -53,22 +53,24 @@
     group: Annotated[
         Literal["all", "zone", "cell"], Meta(description="which boxes drop a referenced txn's repeats")
     ] = "all"
-    repeat_window_ms: Annotated[Least0, Meta(description="for how long they remember it")] = 0.0
-    late_value: Annotated[Least0, Meta(description="part of its value that an answer past the SLA time has")] = 0.0
-    patience_ms: Annotated[Least0, Meta(description="how long a client waits over all its tries; 0: not told")] = 0.0
+    repeat_window_ms: Annotated[NonNegative, Meta(description="for how long they remember it")] = 0.0
+    late_value: Annotated[NonNegative, Meta(description="part of its value that an answer past the SLA time has")] = 0.0
+    patience_ms: Annotated[NonNegative, Meta(description="how long a client waits over all its tries; 0: not told")] = (
+        0.0
+    )
 
 
 class Plan(Part, kw_only=True):
     """A plan: the quotas that hold for each of its accounts, over all nodes together."""
 
     name: Annotated[Text, Meta(description="as clients name it in X-Tier")]
-    rate: Annotated[Least0, Meta(description="units a second; 0: no such quota")] = 0.0
-    burst: Annotated[Least0, Meta(description="units that may come at once")] = 0.0
+    rate: Annotated[NonNegative, Meta(description="units a second; 0: no such quota")] = 0.0
+    burst: Annotated[NonNegative, Meta(description="units that may come at once")] = 0.0
     at_once: Annotated[Count0, Meta(description="submissions out at once; 0: no such quota")] = 0
-    ceiling_rate: Annotated[Least0, Meta(description="units a second of the hard ceiling; 0: none")] = 0.0
-    ceiling_depth: Annotated[Least0, Meta(description="units that the ceiling holds")] = 0.0
-    beyond_earns: Annotated[Least0, Meta(description="part of its value that a txn beyond the quota earns")] = 0.0
-    beyond_costs: Annotated[Least0, Meta(description="and what it costs")] = 0.0
+    ceiling_rate: Annotated[NonNegative, Meta(description="units a second of the hard ceiling; 0: none")] = 0.0
+    ceiling_depth: Annotated[NonNegative, Meta(description="units that the ceiling holds")] = 0.0
+    beyond_earns: Annotated[NonNegative, Meta(description="part of its value that a txn beyond the quota earns")] = 0.0
+    beyond_costs: Annotated[NonNegative, Meta(description="and what it costs")] = 0.0
 
 
 class Fleet(Part, kw_only=True):
@@ -101,11 +103,11 @@
     copies: Annotated[bool, Meta(description="an inquiry-like txn may have two submissions out")] = False
     probes: Annotated[bool, Meta(description="boxes may be probed")] = False
     probe_fee: Annotated[
-        Least0,
+        NonNegative,
         Meta(description="what one probe for each txn costs, in parts of all value; past 0.01 probes go down in step"),
     ] = 0.0
     retry_after: Annotated[bool, Meta(description="clients are told when to come back")] = True
-    longest_retry_after_ms: Annotated[Least0, Meta(description="and no later than that")] = 5000.0
+    longest_retry_after_ms: Annotated[NonNegative, Meta(description="and no later than that")] = 5000.0
     connect_timeout_ms: Annotated[Positive, Meta(description="a connection to a box is up by then")] = 250.0
     keepalive_ms: Annotated[Positive, Meta(description="boxes close idle connections at this age")] = 30000.0
     largest_units: Annotated[Positive, Meta(description="most units of one txn")] = 1.0
@@ -116,9 +118,9 @@
 
     counter_wait_ms: Annotated[Positive, Meta(description="a call to the counter has timed out by then")] = 80.0
     marks: Annotated[bool, Meta(description="nodes mark the counter, to tell a new or split one")] = False
-    use_period_ms: Annotated[Least0, Meta(description="answers tell an account's use over so long; 0: they do not")] = (
-        0.0
-    )
+    use_period_ms: Annotated[
+        NonNegative, Meta(description="answers tell an account's use over so long; 0: they do not")
+    ] = 0.0
 
 
 class Limits(Part, kw_only=True):
--- a/rampfront/lab/plan.py
+++ b/rampfront/lab/plan.py
@@ -12,11 +12,13 @@
 import msgspec
 from msgspec import Meta, field
 
-from ..config import EFFECTS, Count, Least0, Part, Positive, placed
+from ..config import EFFECTS, Count, NonNegative, Part, Positive, placed
 
 Share = Annotated[float, Meta(ge=0, le=1)]
 Name = Annotated[str, Meta(pattern=r"^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$")]
-Span = Least0 | Annotated[list[Least0], Meta(min_length=2, max_length=2)]  # a value, or [low, high] to draw from
+Span = (
+    NonNegative | Annotated[list[NonNegative], Meta(min_length=2, max_length=2)]
+)  # a value, or [low, high] to draw from
 
 
 class BadPlan(Exception):
@@ -27,7 +29,7 @@
     """How long a txn is worked on, in ms, by a warm box that works on nothing else."""
 
     kind: Literal["constant", "exponential", "lognormal", "pareto"] = "constant"
-    mean_ms: Least0 = 5.0
+    mean_ms: NonNegative = 5.0
     cv: Annotated[float, Meta(gt=0, le=10)] = 1.0  # standard deviation over mean; lognormal and pareto
 
 
@@ -40,7 +42,7 @@
     slots: Count = 8  # txns worked on at once
     queue: Annotated[int, Meta(ge=0)] = 64  # txns that wait; past it a txn is turned away unrun
     cold_share: Annotated[float, Meta(gt=0, le=1)] = 0.25  # of its speed, at its start
-    warm_s: Least0 = 5.0  # until it has its full speed
+    warm_s: NonNegative = 5.0  # until it has its full speed
     zone: str = "a"
     idle_s: Positive = 30.0  # an idle connection is closed by then
     connections: Count = 4096  # past it a txn on a new connection is turned away unrun
@@ -48,14 +50,14 @@
 
 
 class CounterModel(Part, kw_only=True):
-    latency_ms: Least0 = 0.3
+    latency_ms: NonNegative = 0.3
     per_s: Positive = 20000.0  # calls a second; past it calls wait
     longest_wait_ms: Positive = 200.0  # past it they are turned away (-BUSY)
     timeout_ms: Positive = 80.0  # the nodes' own time-out (settings.Domain.CountWait)
 
 
 class DiscoveryModel(Part, kw_only=True):
-    notice_s: Least0 = 0.5  # a change reaches the nodes this much later
+    notice_s: NonNegative = 0.5  # a change reaches the nodes this much later
 
 
 class Topology(Part, kw_only=True):
@@ -77,7 +79,7 @@
     effect: Literal["inquiry", "referenced", "once_only"] = "inquiry"
     sla_ms: Positive = 500.0
     expiry_ms: Annotated[float, Meta(ge=10, le=600000)] = 2000.0
-    repeat_window_ms: Least0 = 5000.0
+    repeat_window_ms: NonNegative = 5000.0
     units: Positive = 1.0
 
 
@@ -85,11 +87,11 @@
     """An account's quota over all nodes. `rate` 0: no rate."""
 
     name: Name
-    rate: Least0 = 0.0  # units a second
-    burst: Least0 = 0.0
+    rate: NonNegative = 0.0  # units a second
+    burst: NonNegative = 0.0
     at_once: Annotated[int, Meta(ge=0)] = 0
-    ceiling_rate: Least0 = 0.0
-    ceiling_depth: Least0 = 0.0
+    ceiling_rate: NonNegative = 0.0
+    ceiling_depth: NonNegative = 0.0
 
 
 class Retries(Part, kw_only=True):
@@ -97,7 +99,7 @@
     referenced txn keeps its key. A voided once-only txn is never tried again."""
 
     most: Annotated[int, Meta(ge=0, le=100)] = 0
-    wait_ms: Least0 = 100.0
+    wait_ms: NonNegative = 100.0
     factor: Annotated[float, Meta(ge=1, le=10)] = 2.0
     longest_ms: Positive = 10000.0  # of a wait that no answer advised
     jitter: Share = 0.5
@@ -111,7 +113,7 @@
     kind: Literal["poisson", "bursts", "ramp"] = "poisson"
     every_s: Positive = 10.0
     on_s: Positive = 1.0
-    factor: Least0 = 5.0
+    factor: NonNegative = 5.0
 
 
 class Stream(Part, kw_only=True):
@@ -121,14 +123,14 @@
     plan: str
     rate: Positive  # txns a second over all its accounts, first tries alone
     accounts: Count = 1
-    skew: Least0 = 0.0  # Zipf exponent over its accounts; 0: alike
+    skew: NonNegative = 0.0  # Zipf exponent over its accounts; 0: alike
     products: dict[str, Positive] = field(default_factory=dict)  # weights; empty: all alike
     spread: Annotated[int, Meta(ge=0)] = 0  # nodes that an account comes in through; 0: all
     shape: Shape = Shape()
     retries: Retries = Retries()
     front: Literal["http", "mqtt", "both"] = "http"  # mqtt: as QoS 1 under PRODUCT/ACCOUNT/TXN; both: turn by turn
-    from_s: Least0 = 0.0
-    until_s: Least0 = 0.0  # 0: the end of the run
+    from_s: NonNegative = 0.0
+    until_s: NonNegative = 0.0  # 0: the end of the run
 
 
 class Load(Part, kw_only=True):
@@ -170,7 +172,7 @@
 class Experiment(Part, kw_only=True):
     name: Name
     duration_s: Positive = 10.0
-    warmup_s: Least0 = 2.0  # left out of latency figures, not of quotas
+    warmup_s: NonNegative = 2.0  # left out of latency figures, not of quotas
     seed: int = 1
     repeats: Count = 1  # seeds seed, seed + 1, ...
     topology: Topology = Topology()
--- a/rampfront/lab/system/plan.py
+++ b/rampfront/lab/system/plan.py
@@ -12,7 +12,7 @@
 import msgspec
 from msgspec import Meta, field
 
-from ...config import Count, Least0, Part, Positive, placed
+from ...config import Count, NonNegative, Part, Positive, placed
 from ...settings import configuration_reader, settings_reader
 from ..boxes import SPOILS
 from ..plan import BadPlan, Fault, Latency, Name, Retries, Shape, Share, clash, read_table
@@ -37,7 +37,7 @@
     slots: Count = 4
     queue: Annotated[int, Meta(ge=0)] = 8
     latency: Latency = Latency(mean_ms=20.0, kind="exponential")
-    warm_s: Least0 = 0.0  # slow for so long behind its start
+    warm_s: NonNegative = 0.0  # slow for so long behind its start
     cold_share: Annotated[float, Meta(gt=0, le=1)] = 0.25
     warmup_s: Positive = 3.0  # cold for so long, where it comes up during traffic
     cold_per_s: Positive = 2.0
@@ -51,7 +51,7 @@
 class Route(Part, kw_only=True):
     name: Name
     service: str = ""
-    shares: dict[str, Least0] = field(default_factory=dict)  # instead of `service`: weights
+    shares: dict[str, NonNegative] = field(default_factory=dict)  # instead of `service`: weights
     kind: Literal["read_only", "changing", "upload"] = "read_only"
     target_ms: Positive = 800.0
     give_up_ms: Positive = 3000.0
@@ -60,7 +60,7 @@
     public: bool = False
     homes: list[str] = field(default_factory=list)
     worth: Positive = 1.0
-    late: Least0 = 0.3  # worth of an answer past the target
+    late: NonNegative = 0.3  # worth of an answer past the target
 
     @property
     def sla_ms(self):
@@ -71,8 +71,8 @@
     """Has two keys; half of its requests bear either."""
 
     name: Name
-    per_s: Least0 = 0.0  # 0: no limit
-    burst: Least0 = 0.0
+    per_s: NonNegative = 0.0  # 0: no limit
+    burst: NonNegative = 0.0
     priority: Annotated[int, Meta(ge=0)] = 0
     homes: list[str] = field(default_factory=list)
 
@@ -92,16 +92,16 @@
     kept: Share = 0.7  # of its requests may go on a kept connection
     impatient: Share = 0.0  # do not wait as they are told, and try more often
     retries: Retries = Retries(most=2)
-    from_s: Least0 = 0.0
-    until_s: Least0 = 0.0  # 0: the end of the run
+    from_s: NonNegative = 0.0
+    until_s: NonNegative = 0.0  # 0: the end of the run
 
 
 class PlatformModel(Part, kw_only=True):
-    lag_s: Least0 = 0.5
+    lag_s: NonNegative = 0.5
     page: Count = 50
     per_s: Positive = 40.0
-    listed_s: Least0 = 2.0  # a crashed server stays on the list for so long
-    drain_s: Least0 = 4.0  # a server that is emptying serves for so long
+    listed_s: NonNegative = 2.0  # a crashed server stays on the list for so long
+    drain_s: NonNegative = 4.0  # a server that is emptying serves for so long
 
 
 class Order(Part, kw_only=True):
@@ -109,10 +109,10 @@
     the next version to another node at the same moment; `invalid`: a version that is not valid."""
 
     kind: Literal["replace", "race", "invalid", "empty", "return"]
-    at_s: Least0
+    at_s: NonNegative
     zone: str = ""  # empty, return
     move: dict[str, str] = field(default_factory=dict)  # route to service
-    limits: dict[str, list[Least0]] = field(default_factory=dict)  # tenant to [per_s, burst]
+    limits: dict[str, list[NonNegative]] = field(default_factory=dict)  # tenant to [per_s, burst]
     revoke: list[str] = field(default_factory=list)  # tenants whose first key goes
     drop: list[str] = field(default_factory=list)  # routes
 
@@ -129,7 +129,7 @@
 class Experiment(Part, kw_only=True):
     name: Name
     duration_s: Positive = 20.0
-    warmup_s: Least0 = 2.0  # left out of worth and latency, not of what is judged
+    warmup_s: NonNegative = 2.0  # left out of worth and latency, not of what is judged
     seed: int = 1
     base: str = "127.0.0.11"  # the first node's address
     zones: dict[str, str]  # zone to region
--- a/rampfront/tables.py
+++ b/rampfront/tables.py
@@ -10,7 +10,7 @@
 import msgspec
 from msgspec import Meta, Struct, field
 
-Least0 = Annotated[float, Meta(ge=0)]
+NonNegative = Annotated[float, Meta(ge=0)]
 Positive = Annotated[float, Meta(gt=0)]
 Share = Annotated[float, Meta(gt=0, le=1)]
 Count = Annotated[int, Meta(ge=1)]
@@ -54,8 +54,8 @@
 class StormTable(Part, kw_only=True):
     """Retry and reconnect storms. Without this table nothing is damped."""
 
-    retry_share: Annotated[Least0, Meta(description="retries let in for each first try, in a storm")] = 0.2
-    retries_per_s: Annotated[Least0, Meta(description="and a second, whatever comes")] = 10.0
+    retry_share: Annotated[NonNegative, Meta(description="retries let in for each first try, in a storm")] = 0.2
+    retries_per_s: Annotated[NonNegative, Meta(description="and a second, whatever comes")] = 10.0
     window_ms: Annotated[Positive, Meta(description="for how long a try that did not settle is known")] = 30000.0
     accepts_per_s: Annotated[Positive, Meta(description="new connections a second; past it told to come back")] = 500.0
     longest_retry_after_ms: Annotated[Positive, Meta(description="of the advice in a storm")] = 5000.0
@@ -68,7 +68,9 @@
     """A durable journal of once-only txns: recorded before they leave. Without this table there is none."""
 
     dir: Annotated[Text, Meta(description="its folder, on a disk that outlives the process; one process writes it")]
-    batch_ms: Annotated[Least0, Meta(description="a record waits so long for others to be made durable with it")] = 2.0
+    batch_ms: Annotated[
+        NonNegative, Meta(description="a record waits so long for others to be made durable with it")
+    ] = 2.0
     segment_mb: Annotated[Positive, Meta(description="size of a file")] = 16.0
     most_mb: Annotated[Positive, Meta(description="of all files; twice segment_mb or more")] = 256.0
     keep_s: Annotated[Positive, Meta(description="age at which a file goes")] = 86400.0
@@ -100,7 +102,9 @@
         int, Meta(ge=1, le=65535, description="txns of one client that wait for their answer; it is read no faster")
     ] = 64
     expiry_ms: Annotated[float, Meta(gt=0, le=600000, description="of a PUBLISH that tells none")] = 10000.0
-    session_expiry_s: Annotated[Least0, Meta(description="longest life of a session whose client is away")] = 3600.0
+    session_expiry_s: Annotated[NonNegative, Meta(description="longest life of a session whose client is away")] = (
+        3600.0
+    )
 
 
 KINDS = {"syslog": Syslog, "storm": StormTable, "mqtt": MqttTable, "journal": JournalTable}
