--- a/rampfront/config.py
+++ b/rampfront/config.py
@@ -15,7 +15,6 @@
 
 from . import tables
 from .tables import (
-    Count,
     Count0,
     JournalTable,
     MqttTable,
@@ -24,6 +23,7 @@
     Part,
     Place,
     Positive,
+    PositiveInt,
     Share,
     StormTable,
     Syslog,
@@ -76,7 +76,7 @@
 class Fleet(Part, kw_only=True):
     """The fleet that this node is one of, and the registry boxes behind it."""
 
-    nodes: Annotated[Count, Meta(description="edge nodes in all")] = 1
+    nodes: Annotated[PositiveInt, Meta(description="edge nodes in all")] = 1
     zones: Annotated[list[str], Meta(description="names of zones, as discovery gives them")] = field(
         default_factory=list
     )
@@ -98,7 +98,7 @@
 class Txns(Part, kw_only=True):
     """What may be done for a txn."""
 
-    submissions: Annotated[Count, Meta(description="at most, for one txn")] = 3
+    submissions: Annotated[PositiveInt, Meta(description="at most, for one txn")] = 3
     cancel: Annotated[bool, Meta(description="a submission may be called off")] = True
     copies: Annotated[bool, Meta(description="an inquiry-like txn may have two submissions out")] = False
     probes: Annotated[bool, Meta(description="boxes may be probed")] = False
@@ -127,7 +127,7 @@
     """What the process may use."""
 
     sockets: Annotated[int, Meta(ge=128, description="descriptors")] = 1024
-    memory_mb: Annotated[Count, Meta(description="memory")] = 192
+    memory_mb: Annotated[PositiveInt, Meta(description="memory")] = 192
 
 
 class Logging(Part, kw_only=True):
--- a/rampfront/lab/plan.py
+++ b/rampfront/lab/plan.py
@@ -12,7 +12,7 @@
 import msgspec
 from msgspec import Meta, field
 
-from ..config import EFFECTS, Count, NonNegative, Part, Positive, placed
+from ..config import EFFECTS, NonNegative, Part, Positive, PositiveInt, placed
 
 Share = Annotated[float, Meta(ge=0, le=1)]
 Name = Annotated[str, Meta(pattern=r"^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$")]
@@ -37,15 +37,15 @@
     """A group of app servers (registry boxes) that are alike."""
 
     name: Name = "box"
-    count: Count = 3
+    count: PositiveInt = 3
     latency: Latency = Latency()
-    slots: Count = 8  # txns worked on at once
+    slots: PositiveInt = 8  # txns worked on at once
     queue: Annotated[int, Meta(ge=0)] = 64  # txns that wait; past it a txn is turned away unrun
     cold_share: Annotated[float, Meta(gt=0, le=1)] = 0.25  # of its speed, at its start
     warm_s: NonNegative = 5.0  # until it has its full speed
     zone: str = "a"
     idle_s: Positive = 30.0  # an idle connection is closed by then
-    connections: Count = 4096  # past it a txn on a new connection is turned away unrun
+    connections: PositiveInt = 4096  # past it a txn on a new connection is turned away unrun
     body_bytes: Annotated[int, Meta(ge=0, le=1 << 24)] = 64
 
 
@@ -122,7 +122,7 @@
     name: Name
     plan: str
     rate: Positive  # txns a second over all its accounts, first tries alone
-    accounts: Count = 1
+    accounts: PositiveInt = 1
     skew: NonNegative = 0.0  # Zipf exponent over its accounts; 0: alike
     products: dict[str, Positive] = field(default_factory=dict)  # weights; empty: all alike
     spread: Annotated[int, Meta(ge=0)] = 0  # nodes that an account comes in through; 0: all
@@ -174,7 +174,7 @@
     duration_s: Positive = 10.0
     warmup_s: NonNegative = 2.0  # left out of latency figures, not of quotas
     seed: int = 1
-    repeats: Count = 1  # seeds seed, seed + 1, ...
+    repeats: PositiveInt = 1  # seeds seed, seed + 1, ...
     topology: Topology = Topology()
     products: Annotated[list[Product], Meta(min_length=1)]
     plans: Annotated[list[Plan], Meta(min_length=1)]
--- a/rampfront/lab/system/plan.py
+++ b/rampfront/lab/system/plan.py
@@ -12,7 +12,7 @@
 import msgspec
 from msgspec import Meta, field
 
-from ...config import Count, NonNegative, Part, Positive, placed
+from ...config import NonNegative, Part, Positive, PositiveInt, placed
 from ...settings import configuration_reader, settings_reader
 from ..boxes import SPOILS
 from ..plan import BadPlan, Fault, Latency, Name, Retries, Shape, Share, clash, read_table
@@ -25,7 +25,7 @@
     """The pilots of one zone."""
 
     zone: Name
-    count: Count = 1
+    count: PositiveInt = 1
     disks: Annotated[int, Meta(ge=0)] = 1  # so many of them, the first ones, have a disk and keep the core
 
 
@@ -33,15 +33,15 @@
     """A service and its stand-in servers. What is not said here is as in `lab/boxes.py`."""
 
     name: Name
-    servers: dict[str, Count]  # by zone
-    slots: Count = 4
+    servers: dict[str, PositiveInt]  # by zone
+    slots: PositiveInt = 4
     queue: Annotated[int, Meta(ge=0)] = 8
     latency: Latency = Latency(mean_ms=20.0, kind="exponential")
     warm_s: NonNegative = 0.0  # slow for so long behind its start
     cold_share: Annotated[float, Meta(gt=0, le=1)] = 0.25
     warmup_s: Positive = 3.0  # cold for so long, where it comes up during traffic
     cold_per_s: Positive = 2.0
-    connections: Count = 130
+    connections: PositiveInt = 130
     idle_s: Positive = 15.0
     tells_load: bool = True
     body_bytes: Annotated[int, Meta(ge=16, le=1 << 20)] = 64
@@ -98,7 +98,7 @@
 
 class PlatformModel(Part, kw_only=True):
     lag_s: NonNegative = 0.5
-    page: Count = 50
+    page: PositiveInt = 50
     per_s: Positive = 40.0
     listed_s: NonNegative = 2.0  # a crashed server stays on the list for so long
     drain_s: NonNegative = 4.0  # a server that is emptying serves for so long
@@ -123,7 +123,7 @@
 
     rates: list[Positive] = field(default_factory=lambda: [100.0, 300.0, 600.0])
     seconds: Positive = 4.0
-    rounds: Count = 1  # all ways in turn so often, their rows together
+    rounds: PositiveInt = 1  # all ways in turn so often, their rows together
 
 
 class Experiment(Part, kw_only=True):
@@ -139,7 +139,7 @@
     tenants: list[Tenant] = field(default_factory=list)
     platform: PlatformModel = PlatformModel()
     streams: Annotated[list[Stream], Meta(min_length=1)]
-    clients: Count = 6  # in each zone; each keeps its own answer of the directory and its own connections
+    clients: PositiveInt = 6  # in each zone; each keeps its own answer of the directory and its own connections
     most_lag_ms: Positive = 50.0  # a run whose p99 lag from intended to real send is above is refused
     orders: list[Order] = field(default_factory=list)
     faults: list[Fault] = field(default_factory=list)
--- a/rampfront/tables.py
+++ b/rampfront/tables.py
@@ -13,7 +13,7 @@
 NonNegative = Annotated[float, Meta(ge=0)]
 Positive = Annotated[float, Meta(gt=0)]
 Share = Annotated[float, Meta(gt=0, le=1)]
-Count = Annotated[int, Meta(ge=1)]
+PositiveInt = Annotated[int, Meta(ge=1)]
 Count0 = Annotated[int, Meta(ge=0)]
 Text = Annotated[str, Meta(min_length=1)]
 Place = Annotated[str, Meta(pattern=r"^[^\s:]+:[1-9][0-9]{0,4}$")]
@@ -48,7 +48,7 @@
     spill_dir: Annotated[str, Meta(description="folder for what waits beyond; empty: none")] = ""
     spill_mb: Annotated[Positive, Meta(description="and its size at most")] = 64.0
     settled: Annotated[bool, Meta(description="also a message for each settled txn")] = False
-    enterprise: Annotated[Count, Meta(description="private enterprise number in the SD-ID")] = 32473
+    enterprise: Annotated[PositiveInt, Meta(description="private enterprise number in the SD-ID")] = 32473
 
 
 class StormTable(Part, kw_only=True):
@@ -96,8 +96,10 @@
     answers: Annotated[
         str, Meta(pattern="^[^+#]+$", description="first levels of the topics under which answers are told")
     ] = "answers"
-    connections: Annotated[Count, Meta(description="at most; their descriptors are taken from limits.sockets")] = 256
-    sessions: Annotated[Count, Meta(description="at most, with those whose client is away")] = 1024
+    connections: Annotated[
+        PositiveInt, Meta(description="at most; their descriptors are taken from limits.sockets")
+    ] = 256
+    sessions: Annotated[PositiveInt, Meta(description="at most, with those whose client is away")] = 1024
     inflight: Annotated[
         int, Meta(ge=1, le=65535, description="txns of one client that wait for their answer; it is read no faster")
     ] = 64
