--- a/rampfront/config.py
+++ b/rampfront/config.py
@@ -20,12 +20,12 @@
     MqttTable,
     MqttTopic,
     NonNegative,
-    Part,
     Place,
     Positive,
     PositiveInt,
     Share,
     StormTable,
+    StrictTable,
     Syslog,
     Text,
     placed,
@@ -41,7 +41,7 @@
 EFFECTS = {"inquiry": "pure", "referenced": "token", "once_only": "side_effect"}  # the platform's words
 
 
-class Product(Part, kw_only=True):
+class Product(StrictTable, kw_only=True):
     """A product: what its txns may do."""
 
     name: Annotated[Text, Meta(description="as clients name it in X-Class")]
@@ -60,7 +60,7 @@
     )
 
 
-class Plan(Part, kw_only=True):
+class Plan(StrictTable, kw_only=True):
     """A plan: the quotas that hold for each of its accounts, over all nodes together."""
 
     name: Annotated[Text, Meta(description="as clients name it in X-Tier")]
@@ -73,7 +73,7 @@
     beyond_costs: Annotated[NonNegative, Meta(description="and what it costs")] = 0.0
 
 
-class Fleet(Part, kw_only=True):
+class Fleet(StrictTable, kw_only=True):
     """The fleet that this node is one of, and the registry boxes behind it."""
 
     nodes: Annotated[PositiveInt, Meta(description="edge nodes in all")] = 1
@@ -86,7 +86,7 @@
     tip_after_ms: Annotated[Positive, Meta(description="when it lasts so long")] = 1000.0
 
 
-class Box(Part, kw_only=True):
+class Box(StrictTable, kw_only=True):
     """A registry box known at the start, before discovery has spoken."""
 
     uid: Text
@@ -95,7 +95,7 @@
     state: Literal["in_service", "terminating"] = "in_service"
 
 
-class Txns(Part, kw_only=True):
+class Txns(StrictTable, kw_only=True):
     """What may be done for a txn."""
 
     submissions: Annotated[PositiveInt, Meta(description="at most, for one txn")] = 3
@@ -113,7 +113,7 @@
     largest_units: Annotated[Positive, Meta(description="most units of one txn")] = 1.0
 
 
-class Quotas(Part, kw_only=True):
+class Quotas(StrictTable, kw_only=True):
     """How quotas are shared."""
 
     counter_wait_ms: Annotated[Positive, Meta(description="a call to the counter has timed out by then")] = 80.0
@@ -123,14 +123,14 @@
     ] = 0.0
 
 
-class Limits(Part, kw_only=True):
+class Limits(StrictTable, kw_only=True):
     """What the process may use."""
 
     sockets: Annotated[int, Meta(ge=128, description="descriptors")] = 1024
     memory_mb: Annotated[PositiveInt, Meta(description="memory")] = 192
 
 
-class Logging(Part, kw_only=True):
+class Logging(StrictTable, kw_only=True):
     """The log on standard error: JSON, one line an event."""
 
     level: Annotated[Level, Meta(description="events below it are not written")] = "info"
@@ -139,7 +139,7 @@
     ] = field(default_factory=dict)
 
 
-class Config(Part, kw_only=True):
+class Config(StrictTable, kw_only=True):
     """One edge node."""
 
     name: Annotated[Text, Meta(description="of this node, the same after a restart")]
--- a/rampfront/lab/plan.py
+++ b/rampfront/lab/plan.py
@@ -12,7 +12,7 @@
 import msgspec
 from msgspec import Meta, field
 
-from ..config import EFFECTS, NonNegative, Part, Positive, PositiveInt, placed
+from ..config import EFFECTS, NonNegative, Positive, PositiveInt, StrictTable, placed
 
 Share = Annotated[float, Meta(ge=0, le=1)]
 Name = Annotated[str, Meta(pattern=r"^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$")]
@@ -25,7 +25,7 @@
     """The experiment file does not hold what it should; the text names the key."""
 
 
-class Latency(Part, kw_only=True):
+class Latency(StrictTable, kw_only=True):
     """How long a txn is worked on, in ms, by a warm box that works on nothing else."""
 
     kind: Literal["constant", "exponential", "lognormal", "pareto"] = "constant"
@@ -33,7 +33,7 @@
     cv: Annotated[float, Meta(gt=0, le=10)] = 1.0  # standard deviation over mean; lognormal and pareto
 
 
-class Boxes(Part, kw_only=True):
+class Boxes(StrictTable, kw_only=True):
     """A group of app servers (registry boxes) that are alike."""
 
     name: Name = "box"
@@ -49,18 +49,18 @@
     body_bytes: Annotated[int, Meta(ge=0, le=1 << 24)] = 64
 
 
-class CounterModel(Part, kw_only=True):
+class CounterModel(StrictTable, kw_only=True):
     latency_ms: NonNegative = 0.3
     per_s: Positive = 20000.0  # calls a second; past it calls wait
     longest_wait_ms: Positive = 200.0  # past it they are turned away (-BUSY)
     timeout_ms: Positive = 80.0  # the nodes' own time-out (settings.Domain.CountWait)
 
 
-class DiscoveryModel(Part, kw_only=True):
+class DiscoveryModel(StrictTable, kw_only=True):
     notice_s: NonNegative = 0.5  # a change reaches the nodes this much later
 
 
-class Topology(Part, kw_only=True):
+class Topology(StrictTable, kw_only=True):
     nodes: Annotated[int, Meta(ge=0, le=64)] = 1  # 0: clients speak straight to the boxes
     counter: bool = True
     boxes: Annotated[list[Boxes], Meta(min_length=1)] = field(default_factory=lambda: [Boxes()])
@@ -74,7 +74,7 @@
     root: str = ""  # the checkout whose edge nodes are run, with its .venv; empty: this one
 
 
-class Product(Part, kw_only=True):
+class Product(StrictTable, kw_only=True):
     name: Name
     effect: Literal["inquiry", "referenced", "once_only"] = "inquiry"
     sla_ms: Positive = 500.0
@@ -83,7 +83,7 @@
     units: Positive = 1.0
 
 
-class Plan(Part, kw_only=True):
+class Plan(StrictTable, kw_only=True):
     """An account's quota over all nodes. `rate` 0: no rate."""
 
     name: Name
@@ -94,7 +94,7 @@
     ceiling_depth: NonNegative = 0.0
 
 
-class Retries(Part, kw_only=True):
+class Retries(StrictTable, kw_only=True):
     """What a client does with an answer that did not settle its txn. A later try has a new X-Request-Id, and a
     referenced txn keeps its key. A voided once-only txn is never tried again."""
 
@@ -106,7 +106,7 @@
     honours: bool = True  # waits for Retry-After where it is given
 
 
-class Shape(Part, kw_only=True):
+class Shape(StrictTable, kw_only=True):
     """How a stream's rate moves: `poisson` is even; `bursts` multiplies it by `factor` for `on_s` of each `every_s`;
     `ramp` goes from `factor` times the rate at its start to the rate at its end."""
 
@@ -116,7 +116,7 @@
     factor: NonNegative = 5.0
 
 
-class Stream(Part, kw_only=True):
+class Stream(StrictTable, kw_only=True):
     """An open-loop stream of txns from a number of accounts on one plan."""
 
     name: Name
@@ -133,7 +133,7 @@
     until_s: NonNegative = 0.0  # 0: the end of the run
 
 
-class Load(Part, kw_only=True):
+class Load(StrictTable, kw_only=True):
     workers: Annotated[int, Meta(ge=1, le=64)] = 1  # load processes
     streams: Annotated[list[Stream], Meta(min_length=1)]
     most_lag_ms: Positive = 5.0  # a run whose p99 lag from intended to real send is above is refused
@@ -148,7 +148,7 @@
 NODE_FAULTS = ("kill", "stop", "restart")
 
 
-class Fault(Part, kw_only=True):
+class Fault(StrictTable, kw_only=True):
     """One scripted fault. `target` is a box (`box:0`, `box:any`, a group's name for all of it, `boxes` for every
     one), `counter`, `discovery`, or a node (`node:0`, `node:any`). `size` means: slow, times as long (counter: ms
     more); errors and turn_away, the share; drop_idle and close_idle, idle for so many seconds."""
@@ -161,7 +161,7 @@
     halves: list[list[int]] = field(default_factory=list)  # split: which nodes see which half; empty: alternately
 
 
-class Pin(Part, kw_only=True):
+class Pin(StrictTable, kw_only=True):
     """Cores for each kind of process; empty: the system chooses."""
 
     nodes: list[int] = field(default_factory=list)
@@ -169,7 +169,7 @@
     load: list[int] = field(default_factory=list)
 
 
-class Experiment(Part, kw_only=True):
+class Experiment(StrictTable, kw_only=True):
     name: Name
     duration_s: Positive = 10.0
     warmup_s: NonNegative = 2.0  # left out of latency figures, not of quotas
--- a/rampfront/lab/system/plan.py
+++ b/rampfront/lab/system/plan.py
@@ -12,7 +12,7 @@
 import msgspec
 from msgspec import Meta, field
 
-from ...config import NonNegative, Part, Positive, PositiveInt, placed
+from ...config import NonNegative, Positive, PositiveInt, StrictTable, placed
 from ...settings import configuration_reader, settings_reader
 from ..boxes import SPOILS
 from ..plan import BadPlan, Fault, Latency, Name, Retries, Shape, Share, clash, read_table
@@ -21,7 +21,7 @@
 VARIANTS = ("system", "split", "unshared", "random")
 
 
-class Pilots(Part, kw_only=True):
+class Pilots(StrictTable, kw_only=True):
     """The pilots of one zone."""
 
     zone: Name
@@ -29,7 +29,7 @@
     disks: Annotated[int, Meta(ge=0)] = 1  # so many of them, the first ones, have a disk and keep the core
 
 
-class Service(Part, kw_only=True):
+class Service(StrictTable, kw_only=True):
     """A service and its stand-in servers. What is not said here is as in `lab/boxes.py`."""
 
     name: Name
@@ -48,7 +48,7 @@
     spoils: dict[str, Share] = field(default_factory=dict)  # share of answers that are spoilt so, all the time
 
 
-class Route(Part, kw_only=True):
+class Route(StrictTable, kw_only=True):
     name: Name
     service: str = ""
     shares: dict[str, NonNegative] = field(default_factory=dict)  # instead of `service`: weights
@@ -67,7 +67,7 @@
         return self.target_ms
 
 
-class Tenant(Part, kw_only=True):
+class Tenant(StrictTable, kw_only=True):
     """Has two keys; half of its requests bear either."""
 
     name: Name
@@ -77,7 +77,7 @@
     homes: list[str] = field(default_factory=list)
 
 
-class Stream(Part, kw_only=True):
+class Stream(StrictTable, kw_only=True):
     """An open-loop stream of requests on one route."""
 
     name: Name
@@ -96,7 +96,7 @@
     until_s: NonNegative = 0.0  # 0: the end of the run
 
 
-class PlatformModel(Part, kw_only=True):
+class PlatformModel(StrictTable, kw_only=True):
     lag_s: NonNegative = 0.5
     page: PositiveInt = 50
     per_s: Positive = 40.0
@@ -104,7 +104,7 @@
     drain_s: NonNegative = 4.0  # a server that is emptying serves for so long
 
 
-class Order(Part, kw_only=True):
+class Order(StrictTable, kw_only=True):
     """What the operator does. `replace`: a new version with all the changes named here; `race`: another operator sends
     the next version to another node at the same moment; `invalid`: a version that is not valid."""
 
@@ -117,7 +117,7 @@
     drop: list[str] = field(default_factory=list)  # routes
 
 
-class Speed(Part, kw_only=True):
+class Speed(StrictTable, kw_only=True):
     """For `lab system speed`: rates of the first stream, each for so many seconds, straight to the servers, through one
     pilot and through all."""
 
@@ -126,7 +126,7 @@
     rounds: PositiveInt = 1  # all ways in turn so often, their rows together
 
 
-class Experiment(Part, kw_only=True):
+class Experiment(StrictTable, kw_only=True):
     name: Name
     duration_s: Positive = 20.0
     warmup_s: NonNegative = 2.0  # left out of worth and latency, not of what is judged
--- a/rampfront/tables.py
+++ b/rampfront/tables.py
@@ -27,7 +27,7 @@
         self.path, self.reason = path, reason
 
 
-class Part(Struct, kw_only=True, forbid_unknown_fields=True, frozen=True):
+class StrictTable(Struct, kw_only=True, forbid_unknown_fields=True, frozen=True):
     pass
 
 
@@ -37,7 +37,7 @@
     return (path.rstrip("`").lstrip("."), reason) if reason else ("", str(trouble))
 
 
-class Syslog(Part, kw_only=True):
+class Syslog(StrictTable, kw_only=True):
     """Decisions as RFC 5424 messages to a collector. Without this table nothing is sent."""
 
     collector: Annotated[Place, Meta(description="host:port")]
@@ -51,7 +51,7 @@
     enterprise: Annotated[PositiveInt, Meta(description="private enterprise number in the SD-ID")] = 32473
 
 
-class StormTable(Part, kw_only=True):
+class StormTable(StrictTable, kw_only=True):
     """Retry and reconnect storms. Without this table nothing is damped."""
 
     retry_share: Annotated[NonNegative, Meta(description="retries let in for each first try, in a storm")] = 0.2
@@ -64,7 +64,7 @@
     ] = field(default_factory=dict)
 
 
-class JournalTable(Part, kw_only=True):
+class JournalTable(StrictTable, kw_only=True):
     """A durable journal of once-only txns: recorded before they leave. Without this table there is none."""
 
     dir: Annotated[Text, Meta(description="its folder, on a disk that outlives the process; one process writes it")]
@@ -76,7 +76,7 @@
     keep_s: Annotated[Positive, Meta(description="age at which a file goes")] = 86400.0
 
 
-class MqttTopic(Part, kw_only=True):
+class MqttTopic(StrictTable, kw_only=True):
     """Which txn a PUBLISH under a topic is. The first row that matches is taken."""
 
     filter: Annotated[Text, Meta(description="topic filter, with + and # as MQTT has them")]
@@ -87,7 +87,7 @@
     units: Annotated[Positive, Meta(description="that a txn takes")] = 1.0
 
 
-class MqttTable(Part, kw_only=True):
+class MqttTable(StrictTable, kw_only=True):
     """MQTT 3.1.1 and 5.0 clients. Without this table there is no such front."""
 
     listen: Annotated[Place, Meta(description="host:port for MQTT clients")]
