--- a/rampfront/config.py
+++ b/rampfront/config.py
@@ -28,7 +28,7 @@
     StrictTable,
     Syslog,
     Text,
-    placed,
+    split_validation_error,
 )
 
 Level = Literal["debug", "info", "warning", "error"]
@@ -320,7 +320,7 @@
     try:
         return check(msgspec.convert(table, Config))
     except msgspec.ValidationError as trouble:
-        path, reason = placed(trouble)
+        path, reason = split_validation_error(trouble)
         if odd := re.search(r"(?:unknown|required) field `([^`]+)`", reason):
             path = f"{path}.{odd.group(1)}".lstrip(".")
             reason = "no such key" if "unknown" in reason else "is missing"
--- a/rampfront/lab/plan.py
+++ b/rampfront/lab/plan.py
@@ -12,7 +12,7 @@
 import msgspec
 from msgspec import Meta, field
 
-from ..config import EFFECTS, NonNegative, Positive, PositiveInt, StrictTable, placed
+from ..config import EFFECTS, NonNegative, Positive, PositiveInt, StrictTable, split_validation_error
 
 Share = Annotated[float, Meta(ge=0, le=1)]
 Name = Annotated[str, Meta(pattern=r"^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$")]
@@ -258,7 +258,7 @@
     try:
         return check(msgspec.convert(table, Experiment))
     except msgspec.ValidationError as trouble:
-        where, reason = placed(trouble)
+        where, reason = split_validation_error(trouble)
         raise BadPlan(f"{where or 'the file'}: {reason}") from None
 
 
--- a/rampfront/lab/system/plan.py
+++ b/rampfront/lab/system/plan.py
@@ -12,7 +12,7 @@
 import msgspec
 from msgspec import Meta, field
 
-from ...config import NonNegative, Positive, PositiveInt, StrictTable, placed
+from ...config import NonNegative, Positive, PositiveInt, StrictTable, split_validation_error
 from ...settings import configuration_reader, settings_reader
 from ..boxes import SPOILS
 from ..plan import BadPlan, Fault, Latency, Name, Retries, Shape, Share, clash, read_table
@@ -267,7 +267,7 @@
     try:
         return check(msgspec.convert(table, Experiment))
     except msgspec.ValidationError as trouble:
-        where, reason = placed(trouble)
+        where, reason = split_validation_error(trouble)
         raise BadPlan(f"{where or 'the file'}: {reason}") from None
 
 
--- a/rampfront/tables.py
+++ b/rampfront/tables.py
@@ -31,7 +31,7 @@
     pass
 
 
-def placed(trouble):
+def split_validation_error(trouble):
     """A msgspec error as (key path, reason); the path is empty where it names none."""
     reason, _, path = str(trouble).rpartition(" - at `$")
     return (path.rstrip("`").lstrip("."), reason) if reason else ("", str(trouble))
@@ -155,7 +155,7 @@
         try:
             found[name] = None if table is None else msgspec.convert(table, kind)
         except msgspec.ValidationError as trouble:
-            path, reason = placed(trouble)
+            path, reason = split_validation_error(trouble)
             if lacks := re.search(r"required field `([^`]+)`", reason):
                 path, reason = f"{path}.{lacks.group(1)}".lstrip("."), "is missing"
             raise TableError(f"{name}.{path}".rstrip("."), reason) from None
