--- a/rampfront/config.py
+++ b/rampfront/config.py
@@ -38,7 +38,7 @@
     """The configuration file does not hold what it should; the text names line, key and reason."""
 
 
-EFFECTS = {"inquiry": "pure", "referenced": "token", "once_only": "side_effect"}  # the platform's words
+PLATFORM_EFFECTS = {"inquiry": "pure", "referenced": "token", "once_only": "side_effect"}  # the platform's words
 
 
 class Product(StrictTable, kw_only=True):
@@ -230,7 +230,7 @@
             "Classes": [
                 {
                     "Name": p.name,
-                    "Effect": EFFECTS[p.effect],
+                    "Effect": PLATFORM_EFFECTS[p.effect],
                     "Group": p.group,
                     "OnTime": p.sla_ms,
                     "RepeatWindow": p.repeat_window_ms,
--- a/rampfront/lab/plan.py
+++ b/rampfront/lab/plan.py
@@ -12,7 +12,7 @@
 import msgspec
 from msgspec import Meta, field
 
-from ..config import EFFECTS, NonNegative, Positive, PositiveInt, StrictTable, split_validation_error
+from ..config import PLATFORM_EFFECTS, NonNegative, Positive, PositiveInt, StrictTable, split_validation_error
 
 Share = Annotated[float, Meta(ge=0, le=1)]
 Name = Annotated[str, Meta(pattern=r"^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$")]
@@ -320,7 +320,12 @@
     group = plan.topology.boxes[0]
     base = {
         "Classes": [
-            {"Name": p.name, "Effect": EFFECTS[p.effect], "OnTime": p.sla_ms, "RepeatWindow": p.repeat_window_ms}
+            {
+                "Name": p.name,
+                "Effect": PLATFORM_EFFECTS[p.effect],
+                "OnTime": p.sla_ms,
+                "RepeatWindow": p.repeat_window_ms,
+            }
             for p in plan.products
         ],
         "Packages": [
