--- a/rampfront/transport/__init__.py
+++ b/rampfront/transport/__init__.py
@@ -1,14 +1,14 @@
-"""Frames between the nodes of the system: small ones as datagrams, large ones over a TCP connection of their own.
+"""Carries frames between the nodes of the system: small ones as datagrams, each large one over its own TCP connection.
 
-The service is one-way and unreliable: a frame may be lost, doubled or late, and nothing is sent again here. The
-protocols above (consensus, membership, quota, orders) repeat what matters.
+The service is one-way and unreliable: a frame may be lost, duplicated or delayed, and this package does not retransmit.
+The protocols above it (consensus, membership, quota, orders) repeat the messages that have to arrive.
 
 Reading order:
 
-- `frames`: the codec. A message is a map; a frame is that map as CBOR, compressed where it pays.
-- `wire`: `Wire`, which the node uses: `send` and `send_all` out, the handler `on_frame` in.
+- `frames`: the codec. A message is a map; a frame is that map as CBOR, compressed if that makes it smaller.
+- `wire`: `Wire`, the interface for the node: `send` and `send_all`, and the handler `on_frame` for received messages.
 - `datagram`: the UDP endpoint for small frames.
-- `transfer_scheduler`: which large frame goes to whom next. It does no I/O.
-- `connections`: what the ends of a transfer's TCP connection have in common, and the bounded set that `Wire` keeps.
-- `outgoing`, `incoming`: the sender's and the receiver's end.
+- `transfer_scheduler`: decides when each large frame is sent. It does no I/O.
+- `connections`: the base class for both ends of a transfer's TCP connection, and the bounded set that `Wire` keeps.
+- `outgoing`, `incoming`: the sender's and the receiver's end of the connection.
 """
--- a/rampfront/transport/connections.py
+++ b/rampfront/transport/connections.py
@@ -1,4 +1,4 @@
-"""The connections that carry large frames: what both ends have in common, and a bounded set of them."""
+"""The TCP connections that carry large frames: the base class for both ends, and a bounded set of connections."""
 
 import asyncio
 from abc import abstractmethod
@@ -10,47 +10,47 @@
 
     @abstractmethod
     def deadline_ns(self) -> int:
-        """Returns when it is given up, on the node's steady clock."""
+        """Returns the time at which the connection is aborted, in ns of the node's steady clock."""
 
     @abstractmethod
     def close(self) -> None:
-        """Ends it at once and removes it from its set."""
+        """Aborts the connection and removes it from its set."""
 
 
 class ConnectionSet:
-    """Connections in the order in which they began. Past the limit the oldest is closed, so that peers which never
-    finish cannot use up the file descriptors of the process."""
+    """Connections in the order in which they were opened. Beyond the limit the oldest is closed, so that peers which
+    never finish a transfer cannot exhaust the file descriptors of the process."""
 
     def __init__(self, limit: int) -> None:
-        """`limit`: connections at most."""
+        """`limit`: the maximum number of connections."""
         self._limit = limit
         self._connections: dict[TransferConnection, None] = {}  # a dict keeps the order
 
     def __iter__(self) -> Iterator[TransferConnection]:
-        """The oldest first."""
+        """Iterates over the connections, the oldest first."""
         return iter(self._connections)
 
     def __len__(self) -> int:
-        """How many are open."""
+        """Returns the number of open connections."""
         return len(self._connections)
 
     def __contains__(self, connection: TransferConnection) -> bool:
-        """Whether it is open and was not given up."""
+        """Returns whether the connection is open and has not been aborted."""
         return connection in self._connections
 
     def add(self, connection: TransferConnection) -> None:
-        """Adds one; closes the oldest if it is one too many."""
+        """Adds a connection; closes the oldest if the limit is exceeded."""
         self._connections[connection] = None
         if len(self._connections) > self._limit:
             next(iter(self._connections)).close()
 
     def remove(self, connection: TransferConnection) -> bool:
-        """Takes one out; returns whether it was in the set."""
+        """Removes a connection; returns whether it was in the set."""
         if connection not in self._connections:
             return False
         del self._connections[connection]
         return True
 
     def expired(self, now_ns: int) -> list[TransferConnection]:
-        """Returns those whose deadline has passed."""
+        """Returns the connections whose deadline has passed."""
         return [connection for connection in self._connections if connection.deadline_ns() < now_ns]
--- a/rampfront/transport/datagram.py
+++ b/rampfront/transport/datagram.py
@@ -1,4 +1,4 @@
-"""The UDP endpoint: one datagram is one frame."""
+"""The UDP endpoint; each datagram contains one frame."""
 
 import asyncio
 from collections.abc import Callable
@@ -6,15 +6,15 @@
 
 
 class DatagramEndpoint(asyncio.DatagramProtocol):
-    """Hands every datagram to `on_frame(sender's IP address, frame)`."""
+    """Passes every datagram to `on_frame(sender's IP address, frame)`."""
 
     def __init__(self, on_frame: Callable[[str, bytes], None]) -> None:
-        """The endpoint is bound by `loop.create_datagram_endpoint`."""
+        """Does not bind the endpoint; `loop.create_datagram_endpoint` does."""
         self._on_frame = on_frame
 
     def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
-        """A frame came in."""
+        """Passes on a received frame."""
         self._on_frame(addr[0], data)
 
     def error_received(self, exc: Exception) -> None:
-        """Ignores a port that nobody listens at: whoever waits for an answer learns of it by a time-out."""
+        """Ignores a closed port at the receiver, since the protocols above detect a missing answer by a time-out."""
--- a/rampfront/transport/frames.py
+++ b/rampfront/transport/frames.py
@@ -1,10 +1,10 @@
-"""The codec of frames: a message to bytes and back.
+"""The codec of frames: encodes a message to bytes and decodes it.
 
-A frame is one message as CBOR (RFC 8949), compressed by zlib (RFC 1950) where it is long enough and gets smaller by
-it: membership lists repeat themselves, and bytes on the links are priced. No flag says which form a frame has, as the
-first byte does: 0x78 begins every zlib stream made here, and in CBOR it begins a text, which no message is.
+A frame is one message as CBOR (RFC 8949), compressed with zlib (RFC 1950) if it is long enough and becomes smaller:
+membership lists are repetitive, and bytes on the links are charged for. A frame has no flag for compression, since the
+first byte tells: 0x78 begins every zlib stream made here, and in CBOR it begins a text string, which no message is.
 
-Over a TCP connection a frame has its length in front (`with_length_prefix`); a datagram is the bare frame.
+Over a TCP connection a frame is preceded by its length (`with_length_prefix`); a datagram contains the frame alone.
 """
 
 import zlib
@@ -13,23 +13,23 @@
 from cbor2 import CBORDecodeError, dumps, loads
 
 Message: TypeAlias = dict[str, Any]
-"""What a frame carries: a map with text keys. `KIND_KEY` holds its kind, a text; each package has the codec of its
-own kinds, which decides about the other keys."""
+"""The content of a frame: a map with text keys. The value at `KIND_KEY` is its kind, a text. The other keys depend
+on the kind; each package has the codec of its own kinds."""
 
 KIND_KEY = "k"
-MAX_DATAGRAM_BYTES = 1200  # of a frame: less than what any link carries without fragmentation
+MAX_DATAGRAM_BYTES = 1200  # of a frame: small enough for any link to carry without fragmentation
 MAX_FRAME_BYTES = 16 << 20  # of a frame, compressed or not
-MIN_COMPRESSED_BYTES = 256  # of a message from which on compression is tried
+MIN_COMPRESSED_BYTES = 256  # messages shorter than this are not compressed
 ZLIB_HEADER = b"\x78"
 LENGTH_PREFIX_BYTES = 4  # unsigned, big endian
 
 
 class InvalidFrameError(ValueError):
-    """Bytes that are no frame: damaged, too large, or not a message with a kind."""
+    """The bytes are not a valid frame: they are damaged, too large, or not a message with a kind."""
 
 
 def encode_frame(message: Message) -> bytes:
-    """Returns the frame that carries a message; the order of its keys is kept."""
+    """Returns the frame for a message; the order of the message's keys is kept."""
     data = dumps(message)
     if len(data) >= MIN_COMPRESSED_BYTES:
         compressed = zlib.compress(data)
@@ -42,7 +42,7 @@
     """Returns the message that a frame carries.
 
     Raises:
-        InvalidFrameError: the bytes are no frame. The fields of a message other than its kind are not checked.
+        InvalidFrameError: the bytes are not a valid frame. Of the message's fields only the kind is checked.
     """
     try:
         message: Message = loads(_decompress(data) if data[:1] == ZLIB_HEADER else data)
@@ -54,7 +54,7 @@
 
 
 def _decompress(data: bytes) -> bytes:
-    """Returns the content of a zlib stream; the bound guards memory against a small frame that would expand to a huge
+    """Returns the content of a zlib stream. The size limit protects memory against a small frame that expands to a huge
     one."""
     stream = zlib.decompressobj()
     content = stream.decompress(data, MAX_FRAME_BYTES)
@@ -64,7 +64,7 @@
 
 
 def with_length_prefix(frame: bytes) -> bytes:
-    """Returns a frame as it goes over a TCP connection."""
+    """Returns a frame in the form that is sent over a TCP connection."""
     return len(frame).to_bytes(LENGTH_PREFIX_BYTES, "big") + frame
 
 
--- a/rampfront/transport/incoming.py
+++ b/rampfront/transport/incoming.py
@@ -1,4 +1,4 @@
-"""The receiver's end of the connection that carries one large frame."""
+"""The receiver's end of a TCP connection that carries one large frame."""
 
 import asyncio
 from collections.abc import Callable
@@ -8,12 +8,13 @@
 from .frames import LENGTH_PREFIX_BYTES, MAX_FRAME_BYTES, read_length_prefix
 from .transfer_scheduler import TRANSFER_TIMEOUT_NS
 
-RECEIVE_TIMEOUT_NS = TRANSFER_TIMEOUT_NS  # without a byte: a slow link may take longer for a frame, a dead one may not
+# Since the last byte received: a slow link may take longer for a frame, a dead one may not.
+RECEIVE_TIMEOUT_NS = TRANSFER_TIMEOUT_NS
 ACKNOWLEDGEMENT = b"."
 
 
 class IncomingConnection(TransferConnection):
-    """Gathers one frame, hands it over and acknowledges it; the sender then closes."""
+    """Receives one frame, passes it on and acknowledges it; the sender then closes the connection."""
 
     def __init__(
         self,
@@ -22,8 +23,8 @@
         counts: dict[str, int],
         on_frame: Callable[[str, bytes], None],
     ) -> None:
-        """`clock()` gives ns; `counts`: the node's counters, of which `frames_invalid` and `frames_truncated` are
-        counted here; `on_frame(sender's IP address, frame)` gets the frame."""
+        """`clock()` returns ns; `counts`: the node's counters, of which this class increments `frames_invalid` and
+        `frames_truncated`; `on_frame(sender's IP address, frame)` is called with the frame."""
         self._open_connections = open_connections
         self._clock = clock
         self._counts = counts
@@ -31,16 +32,18 @@
         self._transport: asyncio.Transport
         self._chunks: list[bytes] = []
         self._received_bytes = 0
-        self._expected_bytes: int | None = None  # length prefix included; None: the prefix is not there yet
+        self._expected_bytes: int | None = (
+            None  # including the length prefix; None: the prefix has not been received yet
+        )
         self._deadline_ns = clock() + RECEIVE_TIMEOUT_NS
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """A peer connected."""
+        """Adds the new connection to the set of open ones."""
         self._transport = cast(asyncio.Transport, transport)
         self._open_connections.add(self)
 
     def data_received(self, data: bytes) -> None:
-        """Gathers a chunk. A frame that is too long, or followed by more, ends the connection."""
+        """Collects a chunk. Aborts the connection if the frame is too long or is followed by more data."""
         self._deadline_ns = self._clock() + RECEIVE_TIMEOUT_NS
         self._chunks.append(data)
         self._received_bytes += len(data)
@@ -64,16 +67,16 @@
             self._on_frame(peer[0], frame)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Counts a frame that ended in the middle, unless it was given up here."""
+        """Counts a truncated frame, unless this end aborted the connection."""
         was_open = self._open_connections.remove(self)
         if was_open and self._received_bytes and self._received_bytes != self._expected_bytes:
             self._counts["frames_truncated"] += 1
 
     def deadline_ns(self) -> int:
-        """Returns when it is given up if no byte comes until then."""
+        """Returns the time at which the connection is aborted unless data arrives before."""
         return self._deadline_ns
 
     def close(self) -> None:
-        """Ends the connection at once."""
+        """Aborts the connection."""
         self._open_connections.remove(self)
         self._transport.abort()
--- a/rampfront/transport/outgoing.py
+++ b/rampfront/transport/outgoing.py
@@ -1,4 +1,4 @@
-"""The sender's end of the connection that carries one large frame."""
+"""The sender's end of a TCP connection that carries one large frame."""
 
 import asyncio
 from collections.abc import Callable
@@ -10,7 +10,7 @@
 
 
 class OutgoingConnection(TransferConnection):
-    """Connects, writes the frame, and ends as soon as the receiver acknowledges it with any byte."""
+    """Connects, writes the frame, and closes as soon as the receiver acknowledges it with any byte."""
 
     def __init__(
         self,
@@ -19,23 +19,23 @@
         counts: dict[str, int],
         on_end: Callable[[Transfer], None],
     ) -> None:
-        """`counts`: the node's counters, of which `frames_lost` is counted here; `on_end(transfer)` is called when the
-        transfer is over, once or more."""
+        """`counts`: the node's counters, of which this class increments `frames_lost`; `on_end(transfer)` is called
+        when the transfer has ended, possibly more than once."""
         self._transfer = transfer
         self._open_connections = open_connections
         self._counts = counts
         self._on_end = on_end
-        self._frame: bytes | None = transfer.data  # None: written
+        self._frame: bytes | None = transfer.data  # None: already written
         self._transport: asyncio.Transport | None = None
         self._connecting: asyncio.Task[object] | None = None
         transfer.abort = self.close
 
     def deadline_ns(self) -> int:
-        """Returns when the transfer is given up."""
+        """Returns the time at which the transfer is aborted."""
         return self._transfer.deadline_ns
 
     def connect(self, loop: asyncio.AbstractEventLoop, port: int, local_ip: str) -> None:
-        """Begins to connect to `port` of the receiver, from the node's own address."""
+        """Starts to connect to `port` of the receiver, from the node's own address."""
         self._connecting = loop.create_task(
             loop.create_connection(lambda: self, self._transfer.ip, port, local_addr=(local_ip, 0))
         )
@@ -56,17 +56,17 @@
         self._frame = None
 
     def data_received(self, data: bytes) -> None:
-        """The receiver has the frame."""
+        """Closes the connection, since the receiver has acknowledged the frame."""
         self.close()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Counts the frame as lost, unless it was acknowledged or given up before: then it is out of the set."""
+        """Counts the frame as lost, unless an acknowledgement or an abort has already removed this from the set."""
         if self in self._open_connections:
             self._counts["frames_lost"] += 1
         self._end_transfer()
 
     def close(self) -> None:
-        """Ends the connection, or the attempt to connect, at once. Not counted as a loss here."""
+        """Aborts the connection or the attempt to connect. The frame is not counted as lost here."""
         self._end_transfer()
         if self._connecting:
             self._connecting.cancel()
--- a/rampfront/transport/wire.py
+++ b/rampfront/transport/wire.py
@@ -1,8 +1,8 @@
-"""`Wire`: sends messages to other nodes and hands over those that come in.
+"""`Wire` sends messages to other nodes and passes received ones to a handler.
 
-A frame up to `MAX_DATAGRAM_BYTES` goes as one datagram, a larger one over a TCP connection that is made for it and ends
-behind it. So no frame can hang behind a network partition, and no connection has to be kept alive or repaired. UDP and
-TCP use the same port on every machine, the first of the settings' `PortRange` (DEPLOY.md).
+A frame of up to `MAX_DATAGRAM_BYTES` is sent as one datagram, a larger one over a TCP connection that is opened for it
+and closed after it. So a network partition cannot block later frames, and no connection has to be kept alive or
+re-established. UDP and TCP use the same port on every machine, the first of the settings' `PortRange` (DEPLOY.md).
 """
 
 import asyncio
@@ -22,14 +22,14 @@
 MAX_INCOMING_CONNECTIONS = 64
 LISTEN_BACKLOG = 128
 LOGGED_KIND_CHARS = 20
-# What a handler raises at a message whose fields are not what they should be.
+# Raised by a handler for a message with missing or invalid fields.
 MALFORMED_MESSAGE_ERRORS = (ValueError, LookupError, TypeError, AttributeError, ArithmeticError, zlib.error)
 
 
 class Wire:
-    """The frames of one node. Every message that comes in goes to `on_frame(sender's IP address, message)`.
+    """Sends and receives the frames of one node. Received messages go to `on_frame(sender's IP address, message)`.
 
-    Delivery is not guaranteed and nothing is acknowledged to the caller: protocols above repeat what matters.
+    Delivery is neither guaranteed nor confirmed to the caller; the protocols above repeat what has to arrive.
     """
 
     def __init__(
@@ -40,8 +40,8 @@
         log: EventLog,
         on_frame: Callable[[str, Message], None],
     ) -> None:
-        """`clock()` gives ns of a steady clock; `address`: the node's own IP address, and the port that all nodes use;
-        `log` has the counters too. Sockets are opened by `listen`."""
+        """`clock()` returns ns of a steady clock; `address`: the node's own IP address and the port that all nodes use;
+        `log` also has the counters. `listen` opens the sockets."""
         self.loop = loop
         self.clock = clock
         self.ip, self.port = address
@@ -54,7 +54,7 @@
         self.datagram_transport: asyncio.DatagramTransport | None = None  # None: `listen` was not called yet
 
     async def listen(self) -> None:
-        """Opens both sockets. Raises `OSError` if the port is taken."""
+        """Opens both sockets. Raises `OSError` if the port is in use."""
         self.datagram_transport, _ = await self.loop.create_datagram_endpoint(
             lambda: DatagramEndpoint(self.receive_frame), local_addr=(self.ip, self.port), family=socket.AF_INET
         )
@@ -74,8 +74,8 @@
             self.send_frame(ip, frame, message[KIND_KEY])
 
     def send_frame(self, ip: str, data: bytes, kind: str) -> None:
-        """Sends a frame of a message of this kind the way that its size asks for; one to the node itself goes through
-        the event loop, so that a handler never runs within another."""
+        """Sends a frame of a message of this kind, over UDP or TCP according to its size. A frame to the node itself is
+        delivered through the event loop, so that a handler never runs within another."""
         if ip == self.ip:
             self.loop.call_soon(self.receive_frame, ip, data)
         elif len(data) <= MAX_DATAGRAM_BYTES:
@@ -86,18 +86,18 @@
             self.transfer_scheduler.offer(self.clock(), Transfer(ip, kind, data))
 
     def start_transfer(self, transfer: Transfer) -> None:
-        """Opens the connection of a large frame whose turn it is."""
+        """Opens the connection of a large frame that the scheduler starts."""
         self.counts["transfers_started"] += 1
         connection = OutgoingConnection(transfer, self.outgoing, self.counts, self.finish_transfer)
         self.outgoing.add(connection)
         connection.connect(self.loop, self.port, self.ip)
 
     def finish_transfer(self, transfer: Transfer) -> None:
-        """The connection of a large frame has ended: the next one may go."""
+        """Tells the scheduler that the connection of a large frame has ended."""
         self.transfer_scheduler.finish(self.clock(), transfer)
 
     def receive_frame(self, ip: str, data: bytes) -> None:
-        """Decodes a frame from the node at `ip` and hands its message over; drops and counts what is invalid."""
+        """Decodes a frame from the node at `ip` and calls the handler; drops and counts an invalid one."""
         try:
             message = decode_frame(data)
         except InvalidFrameError:
@@ -106,12 +106,12 @@
         try:
             self.on_frame(ip, message)
         except MALFORMED_MESSAGE_ERRORS as error:
-            # Guards against a peer of another version, or a faulty one: its message is dropped, and counted.
+            # A peer of another version, or a faulty one, may send such a message; it is dropped and counted.
             self.counts["frames_invalid"] += 1
             self.log.record_limited("invalid frame", ip, error=repr(error), kind=message[KIND_KEY][:LOGGED_KIND_CHARS])
 
     def sweep(self) -> None:
-        """Closes the connections whose deadline has passed; to be called a few times a second."""
+        """Closes the connections whose deadline has passed; has to be called a few times a second."""
         now_ns = self.clock()
         expired = [*self.outgoing.expired(now_ns), *self.incoming.expired(now_ns)]
         for connection in expired:
