--- a/rampfront/__main__.py
+++ b/rampfront/__main__.py
@@ -1,13 +1,14 @@
-"""`python -m rampfront`: one edge node, with arguments the command line (`cli/`), with `system` the operators' own.
+"""`python -m rampfront` starts an edge node; with arguments it runs the command line (`cli/`), and with `system` as the
+first argument the operators' command line of the system (`operator_cli/`).
 
-Each is imported only when it is asked for: their libraries are not the same.
+Each is imported only when it is used, since they need different libraries.
 """
 
 import sys
 
 
 def main() -> int | None:
-    """Starts what the arguments ask for; returns its exit code."""
+    """Runs the program that the arguments select; returns its exit code."""
     if sys.argv[1:2] == ["system"]:
         from .operator_cli.__main__ import run
 
--- a/rampfront/config.py
+++ b/rampfront/config.py
@@ -1,8 +1,9 @@
-"""The TOML configuration of an edge node, in our own words: typed, checked, and turned into the platform's JSON form.
+"""The TOML configuration of an edge node: its types, its validation, and its conversion to the platform's JSON form.
 
-`load_toml(path)` returns that form, which `edge/configuration.py` reads like any other; `BadConfig` names the line, the key
-path and the reason. Unknown keys are errors. `reference()` writes docs/configuration.md from the same types, so the
-page cannot say otherwise. Times are ms, as the names say.
+`load_toml(path)` returns the JSON form, which `edge/configuration.py` reads in the same way as one that the platform
+supplies. `ConfigFileError` names the line, the key path and the reason. Unknown keys are errors. `reference()`
+generates docs/configuration.md from the same types, so that the page agrees with them. Times are in ms, as the names
+say.
 """
 
 import re
@@ -15,19 +16,19 @@
 
 from . import tables
 from .tables import (
-    Count0,
+    Fraction,
+    HostPort,
     JournalTable,
     MqttTable,
     MqttTopic,
+    NonEmptyText,
     NonNegative,
-    Place,
+    NonNegativeInt,
     Positive,
     PositiveInt,
-    Share,
     StormTable,
     StrictTable,
     Syslog,
-    Text,
     split_validation_error,
 )
 
@@ -35,16 +36,16 @@
 
 
 class ConfigFileError(Exception):
-    """The configuration file does not hold what it should; the text names line, key and reason."""
+    """The configuration file is invalid; the message names the line, the key and the reason."""
 
 
-PLATFORM_EFFECTS = {"inquiry": "pure", "referenced": "token", "once_only": "side_effect"}  # the platform's words
+PLATFORM_EFFECTS = {"inquiry": "pure", "referenced": "token", "once_only": "side_effect"}  # in the platform's terms
 
 
 class Product(StrictTable, kw_only=True):
     """A product: what its txns may do."""
 
-    name: Annotated[Text, Meta(description="as clients name it in X-Class")]
+    name: Annotated[NonEmptyText, Meta(description="as clients name it in X-Class")]
     effect: Annotated[
         Literal["inquiry", "referenced", "once_only"],
         Meta(description="may run again; carries a mark by which repeats are known; must never run twice"),
@@ -63,10 +64,10 @@
 class Plan(StrictTable, kw_only=True):
     """A plan: the quotas that hold for each of its accounts, over all nodes together."""
 
-    name: Annotated[Text, Meta(description="as clients name it in X-Tier")]
+    name: Annotated[NonEmptyText, Meta(description="as clients name it in X-Tier")]
     rate: Annotated[NonNegative, Meta(description="units a second; 0: no such quota")] = 0.0
     burst: Annotated[NonNegative, Meta(description="units that may come at once")] = 0.0
-    at_once: Annotated[Count0, Meta(description="submissions out at once; 0: no such quota")] = 0
+    at_once: Annotated[NonNegativeInt, Meta(description="submissions out at once; 0: no such quota")] = 0
     ceiling_rate: Annotated[NonNegative, Meta(description="units a second of the hard ceiling; 0: none")] = 0.0
     ceiling_depth: Annotated[NonNegative, Meta(description="units that the ceiling holds")] = 0.0
     beyond_earns: Annotated[NonNegative, Meta(description="part of its value that a txn beyond the quota earns")] = 0.0
@@ -80,7 +81,7 @@
     zones: Annotated[list[str], Meta(description="names of zones, as discovery gives them")] = field(
         default_factory=list
     )
-    cold_share: Annotated[Share, Meta(description="part of its capacity that a box has at its start")] = 0.25
+    cold_share: Annotated[Fraction, Meta(description="part of its capacity that a box has at its start")] = 0.25
     warm_ms: Annotated[Positive, Meta(description="until it has all of it")] = 10000.0
     fall_multiple: Annotated[Positive, Meta(description="times its capacity at which a cold box falls over,")] = 3.0
     tip_after_ms: Annotated[Positive, Meta(description="when it lasts so long")] = 1000.0
@@ -89,8 +90,8 @@
 class Box(StrictTable, kw_only=True):
     """A registry box known at the start, before discovery has spoken."""
 
-    uid: Text
-    endpoint: Annotated[Place, Meta(description="host:port")]
+    uid: NonEmptyText
+    endpoint: Annotated[HostPort, Meta(description="host:port")]
     zone: str = ""
     state: Literal["in_service", "terminating"] = "in_service"
 
@@ -142,12 +143,12 @@
 class Config(StrictTable, kw_only=True):
     """One edge node."""
 
-    name: Annotated[Text, Meta(description="of this node, the same after a restart")]
-    listen: Annotated[Place, Meta(description="host:port for clients")]
-    discovery: Annotated[Place, Meta(description="host:port of the server list")]
+    name: Annotated[NonEmptyText, Meta(description="of this node, the same after a restart")]
+    listen: Annotated[HostPort, Meta(description="host:port for clients")]
+    discovery: Annotated[HostPort, Meta(description="host:port of the server list")]
     counter: Annotated[str, Meta(description="host:port of the shared counter; empty: none")] = ""
     admin: Annotated[str, Meta(description="host:port for operators; empty: none")] = ""
-    seed: Annotated[Count0, Meta(description="of the node's chance; 0: drawn at start")] = 0
+    seed: Annotated[NonNegativeInt, Meta(description="of the node's chance; 0: drawn at start")] = 0
     products: Annotated[list[Product], Meta(min_length=1)]
     plans: Annotated[list[Plan], Meta(min_length=1)]
     fleet: Fleet = Fleet()
@@ -162,15 +163,15 @@
     boxes: list[Box] = field(default_factory=list)
 
 
-MODULES = ("counter", "discovery", "upstream", "syslog", "journal", "node")
+LOG_MODULES = ("counter", "discovery", "upstream", "syslog", "journal", "node")
 
 
 def check(config):
-    """The checks between keys; `BadConfig` with the key path."""
-    for where, rows in (("products", config.products), ("plans", config.plans)):
+    """Checks the conditions between keys and returns `config`. Raises `ConfigFileError` with the key path."""
+    for table, rows in (("products", config.products), ("plans", config.plans)):
         for k, row in enumerate(rows):
             if row.name in [other.name for other in rows[:k]]:
-                raise ConfigFileError(f"{where}[{k}].name: {row.name!r} is taken already")
+                raise ConfigFileError(f"{table}[{k}].name: {row.name!r} is taken already")
     for k, plan in enumerate(config.plans):
         if plan.rate > 0 and plan.burst <= 0:
             raise ConfigFileError(f"plans[{k}].burst: a plan with a rate needs one above 0")
@@ -180,7 +181,7 @@
         value = getattr(config, key)
         if value and not re.match(r"^[^\s:]+:[1-9][0-9]{0,4}$", value):
             raise ConfigFileError(f"{key}: should be host:port, not {value!r}")
-    for place in [
+    for address in [
         config.listen,
         config.discovery,
         config.counter,
@@ -188,21 +189,21 @@
         *(b.endpoint for b in config.boxes),
         config.mqtt.listen if config.mqtt else "",
     ]:
-        if place and int(place.rpartition(":")[2]) > 65535:
-            raise ConfigFileError(f"{place!r}: no such port")
+        if address and int(address.rpartition(":")[2]) > 65535:
+            raise ConfigFileError(f"{address!r}: no such port")
     if config.quotas.marks and not config.counter:
         raise ConfigFileError("quotas.marks: there is no counter to mark")
     for module in config.log.modules:
-        if module not in MODULES:
-            raise ConfigFileError(f"log.modules.{module}: no such module; there are {', '.join(MODULES)}")
+        if module not in LOG_MODULES:
+            raise ConfigFileError(f"log.modules.{module}: no such module; there are {', '.join(LOG_MODULES)}")
     try:
         tables.check(
-            {name: getattr(config, name) for name in tables.KINDS},
+            {name: getattr(config, name) for name in tables.TABLE_TYPES},
             [product.name for product in config.products],
             [plan.name for plan in config.plans],
         )
-    except tables.TableError as odd:
-        raise ConfigFileError(str(odd)) from None
+    except tables.TableError as error:
+        raise ConfigFileError(str(error)) from None
     for k, box in enumerate(config.boxes):
         if box.zone and box.zone not in config.fleet.zones:
             raise ConfigFileError(f"boxes[{k}].zone: {box.zone!r} is not among fleet.zones")
@@ -210,7 +211,7 @@
 
 
 def platform_form(config):
-    """The platform's JSON form of a configuration, in its words and units."""
+    """Returns a configuration in the platform's JSON form, with its names and units."""
     c, txns, quotas = config, config.txns, config.quotas
     form = {
         "name": c.name,
@@ -286,16 +287,16 @@
         form["counter"] = c.counter
     if c.admin:
         form["admin_addr"] = c.admin
-    for name in tables.KINDS:
+    for name in tables.TABLE_TYPES:
         if getattr(c, name):
             form[name] = msgspec.to_builtins(getattr(c, name))
     return form
 
 
-def line_of(text, path):
-    """The line on which a key path such as `plans[1].burst` stands, or its table does; None if neither is found."""
+def find_line(text, path):
+    """Returns the number of the line that sets a key path such as `plans[1].burst`, or of its table's header, or None."""
     parts = [(name, int(index) if index else None) for name, index in re.findall(r"([^.\[\]]+)(?:\[(\d+)\])?", path)]
-    table, best, counts = [], None, {}
+    table, table_line, counts = [], None, {}
     for number, line in enumerate(text.splitlines(), 1):
         if header := re.match(r"\s*\[(\[)?\s*([^\]]+?)\s*\]", line):
             names = [name.strip().strip('"') for name in header.group(2).split(".")]
@@ -303,85 +304,90 @@
                 counts[header.group(2)] = counts.get(header.group(2), -1) + 1
             table = [(name, counts.get(".".join(names[: k + 1]))) for k, name in enumerate(names)]
             if table == parts[: len(table)]:
-                best = number
+                table_line = number
         elif key := re.match(r'\s*"?([\w-]+)"?\s*=', line):
-            full = [*table, (key.group(1), None)]
-            if [name for name, _ in full] == [name for name, _ in parts[: len(full)]] and table == parts[: len(table)]:
+            key_path = [*table, (key.group(1), None)]
+            if [name for name, _ in key_path] == [name for name, _ in parts[: len(key_path)]] and table == parts[
+                : len(table)
+            ]:
                 return number
-    return best
+    return table_line
 
 
-def parse_toml(text, where="the configuration"):
-    """A checked `Config`; `BadConfig` says where, on which line, which key and why."""
+def parse_toml(text, source="the configuration"):
+    """Returns the validated `Config` in a TOML text. `ConfigFileError` names the source, line, key and reason."""
     try:
         table = tomllib.loads(text)
-    except tomllib.TOMLDecodeError as trouble:
-        raise ConfigFileError(f"{where}: no TOML: {trouble}") from None
+    except tomllib.TOMLDecodeError as error:
+        raise ConfigFileError(f"{source}: no TOML: {error}") from None
     try:
         return check(msgspec.convert(table, Config))
-    except msgspec.ValidationError as trouble:
-        path, reason = split_validation_error(trouble)
-        if odd := re.search(r"(?:unknown|required) field `([^`]+)`", reason):
-            path = f"{path}.{odd.group(1)}".lstrip(".")
+    except msgspec.ValidationError as error:
+        path, reason = split_validation_error(error)
+        if match := re.search(r"(?:unknown|required) field `([^`]+)`", reason):
+            path = f"{path}.{match.group(1)}".lstrip(".")
             reason = "no such key" if "unknown" in reason else "is missing"
-    except ConfigFileError as trouble:
-        path, _, reason = str(trouble).partition(": ")
-    line = line_of(text, path)
-    raise ConfigFileError(f"{where}{f', line {line}' if line else ''}: {path}: {reason}")
+    except ConfigFileError as error:
+        path, _, reason = str(error).partition(": ")
+    line = find_line(text, path)
+    raise ConfigFileError(f"{source}{f', line {line}' if line else ''}: {path}: {reason}")
 
 
 def read_toml(path):
+    """Returns the validated `Config` in the TOML file at `path`. Raises `ConfigFileError`."""
     try:
         text = Path(path).read_text(encoding="utf-8")
-    except OSError as trouble:
-        raise ConfigFileError(f"{path}: {trouble.strerror}") from None
+    except OSError as error:
+        raise ConfigFileError(f"{path}: {error.strerror}") from None
     except UnicodeDecodeError:
         raise ConfigFileError(f"{path}: not UTF-8") from None
     return parse_toml(text, str(path))
 
 
 def load_toml(path):
+    """Returns the TOML file at `path` in the platform's JSON form. Raises `ConfigFileError`."""
     return platform_form(read_toml(path))
 
 
-# ---- the reference page
+# The reference page.
 
 
-def said(kind):
-    """A type as the page words it, and its description."""
+def describe_type(kind):
+    """Returns the text that the page has for a type, and the type's description."""
     if get_origin(kind) is Annotated:
         base, *metas = get_args(kind)
-        word, about = said(base)
+        type_text, description = describe_type(base)
         for meta in metas:
-            about = meta.description or about
-            for key, mark in (("ge", "at least"), ("gt", "above"), ("le", "at most")):
+            description = meta.description or description
+            for key, relation in (("ge", "at least"), ("gt", "above"), ("le", "at most")):
                 if getattr(meta, key) is not None:
-                    word += f", {mark} {getattr(meta, key):g}"
-        return word, about
+                    type_text += f", {relation} {getattr(meta, key):g}"
+        return type_text, description
     if get_origin(kind) is Literal:
         return " or ".join(f"`{value}`" for value in get_args(kind)), ""
     if get_origin(kind) is list:
-        return f"list of {said(get_args(kind)[0])[0]}", ""
+        return f"list of {describe_type(get_args(kind)[0])[0]}", ""
     if get_origin(kind) is dict:
         return "table", ""
     return {str: "text", int: "whole number", float: "number", bool: "true or false"}.get(kind, "table"), ""
 
 
-def rows_of(struct):
+def field_rows(struct):
+    """Yields the name, type, default and description of each field, as the page shows them."""
     hints = get_type_hints(struct, include_extras=True)
-    for one in msgspec.structs.fields(struct):
-        word, about = said(hints[one.name])
-        if one.required:
+    for struct_field in msgspec.structs.fields(struct):
+        type_text, description = describe_type(hints[struct_field.name])
+        if struct_field.required:
             default = "required"
-        elif one.default is not msgspec.NODEFAULT:
-            default = f"`{msgspec.json.encode(one.default).decode()}`"
+        elif struct_field.default is not msgspec.NODEFAULT:
+            default = f"`{msgspec.json.encode(struct_field.default).decode()}`"
         else:
-            default = "`{}`" if word == "table" else "`[]`"
-        yield one.name, word, default, about
+            default = "`{}`" if type_text == "table" else "`[]`"
+        yield struct_field.name, type_text, default, description
 
 
 def reference():
-    """docs/configuration.md."""
+    """Returns the text of docs/configuration.md."""
     lines = [
         "# Configuration of an edge node",
         "",
@@ -433,8 +439,8 @@
             "| --- | --- | --- | --- |",
         ]
         lines += [
-            f"| `{name}` | {word} | {default} | {about} |"
-            for name, word, default, about in rows_of(struct)
+            f"| `{name}` | {type_text} | {default} | {description} |"
+            for name, type_text, default, description in field_rows(struct)
             if not (struct is Config and name in nested)
         ]
         lines.append("")
--- a/rampfront/tables.py
+++ b/rampfront/tables.py
@@ -1,7 +1,8 @@
-"""The tables that both forms of a configuration share, syslog, storm, MQTT and journal: their types, defaults, checks.
+"""The tables that both forms of a configuration share (syslog, storm, MQTT, journal): types, defaults and validation.
 
-The TOML form has them within `config.Config`; the platform's JSON form gives them one by one to `read`. What is wrong is an
-`Odd` with the key path and the reason. Nothing here is imported by an edge node that has none of them.
+In the TOML form they are fields of `config.Config`; from the platform's JSON form `read` converts them one by one. An
+invalid value raises `TableError` with the key path and the reason. An edge node without any of these tables does not
+import this module.
 """
 
 import re
@@ -12,35 +13,36 @@
 
 NonNegative = Annotated[float, Meta(ge=0)]
 Positive = Annotated[float, Meta(gt=0)]
-Share = Annotated[float, Meta(gt=0, le=1)]
+Fraction = Annotated[float, Meta(gt=0, le=1)]
 PositiveInt = Annotated[int, Meta(ge=1)]
-Count0 = Annotated[int, Meta(ge=0)]
-Text = Annotated[str, Meta(min_length=1)]
-Place = Annotated[str, Meta(pattern=r"^[^\s:]+:[1-9][0-9]{0,4}$")]
+NonNegativeInt = Annotated[int, Meta(ge=0)]
+NonEmptyText = Annotated[str, Meta(min_length=1)]
+HostPort = Annotated[str, Meta(pattern=r"^[^\s:]+:[1-9][0-9]{0,4}$")]
 
 
 class TableError(Exception):
-    """A key does not hold what it should: `path`, and the `reason`."""
+    """A key has an invalid value; `path` is the key path, `reason` says what is wrong."""
 
     def __init__(self, path, reason):
+        """The message is made of both."""
         super().__init__(f"{path}: {reason}")
         self.path, self.reason = path, reason
 
 
 class StrictTable(Struct, kw_only=True, forbid_unknown_fields=True, frozen=True):
-    pass
+    """Base class of the tables: immutable, and a key that is not a field is an error."""
 
 
-def split_validation_error(trouble):
-    """A msgspec error as (key path, reason); the path is empty where it names none."""
-    reason, _, path = str(trouble).rpartition(" - at `$")
-    return (path.rstrip("`").lstrip("."), reason) if reason else ("", str(trouble))
+def split_validation_error(error):
+    """Returns a msgspec error as (key path, reason); the path is empty if the error names none."""
+    reason, _, path = str(error).rpartition(" - at `$")
+    return (path.rstrip("`").lstrip("."), reason) if reason else ("", str(error))
 
 
 class Syslog(StrictTable, kw_only=True):
     """Decisions as RFC 5424 messages to a collector. Without this table nothing is sent."""
 
-    collector: Annotated[Place, Meta(description="host:port")]
+    collector: Annotated[HostPort, Meta(description="host:port")]
     transport: Annotated[
         Literal["tcp", "udp"], Meta(description="TCP with octet counting, or one datagram a message")
     ] = "tcp"
@@ -67,7 +69,9 @@
 class JournalTable(StrictTable, kw_only=True):
     """A durable journal of once-only txns: recorded before they leave. Without this table there is none."""
 
-    dir: Annotated[Text, Meta(description="its folder, on a disk that outlives the process; one process writes it")]
+    dir: Annotated[
+        NonEmptyText, Meta(description="its folder, on a disk that outlives the process; one process writes it")
+    ]
     batch_ms: Annotated[
         NonNegative, Meta(description="a record waits so long for others to be made durable with it")
     ] = 2.0
@@ -79,8 +83,8 @@
 class MqttTopic(StrictTable, kw_only=True):
     """Which txn a PUBLISH under a topic is. The first row that matches is taken."""
 
-    filter: Annotated[Text, Meta(description="topic filter, with + and # as MQTT has them")]
-    product: Annotated[Text, Meta(description="the product of its txns")]
+    filter: Annotated[NonEmptyText, Meta(description="topic filter, with + and # as MQTT has them")]
+    product: Annotated[NonEmptyText, Meta(description="the product of its txns")]
     path: Annotated[
         str, Meta(pattern="^/[!-~]*$", description="asked of the box; {1}, {2}... are the levels under the wildcards")
     ]
@@ -90,7 +94,7 @@
 class MqttTable(StrictTable, kw_only=True):
     """MQTT 3.1.1 and 5.0 clients. Without this table there is no such front."""
 
-    listen: Annotated[Place, Meta(description="host:port for MQTT clients")]
+    listen: Annotated[HostPort, Meta(description="host:port for MQTT clients")]
     topics: Annotated[list[MqttTopic], Meta(min_length=1)]
     plan: Annotated[str, Meta(description="of users that name none; empty: they must")] = ""
     answers: Annotated[
@@ -109,11 +113,17 @@
     )
 
 
-KINDS = {"syslog": Syslog, "storm": StormTable, "mqtt": MqttTable, "journal": JournalTable}
+TABLE_TYPES = {"syslog": Syslog, "storm": StormTable, "mqtt": MqttTable, "journal": JournalTable}
 
 
 def check(tables, products, plans):
-    """The checks between keys. `tables`: name to table, or None where it is off; names of products and plans. Raises `Odd`."""
+    """Checks the conditions between keys. Raises `TableError`.
+
+    Args:
+        tables: each table by its name; None or absent for a table that the configuration does not have.
+        products: the names of all products.
+        plans: the names of all plans.
+    """
     journal, mqtt = tables.get("journal"), tables.get("mqtt")
     for name in tables["storm"].values if tables.get("storm") else ():
         if name not in products:
@@ -121,14 +131,14 @@
     for k, topic in enumerate(mqtt.topics if mqtt else ()):
         if topic.product not in products:
             raise TableError(f"mqtt.topics[{k}].product", "no such product")
-        from .mqtt.codec import Malformed, topic_filter  # for those who use it
+        from .mqtt.codec import Malformed, topic_filter  # imported only by nodes that have MQTT topics
 
         try:
             topic_filter(topic.filter)
-        except Malformed as trouble:
-            raise TableError(f"mqtt.topics[{k}].filter", str(trouble)) from None
-        wild = len([level for level in topic.filter.split("/") if level in ("+", "#")])
-        if any(not 0 < int(number) <= wild for number in re.findall(r"{(\d+)}", topic.path)):
+        except Malformed as error:
+            raise TableError(f"mqtt.topics[{k}].filter", str(error)) from None
+        wildcards = len([level for level in topic.filter.split("/") if level in ("+", "#")])
+        if any(not 0 < int(number) <= wildcards for number in re.findall(r"{(\d+)}", topic.path)):
             raise TableError(f"mqtt.topics[{k}].path", "a level that the filter does not have")
     if mqtt and mqtt.plan and mqtt.plan not in plans:
         raise TableError("mqtt.plan", "no such plan")
@@ -136,28 +146,32 @@
         raise TableError("journal.most_mb", "should be twice segment_mb or more")
 
 
-def known(told, kind):
-    """Without the keys that `kind` does not have: the JSON form may hold what other programs read."""
+def without_unknown_keys(table, table_type):
+    """Returns `table` without the keys that `table_type` does not have, since the JSON form may contain keys for other
+    programs."""
     return (
-        {name: value for name, value in told.items() if name in kind.__struct_fields__}
-        if isinstance(told, dict)
-        else told
+        {name: value for name, value in table.items() if name in table_type.__struct_fields__}
+        if isinstance(table, dict)
+        else table
     )
 
 
-def read(told, products, plans):
-    """{name: table or None} of the JSON form's `told`; those that are left out are off. Raises `Odd`."""
-    found = {}
-    for name, kind in KINDS.items():
-        table = known(told.get(name), kind)
+def read(document, products, plans):
+    """Returns {name: table or None} for a configuration in the JSON form; None for a table that it does not have.
+
+    Raises `TableError`.
+    """
+    tables = {}
+    for name, table_type in TABLE_TYPES.items():
+        table = without_unknown_keys(document.get(name), table_type)
         if name == "mqtt" and isinstance(table, dict) and isinstance(table.get("topics"), list):
-            table["topics"] = [known(row, MqttTopic) for row in table["topics"]]
+            table["topics"] = [without_unknown_keys(row, MqttTopic) for row in table["topics"]]
         try:
-            found[name] = None if table is None else msgspec.convert(table, kind)
-        except msgspec.ValidationError as trouble:
-            path, reason = split_validation_error(trouble)
-            if lacks := re.search(r"required field `([^`]+)`", reason):
-                path, reason = f"{path}.{lacks.group(1)}".lstrip("."), "is missing"
+            tables[name] = None if table is None else msgspec.convert(table, table_type)
+        except msgspec.ValidationError as error:
+            path, reason = split_validation_error(error)
+            if match := re.search(r"required field `([^`]+)`", reason):
+                path, reason = f"{path}.{match.group(1)}".lstrip("."), "is missing"
             raise TableError(f"{name}.{path}".rstrip("."), reason) from None
-    check(found, products, plans)
-    return found
+    check(tables, products, plans)
+    return tables
