--- a/rampfront/operator_cli/__main__.py
+++ b/rampfront/operator_cli/__main__.py
@@ -7,7 +7,7 @@
 
 
 def run(args: Sequence[str], name: str) -> int:
-    """Runs one command; exits with its code. A missing library is named, with the way to install it."""
+    """Runs one command and exits with its code. If a library is missing, prints its name and how to install it."""
     try:
         from .commands import main
         from .start_commands import COMPLETION_VARIABLE
--- a/rampfront/operator_cli/control_answers.py
+++ b/rampfront/operator_cli/control_answers.py
@@ -1,7 +1,7 @@
-"""What the nodes' answers to control calls must contain, and what the client makes of them.
+"""The required fields of the nodes' answers to control calls, and the results that the client returns for them.
 
-The fields are those of PROTOCOL.md ("The operator") and docs/system/operating.md ("The read calls"). Only those that a
-command reads are checked, so that a newer node may add others.
+The fields are those of PROTOCOL.md ("The operator") and docs/system/operating.md ("The read calls"). Only fields that a
+command reads are checked, so that newer nodes may add others.
 """
 
 import json
@@ -19,7 +19,7 @@
 
 
 class AnswerShape(NamedTuple):
-    """The fields of an answer with their types, and those of each row of the list in `rows_field`, if it has one."""
+    """The types of an answer's fields, and of the fields in each row of the list in `rows_field`, if it has one."""
 
     fields: Mapping[str, FieldType]
     rows_field: str = ""
@@ -88,7 +88,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """A node did what it was asked: its address, the body, and the checked document of a call that reads."""
+    """A node carried out a call: its address, the body, and the checked document if the call reads something."""
 
     address: Address
     body: bytes
@@ -97,26 +97,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Rejection:
-    """A node clearly refused the call."""
+    """A node definitely refused the call, or its answer is invalid."""
 
     address: Address
     status: int
     reason: str
 
     def __str__(self) -> str:
-        """As operators read it."""
+        """Returns the message for operators."""
         return f"{format_address(self.address)} says {self.status}: {self.reason}"
 
 
 @dataclass(frozen=True, slots=True)
 class NoAnswer:
-    """No node gave a clear answer in time. `failures`: "host:port: reason" of each node, as it last was."""
+    """No node gave a definite answer in time. `failures`: "host:port: reason" for each node's last failure."""
 
     failures: tuple[str, ...]
     may_have_run: bool
 
     def __str__(self) -> str:
-        """As operators read it."""
+        """Returns the message for operators."""
         return "no node gives a clear answer: " + "; ".join(self.failures)
 
 
@@ -127,11 +127,11 @@
 
 
 def parse_answer(call: str, body: bytes) -> Json:
-    """Returns the document in an answer's body, or an empty one for a call of which nothing is read.
+    """Returns the document in an answer's body, or an empty one for a call whose answer is not read.
 
     Raises:
-        ValueError: the body is no JSON, or a field that commands read is missing or of another type.
-        RecursionError: its tables are too deep.
+        ValueError: the body is not JSON, or a field that commands read is missing or of another type.
+        RecursionError: its tables are nested too deeply.
     """
     shape = ANSWER_SHAPES.get(call)
     if shape is None:
@@ -148,11 +148,13 @@
 def _check_fields(table: object, fields: Mapping[str, FieldType], call: str) -> None:
     for field, kind in fields.items():
         if not isinstance(table, dict) or not isinstance(table.get(field), kind):
-            raise ValueError(f"{field} is missing in its answer to {call}, or not what it was: is it another version?")
+            raise ValueError(
+                f"{field} is missing in its answer to {call}, or has another type; it may run another version"
+            )
 
 
 def rejection_reason(body: bytes) -> str:
-    """Returns the reason in the body of a rejection, bounded and without characters that a terminal would obey."""
+    """Returns the reason in the body of a rejection, cut if it is long, with control characters replaced by spaces."""
     try:
         document = json.loads(body)
         text = document.get("Message") if isinstance(document, dict) else document
--- a/rampfront/operator_cli/control_client.py
+++ b/rampfront/operator_cli/control_client.py
@@ -1,8 +1,9 @@
-"""Calls to the nodes that serve `control`, made as PROTOCOL.md ("The operator") asks.
+"""Calls the nodes that serve `control`, as PROTOCOL.md ("The operator") requires.
 
-A call goes to one node after another, with exponential backoff, until one gives a clear answer. A failure to connect, a
-5xx, 408, 429 or a time-out is none. A call is sent again unchanged; every call is idempotent. A clear refusal is a
-`Rejection`; `NoAnswer` says of each node why, and whether the order may have been taken.
+A call is sent to one node after another, with exponential backoff, until one gives a definite answer. A failure to
+connect, a status of 5xx, 408 or 429, and a time-out are not definite. Retries send the call unchanged; every call is
+idempotent. A definite refusal is a `Rejection`; `NoAnswer` has the failure of each node, and tells whether the order
+may have been carried out.
 """
 
 import asyncio
@@ -28,10 +29,10 @@
     rejection_reason,
 )
 
-NODE_TIMEOUT_S = 1.2  # for one node's answer,
-NODE_TIMEOUT_S_PER_MB = 1.0  # and more for large bodies
+NODE_TIMEOUT_S = 1.2  # for one node's answer
+NODE_TIMEOUT_S_PER_MB = 1.0  # in addition, for each MB of the call's body
 MIN_NODE_TIMEOUT_S = 0.1
-DEFAULT_TIMEOUT_S = 6.0  # for a call, at all nodes together
+DEFAULT_TIMEOUT_S = 6.0  # for a call, with its retries at all nodes
 FIRST_PAUSE_S = 0.05
 PAUSE_GROWTH = 1.6
 MAX_PAUSE_S = 1.0
@@ -46,14 +47,14 @@
 
 @dataclass(frozen=True, slots=True)
 class FailedAttempt:
-    """One node gave no clear answer."""
+    """One node gave no definite answer."""
 
     reason: str
     may_have_run: bool
 
 
 class ControlClient:
-    """Calls nodes in turn; whoever answered is asked first from then on, so that one command shows one node's view."""
+    """Calls nodes in turn. The last node that answered is called first, so that a command shows one node's view."""
 
     def __init__(
         self,
@@ -73,7 +74,7 @@
     async def call(
         self, name: str, body: bytes = b"", query: Mapping[str, str] | None = None, key: bytes = b""
     ) -> CallResult:
-        """Makes a call, with retries at all nodes until the time-out. `key`: names it, the same on each retry."""
+        """Makes a call, with retries at all nodes until the time-out. `key`: the idempotency key of all attempts."""
         fields = ((b"Content-Type", b"application/json" if body else b""), (b"Idempotency-Key", key))
         headers = tuple((field, value) for field, value in fields if value)
         request = HttpRequest("POST", call_target(name, query or {}), body, headers)
@@ -81,19 +82,19 @@
         pause = FIRST_PAUSE_S
         failures: dict[Address, str] = {}
         may_have_run = False
-        turn = 0
+        attempt = 0
         while True:
-            address = self.addresses[turn % len(self.addresses)]
+            address = self.addresses[attempt % len(self.addresses)]
             outcome = await self.call_node(address, name, request, deadline - self.clock())
             if isinstance(outcome, Ok):
-                self._prefer(turn % len(self.addresses))
+                self._prefer(attempt % len(self.addresses))
                 return outcome
             failure = outcome.err_value
             if isinstance(failure, Rejection):
                 return Err(failure)
             failures[address] = failure.reason
             may_have_run = may_have_run or failure.may_have_run
-            turn += 1
+            attempt += 1
             if self.clock() + pause >= deadline:
                 reasons = [f"{format_address(address)}: {reason}" for address, reason in failures.items()]
                 return Err(NoAnswer(tuple(reasons), may_have_run))
@@ -101,15 +102,15 @@
             pause = min(MAX_PAUSE_S, pause * PAUSE_GROWTH)
 
     def _prefer(self, index: int) -> None:
-        """Puts the node at this index first."""
+        """Rotates the addresses so that the node at this index is called first."""
         self.addresses = self.addresses[index:] + self.addresses[:index]
 
     async def call_node(
         self, address: Address, name: str, request: HttpRequest, timeout_s: float = NODE_TIMEOUT_S
     ) -> Result[Answer, Rejection | FailedAttempt]:
-        """Asks one node once, following redirections."""
-        wanted_s = NODE_TIMEOUT_S + NODE_TIMEOUT_S_PER_MB * len(request.body) / 1e6
-        timeout_s = max(MIN_NODE_TIMEOUT_S, min(wanted_s, timeout_s))
+        """Calls one node once, following redirections."""
+        full_timeout_s = NODE_TIMEOUT_S + NODE_TIMEOUT_S_PER_MB * len(request.body) / 1e6
+        timeout_s = max(MIN_NODE_TIMEOUT_S, min(full_timeout_s, timeout_s))
         loop = asyncio.get_running_loop()
         for _ in range(MAX_REDIRECTIONS + 1):
             outcome = await self.send(loop, address, request, timeout_s, MAX_ANSWER_BYTES)
@@ -120,7 +121,7 @@
                 return _interpret(address, name, response)
             redirection = _redirection(response)
             if redirection is None:
-                return Err(FailedAttempt("sends us on to nowhere", False))
+                return Err(FailedAttempt("its redirection has no valid address", False))
             address, target = redirection
             request = request._replace(target=target)
         return Err(FailedAttempt(_describe(response), False))
@@ -128,7 +129,7 @@
     async def read_list(
         self, name: str, field: str, query: Mapping[str, str] | None = None
     ) -> Result[tuple[list[Json], Json], Any]:
-        """Reads a list that comes in pages: returns all rows and the last page, or the `Rejection` or `NoAnswer`."""
+        """Reads a paginated list. Returns all rows and the last page, or the `Rejection` or `NoAnswer`."""
         rows: list[Json] = []
         position: dict[str, str] = {}
         while True:
@@ -137,13 +138,17 @@
                 return outcome
             page = outcome.ok_value.document
             rows += page[field]
-            following = page.get("Next")
-            if not following:
+            next_position = page.get("Next")
+            if not next_position:
                 return Ok((rows, page))
-            if len(rows) > MAX_LIST_ROWS or type(following) is not str or position.get("after", "") >= following:
+            if (
+                len(rows) > MAX_LIST_ROWS
+                or type(next_position) is not str
+                or position.get("after", "") >= next_position
+            ):
                 reason = "its pages do not end, or go round in a circle"
                 return Err(Rejection(outcome.ok_value.address, HTTPStatus.OK.value, reason))
-            position = {"after": following}
+            position = {"after": next_position}
 
 
 def call_target(name: str, query: Mapping[str, str]) -> str:
@@ -152,7 +157,7 @@
 
 
 def _interpret(address: Address, name: str, response: HttpResponse) -> Result[Answer, Rejection | FailedAttempt]:
-    """What a response other than a redirection means."""
+    """Returns the result that a response other than a redirection stands for."""
     if HTTPStatus.OK <= response.status < HTTPStatus.MULTIPLE_CHOICES:
         try:
             return Ok(Answer(address, response.body, parse_answer(name, response.body)))
@@ -170,10 +175,10 @@
 
 
 def _redirection(response: HttpResponse) -> tuple[Address, str] | None:
-    """Returns the address and target that a redirection leads to, or None if it leads nowhere."""
+    """Returns the address and target of a redirection, or None if they are missing or invalid."""
     location = urlsplit(response.headers.get(b"location", b"").decode("latin-1"))
     try:
-        port = location.port  # raises ValueError if it is no port
+        port = location.port  # raises ValueError if it is not a port
     except ValueError:
         return None
     if location.scheme != "http" or not location.hostname or not port:
--- a/rampfront/operator_cli/errors.py
+++ b/rampfront/operator_cli/errors.py
@@ -8,19 +8,19 @@
 
 
 class InvalidInputError(ValueError):
-    """An argument or a file does not contain what it should; the text names the field and what to do."""
+    """An argument or a file is invalid; the message names the field and the remedy."""
 
 
 class CommandError(click.ClickException):
     """Ends the command with a message on standard error and the exit code of its class."""
 
     def show(self, file: IO[Any] | None = None) -> None:
-        """Prints the message: what is wrong and what to do about it."""
+        """Prints the message, which says what is wrong and what to do about it."""
         click.echo(f"rampfront: {self.message}", err=True)
 
 
 class RejectedError(CommandError):
-    """The system does not do what it is asked, or does not stay up."""
+    """The system rejects an order, or a small system does not keep running."""
 
     exit_code = ExitCode.REJECTED
 
@@ -32,6 +32,6 @@
 
 
 class NoAnswerError(CommandError):
-    """No node gave a clear answer."""
+    """No node gave a definite answer."""
 
     exit_code = ExitCode.NO_ANSWER
--- a/rampfront/operator_cli/exit_codes.py
+++ b/rampfront/operator_cli/exit_codes.py
@@ -7,6 +7,8 @@
     """How a command ended."""
 
     DONE = 0
-    REJECTED = 1  # by the system; `diff --exit-code`, `status --check`: something is found; `up`: it does not stay up
-    USAGE = 2  # invalid arguments, or a file that does not contain what it should
-    NO_ANSWER = 3  # no node gave a clear answer: an order may have been taken, which the message says
+    REJECTED = (
+        1  # by the system; `diff --exit-code`: a difference; `status --check`: a problem; `up`: the system failed
+    )
+    USAGE = 2  # invalid arguments or an invalid file
+    NO_ANSWER = 3  # no node gave a definite answer; the message says whether an order may have been carried out
--- a/rampfront/operator_cli/formatting.py
+++ b/rampfront/operator_cli/formatting.py
@@ -1,4 +1,4 @@
-"""Tables and durations as text."""
+"""Formats tables and durations as text."""
 
 from collections.abc import Iterable, Sequence
 
@@ -7,7 +7,7 @@
 
 
 def format_duration(duration_ms: float | None) -> str:
-    """Returns a duration (ms) as people read it."""
+    """Returns a duration (ms) as text in ms, s or min, by its length."""
     if duration_ms is None:
         return "none"
     if duration_ms < MAX_SHOWN_AS_MS:
--- a/rampfront/operator_cli/session.py
+++ b/rampfront/operator_cli/session.py
@@ -1,4 +1,4 @@
-"""What the commands share: options that say which nodes to ask, output as text or JSON, and how a failure ends one."""
+"""Shared by the commands: the options that name the nodes, the output as text or JSON, and the errors that end them."""
 
 import asyncio
 import json
@@ -22,11 +22,11 @@
 
 Value = TypeVar("Value")
 
-# What to do where no node answered, by the call. These are the calls that change something.
+# What to do if no node answered, for each call that changes something.
 RETRY_HINTS = {
     "config.replace": "send it again unchanged when a node answers: a version has one body for ever",
-    "empty.start": "order it again: twice is once",
-    "empty.finish": "order it again: twice is once",
+    "empty.start": "order it again: a repeat has no further effect",
+    "empty.finish": "order it again: a repeat has no further effect",
 }
 
 configuration_file = click.argument("file", type=click.Path(exists=True, dir_okay=False, allow_dash=True))
@@ -34,14 +34,14 @@
 
 
 class AddressList(click.ParamType[list[Address]]):
-    """`host:port`, or several with commas between them."""
+    """An address `host:port`, or several separated by commas."""
 
     name = "host:port"
 
     def convert(self, value: object, param: click.Parameter | None, ctx: click.Context | None) -> list[Address]:
         """Returns the addresses; ends the command if one is invalid."""
         if not isinstance(value, str):
-            return cast(list[Address], value)  # converted before
+            return cast(list[Address], value)  # already converted
         try:
             return [parse_address(part) for part in value.split(",") if part]
         except FieldError as error:
@@ -66,12 +66,12 @@
 
 
 def with_session(command: Callable[..., None]) -> Callable[..., None]:
-    """Gives a command the options of those that ask nodes; its first argument becomes the `Session`."""
+    """Adds the options of commands that call nodes, and passes a `Session` as the first argument."""
 
     def run(
         context: click.Context, /, at: tuple[list[Address], ...], within: float, as_json: bool, **arguments: object
     ) -> None:
-        """Makes the session and runs the command."""
+        """Creates the session and runs the command."""
         addresses = [address for group in at for address in group]
         if not addresses:
             raise UsageError("--at: missing; name a node's control address, --at host:port, or set RAMPFRONT_CONTROL")
@@ -83,7 +83,7 @@
 
 
 class Session:
-    """One command's client of the nodes, and the way its results are printed."""
+    """The client and the output format of one command."""
 
     def __init__(self, client: ControlClient, as_json: bool) -> None:
         """`as_json`: print documents instead of text."""
@@ -91,18 +91,18 @@
         self.as_json = as_json
 
     def print(self, document: object, text: str, indent: int | None = 1) -> None:
-        """Prints the result, as a document (`indent` None: in one line) or as text."""
+        """Prints the result, as a JSON document (on one line if `indent` is None) or as text."""
         click.echo(json.dumps(document, indent=indent) if self.as_json else text)
 
     def run(self, work: Coroutine[Any, Any, Result[Value, Any]], call: str = "") -> Value:
-        """Returns the value of `work`; ends the command on its error. `call`: what it called, for the message."""
+        """Returns the value of `work`; ends the command on its error. `call`: the name of the call, for the message."""
         outcome = asyncio.run(work)
         if isinstance(outcome, Ok):
             return outcome.ok_value
         raise self.error_of(outcome.err_value, call)
 
     def error_of(self, failure: Rejection | NoAnswer, call: str = "") -> CommandError:
-        """Returns the error that ends the command, with what went wrong at the nodes and what to do."""
+        """Returns the error that ends the command, with the failures of the nodes and the remedy."""
         if isinstance(failure, Rejection):
             is_unknown_call = (
                 failure.status == HTTPStatus.NOT_FOUND and call.endswith(".read") and call != "config.read"
@@ -143,9 +143,9 @@
         return body
 
     def replace_configuration(self, body: bytes, document: Json) -> Answer:
-        """Gives the system a configuration (`document`: its tables) and reads back what is in force.
+        """Sends a configuration (`document`: its tables) and reads back the one that is in force.
 
-        Returns the acknowledgement. Ends the command if another version is in force, or another body of this one.
+        Returns the acknowledgement. Ends the command if another version or another body of this version is in force.
         """
         revision = int(document["Revision"][1:])
         answer = self.call("config.replace", body)
@@ -153,7 +153,7 @@
         newest = configuration_reader.read(current).map(_revision).unwrap_or(revision)
         if newest < revision:
             raise RejectedError(
-                f"r{revision} was acknowledged, and r{newest} is read back: this must not be; keep the logs"
+                f"r{revision} was acknowledged, but r{newest} is read back: a fault of the system; keep the logs"
             )
         if newest == revision and json.loads(current) != document:
             raise RejectedError(
@@ -172,7 +172,7 @@
 
 
 class ConfigurationFile(NamedTuple):
-    """A configuration from a file: its text, its tables, and what was read from them."""
+    """A configuration from a file: its text, its tables, and the validated object."""
 
     body: bytes
     document: Json
@@ -180,11 +180,11 @@
 
 
 def read_configuration_file(path: str) -> ConfigurationFile:
-    """Returns the configuration in a file; `-`: in standard input. Ends the command if it is invalid."""
+    """Returns the configuration in a file, or in standard input for `-`. Ends the command if it is invalid."""
     body = sys.stdin.buffer.read() if path == "-" else Path(path).read_bytes()
     outcome = configuration_reader.read(body)
     if not isinstance(outcome, Ok):
         fault = outcome.err_value
-        hint = "; docs/system/reference.md tells what it may hold" if fault.field else ""
+        hint = "; docs/system/reference.md describes the fields" if fault.field else ""
         raise UsageError(f"{path}: {fault}{hint}")
     return ConfigurationFile(body, json.loads(body), outcome.ok_value)
