--- a/rampfront/operator_cli/local_layout.py
+++ b/rampfront/operator_cli/local_layout.py
@@ -1,6 +1,6 @@
-"""Where the nodes of a small system stand: their addresses, ports and settings files.
+"""The layout of a small system: the addresses, ports and settings files of its nodes.
 
-Every node has an IP address of its own, since all machines of the system use the same ports.
+Each node has its own IP address, since all machines of the system use the same ports.
 """
 
 import ipaddress
@@ -13,22 +13,22 @@
 from .control_answers import Json
 
 ZONES = {"north-a": "north", "south-a": "south", "north-b": "north", "south-b": "south"}
-PORTS_PER_NODE = 8  # in a row: front, ready check, control, directory, and the range for frames between nodes
-FRAME_PORTS_FROM = 4  # the first of that range
+PORTS_PER_NODE = 8  # consecutive: front, ready check, control, directory, and the range for frames between nodes
+FRAME_PORTS_FROM = 4  # offset of the first port of that range
 FIRST_PORT = 20000
-LAST_PORT = 31000  # below the ports that outgoing connections get
+LAST_PORT = 31000  # below the range of ephemeral ports
 PORT_ATTEMPTS = 200
 SEED_NODES = 3
 GRACE_S = 2.0  # from SIGTERM to SIGKILL
 
 
 class LocalSystemError(Exception):
-    """The system could not be started, or did not stay up; the text says why and what to do."""
+    """The system could not be started, or did not keep running; the message has the reason and the remedy."""
 
 
 @dataclass(frozen=True, slots=True)
 class Node:
-    """Where one node stands. `port` is the first of its row, `disk` whether it is a member of the core."""
+    """The place of one node. `port`: the first of its ports; `disk`: whether it has one and is a member of the core."""
 
     name: str
     ip: str
@@ -36,33 +36,33 @@
     port: int
     disk: bool
 
-    def at(self, offset: int) -> str:
-        """Returns the address of its port at this offset, as `host:port`."""
+    def address_at(self, offset: int) -> str:
+        """Returns the address of the port at this offset from `port`, as `host:port`."""
         return f"{self.ip}:{self.port + offset}"
 
     @property
     def front(self) -> str:
         """Address for clients' requests."""
-        return self.at(0)
+        return self.address_at(0)
 
     @property
     def ready(self) -> str:
-        """Address for the platform's checks."""
-        return self.at(1)
+        """Address for the platform's readiness checks."""
+        return self.address_at(1)
 
     @property
     def control(self) -> str:
         """Address for operators' calls."""
-        return self.at(2)
+        return self.address_at(2)
 
     @property
     def directory(self) -> str:
-        """Address for clients that ask for fronts."""
-        return self.at(3)
+        """Address for clients that look up fronts."""
+        return self.address_at(3)
 
 
 def layout(count: int, base: str, port: int) -> list[Node]:
-    """Returns `count` nodes from the IP address `base` on, zone after zone; the first of each zone has a disk."""
+    """Returns `count` nodes from the IP address `base` on, spread over the zones; the first in each zone has a disk."""
     zones = list(ZONES)[:count]
     first = ipaddress.IPv4Address(base)
     return [
@@ -73,18 +73,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Environment:
-    """What all nodes of a small system have in common."""
+    """The settings that all nodes of a small system share."""
 
     nodes: Sequence[Node]
     platform: str  # address of the platform's list of servers
-    folder: Path  # for data
+    folder: Path  # parent of the nodes' data folders
     zones: Mapping[str, str] | None = None  # region of each zone; None: `ZONES`
     platform_lag: str = "0ms"
-    guarantees: Mapping[str, object] | None = None  # figures of the rules besides the grace
+    guarantees: Mapping[str, object] | None = None  # figures of the rules that differ from the defaults, except `Grace`
 
 
 def node_settings(node: Node, environment: Environment, first_boot: bool = True) -> Json:
-    """Returns a node's settings file (DEPLOY.md). `first_boot`: the first start of the whole system."""
+    """Returns a node's settings file (DEPLOY.md). `first_boot`: whether this is the first start of the whole system."""
     return {
         "Self": _own_settings(node, environment, first_boot),
         "Network": {
@@ -125,42 +125,42 @@
 
 
 def _tolerated_machines(nodes: Sequence[Node]) -> int:
-    """Of the core's members the largest minority."""
+    """Returns the size of the largest minority of the core's members."""
     members = sum(node.disk for node in nodes)
     return max(0, (members - 1) // 2)
 
 
-def find_free_ports(ips: Sequence[str], draw: Callable[[int], int] = secrets.randbelow) -> int:
-    """Returns the first of `PORTS_PER_NODE` free ports in a row, the same at all addresses.
+def find_free_ports(ips: Sequence[str], random_below: Callable[[int], int] = secrets.randbelow) -> int:
+    """Returns the first of `PORTS_PER_NODE` consecutive ports that are free at all addresses.
 
     Raises:
-        LocalSystemError: an address is none of this machine, or no such row was found.
+        LocalSystemError: an address does not belong to this machine, or no such ports were found.
     """
     for ip in ips:
         _check_ip(ip)
     for _ in range(PORT_ATTEMPTS):
-        first = FIRST_PORT + draw((LAST_PORT - FIRST_PORT) // PORTS_PER_NODE) * PORTS_PER_NODE
+        first = FIRST_PORT + random_below((LAST_PORT - FIRST_PORT) // PORTS_PER_NODE) * PORTS_PER_NODE
         if all(_is_free(ip, port) for ip in ips for port in range(first, first + PORTS_PER_NODE)):
             return first
     raise LocalSystemError(
-        f"no {PORTS_PER_NODE} ports in a row are free on {', '.join(ips)}: name other addresses with --base"
+        f"no {PORTS_PER_NODE} consecutive ports are free on {', '.join(ips)}: name other addresses with --base"
     )
 
 
 def _check_ip(ip: str) -> None:
-    """Raises `LocalSystemError` for an address that is none of this machine."""
+    """Raises `LocalSystemError` if an address does not belong to this machine."""
     try:
         with socket.socket() as sock:
             sock.bind((ip, 0))
     except OSError as error:
         raise LocalSystemError(
-            f"{ip} is no address of this machine ({error.strerror}): on Linux all of 127.0.0.0/8 is; "
+            f"{ip} is not an address of this machine ({error.strerror}): on Linux all of 127.0.0.0/8 is; "
             f"elsewhere add it to the loopback interface, or name others with --base"
         ) from None
 
 
 def _is_free(ip: str, port: int) -> bool:
-    """Whether a port is free for TCP and UDP."""
+    """Returns whether a port is free for TCP and UDP."""
     try:
         for kind in (socket.SOCK_STREAM, socket.SOCK_DGRAM):
             with socket.socket(socket.AF_INET, kind) as sock:
--- a/rampfront/operator_cli/local_report.py
+++ b/rampfront/operator_cli/local_report.py
@@ -1,4 +1,4 @@
-"""What `up` prints of a small system."""
+"""The output of `up` on a small system."""
 
 import os
 import sys
@@ -16,7 +16,7 @@
 
 
 class SampleRequest(NamedTuple):
-    """A request that a route takes; an empty key: none is needed."""
+    """A request that matches a route. An empty key means that the route does not require one."""
 
     host: str
     path: str
@@ -29,7 +29,7 @@
 
 
 def sample_request(configuration: Configuration) -> SampleRequest:
-    """Returns a request that a configuration has a route for; reads go first."""
+    """Returns a request that matches a route of a configuration, if possible a read-only one."""
     routes = [
         (host, route) for host, host_routes in configuration.hosts.items() for route in host_routes.routes.values()
     ]
@@ -43,7 +43,7 @@
 def describe(
     nodes: Sequence[Node], children: Mapping[str, Popen[bytes]], configuration: Configuration, folder: str
 ) -> Json:
-    """Returns where a small system runs, as `up --json` prints it."""
+    """Returns the addresses and processes of a small system, as `up --json` prints them."""
     request = sample_request(configuration)
     return {
         "Nodes": [_describe_node(node, children[node.name].pid) for node in nodes],
@@ -68,8 +68,8 @@
     }
 
 
-def greeting(nodes: Sequence[Node], server_count: int, configuration: Configuration, folder: str) -> str:
-    """Returns what `up` prints: the nodes, a request to send, and how to ask the system."""
+def startup_message(nodes: Sequence[Node], server_count: int, configuration: Configuration, folder: str) -> str:
+    """Returns the text that `up` prints: the nodes, a sample request, and how to query the system."""
     controls = ",".join(node.control for node in nodes[:LISTED_CONTROLS])
     return "\n".join(
         [
@@ -80,7 +80,7 @@
             "Send a request:",
             f"  {sample_request(configuration).curl(nodes[0].front)}",
             "",
-            "Ask the system, in another terminal:",
+            "Query the system, in another terminal:",
             f"  export RAMPFRONT_CONTROL={controls}",
             f"  {_program_command()} status",
             "",
@@ -94,7 +94,7 @@
 
 
 def _program_command() -> str:
-    """The command line of this program in the repository's folder."""
+    """Returns the command that starts this program in the repository's folder."""
     path = os.environ.get("PYTHONPATH")
     environment = f"PYTHONPATH={path} " if path else ""
     return f"{environment}{os.path.basename(sys.executable)} -m rampfront system"
--- a/rampfront/operator_cli/local_system.py
+++ b/rampfront/operator_cli/local_system.py
@@ -1,7 +1,7 @@
-"""A small system on loopback: nodes as child processes, and simulated platform and servers beside them.
+"""A small system on loopback: nodes as child processes, with a simulated platform and simulated servers.
 
-It owns the children, their folder and the simulated parts, from start to end. It takes no part in the system: what it
-starts is the program as machines run it.
+`LocalSystem` owns the child processes, their folder and the simulated parts. It is not part of the system itself: the
+nodes run the same program as on real machines.
 """
 
 import asyncio
@@ -26,7 +26,7 @@
 from ..settings.configuration import Configuration, Service
 from ..settings.scalars import parse_address
 from . import local_report
-from .child_processes import MAX_ENDS, RESTART_DELAY_S, ChildProcesses, RestartHistory
+from .child_processes import MAX_EXITS, RESTART_DELAY_S, ChildProcesses, RestartHistory
 from .control_answers import Json, format_address
 from .control_client import ControlClient
 from .local_layout import (
@@ -40,25 +40,25 @@
 )
 from .sample_configuration import sample_configuration
 
-ORDER_TIMEOUT_S = 1.0  # of one attempt to give the first configuration
+ORDER_TIMEOUT_S = 1.0  # of one attempt to apply the first configuration
 START_POLL_S = 0.1
 WATCH_POLL_S = 0.25
 MIN_POLL_S = 0.01
-SERVER_WORK_MS = 20.0  # mean time that a simulated server works on a request
+SERVER_WORK_MS = 20.0  # mean service time of a simulated server
 SERVER_SLOTS = 4
 SERVER_QUEUE = 16
 MAX_SERVER_CONNECTIONS = 4096
 DEFAULT_COLD_PER_S = 2.0
 
 
-# These parts of the laboratory have no annotations yet.
+# These parts of the laboratory are not annotated.
 _Platform: Any = platform.Platform
 _open_platform: Any = platform.open_platform
 _Fleet: Any = boxes.Fleet
 
 
 class SystemSize(NamedTuple):
-    """How large a small system is: nodes from the IP address `base` on, and servers of each service."""
+    """The size of a small system: the number of nodes, the first one's IP address, and the servers of each service."""
 
     nodes: int = 4
     base: str = "127.0.0.11"
@@ -66,7 +66,7 @@
 
 
 class LocalSystem:
-    """A small system. A subclass may lay out its nodes and the simulated parts in its own way."""
+    """A small system. Subclasses may override the layout of the nodes and the simulated parts."""
 
     def __init__(
         self,
@@ -75,8 +75,8 @@
         body: bytes | None = None,
         folder: str | Path | None = None,
     ) -> None:
-        """`body`: the first configuration, None: the built-in one; `folder`: for settings, data and logs, kept at the
-        end if it is given."""
+        """`body`: the first configuration, None for the built-in one; `folder`: for settings, data and logs, kept after
+        the end; None for a temporary folder."""
         self.loop = loop
         self.size = size or SystemSize()
         self.body = json.dumps(sample_configuration(), indent=1).encode() if body is None else body
@@ -86,18 +86,18 @@
         self.nodes: list[Node] = []
         self.processes = ChildProcesses(self.folder)
         self._restarts = RestartHistory()
-        self.platform: Any = None  # the laboratory's simulated platform,
-        self.listener: Any = None  # the socket at which it listens,
-        self.fleet: Any = None  # and the simulated servers
+        self.platform: Any = None  # the laboratory's simulated platform
+        self.listener: Any = None  # the platform's listening socket
+        self.fleet: Any = None  # the simulated servers
 
     @property
     def children(self) -> dict[str, Popen[bytes]]:
         """The nodes' processes by name."""
         return self.processes.by_name
 
-    async def start(self, patience_s: float = 60.0) -> None:
-        """Returns once every node is ready. Raises `LocalSystemError`."""
-        deadline = time.monotonic() + patience_s
+    async def start(self, timeout_s: float = 60.0) -> None:
+        """Starts the system and returns when every node is ready. Raises `LocalSystemError`."""
+        deadline = time.monotonic() + timeout_s
         await self.start_simulated_parts()
         self.nodes = self.layout_nodes(find_free_ports([node.ip for node in self.layout_nodes(0)]))
         await self.prepare()
@@ -105,19 +105,19 @@
             self.launch(node)
         client = ControlClient([parse_address(node.control) for node in self.nodes], ORDER_TIMEOUT_S)
         while isinstance(outcome := await client.call("config.replace", self.body), Err):
-            await self._wait(deadline, f"the core takes no configuration: {outcome.err_value}")
+            await self._wait(deadline, f"the core does not accept the configuration: {outcome.err_value}")
         for node in self.nodes:
             while not await self._is_ready(node):
                 await self._wait(deadline, f"{node.name} does not become ready")
 
-    # What a subclass may do its own way.
+    # Methods that subclasses may override.
 
     def layout_nodes(self, port: int) -> list[Node]:
-        """Returns the nodes, each with its row of ports from `port` on."""
+        """Returns the nodes, whose ports begin at `port`."""
         return layout(self.size.nodes, self.size.base, port)
 
     async def prepare(self) -> None:
-        """Called once the nodes have their places, before any is started."""
+        """Called when the layout of the nodes is known and before any is started."""
 
     def process_settings(self, node: Node, first_boot: bool) -> Json:
         """Returns a node's settings file."""
@@ -142,7 +142,7 @@
     # Nodes.
 
     def launch(self, node: Node, first: bool = True) -> None:
-        """Starts a node's process. `first`: at the first start of the whole system."""
+        """Starts a node's process. `first`: whether this is the first start of the whole system."""
         settings = self.process_settings(node, first)
         if node.disk:
             os.makedirs(settings["Self"]["DataFolder"], exist_ok=True)
@@ -153,7 +153,7 @@
         return isinstance(outcome, Ok) and outcome.ok_value.status == HTTPStatus.OK
 
     async def _wait(self, deadline: float, reason: str) -> None:
-        """Waits a moment, in which all children have to go on running."""
+        """Waits for a poll interval. Raises `LocalSystemError` if a child has exited or the deadline has passed."""
         self.processes.check_running()
         if time.monotonic() > deadline:
             raise LocalSystemError(f"{reason}\n{self.processes.log_tail()}")
@@ -162,10 +162,10 @@
     async def supervise(
         self, ended: asyncio.Event, seconds: float | None = None, report: Callable[[str], object] = print
     ) -> None:
-        """Restarts nodes that end, until `ended` is set or the time is over. Raises `LocalSystemError`."""
+        """Restarts nodes that exit, until `ended` is set or `seconds` have passed. Raises `LocalSystemError`."""
         deadline = time.monotonic() + seconds if seconds else None
         while not ended.is_set() and (deadline is None or time.monotonic() < deadline):
-            self.restart_ended(time.monotonic(), report)
+            self.restart_exited(time.monotonic(), report)
             wait_s = WATCH_POLL_S
             if deadline is not None:
                 wait_s = max(MIN_POLL_S, min(WATCH_POLL_S, deadline - time.monotonic()))
@@ -174,40 +174,40 @@
             except TimeoutError:
                 continue
 
-    def restart_ended(self, now_s: float, report: Callable[[str], object]) -> None:
-        """Restarts nodes that have ended, after a pause; `LocalSystemError`: one of them ends again and again."""
+    def restart_exited(self, now_s: float, report: Callable[[str], object]) -> None:
+        """Restarts nodes that have exited, after a pause. Raises `LocalSystemError` if one exits repeatedly."""
         for node in self.nodes:
             child = self.children[node.name]
             if child.poll() is None:
                 continue
-            if self._restarts.record_end(node.name, child.pid, now_s):
+            if self._restarts.record_exit(node.name, child.pid, now_s):
                 self._check_restarts(node.name, child, now_s)
                 report(
-                    f"{node.name} ended with status {child.returncode}; it is started again in {RESTART_DELAY_S:g} s"
+                    f"{node.name} ended with status {child.returncode}; it will be restarted in {RESTART_DELAY_S:g} s"
                 )
             elif self._restarts.is_restart_due(node.name, now_s):
                 self.launch(node, first=False)
 
     def _check_restarts(self, name: str, child: Popen[bytes], now_s: float) -> None:
-        elapsed_s = self._restarts.time_since_first_s(name, now_s)
+        elapsed_s = self._restarts.crash_loop_duration_s(name, now_s)
         if elapsed_s is not None:
             raise LocalSystemError(
-                f"{name} ended {MAX_ENDS} times in {elapsed_s:.0f} s, last with status "
+                f"{name} ended {MAX_EXITS} times in {elapsed_s:.0f} s, last with status "
                 f"{child.returncode}\n{self.processes.log_tail(name)}"
             )
 
-    # What is printed of it.
+    # Output.
 
     def describe(self) -> Json:
-        """Returns where it runs, as `up --json` prints it."""
+        """Returns the addresses and processes of the system, as `up --json` prints them."""
         return local_report.describe(self.nodes, self.children, self.configuration, str(self.folder))
 
-    def greeting(self) -> str:
-        """Returns what `up` prints: the nodes, a request to send, and how to ask the system."""
-        return local_report.greeting(self.nodes, len(self.fleet.boxes), self.configuration, str(self.folder))
+    def startup_message(self) -> str:
+        """Returns the text that `up` prints: the nodes, a sample request, and how to query the system."""
+        return local_report.startup_message(self.nodes, len(self.fleet.boxes), self.configuration, str(self.folder))
 
     async def end(self) -> dict[str, int]:
-        """Ends all that was started; returns the exit codes of the nodes by name."""
+        """Ends the nodes and the simulated parts; returns the exit codes of the nodes by name."""
         exit_codes = await self.processes.end()
         if self.fleet:
             self.fleet.close()
@@ -219,7 +219,7 @@
 
 
 def _server_kind(service: Service) -> Make:
-    """What the simulated servers of a service are like."""
+    """Returns the properties of the simulated servers of a service."""
     return Make(
         service.name,
         slots=SERVER_SLOTS,
--- a/rampfront/operator_cli/sample_configuration.py
+++ b/rampfront/operator_cli/sample_configuration.py
@@ -1,4 +1,4 @@
-"""The first configuration of a small system, in the words of PROTOCOL.md."""
+"""The first configuration of a small system, in the format of PROTOCOL.md."""
 
 from .control_answers import Json
 
--- a/rampfront/operator_cli/start_commands.py
+++ b/rampfront/operator_cli/start_commands.py
@@ -1,4 +1,4 @@
-"""Commands that ask no node: a small system on this machine, and shell completion."""
+"""Commands that do not call nodes: a small system on this machine, and shell completion."""
 
 import asyncio
 import ipaddress
@@ -18,7 +18,7 @@
 if TYPE_CHECKING:
     from .local_system import LocalSystem
 
-COMPLETION_VARIABLE = "_RAMPFRONT_SYSTEM_COMPLETE"  # the environment variable by which a shell asks for completions
+COMPLETION_VARIABLE = "_RAMPFRONT_SYSTEM_COMPLETE"  # environment variable with which a shell requests completions
 FUNCTION_NAME = "rampfront-system"  # of the shell function that `completion` defines
 
 
@@ -33,10 +33,10 @@
     assert completion_class is not None
     root_command = click.get_current_context().find_root().command
     source = completion_class(root_command, {}, FUNCTION_NAME, COMPLETION_VARIABLE).source()
-    # click's scripts ask the command by its name, which is a function here: they have to ask what is behind it.
-    for asked in ("$1", FUNCTION_NAME):
+    # click's scripts call the command by its name, which is a shell function here; they need the command that it runs.
+    for called in ("$1", FUNCTION_NAME):
         for before in (f"{COMPLETION_VARIABLE}={shell}_complete", "(commandline -t)"):
-            source = source.replace(f"{before} {asked}", f"{before} {command}")
+            source = source.replace(f"{before} {called}", f"{before} {command}")
     if shell == "fish":
         click.echo(f"function {FUNCTION_NAME}; {command} $argv; end")
     else:
@@ -45,7 +45,7 @@
 
 
 def _program_command() -> str:
-    """The command line of this program, whatever the working directory."""
+    """Returns the command that starts this program from any working directory."""
     root = str(Path(__file__).resolve().parents[2])
     given = [os.path.abspath(part) for part in os.environ.get("PYTHONPATH", "").split(os.pathsep) if part]
     paths = os.pathsep.join(dict.fromkeys([root, *given]))
@@ -105,7 +105,7 @@
     try:
         ipaddress.IPv4Address(options["base"]) + options["node_count"] - 1
     except ValueError as error:
-        raise UsageError(f"--base: {error}; name an IPv4 address of this machine, as 127.0.0.11") from None
+        raise UsageError(f"--base: {error}; name an IPv4 address of this machine, such as 127.0.0.11") from None
     body = read_configuration_file(options["file"]).body if options["file"] else None
     if options["keep"]:
         Path(options["keep"]).mkdir(parents=True, exist_ok=True)
@@ -119,14 +119,14 @@
 
 
 async def _run_until_ended(system: "LocalSystem", options: UpOptions) -> None:
-    """Starts the system, prints where it runs, and returns after a signal or `--seconds`; nothing is left running."""
+    """Starts the system, prints its addresses, and ends all its processes after a signal or `--seconds`."""
     loop = asyncio.get_running_loop()
     ended = asyncio.Event()
-    for number in (signal.SIGINT, signal.SIGTERM, signal.SIGHUP):
-        loop.add_signal_handler(number, ended.set)
+    for signal_number in (signal.SIGINT, signal.SIGTERM, signal.SIGHUP):
+        loop.add_signal_handler(signal_number, ended.set)
     try:
         if await _start_unless_ended(system, ended, options["patience"]):
-            click.echo(json.dumps(system.describe()) if options["as_json"] else system.greeting())
+            click.echo(json.dumps(system.describe()) if options["as_json"] else system.startup_message())
             sys.stdout.flush()
             await system.supervise(ended, options["seconds"], _print_error)
     finally:
@@ -135,7 +135,7 @@
 
 
 async def _start_unless_ended(system: "LocalSystem", ended: asyncio.Event, patience: float) -> bool:
-    """Whether the system is ready; False if a signal came first. Raises what its start raises."""
+    """Starts the system and returns True when it is ready, or False after a signal. Raises the errors of the start."""
     starting = asyncio.ensure_future(system.start(patience))
     waiting = asyncio.ensure_future(ended.wait())
     await asyncio.wait((starting, waiting), return_when=asyncio.FIRST_COMPLETED)
--- a/tests/operator_cli/test_local_system.py
+++ b/tests/operator_cli/test_local_system.py
@@ -70,7 +70,7 @@
     launch(system.nodes[0])
     with pytest.raises(local_layout.LocalSystemError, match="ended 5 times in"):
         for tenth in range(200):
-            system.restart_ended(tenth / 10, said.append)
+            system.restart_exited(tenth / 10, said.append)
     assert len(said) == 4 and next(lives) == 5
 
 
