--- a/rampfront/operator_cli/snapshot_commands.py
+++ b/rampfront/operator_cli/snapshot_commands.py
@@ -1,5 +1,5 @@
-"""The commands `snapshot ...`: save what a running system has in force (its configuration and its evacuated zones) into
-one file, check such a file, and restore it through the operators' ordinary calls."""
+"""The commands `snapshot ...`: save the state of a running system (its configuration and its evacuated zones) in one
+file, check such a file, and restore it with the ordinary calls for operators."""
 
 import asyncio
 import json
@@ -19,7 +19,7 @@
 from .snapshot_file import Snapshot
 from .system_status import collect
 
-MAX_READS = 5  # until configuration and status are of one version
+MAX_READS = 5  # attempts to read a configuration and a status of the same version
 
 
 @click.group()
@@ -51,29 +51,31 @@
 
 
 def _read_consistently(session: Session) -> tuple[bytes, Json]:
-    """The configuration's body and the system's status, of one version; ends the command if they never are.
+    """Returns the configuration's body and the system's status, of one version; ends the command if all reads differ.
 
-    The body is read first: a status that is read behind it and has the same version is of the same state.
+    The body is read first, so a status that is read after it and has the same version belongs to the same state.
     """
     for _ in range(MAX_READS):
         body = session.required_configuration()
         status = session.run(collect(session.client), "state.read")
         if status["Leader"] is None:
-            raise RejectedError("no node that answers leads the core, so what holds is not known: ask others with --at")
+            raise RejectedError(
+                "no node that answers leads the core, so the state in force is not known: name others with --at"
+            )
         revision = configuration_reader.read(body).map(lambda read: f"r{read.revision}").unwrap_or(None)
         status |= _confirmed_evacuations(session)
         if revision is not None and status["Revision"] == revision:
             return body, status
     raise RejectedError(
-        f"the configuration changes under the reads ({revision}, then {status['Revision']}): save it again"
+        f"the configuration changed during the reads ({revision}, then {status['Revision']}): save it again"
     )
 
 
 def _confirmed_evacuations(session: Session) -> Json:
-    """The evacuated zones and the number of the configuration, as a majority of the core confirms them.
+    """Returns the evacuated zones and the version of the configuration, as a majority of the core confirms them.
 
-    A status is one node's view: if the leader changes at that moment, it may lack the newest evacuation. Nothing from
-    nodes of earlier versions, which know no such call.
+    A status is one node's view: if the leader changes at that moment, it may lack the newest evacuation. The result is
+    empty for nodes of earlier versions, which do not have this call.
     """
     outcome = asyncio.run(session.client.call("evacuations.read"))
     if isinstance(outcome, Ok):
@@ -125,12 +127,12 @@
     plan["StayEmptied"] = [] if take_back else not_evacuated_then
     plan["Done"] = not dry_run
     if not dry_run:
-        _carry_out(session, saved, plan)
+        _execute(session, saved, plan)
     session.print(plan, format_restore(plan))
 
 
 def _plan(session: Session, saved: Snapshot, only: str | None, file: str) -> Json:
-    """What is to be done; ends the command if the system lacks one of the zones."""
+    """Returns the steps of the restore; ends the command if the system lacks one of the zones."""
     body = session.current_configuration()
     current = None
     if body is not None:
@@ -150,8 +152,8 @@
     return plan
 
 
-def _carry_out(session: Session, saved: Snapshot, plan: Json) -> None:
-    """Zones first, so that the configuration never reaches servers that were kept out."""
+def _execute(session: Session, saved: Snapshot, plan: Json) -> None:
+    """Executes the plan, zones first, so that the configuration never reaches servers that were excluded."""
     for zone in plan["Evacuates"]:
         session.call("empty.start", query={"of": zone})
     for zone in plan["TakesBack"]:
@@ -161,5 +163,5 @@
     body, document = saved.body, saved.document
     if plan["Raised"]:
         body, document = with_revision(saved, int(plan["Gives"][1:]))
-    # Closes a race with another operator since the read: `replace_configuration` reads back what is in force.
+    # Another operator may have changed the configuration since the read; `replace_configuration` detects that.
     plan["By"] = format_address(session.replace_configuration(body, document).address)
--- a/rampfront/operator_cli/snapshot_file.py
+++ b/rampfront/operator_cli/snapshot_file.py
@@ -1,7 +1,7 @@
-"""The file of a snapshot: a configuration, byte for byte as it was sent, and the zones that were evacuated with it.
+"""The file format of snapshots: a configuration, byte for byte as it was sent, and the zones evacuated at the time.
 
-The file is a line `rampfront-snapshot 1 SHA256`, whose checksum covers all that follows, a line of JSON
-(`HEADER_FIELDS`) and the configuration's body. It contains API keys, so that only its owner may read it.
+The file consists of a line `rampfront-snapshot 1 SHA256`, whose checksum covers everything after it, a line of JSON
+(`HEADER_FIELDS`) and the configuration's body. It contains API keys, so only its owner may read it.
 """
 
 import hashlib
@@ -27,16 +27,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """A snapshot that was checked."""
+    """A validated snapshot."""
 
     header: Json
-    body: bytes  # of the configuration,
-    document: Json  # its tables,
-    revision: int  # and its version
+    body: bytes  # of the configuration
+    document: Json  # the tables in the body
+    revision: int  # version of the configuration
 
 
 def pack(body: bytes, header: Json) -> bytes:
-    """Returns the file of a snapshot. `header`: its fields but `Bytes`."""
+    """Returns the content of a snapshot's file. `header`: its fields except `Bytes`, which is added."""
     header_line = json.dumps({**header, "Bytes": len(body)}, separators=(",", ":")).encode()
     content = header_line + b"\n" + body
     return b"%s %d %s\n" % (MAGIC, FORMAT_VERSION, _checksum(content)) + content
@@ -47,7 +47,7 @@
 
 
 def unpack(raw: bytes) -> Result[Snapshot, str]:
-    """Returns the snapshot in a file, or what is wrong with it and what to do."""
+    """Returns the snapshot in the content of a file, or a message with the fault and the remedy."""
     first_line, content = _split_line(raw)
     fault = _check_first_line(first_line.split(b" "), content)
     if fault:
@@ -56,13 +56,13 @@
     try:
         header = json.loads(header_line)
     except (ValueError, RecursionError):
-        return Err("its second line is no JSON; take another copy")
+        return Err("its second line is not JSON; use another copy")
     fault = _check_header(header, len(body))
     if fault:
         return Err(fault)
     outcome = configuration_reader.read(body)
     if not isinstance(outcome, Ok):
-        return Err(f"its configuration: {outcome.err_value}; docs/system/reference.md tells what it may hold")
+        return Err(f"its configuration: {outcome.err_value}; docs/system/reference.md describes the fields")
     revision = outcome.ok_value.revision
     if header["Revision"] != f"r{revision}":
         return Err(f"Revision: {header['Revision']}, and its configuration is r{revision}")
@@ -70,31 +70,31 @@
 
 
 def _split_line(content: bytes) -> tuple[bytes, bytes]:
-    """The first line, without its end, and what follows it."""
+    """Returns the first line, without its newline, and the rest."""
     end = content.find(b"\n")
     return (content[:end], content[end + 1 :]) if end >= 0 else (content, b"")
 
 
 def _check_first_line(parts: list[bytes], content: bytes) -> str:
-    """What is wrong with the magic, the format version or the checksum; an empty text if nothing is."""
+    """Returns the fault in the magic, the format version or the checksum; an empty text if there is none."""
     if len(parts) != FIRST_LINE_PARTS or parts[0] != MAGIC:
-        return "it is no snapshot; `snapshot save FILE` writes one, and a configuration alone goes by `apply FILE`"
+        return "it is not a snapshot; `snapshot save FILE` writes one, and `apply FILE` applies a configuration alone"
     version = parts[1][:MAX_QUOTED_CHARS].decode("latin-1")
     if parts[1] != b"%d" % FORMAT_VERSION:
-        return f"its form is {version!r} and this program reads {FORMAT_VERSION}: use the one that wrote it"
+        return f"its format is version {version!r} and this program reads {FORMAT_VERSION}: use the one that wrote it"
     if parts[2] != _checksum(content):
-        return f"its checksum does not fit its {len(content)} bytes: it is cut short or was changed; take another copy"
+        return f"its checksum does not match its {len(content)} bytes: it is truncated or was changed; use another copy"
     return ""
 
 
 def _check_header(header: object, body_bytes: int) -> str:
-    """What is wrong with the header; an empty text if nothing is."""
+    """Returns the fault in the header; an empty text if there is none."""
     for field, kind in HEADER_FIELDS.items():
         if not isinstance(header, dict) or type(header.get(field)) is not kind:
-            return f"{field}: missing, or not what it was; take another copy"
+            return f"{field}: missing, or of another type; use another copy"
     assert isinstance(header, dict)
     if header["Bytes"] != body_bytes:
-        return f"Bytes: {header['Bytes']}, and {body_bytes} are there; take another copy"
+        return f"Bytes: {header['Bytes']}, but the body has {body_bytes}; use another copy"
     for zone in header["Emptied"]:
         if zone not in header["Zones"]:
             return f"Emptied: no such zone: {zone!r}"
@@ -102,9 +102,9 @@
 
 
 def load(path: Path) -> Snapshot:
-    """Returns the snapshot in a file; ends the command if there is none."""
+    """Returns the snapshot in a file; ends the command if it is invalid."""
     if path.stat().st_size > MAX_FILE_BYTES:
-        raise UsageError(f"{path}: larger than {MAX_FILE_BYTES >> 20} MiB; no snapshot is")
+        raise UsageError(f"{path}: larger than {MAX_FILE_BYTES >> 20} MiB, the limit for snapshots")
     outcome = unpack(path.read_bytes())
     if not isinstance(outcome, Ok):
         raise UsageError(f"{path}: {outcome.err_value}")
@@ -112,8 +112,8 @@
 
 
 def write(path: Path, raw: bytes) -> None:
-    """Writes the file atomically, readable by its owner alone: one that was there stays until the new one is on disk.
-    Ends the command if it cannot be written."""
+    """Writes the file atomically, readable by its owner alone; an existing file stays until the new one is on disk.
+    Ends the command if the file cannot be written."""
     temporary = path.with_name(f".{path.name}.{os.getpid()}")
     try:
         with open(os.open(temporary, os.O_WRONLY | os.O_CREAT | os.O_EXCL, OWNER_ONLY), "wb") as file:
