--- a/rampfront/operator_cli/configuration_commands.py
+++ b/rampfront/operator_cli/configuration_commands.py
@@ -1,4 +1,4 @@
-"""Commands that check, give and compare configurations."""
+"""Commands that check, apply, show and compare configurations."""
 
 import json
 from pathlib import Path
@@ -27,7 +27,7 @@
         f"{summary['Services']} services, {summary['Tenants']} tenants"
     )
     for path in summary["Unused"]:
-        click.echo(f"  note: nothing reads {path}; a typing error, or meant for others")
+        click.echo(f"  note: no part of the system reads {path}; it may be misspelled, or meant for other programs")
 
 
 def _summarize(document: Json, configuration: Configuration) -> Json:
@@ -54,7 +54,8 @@
     node = format_address(answer.address)
     revision = f"r{given.configuration.revision}"
     session.print(
-        {"Acknowledged": revision, "Holds": revision, "By": node}, f"{revision} is acknowledged by {node}, and holds"
+        {"Acknowledged": revision, "Holds": revision, "By": node},
+        f"{revision} is acknowledged by {node}, and is in force",
     )
 
 
--- a/rampfront/operator_cli/configuration_diff.py
+++ b/rampfront/operator_cli/configuration_diff.py
@@ -1,6 +1,7 @@
-"""What two configurations (tables of JSON) differ in: routes, customers, services, caps. No I/O.
+"""Compares two configurations (tables of JSON): routes, customers, services, caps. Does no I/O.
 
-API keys are never shown, only how many came and went. `unused_fields` names what no reader uses: often a typing error.
+API keys are never shown, only how many were added and removed. `unused_fields` names fields that no reader uses, which
+are often misspelled.
 """
 
 from collections.abc import Iterator
@@ -10,7 +11,7 @@
 from ..settings.field_types import key_of
 from .control_answers import Json
 
-MAX_VALUE_CHARS = 60  # of a value that a line shows
+MAX_VALUE_CHARS = 60  # of a value in a line of output
 TOP_FIELDS = frozenset(("Revision", "Caps", "Customers", "Sockets", "Groups"))
 HOST_FIELDS = frozenset(("Hostname", "Rulebook"))
 ROUTE_FIELDS = frozenset(("Name", "Type", "Target", "Priority", "Public", "MatchesWhen", "ThenDo"))
@@ -19,7 +20,7 @@
 
 
 def _items(document: Json) -> dict[tuple[str, str], Json]:
-    """Every item of a configuration by (kind, name); no valid configuration has two of one name."""
+    """Returns each item of a configuration by (kind, name), which is unique in a valid configuration."""
     items: dict[tuple[str, str], Json] = {}
     if document.get("Caps"):
         items["caps", ""] = document["Caps"]
@@ -35,7 +36,7 @@
 
 
 def _flatten(row: Json, path: str = "") -> Iterator[tuple[str, object]]:
-    """The values of nested tables by their path."""
+    """Yields the path and value of each field of nested tables."""
     for name, value in row.items():
         if isinstance(value, dict):
             yield from _flatten(value, f"{path}{name}.")
@@ -44,8 +45,8 @@
 
 
 def changes(old: Json, new: Json) -> list[Json]:
-    """Returns [{"Kind", "Name", "Change": added | removed | changed, "Fields": [[field, before, after]]}], by kind and
-    name."""
+    """Returns [{"Kind", "Name", "Change": added | removed | changed, "Fields": [[field, before, after]]}], sorted by
+    kind and name."""
     old_items = _items(old)
     new_items = _items(new)
     rows: list[Json] = []
@@ -61,7 +62,7 @@
 
 
 def _changed_fields(old: Json, new: Json) -> list[list[object]]:
-    """[field, before, after] of each field that differs."""
+    """Returns [field, before, after] for each field that differs."""
     before = dict(_flatten(old))
     after = dict(_flatten(new))
     rows: list[list[object]] = []
@@ -79,12 +80,12 @@
 
 
 def _file_keys(data_class: type) -> set[str]:
-    """The fields of a table as the file names them."""
+    """Returns the keys that the fields of a table have in the file."""
     return {row.metadata.get("key") or key_of(row.name) for row in fields(data_class) if row.metadata}
 
 
 def unused_fields(document: Json) -> list[str]:
-    """Returns the paths of fields that no part of the system reads, once each."""
+    """Returns the paths of fields that no part of the system reads, each once."""
     hosts = document.get("Sockets") or ()
     rules = [rule for host in hosts for rule in host.get("Rulebook") or ()]
     tables = (
@@ -95,7 +96,7 @@
         ("Sockets[].Rulebook[]", rules, ROUTE_FIELDS),
         ("Sockets[].Rulebook[].ThenDo", [rule["ThenDo"] for rule in rules], ACTION_FIELDS),
     )
-    paths = dict.fromkeys(sorted(document.keys() - TOP_FIELDS))  # a dict keeps the order
+    paths = dict.fromkeys(sorted(document.keys() - TOP_FIELDS))  # used as an ordered set
     for path, rows, known in tables:
         for row in rows:
             paths |= dict.fromkeys(f"{path}.{name}" for name in sorted(row.keys() - known))
@@ -103,7 +104,7 @@
 
 
 def format_change(change: Json) -> str:
-    """Returns a change in one line of text."""
+    """Returns a change as one line of text."""
     item = f"{CHANGE_SIGNS[change['Change']]} {change['Kind']} {change['Name']}".rstrip()
     details = ", ".join(f"{name}: {_shorten(before)} -> {_shorten(after)}" for name, before, after in change["Fields"])
     return f"{item}  {details}" if details else item
--- a/rampfront/operator_cli/evacuations.py
+++ b/rampfront/operator_cli/evacuations.py
@@ -1,4 +1,4 @@
-"""Evacuations of zones as nodes report them, and what the commands say of them."""
+"""Evacuations of zones as nodes report them, and their description in the output of commands."""
 
 import json
 
@@ -8,7 +8,7 @@
 
 
 def parse_evacuation(body: bytes) -> Json:
-    """Returns what an answer to an evacuation order says of the zone; empty for nodes of earlier versions."""
+    """Returns the zone's state in the answer to an evacuation order; empty for nodes of earlier versions."""
     try:
         document = json.loads(body)
     except ValueError:
@@ -19,14 +19,14 @@
 
 
 def evacuation_note(evacuation: Json) -> str:
-    """Returns who keeps a zone evacuated, in parentheses; empty for the plain case of one operator."""
+    """Returns a note in parentheses on the operators that keep a zone evacuated; empty if it is exactly one."""
     operators = evacuation["Operators"]
     if not operators:
         return " (taken back; opens by itself within seconds, as there may be one more operator)"
     notes = []
     if operators > 1 or evacuation["Returned"]:
-        who = f"{operators} more" if evacuation["Returned"] else f"{operators} operators"
-        notes.append(f"to be taken back by {who}")
+        holders = f"{operators} more" if evacuation["Returned"] else f"{operators} operators"
+        notes.append(f"to be taken back by {holders}")
     if evacuation["Repeated"]:
         notes.append("emptied again within seconds: a repeat, or one operator more")
     return f" ({'; '.join(notes)})" if notes else ""
--- a/rampfront/operator_cli/explanation.py
+++ b/rampfront/operator_cli/explanation.py
@@ -1,7 +1,7 @@
-"""Why a request would be handled as it is: `explain` takes the steps of `proxy/request_proxy.py`, by one node's view.
+"""Explains how a request would be handled: `explain` follows the steps of `proxy/request_proxy.py` in one node's view.
 
-It never sends the request, and reads no clock. Whether the quota admits it depends on the moment it comes; what is left
-of the quota is told. Which of the servers that may get it is chosen is up to `choice.py`.
+It never sends the request and reads no clock. Whether the quota admits the request depends on the time of its arrival,
+so the explanation only has the rest of the quota. `choice.py` decides which of the eligible servers gets the request.
 """
 
 from collections.abc import Iterable, Mapping
@@ -35,7 +35,7 @@
 
 
 class NodeView(NamedTuple):
-    """What one node knows, as it answers to `state.read`, `servers.read` and `quotas.read`."""
+    """One node's view: its answers to `state.read`, `servers.read` and `quotas.read`."""
 
     state: Json
     servers: list[Json]
@@ -43,8 +43,8 @@
 
 
 class _Explanation:
-    """The document of `explain --json` as it is put together. The first reason for a status is the one that counts;
-    what comes behind it on the request's way is filled in all the same."""
+    """Builds the document of `explain --json`. The first rejection determines the status and its reason; the fields of
+    later steps are filled in regardless."""
 
     def __init__(self, host: bytes, path: bytes, node: str, revision: int) -> None:
         self.document: Json = {
@@ -64,11 +64,11 @@
 
     @property
     def is_rejected(self) -> bool:
-        """Whether the request would not get to a server."""
+        """Whether the request would be answered without reaching a server."""
         return self.document["Status"] is not None
 
     def reject(self, status: int, reason: str, hint: str = "") -> None:
-        """The request would be answered with this status, unless something else comes first."""
+        """Sets the status and the reason, unless an earlier step has rejected the request."""
         if not self.is_rejected:
             self.document["Status"] = status
             self.document["Why"] = reason
@@ -78,7 +78,7 @@
 def explain(configuration: Configuration, view: NodeView, url: str, api_key: str = "") -> Json:
     """Returns the document of `explain --json` for a request with this key, or without one.
 
-    Raises `InvalidInputError` for what is no URL.
+    Raises `InvalidInputError` for an invalid URL.
     """
     host, path = split_url(url)
     state = view.state
@@ -113,7 +113,7 @@
 
 
 def _no_route(configuration: Configuration, host: bytes) -> tuple[str, str]:
-    """The reason and the hint where no route fits."""
+    """Returns the reason and the hint for a request without a matching route."""
     normalized = normalize_host(host)
     host_routes: HostRoutes | None = configuration.hosts.get(normalized)
     if host_routes is None:
@@ -144,7 +144,7 @@
 
 
 def _authenticate(explanation: _Explanation, configuration: Configuration, route: Route, key: str) -> Customer | None:
-    """The customer that has the key; rejects the request where the route asks for one."""
+    """Returns the customer that has the key; rejects the request if there is none and the route requires one."""
     if not configuration.requires_key:
         return None
     customer = configuration.customer(key.encode()) if key else None
@@ -166,7 +166,7 @@
 
 
 def _allowed_zones(zones: Mapping[str, str], *home_regions: frozenset[str]) -> set[str]:
-    """The zones that all home regions allow; an empty set of them allows all."""
+    """Returns the zones that every set of home regions allows; an empty set allows all zones."""
     return {zone for zone, region in zones.items() if all(not regions or region in regions for regions in home_regions)}
 
 
@@ -203,7 +203,7 @@
 
 
 def _exclusion_reason(row: Json, zones: set[str]) -> str:
-    """Why the server gets no new request, or an empty text."""
+    """Returns why the server gets no new request, or an empty text if it does."""
     if row["Zone"] not in zones:
         return "outside the home regions"
     if row["Emptied"]:
@@ -212,7 +212,7 @@
 
 
 def _check_servers(explanation: _Explanation) -> list[str]:
-    """Returns the services of which no server may get the request; rejects it if these are all."""
+    """Returns the services without an eligible server; rejects the request if no service has one."""
     services = explanation.document["Services"]
     unavailable = [service["Service"] for service in services if not service["May"]]
     if len(unavailable) == len(services):
@@ -241,7 +241,7 @@
 
 
 def _destination(services: list[Json], unavailable: list[str]) -> str:
-    """Where a request that is admitted goes."""
+    """Returns a text on the services and servers that may get an admitted request."""
     text = f"goes to one of {sum(service['May'] for service in services)} servers"
     if len(services) > 1:
         largest = max(services, key=_share)
--- a/rampfront/operator_cli/explanation_text.py
+++ b/rampfront/operator_cli/explanation_text.py
@@ -1,4 +1,4 @@
-"""An explanation (`explanation.explain`) as text, in the order of the request's way."""
+"""Formats an explanation (`explanation.explain`) as text, in the order of the steps of handling a request."""
 
 from collections.abc import Iterator
 
@@ -53,10 +53,10 @@
 def _service_lines(service: Json, explanation: Json) -> Iterator[str]:
     servers = service["Servers"]
     yield f"service  {service['Service']} ({service['Share']:.0%}): {service['May']} of {len(servers)} servers"
-    saved = service["Spare"]
-    if saved is not None and explanation["Route"]["Tries"] > 1:
-        note = "" if saved >= 1 else "; none is made until first tries have earned one"
-        yield f"  budget: {saved:g} further tries saved up at {explanation['Node']}{note}"
+    budget = service["Spare"]
+    if budget is not None and explanation["Route"]["Tries"] > 1:
+        note = "" if budget >= 1 else "; none is made until first tries have earned one"
+        yield f"  budget: {budget:g} further tries saved up at {explanation['Node']}{note}"
     for row in servers:
         cold = f", cold for {format_duration(row['ColdMs'])}" if row["ColdMs"] else ""
         yield f"  {row['Id']} {row['Address']} in {row['Zone']}: {row['Why'] or 'may get it'}{cold}"
--- a/rampfront/operator_cli/status_text.py
+++ b/rampfront/operator_cli/status_text.py
@@ -1,4 +1,4 @@
-"""The status of the system as text."""
+"""Formats the status of the system as text."""
 
 from .control_answers import Json
 from .evacuations import evacuated_zones
@@ -23,7 +23,7 @@
 
 
 def format_core(status: Json) -> str:
-    """Returns the core's size and strength, as the first line has it."""
+    """Returns the core's size and strength for the first line of the status."""
     core = status.get("Core")
     members = len(status["Members"])
     if core is None:
--- a/rampfront/operator_cli/system_status.py
+++ b/rampfront/operator_cli/system_status.py
@@ -1,7 +1,7 @@
-"""The status of the whole system, from what each of its nodes reports of itself.
+"""The status of the whole system, made of the reports of its nodes.
 
-`collect` asks the nodes. `assess` gets their reports and names the problems, the most severe first; it does no I/O and
-reads no clock.
+`collect` calls the nodes. `assess` finds the problems in their reports, the most severe first; it does no I/O and reads
+no clock.
 """
 
 import asyncio
@@ -17,14 +17,14 @@
 from .control_client import ControlClient, call_target
 from .formatting import format_duration
 
-MAX_CONCURRENT_CALLS = 32  # nodes asked at the same time
-MAX_STATE_AGE_MS = 2500  # a node's state that a majority confirmed longer ago is reported; it does so every second
+MAX_CONCURRENT_CALLS = 32  # nodes called at the same time
+MAX_STATE_AGE_MS = 2500  # since a majority last confirmed a node's state, which it does every second
 UNKNOWN = "?"  # name or zone of a node that is known by its address alone
 
 
 async def collect(client: ControlClient) -> Result[Json, Any]:
-    """Asks one node for all others, and each of them for itself, once. Returns the status that `assess` makes of it,
-    or the `Rejection` or `NoAnswer`."""
+    """Reads the list of nodes from one node, and then each node's own report, once. Returns the status that `assess`
+    makes, or the `Rejection` or `NoAnswer`."""
     listed = await client.read_list("nodes.read", "Nodes")
     if not isinstance(listed, Ok):
         return listed
@@ -38,7 +38,7 @@
     for address in client.addresses:
         nodes.setdefault(format_address(address), {"Name": UNKNOWN, "Ip": address[0], "Zone": UNKNOWN})
     reports = await _collect_reports(client, nodes)
-    # The same node may be listed and named on the command line: the report that answers goes before a silent one.
+    # A node may be both listed and named on the command line; a report that answers replaces one that does not.
     by_ip = {report["Ip"]: report for report in sorted(reports, key=_answers)}
     return Ok(assess(sorted(by_ip.values(), key=_name), first.document))
 
@@ -52,11 +52,11 @@
 
 
 async def _collect_reports(client: ControlClient, nodes: dict[str, Json]) -> list[Json]:
-    """The report of each node, by its control address; `Answers` says whether it gave one."""
+    """Returns a report for each node; `Answers` says whether the node answered."""
     slots = asyncio.Semaphore(MAX_CONCURRENT_CALLS)
 
     async def read_state(control: str, node: Json) -> Json:
-        """Asks one node."""
+        """Returns one node's report."""
         async with slots:
             request = HttpRequest("POST", call_target("state.read", {}))
             outcome = await client.call_node(parse_address(control), "state.read", request)
@@ -107,7 +107,7 @@
 
 
 def _assess_core(newest: Json, lost: list[str], severe: list[str], problems: list[str]) -> None:
-    """Whether the members of the core that answer are a majority."""
+    """Adds a problem if members of the core do not answer, a severe one if the rest is not a majority."""
     count = len(newest["Members"])
     if 2 * (count - len(lost)) <= count:
         severe.append(
@@ -119,7 +119,7 @@
 
 
 def _assess_leadership(leaders: list[str], severe: list[str], problems: list[str]) -> None:
-    """Whether exactly one node leads."""
+    """Adds a problem unless exactly one node leads."""
     if not leaders:
         severe.append("no node that answers leads the core")
     elif len(leaders) > 1:
@@ -127,7 +127,7 @@
 
 
 def _assess_node(report: Json, newest: Json, lost: list[str], severe: list[str], problems: list[str]) -> None:
-    """What is wrong with one node."""
+    """Adds the problems of one node."""
     name = report["Node"] if report["Node"] != UNKNOWN else report["Control"]
     if not report["Answers"]:
         if report["Node"] not in lost:
@@ -153,7 +153,7 @@
 
 
 def _node_problems(name: str, report: Json, newest: Json) -> Iterator[str]:
-    """The less severe problems of a node that answers."""
+    """Yields the less severe problems of a node that answers."""
     if report["Index"] < newest["Index"]:
         yield (
             f"{name} holds {report['Revision']} of step {report['Index']}, the newest is {newest['Revision']} of "
@@ -172,7 +172,7 @@
 
 
 def _core_report(answering: list[Json]) -> Json | None:
-    """What the leader reports of the core, or None: not known, or the leader is of another version."""
+    """Returns the leader's report of the core; None if no leader answers, or if it runs another version."""
     for report in answering:
         core = report.get("Core")
         if report["Leads"] and _is_core_report(core):
@@ -181,7 +181,7 @@
 
 
 def _is_core_report(core: object) -> TypeGuard[Json]:
-    """Whether it is what a leader of this version reports."""
+    """Returns whether this is a core report of a leader of this version."""
     if not isinstance(core, dict) or not isinstance(core.get("Wanted"), int) or "FullMs" not in core:
         return False
     rows = core.get("Members")
@@ -191,7 +191,7 @@
 
 
 def core_problems(core: Json | None, lost: list[str]) -> list[str]:
-    """Returns what the leader reports of members that are not voters. `lost`: those that are named already."""
+    """Returns the problems of members that are not voters. `lost`: members already reported as not answering."""
     if core is None:
         return []
     problems = [
--- a/rampfront/operator_cli/view_commands.py
+++ b/rampfront/operator_cli/view_commands.py
@@ -1,4 +1,4 @@
-"""Commands that print what nodes know: servers, nodes, quotas, the system's status, and why a request is handled so."""
+"""Commands that print the nodes' views: servers, nodes, quotas, the system's status, and how a request is handled."""
 
 import asyncio
 import sys
@@ -23,11 +23,11 @@
 
 
 def _staleness_warning(view: Json) -> str:
-    """A line below a node's view that may be stale; empty while the node is in touch with the core."""
-    out_of_touch_ms = view.get("OutOfTouchMs")  # a node of an earlier version does not tell
+    """Returns a warning for a node's view that may be stale; empty while the node is in touch with the core."""
+    out_of_touch_ms = view.get("OutOfTouchMs")  # nodes of earlier versions do not report it
     if out_of_touch_ms is None:
         return ""
-    return f"\n! this node is out of touch with the core for {format_duration(out_of_touch_ms)}: it may be old"
+    return f"\n! this node is out of touch with the core for {format_duration(out_of_touch_ms)}: its view may be stale"
 
 
 @click.command()
@@ -74,7 +74,7 @@
     rows, last_page = session.read_list("quotas.read", "Quotas")
     table = format_table(QUOTA_HEADINGS, [_quota_cells(row) for row in rows])
     if last_page["Alone"]:
-        alone = "\n! nobody answers this node's counts: it goes by its even part of each quota"
+        alone = "\n! no other node answers this node's counts: it uses its even part of each quota"
     else:
         alone = ""
     session.print(
@@ -118,8 +118,8 @@
 
 
 def _print_status(session: Session, is_watching: bool, is_last: bool = False) -> Json:
-    """Asks all nodes and prints their status. A watch goes on where nobody answers, as they may come back; the last
-    time that ends the command."""
+    """Calls all nodes and prints their status. If no node answers, a watch continues, since nodes may come back; the
+    last repetition ends the command."""
     outcome = asyncio.run(collect(session.client))
     if not isinstance(outcome, Ok) and is_last:
         raise session.error_of(outcome.err_value, "state.read")
@@ -129,7 +129,7 @@
         click.echo(f"rampfront: {outcome.err_value}", err=True)
         return {}
     found = outcome.ok_value
-    session.print(found, format_status(found), None if is_watching else 1)  # a watch prints one line a repetition
+    session.print(found, format_status(found), None if is_watching else 1)  # a watch prints one line per repetition
     return found
 
 
--- a/rampfront/operator_cli/zone_commands.py
+++ b/rampfront/operator_cli/zone_commands.py
@@ -40,9 +40,9 @@
 
 
 def _order(session: Session, name: str, zone: str) -> Answer:
-    """Gives an order on a zone; ends the command if it fails, with the zones there are if it is none of them.
+    """Sends an order on a zone; ends the command if it fails, and lists the known zones if the zone is unknown.
 
-    Each command names its order, so that its retries are not taken for another operator's order.
+    Each command has its own idempotency key, so that its retries do not count as another operator's order.
     """
     key = uuid.uuid4().hex.encode()
     result = asyncio.run(session.client.call(name, query={"of": zone}, key=key))
@@ -50,13 +50,13 @@
         return result.ok_value
     failure = result.err_value
     if isinstance(failure, Rejection) and failure.status == HTTPStatus.BAD_REQUEST:
-        raise RejectedError(f"{failure}\n  zones there are: {_known_zones(session)}")
+        raise RejectedError(f"{failure}\n  known zones: {_known_zones(session)}")
     raise session.error_of(failure, name)
 
 
 def _known_zones(session: Session) -> str:
     state = asyncio.run(session.client.call("state.read"))
-    return ", ".join(sorted(state.ok_value.document["Zones"])) if isinstance(state, Ok) else "not told"
+    return ", ".join(sorted(state.ok_value.document["Zones"])) if isinstance(state, Ok) else "unavailable"
 
 
 def _print_outcome(session: Session, name: str, zone: str, answer: Answer, outcome: str) -> None:
