--- a/rampfront/cli/common.py
+++ b/rampfront/cli/common.py
@@ -1,4 +1,4 @@
-"""What the commands share: exit codes, types of arguments, and how a command ends that cannot go on."""
+"""Shared by the commands: exit codes, types of arguments, and the handling of errors that end a command."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 P = ParamSpec("P")
 T = TypeVar("T")
 
-# Exit codes; `cli/__init__.py` says when.
+# Exit codes; `cli/__init__.py` explains them.
 EXIT_FAILED = 1
 EXIT_INVALID = 2
 EXIT_NOT_REPORTABLE = 3
@@ -31,7 +31,7 @@
 
 
 def load_experiment(path: Path) -> Experiment:
-    """The experiment in a file; an invalid one ends the command."""
+    """Returns the experiment in a file; ends the command if it is invalid."""
     from ..lab.plan import BadPlan, read_plan
 
     try:
@@ -41,7 +41,7 @@
 
 
 def run_or_exit(run: Callable[P, T], *args: P.args, **kwargs: P.kwargs) -> T:
-    """Calls `run` with the arguments; an error that a run may raise ends the command with its exit code."""
+    """Calls `run` with the arguments; ends the command with an exit code if it raises an error of a run."""
     from ..lab.nodes import RunFailed
     from ..lab.report import RunRefused
 
@@ -54,9 +54,9 @@
 
 
 def draw_latency(report: dict[str, Any], rows: dict[str, Any], folder: Path) -> None:
-    """Draws the timeline of a report and, where something was answered, the latency percentiles of its rows.
+    """Draws the timeline of a report and, if there were responses, the latency percentiles of its rows.
 
-    `rows`: those of the report that have a latency each, by name."""
+    `rows`: the rows of the report that have a latency, by name."""
     from ..lab import plots
 
     plots.timeline(report, folder / "timeline.png")
--- a/rampfront/cli/journal.py
+++ b/rampfront/cli/journal.py
@@ -20,7 +20,7 @@
 
 
 def read_journal(folder: Path) -> tuple[ModuleType, "JournalContents"]:
-    """The reader's module and the journal; a folder without a journal ends the command."""
+    """Returns the reader's module and the journal; ends the command if the folder has no journal."""
     from ..journal import journal_reader as reader
     from ..journal.segment_store import segment_paths
 
@@ -32,14 +32,14 @@
 @app.command("show")
 def journal_show(folder: JournalFolder) -> None:
     """Every submission in order, the starts of the node, and what is damaged."""
-    reader, found = read_journal(folder)
-    for start in found.starts:
+    reader, contents = read_journal(folder)
+    for start in contents.starts:
         typer.echo(f"{reader.format_time(start.at_ns)} start of {start.node}")
-    for entry in found.entries.values():
+    for entry in contents.entries.values():
         typer.echo(entry.line())
-    for line in found.damage_lines():
+    for line in contents.damage_lines():
         typer.echo(line)
-    typer.echo(found.summary())
+    typer.echo(contents.summary())
 
 
 @app.command("query")
@@ -55,23 +55,23 @@
     until: Annotated[datetime | None, typer.Option(help="Up to this time, in UTC.")] = None,
 ) -> None:
     """The submissions that match every option. Exit 1 if there is none."""
-    reader, found = read_journal(folder)
-    rows = found.select(reader.EntryFilter(txn, account, server, may_have_run, _unix_ns(since), _unix_ns(until)))
+    reader, contents = read_journal(folder)
+    rows = contents.select(reader.EntryFilter(txn, account, server, may_have_run, _unix_ns(since), _unix_ns(until)))
     for entry in rows:
         typer.echo(entry.line())
     raise typer.Exit(0 if rows else EXIT_FAILED)
 
 
 def _unix_ns(moment: datetime | None) -> int | None:
-    """A time without a zone, taken as UTC, in ns since the epoch; None for none."""
+    """Returns a time without a zone, taken as UTC, in ns since the epoch; None for None."""
     return int(moment.replace(tzinfo=UTC).timestamp() * _NS_PER_S) if moment else None
 
 
 @app.command("verify")
 def journal_verify(folder: JournalFolder) -> None:
     """Check every record. Exit 1 if one is damaged; torn or corrupt ones are named with file and offset."""
-    _, found = read_journal(folder)
-    for line in found.damage_lines():
+    _, contents = read_journal(folder)
+    for line in contents.damage_lines():
         typer.echo(line)
-    typer.echo(found.summary())
-    raise typer.Exit(EXIT_FAILED if found.damage else 0)
+    typer.echo(contents.summary())
+    raise typer.Exit(EXIT_FAILED if contents.damage else 0)
--- a/rampfront/cli/lab.py
+++ b/rampfront/cli/lab.py
@@ -1,4 +1,4 @@
-"""The commands of the laboratory of the edge node."""
+"""The commands of the laboratory for the edge node."""
 
 from collections.abc import Iterable
 from pathlib import Path
@@ -18,8 +18,8 @@
 )
 load_app = typer.Typer()
 _MAX_DISAGREEMENTS_SHOWN = 20
-_START_DELAY_NS = 10**9  # from the command to the first transaction
-_JOURNAL_WAITING = (16, 64, 256)  # transactions that wait for the journal at once
+_START_DELAY_NS = 10**9  # from the start of the command to the first transaction
+_JOURNAL_WAITING = (16, 64, 256)  # transactions that wait for the journal at the same time
 _JOURNAL_BATCH_RECORDS = (1, 16, 64)
 
 
@@ -69,7 +69,7 @@
     from ..lab import crash
 
     def run_crashes() -> None:
-        """Runs them all, saves the result and prints it; ends the command."""
+        """Executes all runs, saves the result and prints it; ends the command."""
         result = crash.Harness(out, seed).play(runs, typer.echo)
         crash.save(result, out / "crash.json")
         for disagreement in result["disagreements"][:_MAX_DISAGREEMENTS_SHOWN]:
@@ -111,17 +111,17 @@
     run_or_exit(collect, listen, out)
 
 
-def report_all(folders: Iterable[Path]) -> list[dict[str, Any]]:
-    """Writes and prints the reports of a run's repeats, and draws their plots. Returns the reports."""
+def write_reports(folders: Iterable[Path]) -> list[dict[str, Any]]:
+    """Writes and prints the reports of a run's repeats, draws their plots, and returns the reports."""
     from ..lab import report as reports
 
-    found = []
+    written = []
     for folder in folders:
         report = reports.write(folder)
-        found.append(report)
+        written.append(report)
         draw_latency(report, report["products"], folder)
         typer.echo(reports.text(report))
-    return found
+    return written
 
 
 @app.command("run")
@@ -136,7 +136,7 @@
 
     experiment = load_experiment(plan)
     experiment = changed(experiment, repeats=repeats) if repeats else experiment
-    run_or_exit(lambda: report_all(play(experiment, out, typer.echo)))
+    run_or_exit(lambda: write_reports(play(experiment, out, typer.echo)))
 
 
 @app.command("sweep")
@@ -156,7 +156,7 @@
     try:
         rates_per_s = [float(rate) for rate in rates.split(",")]
     except ValueError:
-        fail(f"--rates: {rates!r} is no list of numbers", EXIT_INVALID)
+        fail(f"--rates: {rates!r} is not a list of numbers", EXIT_INVALID)
     rows = run_or_exit(sweeps.sweep, experiment, rates_per_s, out, typer.echo)
     out.mkdir(parents=True, exist_ok=True)
     (out / "sweep.json").write_text(json.dumps(rows, indent=1))
@@ -202,7 +202,7 @@
 
 
 def _print_outcomes(rows: "NDArray[Any]", experiment: "Experiment") -> None:
-    """Prints what came of a load: outcomes and latency. Raises RunRefused where the load tool lagged too much."""
+    """Prints the outcomes and the latency of a load. Raises `RunRefused` if the load tool lagged too much."""
     from ..lab import client
     from ..lab import report as reports
 
--- a/rampfront/cli/lab_system.py
+++ b/rampfront/cli/lab_system.py
@@ -20,7 +20,7 @@
 
 
 def load_system_experiment(path: Path) -> Experiment:
-    """The experiment in a file; an invalid one ends the command."""
+    """Returns the experiment in a file; ends the command if it is invalid."""
     from ..lab.plan import BadPlan
     from ..lab.system.plan import read_plan
 
@@ -71,7 +71,7 @@
 
     experiment = load_system_experiment(plan)
     if only is not None and only not in plans.VARIANTS:
-        fail(f"--variant: {only!r} is none of {', '.join(plans.VARIANTS)}", EXIT_INVALID)
+        fail(f"--variant: {only!r} is not one of {', '.join(plans.VARIANTS)}", EXIT_INVALID)
     reports_by_variant = {}
     for variant in [only] if only else experiment.variants:
         report = run_or_exit(runs.play, experiment, variant, experiment.seed, out / variant)
--- a/rampfront/cli/report.py
+++ b/rampfront/cli/report.py
@@ -1,4 +1,4 @@
-"""The commands of reports of experiments."""
+"""The commands for reports of experiments."""
 
 from collections.abc import Iterable
 from pathlib import Path
@@ -7,7 +7,7 @@
 import typer
 
 from .common import RunFolder, run_or_exit
-from .lab import report_all
+from .lab import write_reports
 
 app = typer.Typer(help="Reports of experiments: percentiles, outcomes, quota overshoot, plots.", no_args_is_help=True)
 
@@ -17,7 +17,7 @@
     """Report a run again: JSON, plots and a summary for each of its repeats."""
     from ..lab import report as reports
 
-    run_or_exit(lambda: report_all(reports.repeats(run)))
+    run_or_exit(lambda: write_reports(reports.repeats(run)))
 
 
 @app.command("compare")
@@ -41,7 +41,7 @@
 
 
 def first_repeats(runs: Iterable[Path]) -> dict[str, dict[str, Any]]:
-    """The first repeat of each run, by the name of its folder."""
+    """Returns the report of the first repeat of each run, by the name of the run's folder."""
     from ..lab import report as reports
 
     return run_or_exit(lambda: {run.name: reports.summarize(reports.repeats(run)[0]) for run in runs})
