--- a/tests/settings/configuration_fixtures.py
+++ b/tests/settings/configuration_fixtures.py
@@ -1,4 +1,4 @@
-"""A valid configuration, and changes to it by the path of a field."""
+"""A valid configuration, and a function that changes it by the path of a field."""
 
 import json
 
@@ -22,7 +22,7 @@
 
 
 def valid_configuration():
-    """A configuration with each thing that one may hold."""
+    """A configuration with every kind of item that one may contain."""
     return {
         "Revision": "r7",
         "Caps": {"MaxHeaderBytes": 16384, "MaxBodyBytes": 65536, "HeaderWait": "3000ms", "Idle": "15000ms"},
@@ -57,10 +57,10 @@
 
 
 def put(data, path, value):
-    """`data` with the value at `path` ("Sockets.0.Hostname") exchanged, or taken out where it is `...`."""
-    *way, last = [int(part) if part.isdigit() else part for part in path.split(".")]
+    """Returns `data` with the value at `path` ("Sockets.0.Hostname") replaced, or removed if `value` is `...`."""
+    *parents, last = [int(part) if part.isdigit() else part for part in path.split(".")]
     table = data
-    for part in way:
+    for part in parents:
         table = table[part]
     if value is ...:
         del table[last]
@@ -89,5 +89,5 @@
 
 
 def fault_path(path):
-    """A path as faults write it: `Sockets[0].Rulebook[0].Type`."""
+    """Returns a path in the form that faults have: `Sockets[0].Rulebook[0].Type`."""
     return ".".join(f"[{part}]" if part.isdigit() else part for part in path.split(".")).replace(".[", "[")
--- a/tests/settings/test_configuration_faults.py
+++ b/tests/settings/test_configuration_faults.py
@@ -1,4 +1,4 @@
-"""Which configurations are rejected, and with the path of which field."""
+"""Invalid configurations are rejected with the path of the field at fault."""
 
 import json
 
@@ -24,7 +24,7 @@
 @pytest.mark.parametrize(
     "path, value, field",
     [
-        # what the protocol page calls invalid
+        # configurations that PROTOCOL.md calls invalid
         (THEN + "Service", "gone", ""),
         (SHARES, [share("gone", 1)], "[0].Service"),
         (SHARES, [share("core", 1), share("gone", 0)], "[1].Service"),
@@ -37,7 +37,7 @@
         (THEN + "GiveUp", "0ms", ""),
         ("Customers.1.ApiKeys", ["k4", "k1"], ""),
         ("Customers.1.Name", "anna", ""),
-        # what cannot be read
+        # fields that cannot be parsed
         ("Revision", ..., ""),
         ("Revision", 7, ""),
         ("Revision", "7", ""),
@@ -97,7 +97,7 @@
     ],
 )
 def test_an_invalid_configuration_is_rejected_with_the_path_of_its_field(path, value, field):
-    """`field` is what the fault adds to the path of what was changed."""
+    """`field`: the rest of the fault's path after the path that was changed."""
     result = read_configuration(put(valid_configuration(), path, value))
     assert result.is_err() and result.err_value.field == fault_path(path) + field, result
 
--- a/tests/settings/test_configuration_reader.py
+++ b/tests/settings/test_configuration_reader.py
@@ -1,4 +1,4 @@
-"""What is read from a valid configuration, and which fields may be absent."""
+"""The content read from a valid configuration, and the fields that may be absent."""
 
 from dataclasses import astuple
 
@@ -76,13 +76,15 @@
             astuple(read_valid(**changes).caps)[:2] == (16384, 67108864) and read_valid(**changes).caps.idle == 15 * SEC
         )
     assert read_valid(**{"Sockets.0.Rulebook": None}).route(b"a.example", b"/x/") is None
-    read_valid(**{"Customers.0.ApiKeys": ["k1", "k1"]})  # twice in one tenant: it opens the same door
-    read_valid(**{"Sockets.1": {"Hostname": "a.example", "Rulebook": [rule("/z/")]}})  # a host twice, no prefix twice
+    read_valid(**{"Customers.0.ApiKeys": ["k1", "k1"]})  # the same key twice for one customer is valid
+    read_valid(
+        **{"Sockets.1": {"Hostname": "a.example", "Rulebook": [rule("/z/")]}}
+    )  # a host twice, with different prefixes
     read_valid(**{"Sockets": []})
 
 
 def test_shares_take_precedence_over_a_service_and_zero_weights_are_dropped():
-    """A request that runs at a service of weight 0 runs where no configuration allows it."""
+    """A service of weight 0 must get no request, so it must not be among the services of the route."""
     shares = [share("store", 0), share("core", 1.5), share("core", 1)]
     c = read_valid(**{SHARES: shares, "Sockets.1.Rulebook.0.ThenDo.Shares": []})
     assert c.route(b"a.example", b"/x/").service_weights == (("core", 2.5),)
@@ -96,4 +98,6 @@
     assert configuration.revokes_keys(old, read_valid(**{"Customers.0.ApiKeys": ["k1"]}))
     assert configuration.revokes_keys(old, read_valid(**{"Customers": ...}))
     moved = put(put(valid_configuration(), "Customers.0.ApiKeys", ["k1"]), "Customers.1.ApiKeys", ["k3", "k2"])
-    assert configuration.revokes_keys(old, read_configuration(moved).ok_value)  # from one tenant to another
+    assert configuration.revokes_keys(
+        old, read_configuration(moved).ok_value
+    )  # a key moved from one customer to another
--- a/tests/settings/test_durations.py
+++ b/tests/settings/test_durations.py
@@ -1,4 +1,4 @@
-"""Durations as text."""
+"""Parsing of durations."""
 
 import pytest
 
--- a/tests/settings/test_process_settings.py
+++ b/tests/settings/test_process_settings.py
@@ -1,4 +1,4 @@
-"""A process's settings file: what is read, which fields may be absent, and what is rejected."""
+"""A process's settings file: the fields read, the defaults of absent ones, and the rejection of invalid ones."""
 
 import json
 from dataclasses import fields
@@ -65,17 +65,17 @@
     t = p.guarantees
     assert (t.drain, t.extra_tries, t.retry_ratio, t.ttl_max) == (2500 * MS, 62, 1.0, 4 * SEC)
     assert t.revoke_everywhere is False
-    assert t.cold_slack == 5  # cut: an allowance that is too low keeps its rule
+    assert t.cold_slack == 5  # rounded down: an allowance that is too low still complies with its rule
     assert {type(getattr(t, f.name)) for f in fields(t)} == {int, float, bool}
 
 
 def test_absent_settings_get_defaults():
-    few = {
+    minimal = {
         "Self": {"NodeName": "n1", "Zone": "z", "Region": None},
         "Network": {"ListenOn": {"Front": "10.1.0.13:80"}, "PortRange": [1, 1], "Zones": {"z": "r"}},
         "AgreedTerms": None,
     }
-    p = settings_reader.read(few).ok_value
+    p = settings_reader.read(minimal).ok_value
     assert (p.region, p.ip, p.serves, p.data_folder, p.seed_nodes, p.platform_address) == (
         "r",
         "10.1.0.13",
@@ -84,7 +84,7 @@
         (),
         None,
     )
-    assert not p.first_boot  # unsaid, a process founds nothing
+    assert not p.first_boot  # by default a process does not bootstrap a core
     assert p.guarantees.in_touch == 4 * SEC and p.tolerated_losses == (1, 0, 0)
 
 
@@ -120,7 +120,7 @@
 
 
 def test_an_unreadable_settings_file_gives_a_fault_and_no_exception(tmp_path):
-    """The file is read again while the process runs, and may be caught half written."""
+    """The file is read again while the process runs, possibly while it is being written."""
     file = tmp_path / "local.json"
     assert settings_reader.load(file).is_err()
     for text in ("", json.dumps(settings_file())[:-9], "[]", "[" * 100_000, '{"Self":' * 900 + "{}" + "}" * 900, "\0"):
--- a/tests/settings/test_reference_page.py
+++ b/tests/settings/test_reference_page.py
@@ -1,4 +1,4 @@
-"""The reference page of the docs."""
+"""The generated reference page of settings and configurations."""
 
 from rampfront.settings import reference
 
--- a/tests/settings/test_route_lookup.py
+++ b/tests/settings/test_route_lookup.py
@@ -1,4 +1,4 @@
-"""Which route a request gets."""
+"""The look-up of the route for a request."""
 
 import pytest
 from configuration_fixtures import read_valid, rule
@@ -40,15 +40,15 @@
 
 
 def test_a_path_of_slashes_costs_no_more_than_the_longest_prefix():
-    """A client's head may hold thousands of slashes; each of them would copy the path once."""
-    looks = []
+    """A request may have thousands of slashes in its path. Without the bound each would cost a copy of the path."""
+    searches = []
 
     class Path(bytes):
         def rfind(self, *args):
-            looks.append(args)
+            searches.append(args)
             return super().rfind(*args)
 
-    assert read_valid().route(b"a.example", Path(b"/" * 16000)) is None and len(looks) <= len(b"/split/") + 1
+    assert read_valid().route(b"a.example", Path(b"/" * 16000)) is None and len(searches) <= len(b"/split/") + 1
 
 
 @settings(max_examples=150, deadline=None)
@@ -58,6 +58,6 @@
 )
 def test_routes_are_found_as_a_scan_of_all_would(prefixes, path):
     c = read_valid(**{"Sockets": [{"Hostname": "h", "Rulebook": [rule(prefix) for prefix in prefixes]}]})
-    fits = [prefix for prefix in prefixes if path.partition("?")[0].startswith(prefix)]
+    matching = [prefix for prefix in prefixes if path.partition("?")[0].startswith(prefix)]
     found = c.route(b"h", path.encode())
-    assert (found and found.prefix.decode()) == max(fits, key=len, default=None)
+    assert (found and found.prefix.decode()) == max(matching, key=len, default=None)
--- a/tests/transport/test_frame_connections.py
+++ b/tests/transport/test_frame_connections.py
@@ -1,4 +1,4 @@
-"""Large frames over connections: truncated, doubled, slow and unacknowledged ones."""
+"""Large frames over TCP connections: truncated, duplicated, slow and unacknowledged ones."""
 
 import zlib
 
@@ -11,45 +11,45 @@
 
 
 def test_truncated_doubled_and_interleaved_frames():
-    """Each connection brings one frame of the node at its far end, complete or not at all; what else comes is
+    """Each connection delivers one complete frame of its sender or none. Truncated frames, and data after a frame, are
     counted."""
     wire, frame = SocketlessWire(), framed({"k": "word", "b": b"x" * 2000})
-    two = [wire.accept(ip) for ip in (SENDER, OTHER_SENDER)]
-    for start in range(0, len(frame), 500):  # chunks of two frames at a time
-        for connection in two:
+    both = [wire.accept(ip) for ip in (SENDER, OTHER_SENDER)]
+    for start in range(0, len(frame), 500):  # chunks of both frames alternate
+        for connection in both:
             connection.data_received(frame[start : start + 500])
     assert [ip for ip, _ in wire.received] == [SENDER, OTHER_SENDER]
-    two[0].data_received(frame)  # a second one on the same connection
-    assert two[0].pipe.aborted and len(wire.received) == 2 and wire.counts["frames_invalid"] == 1
+    both[0].data_received(frame)  # a second one on the same connection
+    assert both[0].pipe.aborted and len(wire.received) == 2 and wire.counts["frames_invalid"] == 1
     truncated = wire.accept()
     truncated.data_received(frame[:-1])
     truncated.pipe.abort()
     empty = wire.accept()
     empty.pipe.abort()
-    assert len(wire.received) == 2 and wire.counts["frames_truncated"] == 1 and not set(wire.incoming) - {two[1]}
+    assert len(wire.received) == 2 and wire.counts["frames_truncated"] == 1 and not set(wire.incoming) - {both[1]}
     huge = wire.accept()
     huge.data_received((MAX_FRAME_BYTES + 1).to_bytes(4, "big"))
-    assert huge.pipe.aborted  # at once: nothing of it is gathered
+    assert huge.pipe.aborted  # before any of the frame is received
     compressed = zlib.compress(cbor2.dumps({"k": "word", "b": b"x" * 300}))
     wire.receive_frame(SENDER, compressed + compressed)
     assert wire.counts["frames_invalid"] == 3 and len(wire.received) == 2
 
 
 def test_an_unacknowledged_large_frame_is_counted_as_lost():
-    """Once each: by the end of its connection, or as it is given up."""
+    """Each is counted once, whether its connection ends or its deadline passes."""
     wire = SocketlessWire()
     wire.now_ns = 0
-    acknowledged, broken, late = (wire.open(b"x" * 2000) for _ in range(3))
+    acknowledged, broken, overdue = (wire.open(b"x" * 2000) for _ in range(3))
     acknowledged.data_received(b".")
     broken.pipe.abort()
     assert wire.counts["frames_lost"] == 1
     wire.now_ns = 5 * SEC
     wire.sweep()
-    assert late.pipe.aborted and wire.counts["frames_lost"] == 2 and not wire.outgoing
+    assert overdue.pipe.aborted and wire.counts["frames_lost"] == 2 and not wire.outgoing
 
 
 def test_a_large_frame_arrives_in_chunks_of_any_size():
-    """One a connection; longer than its prefix says or than allowed ends it, and one that stalls is given up."""
+    """A connection carries one frame. It is aborted if the frame is longer than its prefix or the limit, or stalls."""
     wire = SocketlessWire()
     frame = framed({"k": "word", "b": b"x" * 5000})
     connection = wire.accept("10.0.0.2")
@@ -75,7 +75,7 @@
 
 
 def test_a_receiver_gives_up_a_frame_that_stops_but_not_a_slow_one():
-    """What counts is the time since its last byte."""
+    """The time-out applies to the time since the last byte received."""
     wire = SocketlessWire()
     connection = wire.accept("10.0.0.2")
     frame = framed({"k": "word", "b": b"x" * 9000})
--- a/tests/transport/test_transfer_scheduler.py
+++ b/tests/transport/test_transfer_scheduler.py
@@ -1,4 +1,4 @@
-"""Which large frame goes to whom next, on a clock that the test moves."""
+"""The order and the time-outs of large frames, on a clock that the test advances."""
 
 from collections import Counter
 
@@ -13,7 +13,7 @@
 
 
 class FakeConnections:
-    """Connections of large frames as they are opened and ended."""
+    """Records the connections that the scheduler opens, and ends them on request."""
 
     def __init__(self):
         self.now_ns, self.open, self.aborted, self.counts = 0, [], [], Counter()
@@ -32,7 +32,7 @@
 
 
 def test_one_frame_is_in_flight_to_a_receiver_at_a_time():
-    """The one in flight arrives complete, and behind it the newest; other receivers, kinds and orders don't wait."""
+    """The frame in flight is completed, then the newest is sent; other receivers, kinds and orders do not wait."""
     connections = FakeConnections()
     for data in (b"1", b"2", b"3"):
         connections.offer("word", data)
@@ -47,20 +47,20 @@
     connections.complete(connections.open[-1])
     for transfer in list(connections.open):
         connections.complete(transfer)
-        connections.scheduler.finish(connections.now_ns, transfer)  # twice: it counts once
+        connections.scheduler.finish(connections.now_ns, transfer)  # a repeated call has no effect
     scheduler = connections.scheduler
     assert not scheduler.in_flight and not scheduler.waiting and scheduler.bytes_in_flight == 0
 
 
 def test_a_stalled_frame_gives_way_to_a_newer_one():
-    """Behind a network partition nothing moves: a newer frame takes another connection, sooner where none was ever
-    established."""
+    """A network partition stalls the frame in flight. A newer frame then gets a new connection, and gets it sooner
+    if the old connection was never established."""
     connections = FakeConnections()
     connections.offer("full", b"1" * 1000)
     first = connections.open[0]
     connections.now_ns = STALL_TIMEOUT_NS
     connections.offer("full", b"2")
-    assert not connections.aborted  # it may still arrive
+    assert not connections.aborted  # the first frame may still arrive
     connections.now_ns += ALLOWANCE_PER_BYTE_NS * 1000 + 1
     connections.offer("full", b"3")
     assert connections.aborted == [first] and connections.open[-1].data == b"3"
@@ -74,7 +74,7 @@
 
 
 def test_a_frame_that_waited_too_long_is_dropped():
-    """Whoever lacks it has asked again since."""
+    """A receiver that needs the frame has asked for it again by then."""
     connections = FakeConnections()
     connections.offer("word", b"1" * 10**6)
     connections.offer("word", b"2")
--- a/tests/transport/test_wire.py
+++ b/tests/transport/test_wire.py
@@ -1,4 +1,4 @@
-"""Frames as datagrams: what is compressed, and what becomes of those that are invalid."""
+"""Frames as datagrams: compression, and the handling of invalid frames."""
 
 import zlib
 from types import SimpleNamespace
@@ -24,7 +24,7 @@
     ),
 )
 def test_invalid_frames_are_dropped_and_counted(data):
-    """Those that cannot be decoded never reach the handler; one that the handler rejects is counted alike."""
+    """A frame that cannot be decoded is counted and does not reach the handler; so is one that the handler rejects."""
 
     def on_frame(ip, message):
         raise KeyError("n")
@@ -45,7 +45,7 @@
 
 
 def test_membership_lists_are_compressed_to_fit_a_datagram():
-    """A list of a hundred nodes fits; what would expand past the bound, or was truncated, is dropped and counted."""
+    """A list of 100 nodes fits. A frame that expands beyond the limit, or is truncated, is dropped and counted."""
     wire, sent = SocketlessWire(), []
     wire.datagram_transport = SimpleNamespace(sendto=lambda data, to: sent.append(data))
     message = {
--- a/tests/transport/wire_fixtures.py
+++ b/tests/transport/wire_fixtures.py
@@ -1,4 +1,4 @@
-"""A `Wire` without sockets, and stand-ins of the connections to it."""
+"""A `Wire` without sockets, and connections with fake transports."""
 
 from types import SimpleNamespace
 
@@ -16,28 +16,28 @@
 
 
 class SocketlessWire(Wire):
-    """Keeps the messages that come in as (sender, message), unless a handler is given."""
+    """Records received messages as (sender, message), unless a handler is given."""
 
     def __init__(self, on_frame=None):
         self.now_ns = START_NS
         self.received = []
-        super().__init__(None, lambda: self.now_ns, (OWN_IP, 7000), SilentEventLog(), on_frame or self.keep)
+        super().__init__(None, lambda: self.now_ns, (OWN_IP, 7000), SilentEventLog(), on_frame or self.record)
 
-    def keep(self, ip, message):
+    def record(self, ip, message):
         self.received.append((ip, message))
 
     def wait(self, seconds):
-        """Lets time pass, and sweeps."""
+        """Advances the clock and calls `sweep`."""
         self.now_ns += round(seconds * SEC)
         self.sweep()
 
     def accept(self, ip=SENDER):
-        """A peer connects: returns the receiver's end."""
+        """Simulates a connection from a peer; returns the receiver's end."""
         connection = IncomingConnection(self.incoming, self.clock, self.counts, self.receive_frame)
         return connect(connection, ip)
 
     def open(self, data):
-        """A large frame goes out: returns the sender's end, connected."""
+        """Starts to send a large frame; returns the sender's end, connected."""
         transfer = Transfer(SENDER, "said", data)
         connection = OutgoingConnection(transfer, self.outgoing, self.counts, self.finish_transfer)
         self.outgoing.add(connection)
@@ -45,7 +45,7 @@
 
 
 def connect(connection, ip):
-    """Gives the connection a transport: `pipe.written` is what was written to it, `pipe.aborted` whether it ended."""
+    """Gives the connection a fake transport; `pipe.written` has the bytes written, `pipe.aborted` tells of an abort."""
     pipe = SimpleNamespace(written=b"", aborted=False, get_extra_info=lambda name: (ip, 5000))
 
     def write(data):
@@ -63,6 +63,6 @@
 
 
 def framed(message):
-    """A message as it goes over a connection."""
+    """Returns a message in the form sent over a connection: a frame with its length prefix."""
     data = cbor2.dumps(message)
     return len(data).to_bytes(LENGTH_PREFIX_BYTES, "big") + data
