--- a/tests/operator_cli/cli_fixtures.py
+++ b/tests/operator_cli/cli_fixtures.py
@@ -1,4 +1,4 @@
-"""Scripted control nodes on a fake clock, and rows as nodes answer them."""
+"""Scripted control nodes on a fake clock, and sample rows of nodes' answers."""
 
 import json
 from collections import deque
@@ -15,7 +15,8 @@
 
 A, B, C = "127.0.0.1:1", "127.0.0.2:1", "127.0.0.3:1"
 ZONES = {"z1": "north", "z2": "south"}
-UNREACHABLE, SILENT = "dead", "mute"  # what a node does: it refuses connections; it takes a call and does not answer
+# In place of an answer: the node refuses connections, or accepts the call and does not answer.
+UNREACHABLE, SILENT = "connection refused", "no answer"
 
 
 def node_state(name="n1", ip="127.0.0.1", **other):
@@ -74,41 +75,46 @@
 
 
 class ScriptedNodes:
-    """Control nodes by address, each with a deque of its answers to a call in turn (the last one is repeated for ever):
-    (status, document), UNREACHABLE or SILENT. Its clock advances as commands sleep."""
+    """Control nodes by address. Each has a deque of answers to each call, used in turn; the last one is repeated.
+
+    An answer is (status, document) or (status, document, headers), UNREACHABLE or SILENT.
+    Sleeping advances the clock."""
 
     def __init__(self, **nodes):
-        self.now, self.asked, self.nodes = 0.0, [], {}
+        self.now, self.received_calls, self.nodes = 0.0, [], {}
 
     def put(self, at, **calls):
         self.nodes.setdefault(at, {}).update(
-            {name.replace("_", "."): deque(said if isinstance(said, list) else [said]) for name, said in calls.items()}
+            {
+                name.replace("_", "."): deque(answers if isinstance(answers, list) else [answers])
+                for name, answers in calls.items()
+            }
         )
         return self
 
     async def sleep(self, seconds):
         self.now += seconds
 
-    async def send(self, loop, address, request, wait, most):
+    async def send(self, loop, address, request, timeout_s, max_bytes):
         query = dict(parse_qsl(urlsplit(request.target).query))
         at, name = format_address(address), query.pop("call")
-        self.asked.append((at, name, query, request.body))
+        self.received_calls.append((at, name, query, request.body))
         script = self.nodes.get(at, {}).get(name, [UNREACHABLE])
-        said = script.popleft() if len(script) > 1 else script[0]
-        if said in (UNREACHABLE, SILENT):
-            self.now += wait if said == SILENT else 0
-            return Err(RequestError(said, said == SILENT))
-        status, told, *headers = said
-        told = told if isinstance(told, bytes) else json.dumps(told).encode()
-        return Ok(HttpResponse(status, headers[0] if headers else {}, told))
-
-    def run(self, *words, at=(A,), code=0, typed=None):
-        """What a command says: standard output if it ends with 0, else its errors."""
-        told = click.testing.CliRunner().invoke(
+        answer = script.popleft() if len(script) > 1 else script[0]
+        if answer in (UNREACHABLE, SILENT):
+            self.now += timeout_s if answer == SILENT else 0
+            return Err(RequestError(answer, answer == SILENT))
+        status, document, *headers = answer
+        body = document if isinstance(document, bytes) else json.dumps(document).encode()
+        return Ok(HttpResponse(status, headers[0] if headers else {}, body))
+
+    def run(self, *args, at=(A,), code=0, stdin=None):
+        """Runs a command and checks its exit code. Returns standard output if the code is 0, else standard error."""
+        result = click.testing.CliRunner().invoke(
             commands.main,
-            [*words, *(part for one in at for part in ("--at", one))],
-            input=typed,
+            [*args, *(part for address in at for part in ("--at", address))],
+            input=stdin,
             obj={"send": self.send, "sleep": self.sleep, "clock": lambda: self.now},
         )
-        assert told.exit_code == code, (told.output, told.exception)
-        return told.stdout if code == 0 else told.stderr or told.stdout
+        assert result.exit_code == code, (result.output, result.exception)
+        return result.stdout if code == 0 else result.stderr or result.stdout
--- a/tests/operator_cli/test_configuration_commands.py
+++ b/tests/operator_cli/test_configuration_commands.py
@@ -1,4 +1,4 @@
-"""Configurations checked, given, shown and compared."""
+"""The commands that check, apply, show and compare configurations."""
 
 import json
 
@@ -12,8 +12,8 @@
     data = configuration()
     rule = data["Sockets"][0]["Rulebook"][0]
     rule["ThenDo"]["Trys"] = 3
-    told = scripted_nodes.run("validate", file(data), at=())
-    assert "r1, 1 hosts, 4 routes, 2 services, 1 tenants" in told and "Sockets[].Rulebook[].ThenDo.Trys" in told
+    output = scripted_nodes.run("validate", file(data), at=())
+    assert "r1, 1 hosts, 4 routes, 2 services, 1 tenants" in output and "Sockets[].Rulebook[].ThenDo.Trys" in output
     rule["ThenDo"]["Service"] = "nowhere"
     assert "Sockets[0].Rulebook[0].ThenDo.Service: no such service: 'nowhere'" in scripted_nodes.run(
         "validate", file(data), at=(), code=2
@@ -22,11 +22,11 @@
 
 def test_apply_sends_no_invalid_configuration(scripted_nodes, file):
     assert "Revision" in scripted_nodes.run("apply", file(configuration("seven")), code=2)
-    assert not scripted_nodes.asked
+    assert not scripted_nodes.received_calls
 
 
 @pytest.mark.parametrize(
-    "held, why",
+    "current, message",
     [
         (configuration("r9"), "r1 changes nothing: r9 holds; raise Revision to r10"),
         (
@@ -35,26 +35,26 @@
         ),
     ],
 )
-def test_apply_reports_an_acknowledged_version_that_is_not_in_force(scripted_nodes, file, held, why):
-    scripted_nodes.put(A, config_replace=(200, {}), config_read=(200, held))
-    assert why in scripted_nodes.run("apply", file(configuration()), code=1)
+def test_apply_reports_an_acknowledged_version_that_is_not_in_force(scripted_nodes, file, current, message):
+    scripted_nodes.put(A, config_replace=(200, {}), config_read=(200, current))
+    assert message in scripted_nodes.run("apply", file(configuration()), code=1)
 
 
 def test_apply_distinguishes_a_rejection_from_no_answer(scripted_nodes, file):
     scripted_nodes.put(A, config_replace=(400, {"Message": "Caps: missing\x1b[2J"}))
-    told = scripted_nodes.run("apply", file(configuration()), code=1)
+    output = scripted_nodes.run("apply", file(configuration()), code=1)
     assert (
-        "400: Caps: missing [2J" in told and len(scripted_nodes.asked) == 1
-    )  # and no terminal is told to clear itself
+        "400: Caps: missing [2J" in output and len(scripted_nodes.received_calls) == 1
+    )  # control characters for the terminal are removed
     scripted_nodes.put(A, config_replace=SILENT)
     assert "a version has one body for ever" in scripted_nodes.run("apply", file(configuration()), code=3)
 
 
 def test_apply_reports_a_revision_that_was_used_for_another_content(scripted_nodes, file):
-    why = "Revision: r5 was confirmed with another content, and r7 holds; raise Revision above r7"
-    scripted_nodes.put(A, config_replace=(409, {"Message": why, "Field": "Revision"}))
-    assert f"409: {why}" in scripted_nodes.run("apply", file(configuration()), code=1)
-    assert len(scripted_nodes.asked) == 1  # a clear no: no other node is asked
+    message = "Revision: r5 was confirmed with another content, and r7 holds; raise Revision above r7"
+    scripted_nodes.put(A, config_replace=(409, {"Message": message, "Field": "Revision"}))
+    assert f"409: {message}" in scripted_nodes.run("apply", file(configuration()), code=1)
+    assert len(scripted_nodes.received_calls) == 1  # after a definite refusal no other node is called
 
 
 def test_show_writes_the_body_byte_for_byte(scripted_nodes, tmp_path):
@@ -73,8 +73,8 @@
     del new["Sockets"][0]["Rulebook"][3]
     new["Groups"].append({"Name": "more"})
     scripted_nodes.put(A, config_read=(200, configuration()))
-    told = scripted_nodes.run("diff", file(new)).splitlines()
-    assert told == [
+    output = scripted_nodes.run("diff", file(new)).splitlines()
+    assert output == [
         "r1 -> r2",
         "- route shop.example/",
         "+ service more",
--- a/tests/operator_cli/test_explain_command.py
+++ b/tests/operator_cli/test_explain_command.py
@@ -1,4 +1,4 @@
-"""Why a request would be handled as it is."""
+"""The command that explains how a request would be handled."""
 
 import json
 
@@ -11,7 +11,7 @@
 
 
 @pytest.mark.parametrize(
-    "url_and_key, change, status, says",
+    "url_and_key, change, status, expected",
     [
         (("http://shop.example/read/1?x=/order/", API_KEY), {}, None, "goes to one of 2 servers"),
         (("SHOP.example:80/nothing", ""), {}, None, "public"),
@@ -25,7 +25,7 @@
         (("shop.example/read/1", API_KEY), {"cold": 900}, None, "goes to one of 2 servers, all of them cold"),
     ],
 )
-def test_explain_follows_the_steps_of_a_request(scripted_nodes, url_and_key, change, status, says):
+def test_explain_follows_the_steps_of_a_request(scripted_nodes, url_and_key, change, status, expected):
     url, key = url_and_key
     data = configuration()
     data["Sockets"][0]["Rulebook"][0]["ThenDo"]["HomeRegions"] = change.get("homes", [])
@@ -47,10 +47,10 @@
         ),
         quotas_read=(200, {"Quotas": [quota_row(change.get("left", 12.0))], "Holder": "n1", "Alone": False}),
     )
-    assert says in scripted_nodes.run("explain", url, "--key", key)
+    assert expected in scripted_nodes.run("explain", url, "--key", key)
     assert (
         "budget: 0.4 further tries saved up at n1; none is made" in scripted_nodes.run("explain", url, "--key", key)
-    ) == ("/read/" in url or "nothing" in url)  # of `reads`; no such service, and none told, elsewhere
+    ) == ("/read/" in url or "nothing" in url)  # the node reports a budget for the service `reads` alone
     assert json.loads(scripted_nodes.run("explain", url, "--key", key, "--json"))["Status"] == status
     assert key not in scripted_nodes.run("explain", url, "--key", key) or not key
 
@@ -63,10 +63,10 @@
     ]
     parsed = configuration_reader.read(json.dumps(data).encode()).unwrap()
     view = NodeView(node_state(), [server_row("i-1")], [])
-    told = explain(parsed, view, "shop.example/read/1", API_KEY)
-    shares = [(one["Service"], one["Share"], one["May"]) for one in told["Services"]]
+    explanation = explain(parsed, view, "shop.example/read/1", API_KEY)
+    shares = [(row["Service"], row["Share"], row["May"]) for row in explanation["Services"]]
     assert shares == [("reads", 0.75, 1), ("orders", 0.25, 0)]
-    assert told["Status"] is None and "503 where its share falls to orders" in told["Why"]
+    assert explanation["Status"] is None and "503 where its share falls to orders" in explanation["Why"]
 
 
 def test_an_invalid_url_is_a_usage_error(scripted_nodes):
--- a/tests/operator_cli/test_node_views.py
+++ b/tests/operator_cli/test_node_views.py
@@ -1,4 +1,4 @@
-"""Servers, nodes and quotas as one node knows them."""
+"""The commands that print one node's view of servers, nodes and quotas."""
 
 import pytest
 from cli_fixtures import UNREACHABLE, A, B, quota_row, server_row
@@ -12,9 +12,9 @@
             (200, {"Servers": [server_row("i-2", Emptied=True, ColdMs=2500)], "ChangedMs": 5, "Next": None}),
         ],
     )
-    told = scripted_nodes.run("servers", "--of", "reads", at=(A, B))
-    assert "i-1" in told and "zone emptied" in told and "2500 ms" in told and "2 servers" in told
-    assert [row[0::2][:2] for row in scripted_nodes.asked] == [
+    output = scripted_nodes.run("servers", "--of", "reads", at=(A, B))
+    assert "i-1" in output and "zone emptied" in output and "2500 ms" in output and "2 servers" in output
+    assert [row[0::2][:2] for row in scripted_nodes.received_calls] == [
         (A, {"of": "reads"}),
         (B, {"of": "reads"}),
         (B, {"of": "reads", "after": "i-1"}),
@@ -28,8 +28,8 @@
 
 def test_quotas_report_a_node_that_counts_alone(scripted_nodes):
     scripted_nodes.put(A, quotas_read=(200, {"Quotas": [quota_row()], "Holder": None, "Alone": True}))
-    told = scripted_nodes.run("quotas")
-    assert "acme" in told and "held by nobody" in told and "its even part" in told
+    output = scripted_nodes.run("quotas")
+    assert "acme" in output and "held by nobody" in output and "its even part" in output
 
 
 @pytest.mark.parametrize(
--- a/tests/operator_cli/test_zone_commands.py
+++ b/tests/operator_cli/test_zone_commands.py
@@ -1,4 +1,4 @@
-"""Zones evacuated and taken back."""
+"""The commands that evacuate zones and take them back."""
 
 import json
 
@@ -7,13 +7,17 @@
 
 def test_a_zone_that_other_operators_keep_evacuated_is_reported(scripted_nodes):
     row = {"Zone": "z1", "Emptied": True, "Operators": 1, "Repeated": False, "Returned": True}
-    waits = {**row, "Operators": 0}
+    reopening = {**row, "Operators": 0}
     scripted_nodes.put(A, empty_finish=(200, row), nodes_read=(200, {"Nodes": []}))
     assert "z1 stays emptied (to be taken back by 1 more)" in scripted_nodes.run("return", "z1")
     scripted_nodes.put(A, empty_finish=(200, {**row, "Emptied": False, "Returned": False}))
     assert "z1 is taken back" in scripted_nodes.run("return", "z1")
-    for told, words in ((row, "by 1 more"), (waits, "opens by itself"), ({**row, "Repeated": True}, "a repeat")):
-        scripted_nodes.put(A, state_read=(200, node_state(Emptied=["z1"], Evacuations=[told])))
+    for evacuation, words in (
+        (row, "by 1 more"),
+        (reopening, "opens by itself"),
+        ({**row, "Repeated": True}, "a repeat"),
+    ):
+        scripted_nodes.put(A, state_read=(200, node_state(Emptied=["z1"], Evacuations=[evacuation])))
         assert words in scripted_nodes.run("status")
 
 
@@ -21,7 +25,7 @@
     scripted_nodes.put(A, empty_start=(200, {}), empty_finish=(200, {}))
     assert scripted_nodes.run("evacuate", "z 1") == "z 1 is emptied; its servers get nothing new\n"
     assert json.loads(scripted_nodes.run("return", "z1", "--json")) == {"Zone": "z1", "Order": "empty.finish", "By": A}
-    assert [row[1:3] for row in scripted_nodes.asked] == [
+    assert [row[1:3] for row in scripted_nodes.received_calls] == [
         ("empty.start", {"of": "z 1"}),
         ("empty.finish", {"of": "z1"}),
     ]
@@ -29,5 +33,5 @@
 
 def test_an_unknown_zone_is_answered_with_the_known_ones(scripted_nodes):
     scripted_nodes.put(A, empty_start=(400, {"Message": "of: no such zone"}), state_read=(200, node_state()))
-    told = scripted_nodes.run("evacuate", "z9", code=1)
-    assert "of: no such zone" in told and "z1, z2" in told
+    output = scripted_nodes.run("evacuate", "z9", code=1)
+    assert "of: no such zone" in output and "z1, z2" in output
