--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -1,4 +1,4 @@
-"""The configuration in TOML, the command line, the log's levels, and decisions that reach a collector."""
+"""The TOML configuration, its command line, the levels of the log, and the delivery of decisions to a collector."""
 
 import json
 from pathlib import Path
@@ -20,7 +20,7 @@
 
 
 @pytest.mark.parametrize(
-    "old, new, said",
+    "old, new, message",
     [
         ('name = "n0"', "", "name: is missing"),
         ("sla_ms = 500", "sla_ms = 0", "line 12: products[0].sla_ms: Expected `float` > 0.0"),
@@ -38,12 +38,12 @@
         ("[fleet]", "[fleet", "no TOML"),
     ],
 )
-def test_a_faulty_file_is_named_by_line_and_key(old, new, said, tmp_path):
+def test_a_faulty_file_is_named_by_line_and_key(old, new, message, tmp_path):
     assert EXAMPLE.count(old) >= 1
     path = tmp_path / "bad.toml"
     path.write_text(EXAMPLE.replace(old, new, 1))
-    run = CliRunner().invoke(app, ["check-config", str(path)])
-    assert run.exit_code == 2 and said in run.output, run.output
+    result = CliRunner().invoke(app, ["check-config", str(path)])
+    assert result.exit_code == 2 and message in result.output, result.output
 
 
 def test_the_example_is_good_and_becomes_the_platforms_form(monkeypatch):
@@ -59,10 +59,10 @@
         configuration.log_levels == {"": "info", "upstream": "error"}
         and configuration.syslog.sender.max_queued_messages == 16384
     )
-    told = load_configuration(
+    configuration = load_configuration(
         {"RELAY_CONFIG": str(ROOT / "rampfront.example.toml"), "RELAY_ADMIN_ADDR": "127.0.0.1:7099"}
     )
-    assert told.seed > 0 and told.admin_address == ("127.0.0.1", 7099)
+    assert configuration.seed > 0 and configuration.admin_address == ("127.0.0.1", 7099)
     assert CliRunner().invoke(app, ["check-config", str(ROOT / "rampfront.example.toml")]).exit_code == 0
 
 
@@ -87,7 +87,7 @@
     assert (ROOT / "docs/configuration.md").read_text() == config.reference()
 
 
-class Lines:
+class LogStream:
     def __init__(self):
         self.rows = []
 
@@ -99,17 +99,17 @@
 
 
 def test_the_log_keeps_its_fields_and_leaves_out_what_is_below_its_level():
-    out = Lines()
-    log = Log("n0", 10**10, out, {"": "info", "upstream": "error"})
+    stream = LogStream()
+    log = Log("n0", 10**10, stream, {"": "info", "upstream": "error"})
     log.record("serving", listen=("h", 1))
     log.record_limited("odd answer", "s1", why="x")
     log.record_limited("counter lost", "silent")
     log.record_limited("counter lost", "silent")
-    assert [(row["event"], row["level"], row["node"]) for row in out.rows] == [
+    assert [(row["event"], row["level"], row["node"]) for row in stream.rows] == [
         ("serving", "info", "n0"),
         ("counter lost", "warning", "n0"),
     ]
-    assert list(out.rows[0]) == ["at", "node", "level", "event", "listen"] and out.rows[1]["party"] == "silent"
+    assert list(stream.rows[0]) == ["at", "node", "level", "event", "listen"] and stream.rows[1]["party"] == "silent"
 
 
 PLAN = """
@@ -149,11 +149,11 @@
 
 @pytest.mark.slow(12)
 def test_every_decline_and_drain_reaches_the_collector_past_an_outage(tmp_path):
-    told = parse_plan(PLAN)
-    told = changed(told, topology=msgspec.structs.replace(told.topology, syslog={"memory": 64}))
-    done, _ = experiment(told, tmp_path, 1)
-    took = done["emulator"]["collector"]
-    declined = sum(totals["declined"] for totals in done["node_totals"])
-    assert took["malformed"] == 0 and took["missing"] == 0, took
-    assert took["msgid_declined"] == declined > 300
-    assert took["msgid_drain"] == 2  # each node was told once
+    plan = parse_plan(PLAN)
+    plan = changed(plan, topology=msgspec.structs.replace(plan.topology, syslog={"memory": 64}))
+    report, _ = experiment(plan, tmp_path, 1)
+    counts = report["emulator"]["collector"]
+    declined = sum(totals["declined"] for totals in report["node_totals"])
+    assert counts["malformed"] == 0 and counts["missing"] == 0, counts
+    assert counts["msgid_declined"] == declined > 300
+    assert counts["msgid_drain"] == 2  # each node was notified of the drain once
