--- a/rampfront/edge/configuration.py
+++ b/rampfront/edge/configuration.py
@@ -174,12 +174,12 @@
 
 def _load_toml(path: str) -> dict[str, Any]:
     """Reads a TOML file and converts it to the platform's keys. Raises ConfigurationError, OSError."""
-    from ..config import BadConfig, load_toml  # imported late: only nodes with a TOML file need its libraries
+    from ..config import ConfigFileError, load_toml  # imported late: only nodes with a TOML file need its libraries
 
     load: Callable[[str], dict[str, Any]] = load_toml  # `config.py` is untyped
     try:
         content = load(path)
-    except BadConfig as error:
+    except ConfigFileError as error:
         raise ConfigurationError(str(error)) from None
     content["seed"] = content["seed"] or secrets.randbits(_SEED_BITS)
     return content
--- a/rampfront/lab/plan.py
+++ b/rampfront/lab/plan.py
@@ -12,53 +12,55 @@
 import msgspec
 from msgspec import Meta, field
 
-from ..config import EFFECTS, Count, Least0, Part, Positive, placed
+from ..config import PLATFORM_EFFECTS, NonNegative, Positive, PositiveInt, StrictTable, split_validation_error
 
 Share = Annotated[float, Meta(ge=0, le=1)]
 Name = Annotated[str, Meta(pattern=r"^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$")]
-Span = Least0 | Annotated[list[Least0], Meta(min_length=2, max_length=2)]  # a value, or [low, high] to draw from
+Span = (
+    NonNegative | Annotated[list[NonNegative], Meta(min_length=2, max_length=2)]
+)  # a value, or [low, high] to draw from
 
 
 class BadPlan(Exception):
     """The experiment file does not hold what it should; the text names the key."""
 
 
-class Latency(Part, kw_only=True):
+class Latency(StrictTable, kw_only=True):
     """How long a txn is worked on, in ms, by a warm box that works on nothing else."""
 
     kind: Literal["constant", "exponential", "lognormal", "pareto"] = "constant"
-    mean_ms: Least0 = 5.0
+    mean_ms: NonNegative = 5.0
     cv: Annotated[float, Meta(gt=0, le=10)] = 1.0  # standard deviation over mean; lognormal and pareto
 
 
-class Boxes(Part, kw_only=True):
+class Boxes(StrictTable, kw_only=True):
     """A group of app servers (registry boxes) that are alike."""
 
     name: Name = "box"
-    count: Count = 3
+    count: PositiveInt = 3
     latency: Latency = Latency()
-    slots: Count = 8  # txns worked on at once
+    slots: PositiveInt = 8  # txns worked on at once
     queue: Annotated[int, Meta(ge=0)] = 64  # txns that wait; past it a txn is turned away unrun
     cold_share: Annotated[float, Meta(gt=0, le=1)] = 0.25  # of its speed, at its start
-    warm_s: Least0 = 5.0  # until it has its full speed
+    warm_s: NonNegative = 5.0  # until it has its full speed
     zone: str = "a"
     idle_s: Positive = 30.0  # an idle connection is closed by then
-    connections: Count = 4096  # past it a txn on a new connection is turned away unrun
+    connections: PositiveInt = 4096  # past it a txn on a new connection is turned away unrun
     body_bytes: Annotated[int, Meta(ge=0, le=1 << 24)] = 64
 
 
-class CounterModel(Part, kw_only=True):
-    latency_ms: Least0 = 0.3
+class CounterModel(StrictTable, kw_only=True):
+    latency_ms: NonNegative = 0.3
     per_s: Positive = 20000.0  # calls a second; past it calls wait
     longest_wait_ms: Positive = 200.0  # past it they are turned away (-BUSY)
     timeout_ms: Positive = 80.0  # the nodes' own time-out (settings.Domain.CountWait)
 
 
-class DiscoveryModel(Part, kw_only=True):
-    notice_s: Least0 = 0.5  # a change reaches the nodes this much later
+class DiscoveryModel(StrictTable, kw_only=True):
+    notice_s: NonNegative = 0.5  # a change reaches the nodes this much later
 
 
-class Topology(Part, kw_only=True):
+class Topology(StrictTable, kw_only=True):
     nodes: Annotated[int, Meta(ge=0, le=64)] = 1  # 0: clients speak straight to the boxes
     counter: bool = True
     boxes: Annotated[list[Boxes], Meta(min_length=1)] = field(default_factory=lambda: [Boxes()])
@@ -72,66 +74,66 @@
     root: str = ""  # the checkout whose edge nodes are run, with its .venv; empty: this one
 
 
-class Product(Part, kw_only=True):
+class Product(StrictTable, kw_only=True):
     name: Name
     effect: Literal["inquiry", "referenced", "once_only"] = "inquiry"
     sla_ms: Positive = 500.0
     expiry_ms: Annotated[float, Meta(ge=10, le=600000)] = 2000.0
-    repeat_window_ms: Least0 = 5000.0
+    repeat_window_ms: NonNegative = 5000.0
     units: Positive = 1.0
 
 
-class Plan(Part, kw_only=True):
+class Plan(StrictTable, kw_only=True):
     """An account's quota over all nodes. `rate` 0: no rate."""
 
     name: Name
-    rate: Least0 = 0.0  # units a second
-    burst: Least0 = 0.0
+    rate: NonNegative = 0.0  # units a second
+    burst: NonNegative = 0.0
     at_once: Annotated[int, Meta(ge=0)] = 0
-    ceiling_rate: Least0 = 0.0
-    ceiling_depth: Least0 = 0.0
+    ceiling_rate: NonNegative = 0.0
+    ceiling_depth: NonNegative = 0.0
 
 
-class Retries(Part, kw_only=True):
+class Retries(StrictTable, kw_only=True):
     """What a client does with an answer that did not settle its txn. A later try has a new X-Request-Id, and a
     referenced txn keeps its key. A voided once-only txn is never tried again."""
 
     most: Annotated[int, Meta(ge=0, le=100)] = 0
-    wait_ms: Least0 = 100.0
+    wait_ms: NonNegative = 100.0
     factor: Annotated[float, Meta(ge=1, le=10)] = 2.0
     longest_ms: Positive = 10000.0  # of a wait that no answer advised
     jitter: Share = 0.5
     honours: bool = True  # waits for Retry-After where it is given
 
 
-class Shape(Part, kw_only=True):
+class Shape(StrictTable, kw_only=True):
     """How a stream's rate moves: `poisson` is even; `bursts` multiplies it by `factor` for `on_s` of each `every_s`;
     `ramp` goes from `factor` times the rate at its start to the rate at its end."""
 
     kind: Literal["poisson", "bursts", "ramp"] = "poisson"
     every_s: Positive = 10.0
     on_s: Positive = 1.0
-    factor: Least0 = 5.0
+    factor: NonNegative = 5.0
 
 
-class Stream(Part, kw_only=True):
+class Stream(StrictTable, kw_only=True):
     """An open-loop stream of txns from a number of accounts on one plan."""
 
     name: Name
     plan: str
     rate: Positive  # txns a second over all its accounts, first tries alone
-    accounts: Count = 1
-    skew: Least0 = 0.0  # Zipf exponent over its accounts; 0: alike
+    accounts: PositiveInt = 1
+    skew: NonNegative = 0.0  # Zipf exponent over its accounts; 0: alike
     products: dict[str, Positive] = field(default_factory=dict)  # weights; empty: all alike
     spread: Annotated[int, Meta(ge=0)] = 0  # nodes that an account comes in through; 0: all
     shape: Shape = Shape()
     retries: Retries = Retries()
     front: Literal["http", "mqtt", "both"] = "http"  # mqtt: as QoS 1 under PRODUCT/ACCOUNT/TXN; both: turn by turn
-    from_s: Least0 = 0.0
-    until_s: Least0 = 0.0  # 0: the end of the run
+    from_s: NonNegative = 0.0
+    until_s: NonNegative = 0.0  # 0: the end of the run
 
 
-class Load(Part, kw_only=True):
+class Load(StrictTable, kw_only=True):
     workers: Annotated[int, Meta(ge=1, le=64)] = 1  # load processes
     streams: Annotated[list[Stream], Meta(min_length=1)]
     most_lag_ms: Positive = 5.0  # a run whose p99 lag from intended to real send is above is refused
@@ -146,7 +148,7 @@
 NODE_FAULTS = ("kill", "stop", "restart")
 
 
-class Fault(Part, kw_only=True):
+class Fault(StrictTable, kw_only=True):
     """One scripted fault. `target` is a box (`box:0`, `box:any`, a group's name for all of it, `boxes` for every
     one), `counter`, `discovery`, or a node (`node:0`, `node:any`). `size` means: slow, times as long (counter: ms
     more); errors and turn_away, the share; drop_idle and close_idle, idle for so many seconds."""
@@ -159,7 +161,7 @@
     halves: list[list[int]] = field(default_factory=list)  # split: which nodes see which half; empty: alternately
 
 
-class Pin(Part, kw_only=True):
+class Pin(StrictTable, kw_only=True):
     """Cores for each kind of process; empty: the system chooses."""
 
     nodes: list[int] = field(default_factory=list)
@@ -167,12 +169,12 @@
     load: list[int] = field(default_factory=list)
 
 
-class Experiment(Part, kw_only=True):
+class Experiment(StrictTable, kw_only=True):
     name: Name
     duration_s: Positive = 10.0
-    warmup_s: Least0 = 2.0  # left out of latency figures, not of quotas
+    warmup_s: NonNegative = 2.0  # left out of latency figures, not of quotas
     seed: int = 1
-    repeats: Count = 1  # seeds seed, seed + 1, ...
+    repeats: PositiveInt = 1  # seeds seed, seed + 1, ...
     topology: Topology = Topology()
     products: Annotated[list[Product], Meta(min_length=1)]
     plans: Annotated[list[Plan], Meta(min_length=1)]
@@ -256,7 +258,7 @@
     try:
         return check(msgspec.convert(table, Experiment))
     except msgspec.ValidationError as trouble:
-        where, reason = placed(trouble)
+        where, reason = split_validation_error(trouble)
         raise BadPlan(f"{where or 'the file'}: {reason}") from None
 
 
@@ -318,7 +320,12 @@
     group = plan.topology.boxes[0]
     base = {
         "Classes": [
-            {"Name": p.name, "Effect": EFFECTS[p.effect], "OnTime": p.sla_ms, "RepeatWindow": p.repeat_window_ms}
+            {
+                "Name": p.name,
+                "Effect": PLATFORM_EFFECTS[p.effect],
+                "OnTime": p.sla_ms,
+                "RepeatWindow": p.repeat_window_ms,
+            }
             for p in plan.products
         ],
         "Packages": [
--- a/rampfront/lab/system/plan.py
+++ b/rampfront/lab/system/plan.py
@@ -12,7 +12,7 @@
 import msgspec
 from msgspec import Meta, field
 
-from ...config import Count, Least0, Part, Positive, placed
+from ...config import NonNegative, Positive, PositiveInt, StrictTable, split_validation_error
 from ...settings import configuration_reader, settings_reader
 from ..boxes import SPOILS
 from ..plan import BadPlan, Fault, Latency, Name, Retries, Shape, Share, clash, read_table
@@ -21,37 +21,37 @@
 VARIANTS = ("system", "split", "unshared", "random")
 
 
-class Pilots(Part, kw_only=True):
+class Pilots(StrictTable, kw_only=True):
     """The pilots of one zone."""
 
     zone: Name
-    count: Count = 1
+    count: PositiveInt = 1
     disks: Annotated[int, Meta(ge=0)] = 1  # so many of them, the first ones, have a disk and keep the core
 
 
-class Service(Part, kw_only=True):
+class Service(StrictTable, kw_only=True):
     """A service and its stand-in servers. What is not said here is as in `lab/boxes.py`."""
 
     name: Name
-    servers: dict[str, Count]  # by zone
-    slots: Count = 4
+    servers: dict[str, PositiveInt]  # by zone
+    slots: PositiveInt = 4
     queue: Annotated[int, Meta(ge=0)] = 8
     latency: Latency = Latency(mean_ms=20.0, kind="exponential")
-    warm_s: Least0 = 0.0  # slow for so long behind its start
+    warm_s: NonNegative = 0.0  # slow for so long behind its start
     cold_share: Annotated[float, Meta(gt=0, le=1)] = 0.25
     warmup_s: Positive = 3.0  # cold for so long, where it comes up during traffic
     cold_per_s: Positive = 2.0
-    connections: Count = 130
+    connections: PositiveInt = 130
     idle_s: Positive = 15.0
     tells_load: bool = True
     body_bytes: Annotated[int, Meta(ge=16, le=1 << 20)] = 64
     spoils: dict[str, Share] = field(default_factory=dict)  # share of answers that are spoilt so, all the time
 
 
-class Route(Part, kw_only=True):
+class Route(StrictTable, kw_only=True):
     name: Name
     service: str = ""
-    shares: dict[str, Least0] = field(default_factory=dict)  # instead of `service`: weights
+    shares: dict[str, NonNegative] = field(default_factory=dict)  # instead of `service`: weights
     kind: Literal["read_only", "changing", "upload"] = "read_only"
     target_ms: Positive = 800.0
     give_up_ms: Positive = 3000.0
@@ -60,24 +60,24 @@
     public: bool = False
     homes: list[str] = field(default_factory=list)
     worth: Positive = 1.0
-    late: Least0 = 0.3  # worth of an answer past the target
+    late: NonNegative = 0.3  # worth of an answer past the target
 
     @property
     def sla_ms(self):
         return self.target_ms
 
 
-class Tenant(Part, kw_only=True):
+class Tenant(StrictTable, kw_only=True):
     """Has two keys; half of its requests bear either."""
 
     name: Name
-    per_s: Least0 = 0.0  # 0: no limit
-    burst: Least0 = 0.0
+    per_s: NonNegative = 0.0  # 0: no limit
+    burst: NonNegative = 0.0
     priority: Annotated[int, Meta(ge=0)] = 0
     homes: list[str] = field(default_factory=list)
 
 
-class Stream(Part, kw_only=True):
+class Stream(StrictTable, kw_only=True):
     """An open-loop stream of requests on one route."""
 
     name: Name
@@ -92,44 +92,44 @@
     kept: Share = 0.7  # of its requests may go on a kept connection
     impatient: Share = 0.0  # do not wait as they are told, and try more often
     retries: Retries = Retries(most=2)
-    from_s: Least0 = 0.0
-    until_s: Least0 = 0.0  # 0: the end of the run
+    from_s: NonNegative = 0.0
+    until_s: NonNegative = 0.0  # 0: the end of the run
 
 
-class PlatformModel(Part, kw_only=True):
-    lag_s: Least0 = 0.5
-    page: Count = 50
+class PlatformModel(StrictTable, kw_only=True):
+    lag_s: NonNegative = 0.5
+    page: PositiveInt = 50
     per_s: Positive = 40.0
-    listed_s: Least0 = 2.0  # a crashed server stays on the list for so long
-    drain_s: Least0 = 4.0  # a server that is emptying serves for so long
+    listed_s: NonNegative = 2.0  # a crashed server stays on the list for so long
+    drain_s: NonNegative = 4.0  # a server that is emptying serves for so long
 
 
-class Order(Part, kw_only=True):
+class Order(StrictTable, kw_only=True):
     """What the operator does. `replace`: a new version with all the changes named here; `race`: another operator sends
     the next version to another node at the same moment; `invalid`: a version that is not valid."""
 
     kind: Literal["replace", "race", "invalid", "empty", "return"]
-    at_s: Least0
+    at_s: NonNegative
     zone: str = ""  # empty, return
     move: dict[str, str] = field(default_factory=dict)  # route to service
-    limits: dict[str, list[Least0]] = field(default_factory=dict)  # tenant to [per_s, burst]
+    limits: dict[str, list[NonNegative]] = field(default_factory=dict)  # tenant to [per_s, burst]
     revoke: list[str] = field(default_factory=list)  # tenants whose first key goes
     drop: list[str] = field(default_factory=list)  # routes
 
 
-class Speed(Part, kw_only=True):
+class Speed(StrictTable, kw_only=True):
     """For `lab system speed`: rates of the first stream, each for so many seconds, straight to the servers, through one
     pilot and through all."""
 
     rates: list[Positive] = field(default_factory=lambda: [100.0, 300.0, 600.0])
     seconds: Positive = 4.0
-    rounds: Count = 1  # all ways in turn so often, their rows together
+    rounds: PositiveInt = 1  # all ways in turn so often, their rows together
 
 
-class Experiment(Part, kw_only=True):
+class Experiment(StrictTable, kw_only=True):
     name: Name
     duration_s: Positive = 20.0
-    warmup_s: Least0 = 2.0  # left out of worth and latency, not of what is judged
+    warmup_s: NonNegative = 2.0  # left out of worth and latency, not of what is judged
     seed: int = 1
     base: str = "127.0.0.11"  # the first node's address
     zones: dict[str, str]  # zone to region
@@ -139,7 +139,7 @@
     tenants: list[Tenant] = field(default_factory=list)
     platform: PlatformModel = PlatformModel()
     streams: Annotated[list[Stream], Meta(min_length=1)]
-    clients: Count = 6  # in each zone; each keeps its own answer of the directory and its own connections
+    clients: PositiveInt = 6  # in each zone; each keeps its own answer of the directory and its own connections
     most_lag_ms: Positive = 50.0  # a run whose p99 lag from intended to real send is above is refused
     orders: list[Order] = field(default_factory=list)
     faults: list[Fault] = field(default_factory=list)
@@ -267,7 +267,7 @@
     try:
         return check(msgspec.convert(table, Experiment))
     except msgspec.ValidationError as trouble:
-        where, reason = placed(trouble)
+        where, reason = split_validation_error(trouble)
         raise BadPlan(f"{where or 'the file'}: {reason}") from None
 
 
