--- a/rampfront/consensus/order_application.py
+++ b/rampfront/consensus/order_application.py
@@ -17,7 +17,7 @@
 from .events import Order, OrderKind, Outcome
 from .identifiers import LogIndex, RoundNumber, TimeNs
 from .repeat_window import RepeatWindow
-from .state import MAX_BODY_BYTES, MAX_NAMES, MAX_NUMBER, MAX_ZONE_LETTERS, State
+from .state import MAX_BODY_BYTES, MAX_NAMES, MAX_NUMBER, MAX_ZONE_CHARS, State
 from .version_history import content_digest
 
 MAX_EVACUATED_ZONES = MAX_NAMES // 2
@@ -100,7 +100,7 @@
 def _zone_order(order: Order, entry: State, now: TimeNs) -> PendingOrder | None:
     """The checked order on a zone; None if it names none, or one too many."""
     zone, kind = order.body, OrderKind(order.kind)
-    if type(zone) is not str or not 0 < len(zone) <= MAX_ZONE_LETTERS:
+    if type(zone) is not str or not 0 < len(zone) <= MAX_ZONE_CHARS:
         return None
     is_new = kind is OrderKind.EVACUATE and zone not in entry.evacuated_zones
     if is_new and len(entry.evacuated_zones) >= MAX_EVACUATED_ZONES:
@@ -125,7 +125,7 @@
 def _answer_report(body: object) -> AnswerReport | None:
     """The checked body of a report on an answer."""
     match body:
-        case [str() as zone, identity] if 0 < len(zone) <= MAX_ZONE_LETTERS and _identity(identity):
+        case [str() as zone, identity] if 0 < len(zone) <= MAX_ZONE_CHARS and _identity(identity):
             return AnswerReport(zone, _identity(identity))
     return None
 
@@ -140,7 +140,7 @@
     def outcome(self, state: State, order: PendingOrder) -> Outcome:
         """How an order ends if this state, or the one that it makes of it, is committed."""
         change = order.change
-        if isinstance(change, Configuration) and state.versions.denies(change.revision, change.content):
+        if isinstance(change, Configuration) and state.versions.conflicts_with(change.revision, change.content):
             return Outcome.CONFLICT
         return Outcome.DONE
 
--- a/rampfront/consensus/state.py
+++ b/rampfront/consensus/state.py
@@ -18,7 +18,7 @@
 
 MAX_BODY_BYTES = 16 << 20  # of a compressed configuration
 MAX_NAMES = 64  # of zones, and of members
-MAX_ZONE_LETTERS = 200
+MAX_ZONE_CHARS = 200
 MAX_ADDRESS_LETTERS = 300  # of a member's name and ip together
 MAX_NUMBER = 1 << 53
 BODY_COLUMN = 3  # of an encoded state
@@ -197,7 +197,7 @@
 def _check_zones(zones: object) -> None:
     if type(zones) is not list or len(zones) > MAX_NAMES:
         raise RemoteProtocolError("zones")
-    if any(type(zone) is not str or len(zone) > MAX_ZONE_LETTERS for zone in zones):
+    if any(type(zone) is not str or len(zone) > MAX_ZONE_CHARS for zone in zones):
         raise RemoteProtocolError("zones")
 
 
--- a/rampfront/consensus/version_history.py
+++ b/rampfront/consensus/version_history.py
@@ -56,7 +56,7 @@
         at = bisect_left(self.rows, (number,))
         return self.rows[at].digest if at < len(self.rows) and self.rows[at].number == number else None
 
-    def denies(self, number: int, digest: bytes) -> bool:
+    def conflicts_with(self, number: int, digest: bytes) -> bool:
         """Whether another content was confirmed under this number."""
         return self.digest_of(number) not in (None, digest)
 
--- a/rampfront/node/order_messages.py
+++ b/rampfront/node/order_messages.py
@@ -14,7 +14,7 @@
 
 from ..consensus.evacuation_claims import IDENTITY_LIMIT
 from ..consensus.events import OrderKind, Outcome
-from ..consensus.state import MAX_BODY_BYTES, MAX_ZONE_LETTERS, State, decode_state
+from ..consensus.state import MAX_BODY_BYTES, MAX_ZONE_CHARS, State, decode_state
 from ..transport.frames import Message
 
 # Keys of the frames, as they stand on the wire.
@@ -178,7 +178,7 @@
 
 
 def _check_zone(body: object) -> str:
-    if type(body) is not str or not 0 < len(body) <= MAX_ZONE_LETTERS:
+    if type(body) is not str or not 0 < len(body) <= MAX_ZONE_CHARS:
         raise MalformedMessageError("order: zone")
     return body
 
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -84,7 +84,7 @@
 
 def test_two_bodies_confirmed_under_one_number_are_found(monkeypatch: pytest.MonkeyPatch) -> None:
     """Whoever says of every body that it is the one that holds."""
-    monkeypatch.setattr(VersionHistory, "denies", lambda history, number, digest: False)
+    monkeypatch.setattr(VersionHistory, "conflicts_with", lambda history, number, digest: False)
     with pytest.raises(Broken, match="another body|two bodies|LINEARIZABILITY"):
         played(range(1, 20), 4)
 
