--- a/rampfront/consensus/body_history.py
+++ b/rampfront/consensus/body_history.py
@@ -1,11 +1,12 @@
-"""Bodies of the last entries by digest, and deltas between them, so that members are sent what changed.
+"""Bodies of recent entries by digest, and deltas between them, so that members receive only what changed.
 
-A delta names the digest of the body that it rests on; the entry carries the digest of the body which must come out. A
-receiver that lacks the first, or comes out elsewhere, takes nothing. The form is our own: both bodies are cut at `{`
-(the configuration is JSON), and the new one is described as runs of the old one's chunks with new chunks between them.
+A delta contains the digest of its base body; the entry contains the digest of the resulting body. A receiver that does
+not have the base, or computes a different result, rejects the delta. The delta format is specific to this project: both
+bodies are split at `{` (the configuration is JSON), and the new body is encoded as runs of chunks copied from the old
+body and literal new chunks.
 
-No I/O, no clock. `replication.py` makes deltas, `entry_receiver.py` applies them; `membership/deltas.py` uses
-`make_delta` and `apply_delta` by themselves.
+This module does no I/O and reads no clock. `replication.py` makes deltas, `entry_receiver.py` applies them;
+`membership/deltas.py` uses `make_delta` and `apply_delta` directly.
 """
 
 import zlib
@@ -17,27 +18,27 @@
 from .state import BODY_COLUMN, DIGEST_COLUMN, MAX_BODY_BYTES, State, digest
 
 MAX_BODIES = 64
-MAX_BYTES = 1 << 19  # of all bodies together; the newest is always kept
-MAX_UNPACKED_BYTES = 4 * MAX_BODY_BYTES  # of one body
+MAX_BYTES = 1 << 19  # total size of all bodies; the newest is always kept
+MAX_UNPACKED_BYTES = 4 * MAX_BODY_BYTES  # uncompressed size of one body
 SEPARATOR = b"{"
 
-DeltaOperation: TypeAlias = bytes | list[int]  # a new chunk, or [first, count] of the old chunks
+DeltaOperation: TypeAlias = bytes | list[int]  # a new chunk, or [first, count]: a run of old chunks to copy
 
 
 class BodyDelta(NamedTuple):
-    """What replaces an entry's body, and about how many bytes that takes on the wire."""
+    """The encoded delta that replaces an entry's body, and its approximate size on the wire in bytes."""
 
     encoded: list[object]
     size: int
 
 
 def make_delta(old: bytes, new: bytes) -> list[DeltaOperation]:
-    """How `new` is made of chunks of `old`, both cut at `{`."""
+    """Returns the operations that build `new` from chunks of `old`; both are split at `{`."""
     old_chunks = old.split(SEPARATOR)
     first_place = {chunk: place for place, chunk in reversed(list(enumerate(old_chunks)))}
     operations: list[DeltaOperation] = []
-    run: list[int] = []  # the operation that copies, if the last one does
-    next_place = -1  # the old chunk after the run
+    run: list[int] = []  # the last operation, if it is a copy
+    next_place = -1  # index of the old chunk that follows the run
     for chunk in new.split(SEPARATOR):
         if run and next_place < len(old_chunks) and old_chunks[next_place] == chunk:
             run[1] += 1
@@ -53,9 +54,10 @@
 
 
 def apply_delta(old: bytes, operations: list[object]) -> bytes:
-    """The body that a delta of `make_delta` describes.
+    """Returns the body that results from applying a delta made by `make_delta`.
 
-    Raises ValueError for what `make_delta` does not make; guards memory against chunks that are named over and over.
+    Raises ValueError for a malformed delta, and for a result above `MAX_UNPACKED_BYTES`: a delta that copies the same
+    chunks many times must not exhaust memory.
     """
     old_chunks = old.split(SEPARATOR)
     parts: list[bytes] = []
@@ -65,31 +67,31 @@
         parts += added
         size += sum(map(len, added)) + len(added)
         if size > MAX_UNPACKED_BYTES:
-            raise ValueError("a body that grows too large")
+            raise ValueError("body built from a delta exceeds the size limit")
     return SEPARATOR.join(parts)
 
 
 def _copied_chunks(old_chunks: list[bytes], operation: object) -> list[bytes]:
-    """The old chunks that an operation copies. Raises ValueError for chunks that are not there."""
+    """Returns the old chunks that an operation copies. Raises ValueError for a malformed or invalid range."""
     match operation:
         case [first, count] if type(first) is int and type(count) is int:
             if 0 <= first < first + count <= len(old_chunks):
                 return old_chunks[first : first + count]
-    raise ValueError("chunks that are not there")
+    raise ValueError("delta copies chunks that the base body does not have")
 
 
 class BodyHistory:
     """Compressed bodies by digest, oldest first. Memory is bounded by `MAX_BODIES` and `MAX_BYTES`."""
 
     def __init__(self) -> None:
-        """An empty history."""
+        """Creates an empty history."""
         self.by_digest: dict[bytes, bytes] = {}
         self._bytes = 0
-        self._deltas: dict[bytes, BodyDelta | None] = {}  # to the newest entry's body, by the digest of their base
-        self._deltas_lead_to: bytes | None = None  # that body's digest
+        self._deltas: dict[bytes, BodyDelta | None] = {}  # cached deltas to the newest entry's body, by base digest
+        self._delta_target: bytes | None = None  # digest of the body that the cached deltas produce
 
     def add(self, entry: State) -> None:
-        """Remembers the body of an entry as the newest one."""
+        """Stores the body of an entry as the newest one and evicts the oldest bodies above the limits."""
         body = self.by_digest.pop(entry.body_digest, None)
         if body is None:
             self._bytes += len(entry.body)
@@ -98,13 +100,13 @@
             self._bytes -= len(self.by_digest.pop(next(iter(self.by_digest))))
 
     def delta(self, base: bytes, entry: State) -> BodyDelta | None:
-        """What replaces an entry's body for a member that has the body of digest `base`.
+        """Returns the delta to an entry's body for a member that has the body with digest `base`.
 
-        None where that body is not known here, or where the body itself is no longer than the delta.
+        Returns None if that body is not in the history, or if the delta would not be smaller than the body itself.
         """
-        if self._deltas_lead_to != entry.body_digest:
+        if self._delta_target != entry.body_digest:
             self._deltas = {}
-            self._deltas_lead_to = entry.body_digest
+            self._delta_target = entry.body_digest
         if base not in self._deltas:
             self._deltas[base] = self._make_delta(base, entry)
         return self._deltas[base]
@@ -121,10 +123,10 @@
         return BodyDelta(encoded, size) if size < len(entry.body) else None
 
     def with_body(self, row: list[object]) -> list[object] | None:
-        """An encoded entry with its body in place of a delta.
+        """Returns an encoded entry with a delta in it replaced by the resulting body.
 
-        Returns None if the delta rests on a body that is not known here, or comes out as another body.
-        Raises RemoteProtocolError for what is no delta.
+        Returns None if the delta's base is not in the history, or if the result does not match the entry's digest.
+        Raises RemoteProtocolError for a malformed delta.
         """
         if len(row) <= DIGEST_COLUMN or type(row[BODY_COLUMN]) is not list:
             return row
--- a/rampfront/consensus/context.py
+++ b/rampfront/consensus/context.py
@@ -1,7 +1,7 @@
-"""What the parts of one member share: who it is, the time, its random draws, and the effects of the input under way.
+"""Context shared by the components of one member: settings, current time, random numbers and pending effects.
 
-`Member.take` begins each input with `MemberContext.begin`; whatever part handles it then appends to the same list of
-effects, so the order of effects is the order in which they were decided on.
+`Member.take` calls `MemberContext.begin` at the start of each input. All components that handle the input append to the
+same list of effects, so effects are ordered by the time they were emitted.
 """
 
 from collections.abc import Sequence
@@ -17,11 +17,12 @@
 
 
 class MemberSettings(NamedTuple):
-    """What a member is started with.
+    """Startup settings of a member.
 
-    `seeds`: ips to ask who leads; the first of them founds the core. `has_disk`: without one it never votes, and only
-    finds the leader. `is_first_start`: the settings say that the whole system starts for the first time. `survive`: how
-    many machines may be lost at once. `order_repeat_ns`: for how long callers repeat an order without an answer.
+    `seeds`: IP addresses to query for the leader; the first seed bootstraps the core. `has_disk`: a node without a disk
+    never votes and only locates the leader. `is_first_start`: the settings mark this start as the initial start of the
+    whole system. `survive`: number of machines that may be lost at the same time. `order_repeat_ns`: how long callers
+    keep retrying an order that got no answer.
     """
 
     name: str
@@ -34,17 +35,20 @@
 
 
 class Timeout(NamedTuple):
-    """A span from which a time-out is drawn at random, so that candidates do not split the votes again and again."""
+    """A range from which a timeout is drawn at random, so that candidates do not split the vote repeatedly."""
 
     shortest: DurationNs
     longest: DurationNs
 
 
 class MemberContext:
-    """Shared by all parts of one member. Only `Member` calls `begin`, `note_shutdown` and `change_seeds`."""
+    """Context shared by all components of one member. Only `Member` calls `begin`, `note_shutdown`, `change_seeds`."""
 
     def __init__(self, settings: MemberSettings, random: Random, now: TimeNs) -> None:
-        """`random`: seeded by chance that a restart does not repeat, since incarnations are drawn from it."""
+        """Creates the context of one member.
+
+        `random` must be seeded differently at each start, because incarnations are drawn from it.
+        """
         self.settings = settings
         self.random = random
         self.now = now
@@ -53,28 +57,28 @@
         self.effects: list[Effect] = []
 
     def begin(self, now: TimeNs) -> None:
-        """A new input is taken at this time."""
+        """Starts a new input at time `now` with an empty list of effects."""
         self.now = now
         self.effects = []
 
     def note_shutdown(self) -> None:
-        """The process is about to end."""
+        """Records that the process is shutting down."""
         self.is_shutting_down = True
 
     def change_seeds(self, ips: Sequence[str]) -> None:
-        """The settings name other seeds."""
+        """Replaces the seeds after a change of settings."""
         self.seeds = list(ips)
 
     def draw(self, timeout: Timeout) -> DurationNs:
-        """A duration out of the span."""
+        """Draws a random duration from the range of a timeout."""
         return self.random.randrange(timeout.shortest, timeout.longest)
 
     def draw_identifier(self) -> int:
-        """48 random bits, never 0: an identifier that nothing else is ever given."""
+        """Draws a unique identifier: 48 random bits, never 0."""
         return self.random.getrandbits(48) | 1
 
     def emit(self, effect: Effect) -> None:
-        """Appends an effect."""
+        """Appends an effect to those of the current input."""
         self.effects.append(effect)
 
     def send(self, ip: str, message: Message) -> None:
@@ -82,11 +86,11 @@
         self.effects.append(SendMessage(ip, encode(message)))
 
     def broadcast(self, ips: Sequence[str | None], message: Message) -> None:
-        """Sends a message to each address but the own one; None stands for nobody."""
+        """Sends a message to each address except the member's own; None entries are skipped."""
         for ip in ips:
             if ip is not None and ip != self.settings.ip:
                 self.send(ip, message)
 
     def end_order(self, ref: object, outcome: Outcome, state: State | None = None) -> None:
-        """Answers an order."""
+        """Emits the result of an order."""
         self.effects.append(OrderEnded(ref, outcome, state))
--- a/rampfront/consensus/core_strength.py
+++ b/rampfront/consensus/core_strength.py
@@ -1,7 +1,8 @@
-"""What a leader reports to operators of its core: the condition of each member, and for how long all has been well.
+"""The leader's report on the core for operators: condition of each member, and time spent at full strength.
 
-The core is at full strength while it has as many members as are wanted, all of them answer and stay, and no change of
-members is under way. Operators wait for that between two planned losses. Called by `Leader`; `node/` shows the result.
+The core is at full strength while it has the wanted number of members, all of them respond, none is shutting down, and
+no membership change is in progress. Operators wait for full strength between two planned outages. `Leader` calls this
+module; `node/` publishes the result.
 """
 
 from enum import StrEnum
@@ -15,7 +16,7 @@
 
 
 class MemberCondition(StrEnum):
-    """The condition of a member, as operators see it. The values go out over the control address."""
+    """The condition of a member as shown to operators. The control API exposes the values."""
 
     VOTER = "voter"
     LEARNER = "learner"
@@ -25,7 +26,7 @@
 
 
 class MemberStatus(NamedTuple):
-    """One member or learner."""
+    """Status of one member or learner."""
 
     name: str
     ip: str
@@ -33,8 +34,11 @@
 
 
 class CoreStrength(NamedTuple):
-    """`wanted`: how many members there should be. `full_for`: ns for which the core has been at full strength in this
-    leader's term, or None if it is not."""
+    """Membership status of the core.
+
+    `wanted`: the target number of members. `full_for`: how long in ns the core has been at full strength in this
+    leader's term, or None if it is not at full strength.
+    """
 
     wanted: int
     members: list[MemberStatus]
@@ -42,17 +46,17 @@
 
 
 class StrengthMonitor:
-    """Watches the strength of the core during one leader's term."""
+    """Tracks since when the core has been at full strength, during one leader's term."""
 
     def __init__(self, membership: MembershipChange, replication: Replication, survive: int) -> None:
-        """Not at full strength, as far as is known. `survive`: how many machines may be lost at once."""
+        """Starts as not at full strength. `survive`: number of machines that may be lost at the same time."""
         self._membership = membership
         self._replication = replication
         self._survive = survive
         self.full_since: TimeNs | None = None
 
     def watch(self, entry: State, is_committed: bool, now: TimeNs) -> None:
-        """To be called with each tick. `entry`: the newest one; `is_committed`: whether it is."""
+        """Updates the status at each tick. `entry`: the newest entry; `is_committed`: whether it is committed."""
         replicas = self._replication.replicas.values()
         is_staying = not any(self._replication.is_silent(each) or each.is_shutting_down for each in replicas)
         is_changing = entry.previous_members is not None or bool(self._membership.learners)
@@ -63,12 +67,12 @@
             self.full_since = now
 
     def strength(self, entry: State, now: TimeNs) -> CoreStrength:
-        """The strength at this moment."""
+        """Returns the status at time `now`."""
         full_for = None if self.full_since is None else max(0, now - self.full_since)
         return CoreStrength(wanted_size(entry, self._survive), self._member_statuses(entry), full_for)
 
     def _member_statuses(self, entry: State) -> list[MemberStatus]:
-        """Each member and then each learner, by name."""
+        """Returns the status of all members, then of all learners, each sorted by name."""
         replicas, silent = self._replication.replicas, self._replication.silent_keys()
         is_surplus = len(entry.members) > wanted_size(entry, self._survive)
         statuses = []
@@ -84,7 +88,7 @@
     def _condition(
         self, key: MemberKey, replica: ReplicaProgress | None, is_silent: bool, is_surplus: bool
     ) -> MemberCondition:
-        """Of one member. `is_surplus`: there are more members than wanted, so that one of them may go."""
+        """Returns the condition of one member. `is_surplus`: there are more members than wanted, so one may leave."""
         learner = self._membership.learners.get(key.name)
         if learner is not None and learner.incarnation != key.incarnation:
             return MemberCondition.REPLACED
--- a/rampfront/consensus/deferred_responses.py
+++ b/rampfront/consensus/deferred_responses.py
@@ -1,10 +1,11 @@
-"""Responses that must not leave before what they rest on is on disk (Raft paper, figure 2: "updated on stable storage
-before responding to RPCs").
+"""Responses that must not be sent before the state they depend on is on disk (Raft paper, figure 2: "updated on stable
+storage before responding to RPCs").
 
-Each response is kept with the version of `PersistentState` that it rests on, and sent once that version is durable.
-There is one for each receiver and kind, so their number is bounded; a newer one takes the place of an older.
+Each response is held together with the version of `PersistentState` that it depends on, and sent once that version is
+durable. At most one response is held for each receiver and kind, and a newer one replaces an older one, so their number
+is bounded.
 
-Called by `Member`, which owns it.
+`Roles` owns the queue; `Member` and `MessageHandler` call it.
 """
 
 from .context import MemberContext
@@ -17,17 +18,17 @@
 
 
 class DeferredResponses:
-    """Votes and acknowledgements that wait for the disk."""
+    """Votes and acknowledgements that wait for a disk write."""
 
     def __init__(self, context: MemberContext, persistent: PersistentState) -> None:
-        """Nothing waits yet."""
+        """Creates an empty queue."""
         self._context = context
         self._persistent = persistent
-        # By receiver and kind: the version that it rests on, and the response.
+        # Keyed by receiver and kind; the value is the required version and the response.
         self._waiting: dict[tuple[str, type], tuple[int, VoteGranted | AppendAcknowledged]] = {}
 
     def send_when_durable(self, ip: str, response: VoteGranted | AppendAcknowledged) -> None:
-        """Sends it as soon as all that this member knows now is on disk."""
+        """Sends a response as soon as the current persistent state is on disk."""
         version = self._persistent.version
         if version <= self._persistent.durable.version:
             self.send(ip, response)
@@ -37,7 +38,7 @@
             self._waiting[key] = version, response
 
     def send(self, ip: str, response: VoteGranted | AppendAcknowledged) -> None:
-        """Sends it now; an acknowledgement names the entry that is on disk."""
+        """Sends a response immediately; an acknowledgement is filled in with the entry that is on disk."""
         if isinstance(response, AppendAcknowledged):
             entry = self._persistent.durable.entry
             response = AppendAcknowledged(
@@ -52,17 +53,18 @@
         self._context.send(ip, response)
 
     def release(self, durable: DurableVersion) -> None:
-        """Sends what rests on the version that has become durable."""
+        """Sends the responses that depend on the version that has become durable."""
         for key, (version, response) in list(self._waiting.items()):
             ip, kind = key
             if version <= durable.version:
                 del self._waiting[key]
                 self.send(ip, response)
             elif kind is AppendAcknowledged and durable.term >= response.term:
-                # Guards against a storm on a slow disk: each new entry would push back the acknowledgement of all those
-                # stored. It names the entry that is on disk, so it is true of this one, and is sent again of the next.
+                # With frequent changes on a slow disk, each new entry would postpone the acknowledgement of all entries
+                # already stored. The acknowledgement names the entry that is on disk, so it is correct to send it now
+                # for this entry and again for the next one.
                 self.send(ip, response)
 
     def clear(self) -> None:
-        """Forgets all: the incarnation that owed them is gone."""
+        """Drops all responses, because the incarnation that owed them has been replaced."""
         self._waiting.clear()
--- a/rampfront/consensus/election.py
+++ b/rampfront/consensus/election.py
@@ -1,19 +1,22 @@
 """Pre-vote and election of one member (Raft paper, section 5.2; pre-vote: Ongaro's dissertation, section 9.6).
 
-A member that misses its leader first asks whether it could win (pre-vote) and only then enters a newer term as a
-candidate: one that was cut off disturbs nobody when it returns. Who hears a live leader grants neither (section 4.2.3).
+A member that receives no heartbeats first asks whether it could win (pre-vote), and only then enters a newer term as a
+candidate, so that a member that was partitioned does not disrupt the others when it returns. A member that still hears
+from a live leader grants neither pre-votes nor votes (section 4.2.3).
 
 Invariants:
 
-- A vote goes to one candidate a term, and only to one whose entry is no older than the own (paper, section 5.4.1).
-- A vote leaves its member, and the own vote counts, only once it is on disk.
-- A leader that hands over names its successor, which stands for election at once and gets votes although the leader is
-  still live (leadership transfer, dissertation, section 3.10).
+- A member votes for at most one candidate per term, and only for one whose entry is at least as recent as its own
+  (paper, section 5.4.1).
+- A vote is sent, and a candidate's own vote is counted, only once it is on disk.
+- A leader that transfers leadership names its successor, which starts an election at once and receives votes although
+  the leader is still live (leadership transfer, dissertation, section 3.10).
 
-Two that ask at the same time would split the votes and lose a second; so now and then the one with the older entry, or
-the lesser name, gives way. That rule is our own.
+Two members that start a pre-vote at the same time would split the votes and delay the election by about a second.
+Therefore the one with the older entry, or with the same entry and the lower name, yields to the other, at most once per
+`YIELD_INTERVAL_NS`. This rule is an extension to Raft.
 
-Called by `Member`, which makes this member the leader when a method returns True.
+`Member` calls this module and makes this member the leader when a method returns True.
 """
 
 from enum import Enum
@@ -25,19 +28,19 @@
 from .messages import PreVoteGranted, PreVoteRequest, TermRejected, VoteGranted, VoteRequest
 from .persistent_state import PersistentState
 
-ELECTION_TIMEOUT = Timeout(700 * MS, 1250 * MS)  # without a heartbeat, until a member asks for votes
-CAMPAIGN_TIMEOUT = Timeout(400 * MS, 900 * MS)  # until it asks anew
-START_TIMEOUT = Timeout(60 * MS, 360 * MS)  # after a start: where a leader is alive, nobody grants a vote
-LEADER_ENDED_TIMEOUT = Timeout(20 * MS, 300 * MS)  # after a leader said that it stops
-SUCCESSOR_NAMED_TIMEOUT = Timeout(150 * MS, 450 * MS)  # after it named another one to follow it
-GIVE_WAY_INTERVAL_NS = 3 * SEC  # the other candidate may be deaf, so this one gives way no more often
-RESEND_INTERVAL_NS = 140 * MS  # until a request without an answer is sent again
+ELECTION_TIMEOUT = Timeout(700 * MS, 1250 * MS)  # time without a heartbeat until a member starts a pre-vote
+CAMPAIGN_TIMEOUT = Timeout(400 * MS, 900 * MS)  # time until an undecided campaign is restarted
+START_TIMEOUT = Timeout(60 * MS, 360 * MS)  # after process start; may be short, as a live leader prevents any votes
+LEADER_ENDED_TIMEOUT = Timeout(20 * MS, 300 * MS)  # after a leader announced that it steps down
+SUCCESSOR_NAMED_TIMEOUT = Timeout(150 * MS, 450 * MS)  # after a leader named another member as its successor
+YIELD_INTERVAL_NS = 3 * SEC  # between two yields: the other candidate may be unable to receive any votes
+RESEND_INTERVAL_NS = 140 * MS  # until an unanswered request is sent again
 
 
 class Role(Enum):
-    """What a member does in its term."""
+    """The role of a member in its term."""
 
-    LEARNER = "learner"  # no member: it has no vote
+    LEARNER = "learner"  # not a member; it has no vote
     FOLLOWER = "follower"
     PRE_CANDIDATE = "pre-candidate"
     CANDIDATE = "candidate"
@@ -45,7 +48,7 @@
 
 
 class Election:
-    """The role of one member, and its campaign while it has one."""
+    """The role of one member, and its election campaign if one is running."""
 
     def __init__(
         self,
@@ -55,37 +58,37 @@
         discovery: LeaderDiscovery,
         deadline: TimeNs,
     ) -> None:
-        """`deadline`: when this member first asks for votes, unless it hears a leader."""
+        """`deadline`: when this member starts its first pre-vote, unless it hears from a leader."""
         self._context = context
         self._persistent = persistent
         self._electorate = electorate
         self._discovery = discovery
         self.role = Role.LEARNER if persistent.entry is None else Role.FOLLOWER
-        self.votes: set[MemberKey] = set()  # for this member, in its campaign
+        self.votes: set[MemberKey] = set()  # votes or pre-votes received in the current campaign
         self._deadline = deadline
-        self._requested_at: TimeNs = -3 * SEC  # when votes were last asked for
-        self._gave_way_at: TimeNs = -3 * SEC
+        self._requested_at: TimeNs = -3 * SEC  # when votes were last requested
+        self._yielded_at: TimeNs = -3 * SEC
         self._is_named_successor = False
 
     @property
     def is_campaigning(self) -> bool:
-        """Whether this member asks for votes, or would-be votes."""
+        """Whether this member is requesting votes or pre-votes."""
         return self.role in (Role.PRE_CANDIDATE, Role.CANDIDATE)
 
     # Roles.
 
-    def follow(self) -> None:
-        """Waits for a leader, or until the time-out without one."""
+    def become_follower(self) -> None:
+        """Becomes a follower and restarts the election timeout."""
         self.role = Role.FOLLOWER
         self._is_named_successor = False
         self._deadline = self._context.now + self._context.draw(ELECTION_TIMEOUT)
 
-    def learn(self) -> None:
-        """This member is another incarnation from now on, and none of the members."""
+    def become_learner(self) -> None:
+        """Becomes a learner: this member has a new incarnation, which is not in the member list."""
         self.role = Role.LEARNER
 
     def tick(self) -> None:
-        """To be called about ten times a second while this member may stand for election."""
+        """Starts or repeats a campaign when due; called about ten times a second while this member may be elected."""
         now = self._context.now
         if now >= self._deadline:
             self.start_pre_vote()
@@ -93,55 +96,58 @@
             self._request_votes()
 
     def start_pre_vote(self) -> None:
-        """Asks whether a vote could be won, before the term is touched."""
+        """Asks the other members for pre-votes; the term does not change."""
         self.role = Role.PRE_CANDIDATE
         self.votes = {self._persistent.key}
         self._is_named_successor = False
         self._discovery.forget_leader()
         self._deadline = self._context.now + self._context.draw(CAMPAIGN_TIMEOUT)
         self._request_votes()
-        self._count()
+        self._count_votes()
 
-    def stand(self) -> None:
-        """Enters a newer term as a candidate. Others are asked for their votes once the own one is on disk."""
+    def become_candidate(self) -> None:
+        """Enters a newer term as a candidate. Votes are requested once the member's own vote is on disk."""
         self.role = Role.CANDIDATE
         self.votes = set()
-        self._persistent.stand_as_candidate()
+        self._persistent.begin_candidate_term()
         self._deadline = self._context.now + self._context.draw(CAMPAIGN_TIMEOUT)
 
-    def leader_ended(self, hands_over_to_this: bool | None) -> None:
-        """The leader leads no longer. `hands_over_to_this`: None if it named no successor, False if another one."""
-        timeout = SUCCESSOR_NAMED_TIMEOUT if hands_over_to_this is False else LEADER_ENDED_TIMEOUT
+    def leader_ended(self, hands_over_to_self: bool | None) -> None:
+        """Handles the end of the leader's leadership.
+
+        `hands_over_to_self`: None if the leader named no successor, False if it named another member.
+        """
+        timeout = SUCCESSOR_NAMED_TIMEOUT if hands_over_to_self is False else LEADER_ENDED_TIMEOUT
         self._deadline = self._context.now + self._context.draw(timeout)
-        if hands_over_to_this and self._persistent.is_member() and not self._context.is_shutting_down:
+        if hands_over_to_self and self._persistent.is_member() and not self._context.is_shutting_down:
             self._is_named_successor = True
-            self.stand()
+            self.become_candidate()
 
-    # The own campaign.
+    # Campaign of this member.
 
     def own_vote_stored(self) -> bool:
-        """All of the current term is on disk. Returns whether this member has won."""
+        """Counts this member's own vote, which is now on disk. Returns whether this member has won the election."""
         if self.role is not Role.CANDIDATE:
             return False
         self.votes.add(self._persistent.key)
         self._request_votes()
-        return self._count()
+        return self._count_votes()
 
     def pre_vote_granted(self, message: PreVoteGranted) -> None:
-        """Another member would vote for this one."""
+        """Counts a pre-vote from another member."""
         if self.role is Role.PRE_CANDIDATE and message.term == self._persistent.term + 1:
             self.votes.add(message.sender)
-            self._count()
+            self._count_votes()
 
     def vote_granted(self, message: VoteGranted) -> bool:
-        """Another member votes for this one. Returns whether it has won."""
+        """Counts a vote from another member. Returns whether this member has won the election."""
         if self.role is not Role.CANDIDATE or message.term != self._persistent.term:
             return False
         self.votes.add(message.sender)
-        return self._count()
+        return self._count_votes()
 
     def _request_votes(self) -> None:
-        """Asks those members who have not granted theirs yet; a candidate whose own vote is not on disk asks nobody."""
+        """Requests the votes that have not been granted yet; a candidate does so only once its own vote is on disk."""
         self._requested_at = self._context.now
         own, entry = self._persistent.key, self._persistent.entry
         assert entry is not None
@@ -152,61 +158,64 @@
                 self._context.send(ip, self._request(incarnation, entry.position))
 
     def _request(self, incarnation: int, position: LogPosition) -> PreVoteRequest | VoteRequest:
-        """The question to the member with this incarnation."""
+        """Returns the request for the member with this incarnation."""
         own, term = self._persistent.key, self._persistent.term
         if self.role is Role.PRE_CANDIDATE:
             return PreVoteRequest(own, incarnation, term + 1, position)
         return VoteRequest(own, incarnation, term, position, self._is_named_successor)
 
-    def _count(self) -> bool:
-        """Goes on with a majority. Returns whether this member has won the election."""
+    def _count_votes(self) -> bool:
+        """Advances the campaign if there is a majority. Returns whether this member has won the election."""
         if not self._electorate.state().has_quorum(self.votes):
             return False
         if self.role is Role.PRE_CANDIDATE:
-            self.stand()
+            self.become_candidate()
             return False
         if self.role is Role.CANDIDATE and self._persistent.key in self.votes:
             self.role = Role.LEADER
             return True
         return False
 
-    # The campaigns of others.
+    # Campaigns of other members.
 
     def _own_position(self) -> LogPosition:
         entry = self._persistent.entry
         return entry.position if entry is not None else NO_POSITION
 
     def answer_pre_vote(self, ip: str, request: PreVoteRequest) -> None:
-        """Grants the pre-vote if the vote would be granted, and names the newer term if there is one."""
+        """Grants the pre-vote if the vote would be granted; rejects a request for an outdated term."""
         own_position = self._own_position()
         is_newer_term = request.term > self._persistent.term
         if is_newer_term and request.position >= own_position and not self._discovery.has_live_leader():
             granted = PreVoteGranted(self._persistent.key, request.sender.incarnation, request.term)
             self._context.send(ip, granted)
             name = self._context.settings.name
-            self._give_way((request.position, request.sender.name) > (own_position, name))
+            self._yield_to((request.position, request.sender.name) > (own_position, name))
         elif not is_newer_term:
             self.reject_term(ip)
 
-    def _give_way(self, is_better: bool) -> None:
-        """Lets a better candidate go first."""
+    def _yield_to(self, is_better: bool) -> None:
+        """Postpones this member's campaign in favour of a better candidate."""
         now = self._context.now
-        is_due = now - self._gave_way_at > GIVE_WAY_INTERVAL_NS
+        is_due = now - self._yielded_at > YIELD_INTERVAL_NS
         if is_better and self.role is Role.PRE_CANDIDATE and is_due:
-            self._gave_way_at = now
+            self._yielded_at = now
             self.role = Role.FOLLOWER
             self._deadline = now + self._context.draw(CAMPAIGN_TIMEOUT)
 
     def grant_vote(self, request: VoteRequest) -> VoteGranted | None:
-        """The vote in the current term, to be sent once it is on disk; None if it is another's, or the candidate's
-        entry is older."""
+        """Returns the vote in the current term, to be sent once it is on disk.
+
+        Returns None if the vote was given to another candidate, or if the candidate's entry is older than this
+        member's.
+        """
         if self._persistent.vote is None and request.position >= self._own_position():
             self._persistent.vote_for(request.sender)
         if self._persistent.vote != request.sender:
             return None
-        self.follow()
+        self.become_follower()
         return VoteGranted(self._persistent.key, request.sender.incarnation, self._persistent.term)
 
     def reject_term(self, ip: str) -> None:
-        """Names the newer term to a member of an older one."""
+        """Sends the current term to a member that used an older one."""
         self._context.send(ip, TermRejected(self._persistent.term))
--- a/rampfront/consensus/entry_receiver.py
+++ b/rampfront/consensus/entry_receiver.py
@@ -1,8 +1,9 @@
-"""How a follower reads the entry that its leader sends (Raft paper, sections 5.3 and 7).
+"""Decoding of entries that a follower receives from its leader (Raft paper, sections 5.3 and 7).
 
-There are no earlier entries to match, as each entry is the whole state; yet its body may be left out or come as a
-delta, and so do its versions. A follower takes an entry only if it has what these rest on and comes out at the digests
-that the entry names. If not, it acknowledges what it has, and the leader sends the whole.
+There is no preceding entry to match, because each entry is the whole state. However, the body may be omitted or sent as
+a delta, and the version history is sent as a delta. A follower accepts an entry only if it has the bases of these
+deltas and the results match the digests in the entry. Otherwise it acknowledges the entry it already has, and the
+leader then sends the entry in full.
 """
 
 from .errors import RemoteProtocolError
@@ -13,9 +14,9 @@
 
 
 def received_entry(persistent: PersistentState, message: AppendEntry) -> State | None:
-    """The checked entry, or None if it rests on a body or versions that this member does not have.
+    """Returns the validated entry, or None if this member lacks the body or the versions that it is based on.
 
-    Raises RemoteProtocolError for an entry that no leader would send, or one of another term than the leader's.
+    Raises RemoteProtocolError for a malformed entry, or for one from a term other than that of the message.
     """
     known = [entry for entry in (persistent.entry, persistent.durable.entry) if entry is not None]
     row = persistent.bodies.with_body(message.entry)
@@ -24,12 +25,12 @@
     if state is None or versions is None:
         return None
     if state.term != message.term:
-        raise RemoteProtocolError("an entry of another term")
+        raise RemoteProtocolError("entry has a different term than its message")
     return state.with_claims(message.claims).with_versions(versions)
 
 
 def _received_versions(known: list[State], message: AppendEntry) -> VersionHistory | None:
-    """The entry's history; that of the newest entry here, if the leader is an older one that keeps none."""
+    """Returns the entry's version history; that of the newest local entry if an older leader sent none."""
     if message.versions is None:
         return known[0].versions if known else VersionHistory()
     return apply_delta(message.versions, {entry.position: entry.versions for entry in known})
--- a/rampfront/consensus/errors.py
+++ b/rampfront/consensus/errors.py
@@ -1,16 +1,17 @@
-"""What a member raises for data from outside that no member would have written."""
+"""Exceptions for external data that a correct member would not have written."""
 
 
 class ConsensusError(ValueError):
-    """Data from outside that is not what a member writes."""
+    """Base class: external data is malformed or inconsistent."""
 
 
 class RemoteProtocolError(ConsensusError):
-    """A message, or a state within one, that no member would send: the receiver counts it and drops it."""
+    """A message, or a state within one, is invalid. The receiver counts and drops it."""
 
 
 class RecordError(ConsensusError):
-    """A stored record that passes its checksum, but is none that this member can have written.
+    """A stored record passes its checksum, but this member cannot have written it.
 
-    That is a fault to be seen by an operator. It is not a lost disk: what the member promised is still in there.
+    An operator must look into this. It is not treated as a lost disk, because the record may still hold votes and
+    entries that the member has acknowledged.
     """
--- a/rampfront/consensus/evacuation_claims.py
+++ b/rampfront/consensus/evacuation_claims.py
@@ -1,9 +1,9 @@
-"""Claims: the orders to evacuate one zone, and what is known of whether their callers read the answers.
+"""Claims: the orders to evacuate one zone, and whether their callers are known to have received the answers.
 
-An order on a zone names no operator, so a repeat and the order of a second operator look alike. What tells them apart
-is the fate of the answer before: a caller whose answer was lost sends again, one who read it does not. The node that
-took an order reports that fate to the leader (`node/answer_reports.py`), and it is kept here, as part of the replicated
-state. `evacuations.py` draws the conclusions. No I/O, no clock.
+An order on a zone does not identify its operator, so a retry cannot be told from an order of a second operator by its
+content. It can be told by the delivery of the previous answer: a caller whose answer was lost retries, and one that
+received it does not. The node that accepted an order reports the delivery to the leader (`node/answer_reports.py`), and
+the claims store it as part of the replicated state. `evacuations.py` evaluates them. No I/O, no clock.
 """
 
 from collections.abc import Iterable, Mapping
@@ -12,25 +12,25 @@
 
 from .errors import RemoteProtocolError
 
-MAX_CLAIMS = 8  # of one zone; the oldest are forgotten first
+MAX_CLAIMS = 8  # per zone; the oldest are evicted first
 MAX_ZONES = 64
 IDENTITY_LIMIT = 1 << 53
-EXPLICIT_IDENTITY = 1 << 52  # set in identities that callers name themselves, on each repeat anew
+EXPLICIT_IDENTITY = 1 << 52  # bit set in identities that callers supply themselves, the same one on each retry
 
 
 class Delivery(IntEnum):
-    """What became of the answer to an order. The values are stored, and go over the wire."""
+    """Delivery status of the answer to an order. The values are stored on disk and sent between nodes."""
 
-    UNKNOWN = 0  # nothing is known of it yet, or never will be
-    DELIVERED = 1  # its caller has read all of it
-    LOST = 2  # its caller has not read all of it, and repeats the order or gives it up
+    UNKNOWN = 0  # not reported, and possibly never will be
+    DELIVERED = 1  # the caller has read the complete answer
+    LOST = 2  # the caller has not read the complete answer; it retries the order or abandons it
 
 
 class Claim(NamedTuple):
     """One order to evacuate a zone.
 
-    `identity`: of the order. `counted`: whether it stands for one of `Evacuation.operators`; an order that a later one
-    may be the repeat of does not.
+    `identity`: the identity of the order. `counted`: whether the claim is included in `Evacuation.operators`; an order
+    that a later one may be a retry of is not.
     """
 
     identity: int
@@ -38,58 +38,61 @@
     counted: bool = True
 
 
-Claims: TypeAlias = tuple[Claim, ...]  # of one zone, oldest first
-ClaimTable: TypeAlias = Mapping[str, Claims]  # of zones that have any
+Claims: TypeAlias = tuple[Claim, ...]  # the claims on one zone, oldest first
+ClaimTable: TypeAlias = Mapping[str, Claims]  # by zone; zones without claims are left out
 
 
 def is_explicit(identity: int) -> bool:
-    """Whether the caller itself named the order, so that its repeats have the same identity."""
+    """Whether the caller supplied the identity itself, so that its retries carry the same one."""
     return bool(identity & EXPLICIT_IDENTITY)
 
 
 def find(claims: Claims, identity: int) -> Claim | None:
-    """The claim of that identity."""
+    """Returns the claim with this identity, or None."""
     return next((claim for claim in claims if claim.identity == identity), None)
 
 
 def last_counted(claims: Claims) -> Claim | None:
-    """The newest claim that stands for an operator."""
+    """Returns the newest claim that counts as an operator, or None."""
     return next((claim for claim in reversed(claims) if claim.counted), None)
 
 
 def newest_uncounted(claims: Claims) -> Claim | None:
-    """The newest claim that a later order may be the repeat of."""
+    """Returns the newest claim that a later order may be a retry of, or None."""
     return next((claim for claim in reversed(claims) if not claim.counted), None)
 
 
 def lost_claim(claims: Claims) -> Claim | None:
-    """A counted claim of which the caller never read the answer."""
+    """Returns the oldest counted claim whose answer was lost, or None."""
     return next((claim for claim in claims if claim.counted and claim.delivery is Delivery.LOST), None)
 
 
 def with_new(claims: Claims, identity: int) -> Claims:
-    """The claims with that of a new order; 0 for an order without identity, which leaves none."""
+    """Returns the claims with one for a new order appended; an order without identity (0) adds none."""
     return (*claims, Claim(identity))[-MAX_CLAIMS:] if identity else claims
 
 
 def without(claims: Claims, claim: Claim | None) -> Claims:
-    """The claims but one."""
+    """Returns the claims without `claim`."""
     return tuple(each for each in claims if each is not claim)
 
 
-def exchanged(claims: Claims, claim: Claim, successor: Claim) -> Claims:
-    """The claims with another one in the place of one."""
+def replaced(claims: Claims, claim: Claim, successor: Claim) -> Claims:
+    """Returns the claims with `claim` replaced by `successor`."""
     return tuple(successor if each is claim else each for each in claims)
 
 
-def without_returned(claims: Claims) -> Claims:
-    """The claims once an operator has taken one back: one whose answer was lost goes first, then the oldest."""
+def without_restored(claims: Claims) -> Claims:
+    """Returns the claims after one operator has restored the zone.
+
+    It removes a counted claim whose answer was lost, or else the oldest counted claim.
+    """
     oldest = next((claim for claim in claims if claim.counted), None)
     return without(claims, lost_claim(claims) or oldest)
 
 
 def encode_claims(table: ClaimTable) -> list[list[object]]:
-    """The table as cbor2 carries it: a row for each zone, its name and then three columns for each claim."""
+    """Encodes the table for CBOR: a row for each zone, with its name followed by three columns for each claim."""
     return [[zone, *_columns(claims)] for zone, claims in sorted(table.items()) if claims]
 
 
@@ -98,7 +101,7 @@
 
 
 def decode_claims(rows: object) -> dict[str, Claims]:
-    """The checked table. Raises RemoteProtocolError for what `encode_claims` does not make."""
+    """Decodes and validates a table made by `encode_claims`. Raises RemoteProtocolError for a malformed one."""
     if not isinstance(rows, list) or len(rows) > MAX_ZONES:
         raise RemoteProtocolError("claims")
     return dict(map(_decode_row, rows))
--- a/rampfront/consensus/evacuations.py
+++ b/rampfront/consensus/evacuations.py
@@ -1,17 +1,18 @@
-"""How many operators keep a zone evacuated, as far as that can be known: orders on a zone name no operator.
+"""Counts how many operators keep a zone evacuated, as far as this can be determined: orders do not name an operator.
 
-Callers repeat an order whose answer got lost. No lost answer may leave a zone evacuated for ever, and none may restore
-it early. Which of two orders is a repeat follows from what is known of the answer before (`evacuation_claims.py`):
+Callers retry an order whose answer was lost. A lost answer must neither leave a zone evacuated forever nor restore it
+early. Whether an order is a retry is derived from the delivery of the previous answer (`evacuation_claims.py`):
 
-- it was lost: the next order takes its place, whoever gives it, as nobody holds the lost one as acknowledged;
-- it was delivered: another operator, who is counted, and restores the zone himself;
-- nothing is known of it, and callers may still repeat it: perhaps another operator. He is counted, but for a bounded
-  time: the last certain operator's restoration opens the zone after one such time more (`operators` is 0 meanwhile).
-  A report that comes later settles it;
-- restored again while callers may repeat the restoration: taken as the same order, which changes nothing.
+- The answer was lost: the next order replaces the claim, whoever sends it, since nobody relies on the lost one.
+- The answer was delivered: the next order comes from another operator, who is counted and must restore the zone too.
+- The delivery is unknown and callers may still be retrying: the next order may come from another operator, who is
+  taken into account for a bounded time. When the last certain operator restores the zone, it reopens only after the
+  retry window has passed once more (`operators` is 0 meanwhile). A later delivery report settles the case.
+- A zone is restored again while callers may be retrying the restoration: the order is treated as a retry and changes
+  nothing.
 
-The mechanism is our own. Nothing here reads a clock: the leader's `RepeatWindow` (`repeat_window.py`) says whether an
-order may be a repeat. `order_application.py` calls the changes below.
+The mechanism is specific to this project. Nothing here reads a clock: the leader's `RepeatWindow` (`repeat_window.py`)
+decides whether an order may be a retry. `order_application.py` calls the functions below.
 """
 
 from collections.abc import Mapping
@@ -21,16 +22,17 @@
 from .errors import RemoteProtocolError
 from .evacuation_claims import Claim, Claims, Delivery
 
-MAX_OPERATORS = 8  # that are counted for one zone
-MAX_ROWS = 512  # of all zones, in an older record
+MAX_OPERATORS = 8  # counted per zone
+MAX_ROWS = 512  # for all zones together; older records have one row per operator
 
 
 class Evacuation(NamedTuple):
-    """What is known of who keeps one zone evacuated.
+    """What is known about the operators that keep one zone evacuated.
 
-    `operators`: who certainly evacuated the zone and did not restore it; 0: it opens by itself. `repeated`: there may
-    be one more. `returned`: somebody has restored it, and that order may come again. `claims`: the orders that
-    evacuated it, as far as they have an identity.
+    `operators`: number of operators that certainly evacuated the zone and have not restored it; with 0, the zone
+    reopens after the retry window. `repeated`: a repeated order may have come from one more operator. `returned`: some
+    operator has restored the zone, and that order may be retried. `claims`: the evacuation orders that have an
+    identity.
     """
 
     operators: int = 1
@@ -39,20 +41,22 @@
     claims: Claims = ()
 
     def has_claim(self, identity: int) -> bool:
-        """Whether the order of that identity is among the claims."""
+        """Whether the order with this identity is among the claims."""
         return bool(identity) and evacuation_claims.find(self.claims, identity) is not None
 
-    def is_plain(self) -> bool:
-        """Whether there is nothing to say of it but that one operator evacuated the zone."""
+    def is_single_operator(self) -> bool:
+        """Whether exactly one operator evacuated the zone and no repeated or restoring order was seen."""
         return (self.operators, self.repeated, self.returned) == (1, False, False)
 
 
 SINGLE_OPERATOR = Evacuation()
-EvacuationTable: TypeAlias = Mapping[str, Evacuation]  # of evacuated zones, where it is not `SINGLE_OPERATOR`
+EvacuationTable: TypeAlias = Mapping[
+    str, Evacuation
+]  # by zone; evacuated zones equal to `SINGLE_OPERATOR` may be absent
 
 
 class ZoneChange(NamedTuple):
-    """What is evacuated after an order, and by whom."""
+    """The evacuated zones and their operators after an order."""
 
     zones: frozenset[str]
     evacuations: EvacuationTable
@@ -61,9 +65,10 @@
 def evacuate(
     zones: frozenset[str], evacuations: EvacuationTable, zone: str, may_be_repeat: bool, identity: int = 0
 ) -> ZoneChange:
-    """The zones after an order to evacuate one; the same two objects if nothing changes.
+    """Returns the zones after an order to evacuate one; the same two objects if nothing changes.
 
-    `may_be_repeat`: of an order whose answer was not lost for certain. `identity`: of the order, or 0 if it has none.
+    `may_be_repeat`: whether the order may be a retry of one whose answer is not known to be lost. `identity`: the
+    identity of the order, or 0 if it has none.
     """
     if zone not in zones:
         first = Evacuation(claims=evacuation_claims.with_new((), identity))
@@ -75,7 +80,7 @@
 
 
 def _evacuated_again(before: Evacuation, may_be_repeat: bool, identity: int) -> Evacuation:
-    """Of an evacuated zone, after a further order to evacuate it."""
+    """Returns the evacuation after a further order to evacuate a zone that is already evacuated."""
     claims = evacuation_claims.with_new(before.claims, identity)
     lost = evacuation_claims.lost_claim(before.claims)
     last = evacuation_claims.last_counted(before.claims)
@@ -86,28 +91,28 @@
     if not may_be_repeat:
         return before._replace(operators=min(before.operators + 1, MAX_OPERATORS), claims=claims)
     if last is not None and identity:
-        claims = evacuation_claims.exchanged(claims, last, last._replace(counted=False))
+        claims = evacuation_claims.replaced(claims, last, last._replace(counted=False))
     return before._replace(repeated=True, claims=claims)
 
 
 def note_delivered(
-    evacuations: EvacuationTable, zone: str, identity: int, was_followed_at_once: bool
+    evacuations: EvacuationTable, zone: str, identity: int, was_followed_closely: bool
 ) -> EvacuationTable:
-    """The table once the caller of an order to evacuate is known to have read its answer.
+    """Returns the table after a report that the caller of an evacuation order has read its answer.
 
-    `was_followed_at_once`: another order came so close to the answer that it may be a repeat for all that.
+    `was_followed_closely`: another order arrived so soon after this answer that it may be a retry nevertheless.
     """
     before = evacuations.get(zone, SINGLE_OPERATOR)
     claim = evacuation_claims.find(before.claims, identity)
     if claim is None:
         return evacuations
-    if claim.counted or was_followed_at_once:
+    if claim.counted or was_followed_closely:
         read = claim._replace(delivery=Delivery.DELIVERED)
         return _updated(
-            evacuations, zone, before._replace(claims=evacuation_claims.exchanged(before.claims, claim, read))
+            evacuations, zone, before._replace(claims=evacuation_claims.replaced(before.claims, claim, read))
         )
-    # What came behind it is no repeat, as this caller had no reason to repeat.
-    claims = evacuation_claims.exchanged(before.claims, claim, Claim(identity, Delivery.DELIVERED))
+    # The later order is not a retry, since this caller received its answer and had no reason to retry.
+    claims = evacuation_claims.replaced(before.claims, claim, Claim(identity, Delivery.DELIVERED))
     after = before._replace(
         operators=min(before.operators + 1, MAX_OPERATORS),
         repeated=evacuation_claims.newest_uncounted(claims) is not None,
@@ -117,9 +122,10 @@
 
 
 def note_lost(zones: frozenset[str], evacuations: EvacuationTable, zone: str, identity: int) -> ZoneChange:
-    """The zones once the caller of an order to evacuate is known never to have read its answer.
+    """Returns the zones after a report that the caller of an evacuation order never read its answer.
 
-    He holds nothing as acknowledged, and repeats the order or gives it up; an evacuated zone stays so until then.
+    The caller does not consider the order acknowledged, and either retries or abandons it; the zone stays evacuated
+    until then.
     """
     before = evacuations.get(zone, SINGLE_OPERATOR)
     claim = evacuation_claims.find(before.claims, identity)
@@ -132,25 +138,25 @@
             return reopen(zones, evacuations, zone)
         after = before._replace(repeated=uncounted is not None, claims=others)
     elif uncounted is not None:
-        others = evacuation_claims.exchanged(others, uncounted, uncounted._replace(counted=True))
+        others = evacuation_claims.replaced(others, uncounted, uncounted._replace(counted=True))
         after = before._replace(repeated=evacuation_claims.newest_uncounted(others) is not None, claims=others)
     elif before.operators > 1:
         after = before._replace(operators=before.operators - 1, claims=others)
     else:
         lost = claim._replace(delivery=Delivery.LOST)
-        after = before._replace(claims=evacuation_claims.exchanged(before.claims, claim, lost))
+        after = before._replace(claims=evacuation_claims.replaced(before.claims, claim, lost))
     return ZoneChange(zones, _updated(evacuations, zone, after))
 
 
 def _updated(evacuations: EvacuationTable, zone: str, after: Evacuation) -> EvacuationTable:
-    """The table with what is known of one zone; the same object if nothing changes."""
+    """Returns the table with one zone set to `after`; the same object if nothing changes."""
     if evacuations.get(zone, SINGLE_OPERATOR) == after:
         return evacuations
     return {**evacuations, zone: after}
 
 
 def restore(zones: frozenset[str], evacuations: EvacuationTable, zone: str, may_be_repeat: bool) -> ZoneChange:
-    """The zones after an order to restore one; the same two objects if nothing changes."""
+    """Returns the zones after an order to restore one; the same two objects if nothing changes."""
     if zone not in zones:
         return ZoneChange(zones, evacuations)
     before = evacuations.get(zone, SINGLE_OPERATOR)
@@ -158,33 +164,35 @@
         return ZoneChange(zones, evacuations)
     left = max(0, before.operators - 1)
     if left or (before.repeated and before.operators):
-        claims = evacuation_claims.without_returned(before.claims)
+        claims = evacuation_claims.without_restored(before.claims)
         return ZoneChange(zones, {**evacuations, zone: Evacuation(left, before.repeated, True, claims)})
     return reopen(zones, evacuations, zone)
 
 
 def reopen(zones: frozenset[str], evacuations: EvacuationTable, zone: str) -> ZoneChange:
-    """Without the zone, whoever evacuated it."""
+    """Returns the zones with one of them reopened, regardless of how many operators evacuated it."""
     others = {other: evacuation for other, evacuation in evacuations.items() if other != zone}
     return ZoneChange(zones - {zone}, others)
 
 
 def encode_evacuations(evacuations: EvacuationTable) -> list[list[object]]:
-    """The table as cbor2 carries it, without the claims: `encode_claims` has those, as only members need them.
+    """Encodes the table for CBOR without the claims, which only members need and `encode_claims` encodes.
 
-    Of one operator's evacuation the claims say all.
+    Zones evacuated by a single operator with a claim are left out, because the claims describe them completely.
     """
-    rows = [(zone, each) for zone, each in sorted(evacuations.items()) if not (each.is_plain() and each.claims)]
+    rows = [
+        (zone, each) for zone, each in sorted(evacuations.items()) if not (each.is_single_operator() and each.claims)
+    ]
     return [[zone, each.operators, each.repeated, each.returned] for zone, each in rows]
 
 
 def claim_table(evacuations: EvacuationTable) -> dict[str, Claims]:
-    """The claims of the zones that have any."""
+    """Returns the claims by zone; zones without claims are left out."""
     return {zone: evacuation.claims for zone, evacuation in evacuations.items() if evacuation.claims}
 
 
 def with_claims(zones: frozenset[str], evacuations: EvacuationTable, claims: Mapping[str, Claims]) -> EvacuationTable:
-    """A decoded table with its claims. Raises RemoteProtocolError for claims on a zone that is not evacuated."""
+    """Adds claims to a decoded table. Raises RemoteProtocolError for claims on a zone that is not evacuated."""
     if any(zone not in zones for zone in claims):
         raise RemoteProtocolError("claims")
     return {
@@ -194,10 +202,10 @@
 
 
 def decode_evacuations(rows: object, zones: frozenset[str]) -> EvacuationTable:
-    """The checked table. An older record has a zone's name once for each operator.
+    """Decodes and validates a table. Older records contain a zone's name once for each operator.
 
     Raises:
-        RemoteProtocolError: for what `encode_evacuations` does not make, or a zone that is not among `zones`.
+        RemoteProtocolError: for a malformed table, or for a zone that is not among `zones`.
     """
     if not isinstance(rows, list) or len(rows) > MAX_ROWS:
         raise RemoteProtocolError("evacuations")
@@ -211,7 +219,7 @@
 
 
 def _decode_row(row: object) -> tuple[str, Evacuation]:
-    """One zone and its checked evacuation. Raises RemoteProtocolError."""
+    """Decodes and validates one zone and its evacuation. Raises RemoteProtocolError."""
     match row:
         case [str() as zone, int() as operators, bool() as repeated, bool() as returned]:
             if 0 <= operators <= MAX_OPERATORS and (operators or returned):
--- a/rampfront/consensus/events.py
+++ b/rampfront/consensus/events.py
@@ -1,7 +1,7 @@
-"""The inputs of a member of the core, and the effects that it wants carried out.
+"""Inputs of a core member, and the effects that it requests.
 
-`Member.take` is given one input at a time and returns the effects, to be carried out in order. Times are whole
-nanoseconds of a steady clock. Both sets are closed: `Input` and `Effect` name all of their classes.
+`Member.take` processes one input at a time and returns the effects, which the caller carries out in order. Times are
+integer nanoseconds of a monotonic clock. Both sets are closed: `Input` and `Effect` list all of their classes.
 """
 
 from enum import StrEnum
@@ -13,34 +13,34 @@
 
 
 class OrderKind(StrEnum):
-    """What an operator wants of the core. The values go over the wire between nodes."""
+    """The kinds of orders. The values are sent between nodes."""
 
-    CONFIGURE = "config"  # a new configuration is to be committed
-    EVACUATE = "empty"  # a zone is to be evacuated
-    RESTORE = "fill"  # an evacuated zone is to be taken back
-    READ = "read"  # the committed state is wanted
-    ANSWER_DELIVERED = "got"  # an order on a zone: its caller has read the answer
-    ANSWER_LOST = "lost"  # an order on a zone: its caller never read the answer
+    CONFIGURE = "config"  # commit a new configuration
+    EVACUATE = "empty"  # evacuate a zone
+    RESTORE = "fill"  # restore an evacuated zone
+    READ = "read"  # read the committed state
+    ANSWER_DELIVERED = "got"  # report that the caller of a zone order has read the answer
+    ANSWER_LOST = "lost"  # report that the caller of a zone order never read the answer
 
 
 class Outcome(StrEnum):
-    """How an order ended. The values go over the wire between nodes."""
+    """The result of an order. The values are sent between nodes."""
 
     DONE = "done"  # committed (or read)
-    NOT_LEADER = "away"  # not taken, because this member does not lead
-    REJECTED = "refused"  # not taken, and never will be
-    UNKNOWN = "doubt"  # may or may not be committed yet
-    CONFLICT = "conflict"  # another content was confirmed under the configuration's number, so it never will be
+    NOT_LEADER = "away"  # not accepted, because this member is not the leader
+    REJECTED = "refused"  # not accepted; it will never be committed
+    UNKNOWN = "doubt"  # may already be committed, or may be committed later
+    CONFLICT = "conflict"  # other content was confirmed under this configuration number; it will never be committed
 
 
 @slotted
 class Tick:
-    """Time has passed; comes about every 100 ms."""
+    """Periodic timer input, about every 100 ms."""
 
 
 @slotted
 class MessageReceived:
-    """A frame came from the member or node at `ip`; `message` is the map as it came, unchecked."""
+    """A frame was received from the member or node at `ip`; `message` is the map as received, not validated."""
 
     ip: str
     message: dict[str, Any]
@@ -48,7 +48,7 @@
 
 @slotted
 class RecordStored:
-    """The record of `StoreRecord` with this `version` is durable, or could not be written."""
+    """The record of the `StoreRecord` with this `version` is durable, or writing it failed."""
 
     version: int
     succeeded: bool
@@ -56,11 +56,11 @@
 
 @slotted
 class Order:
-    """An operator's order. `ref` is the caller's, and comes back with `OrderEnded`.
+    """An operator's order. `ref` is opaque to the core and is returned in `OrderEnded`.
 
-    `body`: (revision, compressed bytes) of a configuration, the name of a zone, (zone, identity of the order) of a
-    report on an answer, or None for a read; unchecked. `identity`: of an order on a zone, by which reports name it; 0
-    for an older node's.
+    `body`: (revision, compressed bytes) for a configuration, the zone's name, (zone, identity of the order) for a
+    delivery report, or None for a read; not validated. `identity`: of a zone order, by which delivery reports refer to
+    it; 0 if an older node sent the order.
     """
 
     ref: object
@@ -71,12 +71,12 @@
 
 @slotted
 class Shutdown:
-    """The process is about to end: a leader hands over, and a follower no longer stands for election."""
+    """The process is shutting down: a leader transfers its leadership, and a follower starts no more elections."""
 
 
 @slotted
 class SendMessage:
-    """Send a frame to the member or node at `ip`; it may be lost."""
+    """Sends a frame to the member or node at `ip`; delivery is not guaranteed."""
 
     ip: str
     message: dict[str, Any]
@@ -84,7 +84,10 @@
 
 @slotted
 class StoreRecord:
-    """Make the record durable; `RecordStored` with the same `version` is owed. One is under way at a time."""
+    """Makes the record durable. The caller must answer with a `RecordStored` of the same `version`.
+
+    At most one store is in flight at a time.
+    """
 
     version: int
     record: bytes
@@ -92,7 +95,10 @@
 
 @slotted
 class OrderEnded:
-    """Answer an order. `state`: what is committed, with DONE and CONFLICT. `leader_ip`: with NOT_LEADER."""
+    """Reports the result of an order.
+
+    `state`: the committed state, with DONE and CONFLICT. `leader_ip`: the leader's address if known, with NOT_LEADER.
+    """
 
     ref: object
     outcome: Outcome
@@ -102,7 +108,7 @@
 
 @slotted
 class StateCommitted:
-    """A newer state is known to be committed."""
+    """Reports that a newer state is known to be committed."""
 
     state: State
 
--- a/rampfront/consensus/frame_decoder.py
+++ b/rampfront/consensus/frame_decoder.py
@@ -1,7 +1,7 @@
-"""From a frame to the message that it is, every field of it checked.
+"""Decodes frames into messages and validates every field.
 
-For each kind there is a row of `_FORMS`: the fields that must be there, and the function that builds the message. Keys
-that are not known are skipped, so that newer nodes may send more. Called by `Member` for each frame that comes.
+`_SCHEMAS` has an entry for each kind: the required fields, and the function that builds the message. Unknown keys are
+ignored, so that newer nodes may add fields. `Member` calls `decode` for each received frame.
 """
 
 from collections.abc import Callable
@@ -30,15 +30,15 @@
 
 MAX_KEYS = 16
 MAX_NUMBER = 1 << 53
-MAX_NAME_LETTERS = 200
-MAX_IP_LETTERS = 45
+MAX_NAME_CHARS = 200
+MAX_IP_CHARS = 45
 MAX_DIGEST_BYTES = 16
 POSITION_LENGTH = 2
 
 FieldCheck: TypeAlias = Callable[[object], bool]
 
 
-# Checks of single fields.
+# Validation of single fields.
 
 
 def _is_number(value: object) -> bool:
@@ -46,11 +46,11 @@
 
 
 def _is_name(value: object) -> bool:
-    return type(value) is str and 0 < len(value) <= MAX_NAME_LETTERS
+    return type(value) is str and 0 < len(value) <= MAX_NAME_CHARS
 
 
 def _is_ip(value: object) -> bool:
-    return type(value) is str and len(value) <= MAX_IP_LETTERS
+    return type(value) is str and len(value) <= MAX_IP_CHARS
 
 
 def _is_position(value: object) -> bool:
@@ -71,7 +71,7 @@
     return type(value) is list and len(value) <= 2 * MAX_NAMES and all(map(_is_ip, value))
 
 
-# From the wire: each function builds a message of a frame whose fields have been checked.
+# Each function below builds a message from a frame whose fields have been validated.
 
 
 def _sender(frame: Frame) -> MemberKey:
@@ -84,8 +84,8 @@
 
 
 def _join_request(frame: Frame) -> JoinRequest:
-    founding = bool(frame.get(wire.COUNTS_TOWARDS_SIZE))
-    return JoinRequest(_sender(frame), frame[wire.PASSWORD], founding, frame.get(wire.RECEIVER_INCARNATION))
+    is_initial_member = bool(frame.get(wire.IS_INITIAL_MEMBER))
+    return JoinRequest(_sender(frame), frame[wire.JOIN_TOKEN], is_initial_member, frame.get(wire.RECEIVER_INCARNATION))
 
 
 def _leader_query(frame: Frame) -> LeaderQuery:
@@ -98,7 +98,7 @@
         frame[wire.TERM],
         frame[wire.LEADER_IP],
         frame[wire.MEMBER_IPS],
-        frame[wire.PASSWORD],
+        frame[wire.JOIN_TOKEN],
         bool(frame[wire.IS_EXCLUDED]),
         frame.get(wire.RECEIVER_INCARNATION),
     )
@@ -169,39 +169,50 @@
     return LeadershipEnded(_sender(frame), frame[wire.RECEIVER_INCARNATION], frame[wire.TERM], hands_over)
 
 
-class _Form(NamedTuple):
-    """The fields that a kind must have, and what builds its message. Most are numbers, which are checked in one go."""
+class _MessageSchema(NamedTuple):
+    """The required fields of a kind, and the function that builds its message.
+
+    Most fields are numbers, which `decode` checks in one loop.
+    """
 
     numbers: tuple[str, ...]
     others: dict[str, FieldCheck]
     build: Callable[[Frame], Message]
 
 
-_NAMED: dict[str, FieldCheck] = {wire.SENDER_NAME: _is_name}
-_BOUND = (wire.SENDER_INCARNATION, wire.RECEIVER_INCARNATION, wire.TERM)
-_ROUND = (*_BOUND, wire.ROUND, wire.COMMIT_INDEX)
-_ACKNOWLEDGEMENT: dict[str, FieldCheck] = {**_NAMED, wire.POSITION: _is_position, wire.BODY_DIGEST: _is_digest}
-_FORMS: dict[str, _Form] = {
-    wire.JOIN_REQUEST: _Form((wire.SENDER_INCARNATION, wire.PASSWORD), _NAMED, _join_request),
-    wire.LEADER_QUERY: _Form((), {}, _leader_query),
-    wire.LEADER_HINT: _Form(
-        (wire.TERM, wire.PASSWORD, wire.IS_EXCLUDED),
+_SENDER_NAME: dict[str, FieldCheck] = {wire.SENDER_NAME: _is_name}
+_ADDRESSED_NUMBERS = (wire.SENDER_INCARNATION, wire.RECEIVER_INCARNATION, wire.TERM)
+_ROUND_NUMBERS = (*_ADDRESSED_NUMBERS, wire.ROUND, wire.COMMIT_INDEX)
+_ACKNOWLEDGEMENT_FIELDS: dict[str, FieldCheck] = {
+    **_SENDER_NAME,
+    wire.POSITION: _is_position,
+    wire.BODY_DIGEST: _is_digest,
+}
+_SCHEMAS: dict[str, _MessageSchema] = {
+    wire.JOIN_REQUEST: _MessageSchema((wire.SENDER_INCARNATION, wire.JOIN_TOKEN), _SENDER_NAME, _join_request),
+    wire.LEADER_QUERY: _MessageSchema((), {}, _leader_query),
+    wire.LEADER_HINT: _MessageSchema(
+        (wire.TERM, wire.JOIN_TOKEN, wire.IS_EXCLUDED),
         {wire.LEADER_IP: _is_ip, wire.MEMBER_IPS: _is_ip_list},
         _leader_hint,
     ),
-    wire.PRE_VOTE_REQUEST: _Form(_BOUND, {**_NAMED, wire.POSITION: _is_position}, _pre_vote_request),
-    wire.PRE_VOTE_GRANTED: _Form(_BOUND, _NAMED, _pre_vote_granted),
-    wire.VOTE_REQUEST: _Form(_BOUND, {**_NAMED, wire.POSITION: _is_position}, _vote_request),
-    wire.VOTE_GRANTED: _Form(_BOUND, _NAMED, _vote_granted),
-    wire.TERM_REJECTED: _Form((wire.TERM,), {}, _term_rejected),
-    wire.HEARTBEAT: _Form(_ROUND, _NAMED, _heartbeat),
-    wire.APPEND_ENTRY: _Form(_ROUND, {**_NAMED, wire.ENTRY: _is_list}, _append_entry),
-    wire.APPEND_ACKNOWLEDGED: _Form((*_BOUND, wire.ROUND), _ACKNOWLEDGEMENT, _append_acknowledged),
-    wire.LEADERSHIP_ENDED: _Form(_BOUND, _NAMED, _leadership_ended),
+    wire.PRE_VOTE_REQUEST: _MessageSchema(
+        _ADDRESSED_NUMBERS, {**_SENDER_NAME, wire.POSITION: _is_position}, _pre_vote_request
+    ),
+    wire.PRE_VOTE_GRANTED: _MessageSchema(_ADDRESSED_NUMBERS, _SENDER_NAME, _pre_vote_granted),
+    wire.VOTE_REQUEST: _MessageSchema(_ADDRESSED_NUMBERS, {**_SENDER_NAME, wire.POSITION: _is_position}, _vote_request),
+    wire.VOTE_GRANTED: _MessageSchema(_ADDRESSED_NUMBERS, _SENDER_NAME, _vote_granted),
+    wire.TERM_REJECTED: _MessageSchema((wire.TERM,), {}, _term_rejected),
+    wire.HEARTBEAT: _MessageSchema(_ROUND_NUMBERS, _SENDER_NAME, _heartbeat),
+    wire.APPEND_ENTRY: _MessageSchema(_ROUND_NUMBERS, {**_SENDER_NAME, wire.ENTRY: _is_list}, _append_entry),
+    wire.APPEND_ACKNOWLEDGED: _MessageSchema(
+        (*_ADDRESSED_NUMBERS, wire.ROUND), _ACKNOWLEDGEMENT_FIELDS, _append_acknowledged
+    ),
+    wire.LEADERSHIP_ENDED: _MessageSchema(_ADDRESSED_NUMBERS, _SENDER_NAME, _leadership_ended),
 }
-# May be left out of any kind, but must be right where they are.
+# Fields that any kind may omit, but that must be valid if present.
 _OPTIONAL: dict[str, FieldCheck] = {
-    wire.COUNTS_TOWARDS_SIZE: _is_number,
+    wire.IS_INITIAL_MEMBER: _is_number,
     wire.IS_SHUTTING_DOWN: _is_number,
     wire.SUCCESSOR: _is_number,
     wire.RECEIVER_INCARNATION: _is_number,
@@ -213,25 +224,27 @@
 
 
 def decode(frame: object) -> Message:
-    """The message of a frame, every field of it checked.
+    """Decodes a frame and validates every field.
 
-    Raises RemoteProtocolError for a frame that no member would send.
+    Raises RemoteProtocolError for an invalid frame.
     """
     if not isinstance(frame, dict) or len(frame) > MAX_KEYS:
-        raise RemoteProtocolError("no map")
+        raise RemoteProtocolError("frame is not a map, or has too many keys")
     kind = frame.get(wire.KIND)
-    form = _FORMS.get(kind) if type(kind) is str else None
-    if form is None:
-        raise RemoteProtocolError("kind")
-    for key in form.numbers:
+    schema = _SCHEMAS.get(kind) if type(kind) is str else None
+    if schema is None:
+        raise RemoteProtocolError("unknown message kind")
+    for key in schema.numbers:
         value = frame.get(key)
         if type(value) is not int or not 0 <= value < MAX_NUMBER:
             raise RemoteProtocolError(f"{kind}: {key}")
-    for key, is_valid in form.others.items():
+    for key, is_valid in schema.others.items():
         if not is_valid(frame.get(key)):
             raise RemoteProtocolError(f"{kind}: {key}")
-    if len(frame) > len(form.numbers) + len(form.others) + 1:  # more than the kind and what it must have
+    if (
+        len(frame) > len(schema.numbers) + len(schema.others) + 1
+    ):  # there are more keys than the kind and the required fields
         for key, is_valid in _OPTIONAL.items():
             if key in frame and not is_valid(frame[key]):
                 raise RemoteProtocolError(f"{kind}: {key}")
-    return form.build(frame)
+    return schema.build(frame)
--- a/rampfront/consensus/frame_encoder.py
+++ b/rampfront/consensus/frame_encoder.py
@@ -1,7 +1,7 @@
-"""From a message to the frame that the transport carries.
+"""Encodes messages into frames for the transport.
 
-The order of the keys is part of the form, and what is optional is left out where it says nothing: old and new nodes run
-mixed, and frames are compared byte by byte in tests. Called by `MemberContext.send`.
+The order of the keys is part of the format, and optional fields are omitted when they have their default value: nodes
+of different versions run together, and tests compare frames byte by byte. `MemberContext.send` calls `encode`.
 """
 
 from typing import TypeAlias, assert_never
@@ -28,8 +28,8 @@
 
 
 def encode(message: Message) -> Frame:
-    """The map that the transport carries."""
-    match message:  # what goes with every round first
+    """Encodes a message into the map that the transport sends."""
+    match message:  # the messages of each heartbeat round come first, as they are the most frequent
         case Heartbeat():
             return _round_frame(wire.HEARTBEAT, message)
         case AppendAcknowledged():
@@ -49,13 +49,13 @@
 def _election_frame(message: ElectionMessage) -> Frame:
     match message:
         case PreVoteRequest():
-            return {**_bound_frame(wire.PRE_VOTE_REQUEST, message), wire.POSITION: list(message.position)}
+            return {**_addressed_frame(wire.PRE_VOTE_REQUEST, message), wire.POSITION: list(message.position)}
         case PreVoteGranted():
-            return _bound_frame(wire.PRE_VOTE_GRANTED, message)
+            return _addressed_frame(wire.PRE_VOTE_GRANTED, message)
         case VoteRequest():
             return _vote_request_frame(message)
         case VoteGranted():
-            return _bound_frame(wire.VOTE_GRANTED, message)
+            return _addressed_frame(wire.VOTE_GRANTED, message)
         case TermRejected():
             return {wire.KIND: wire.TERM_REJECTED, wire.TERM: message.term}
         case _:
@@ -74,7 +74,7 @@
             assert_never(message)
 
 
-_Bound: TypeAlias = (
+_AddressedMessage: TypeAlias = (
     PreVoteRequest
     | PreVoteGranted
     | VoteRequest
@@ -86,8 +86,8 @@
 )
 
 
-def _bound_frame(kind: str, message: _Bound) -> Frame:
-    """Of a kind that is bound to its sender, to one incarnation of its receiver, and to a term."""
+def _addressed_frame(kind: str, message: _AddressedMessage) -> Frame:
+    """Builds a frame of a kind that names its sender, one incarnation of its receiver, and a term."""
     return {
         wire.KIND: kind,
         wire.SENDER_NAME: message.sender.name,
@@ -98,7 +98,7 @@
 
 
 def _round_frame(kind: str, message: Heartbeat | AppendEntry) -> Frame:
-    """Of a message with which a leader counts a round."""
+    """Builds a frame of a message that belongs to a leader's heartbeat round."""
     sender = message.sender
     return {
         wire.KIND: kind,
@@ -139,7 +139,7 @@
 
 
 def _vote_request_frame(message: VoteRequest) -> Frame:
-    frame = _bound_frame(wire.VOTE_REQUEST, message)
+    frame = _addressed_frame(wire.VOTE_REQUEST, message)
     frame[wire.POSITION] = list(message.position)
     if message.is_named_successor:
         frame[wire.SUCCESSOR] = 1
@@ -147,7 +147,7 @@
 
 
 def _leadership_ended_frame(message: LeadershipEnded) -> Frame:
-    frame = _bound_frame(wire.LEADERSHIP_ENDED, message)
+    frame = _addressed_frame(wire.LEADERSHIP_ENDED, message)
     if message.hands_over_to_receiver is not None:
         frame[wire.SUCCESSOR] = int(message.hands_over_to_receiver)
     return frame
@@ -158,10 +158,10 @@
         wire.KIND: wire.JOIN_REQUEST,
         wire.SENDER_NAME: message.sender.name,
         wire.SENDER_INCARNATION: message.sender.incarnation,
-        wire.PASSWORD: message.password,
+        wire.JOIN_TOKEN: message.join_token,
     }
-    if message.counts_towards_size:
-        frame[wire.COUNTS_TOWARDS_SIZE] = 1
+    if message.is_initial_member:
+        frame[wire.IS_INITIAL_MEMBER] = 1
     return frame
 
 
@@ -179,7 +179,7 @@
         wire.TERM: message.term,
         wire.LEADER_IP: message.leader_ip,
         wire.MEMBER_IPS: message.member_ips,
-        wire.PASSWORD: message.password,
+        wire.JOIN_TOKEN: message.join_token,
         wire.IS_EXCLUDED: int(message.receiver_is_excluded),
     }
     if message.receiver_is_excluded:
--- a/rampfront/consensus/identifiers.py
+++ b/rampfront/consensus/identifiers.py
@@ -1,27 +1,30 @@
-"""The small types that all of the package speaks in: terms, log positions, members, points in time."""
+"""Basic types used throughout the package: terms, log positions, members and times."""
 
 from typing import NamedTuple, TypeAlias
 
 MS = 10**6  # ns
 SEC = 10**9  # ns
 
-TimeNs: TypeAlias = int  # a point on one process's steady clock; two processes' clocks have nothing in common
+TimeNs: TypeAlias = int  # a time on one process's monotonic clock; not comparable between processes
 DurationNs: TypeAlias = int
 Term: TypeAlias = int  # Raft's term: at most one leader is elected in each (Raft paper, section 5.1)
 LogIndex: TypeAlias = int
-Incarnation: TypeAlias = int  # drawn when a member's disk is empty, so a lost disk makes another incarnation
-RoundNumber: TypeAlias = int  # of a leader's heartbeat rounds, counted anew in each term
+Incarnation: TypeAlias = int  # drawn when a member's disk is empty, so a lost disk results in a new incarnation
+RoundNumber: TypeAlias = int  # number of a leader's heartbeat round; restarts in each term
 
 
 class MemberKey(NamedTuple):
-    """Who votes: a name with an incarnation. One that lost its disk has promised nothing, so it is another key."""
+    """Identity of a voter: a name and an incarnation.
+
+    A member that lost its disk no longer knows its earlier votes, so it continues under a different key.
+    """
 
     name: str
     incarnation: Incarnation
 
 
 class MemberAddress(NamedTuple):
-    """Where a member is reached, and which incarnation of its name is meant."""
+    """IP address and incarnation of a member."""
 
     ip: str
     incarnation: Incarnation
@@ -31,10 +34,10 @@
 
 
 class LogPosition(NamedTuple):
-    """Where an entry stands in the log. Entries are ordered by term, then by index (Raft paper, section 5.4.1)."""
+    """Position of an entry in the log. Entries are ordered by term, then by index (Raft paper, section 5.4.1)."""
 
     term: Term
-    entry_index: LogIndex  # `index` would hide the method of tuples
+    entry_index: LogIndex  # a field named `index` would shadow `tuple.index`
 
 
 NO_POSITION = LogPosition(0, 0)  # before the first entry
--- a/rampfront/consensus/leader.py
+++ b/rampfront/consensus/leader.py
@@ -1,18 +1,21 @@
-"""A member while it leads: it proposes entries, commits them, and answers orders. It ends with its term.
+"""The leader role of a member: proposes entries, commits them and answers orders, for the duration of one term.
 
-Raft's leader (paper, section 5.3), with a log of one entry: at most one entry is under way, and the next is proposed
-only once it is committed, so orders that come meanwhile share the next one. The parts: `Replication` brings the entry
-to the others, `HeartbeatRounds` tell whether a majority still follows, `OrderQueue` and `OrderApplication` carry out
-orders, `MembershipChange` says who is added or removed next, `LeadershipTransfer` hands over.
+This is Raft's leader (paper, section 5.3) with a log of one entry. At most one entry is in flight, and the next one is
+proposed only once it is committed; orders that arrive meanwhile are batched into the next entry. The components:
+`Replication` sends entries to the other members, `HeartbeatRounds` determines whether a majority still follows,
+`OrderQueue` and `OrderApplication` process orders, `MembershipChange` selects the next member to add or remove, and
+`LeadershipTransfer` handles a planned handover.
 
 Invariants:
 
-- The entry found at the election is proposed anew in the own term before anything is committed or read (section 5.4.2).
-- An entry is committed once it is on the disks of a majority; the leader counts itself only by its own disk.
-- Orders and changes of members take turns, and a change of members begins only while no other one is under way.
+- The entry found at the election is proposed again in the leader's own term before anything is committed or read
+  (section 5.4.2).
+- An entry is committed once it is on the disks of a majority; the leader counts itself only once its own write is
+  durable.
+- Orders and membership changes alternate, and a membership change begins only while no other one is in progress.
 
-`Member` calls it, and ends it when `is_expired`, `may_step_down` or `excludes_itself` says so. A leader that is not
-counted by its own entry any more still leads until that is committed (section 6).
+`Member` calls the leader and discards it when `is_expired`, `may_step_down` or `excludes_itself` is true. A leader that
+is not in the member list of its own entry keeps leading until that entry is committed (section 6).
 """
 
 from typing import Unpack
@@ -24,7 +27,7 @@
 from .heartbeat_rounds import HeartbeatRounds
 from .identifiers import SEC, MemberKey, TimeNs
 from .leader_discovery import LeaderDiscovery
-from .leadership_transfer import LeadershipTransfer, most_caught_up
+from .leadership_transfer import LeadershipTransfer, most_up_to_date
 from .membership_change import MembershipChange, MembershipView, Step
 from .messages import AppendAcknowledged, JoinRequest, LeadershipEnded
 from .order_application import OrderApplication, PendingOrder, pending_order
@@ -34,11 +37,11 @@
 from .replication import Replication
 from .state import State, StateChanges
 
-FOUNDING_NS = 5 * SEC  # for which a core that knows nothing yet waits for more members before it takes orders
+BOOTSTRAP_WAIT_NS = 5 * SEC  # how long an empty core waits for more members before it accepts orders
 
 
 class Leader:
-    """One member's leadership in one term. Its parts are public for tests alone."""
+    """One member's leadership in one term. Its components are public only for tests."""
 
     def __init__(
         self,
@@ -46,14 +49,14 @@
         persistent: PersistentState,
         electorate: Electorate,
         discovery: LeaderDiscovery,
-        password: int,
+        join_token: int,
     ) -> None:
-        """`password`: what those who ask to join must name, so that late requests of former terms count for nothing."""
+        """`join_token`: must be in join requests, so that delayed requests from earlier terms are ignored."""
         self.context = context
         self.persistent = persistent
         self._electorate = electorate
         self._discovery = discovery
-        self.password = password
+        self.join_token = join_token
         self._began_at = context.now
         self._own = persistent.key
         self._term = persistent.term
@@ -66,38 +69,41 @@
         self._orders = OrderQueue(context, persistent)
         self._application = OrderApplication(repeat_window)
         self._transfer = LeadershipTransfer()
-        self._last_was_for_orders = False  # the last entry: a change of members has its turn then
+        self._last_entry_had_orders = False  # if so, a membership change goes before further orders
 
-    # What is known.
+    # Status.
 
     @property
     def quorum_confirmed_at(self) -> TimeNs | None:
-        """All that was acknowledged anywhere before then is in the committed state here; None if that is not known."""
+        """Time up to which the local committed state contains everything that any member acknowledged.
+
+        None until this leader has committed an entry and confirmed a round.
+        """
         return self.rounds.confirmed_at if self.replication.commit_index and self.rounds.confirmed else None
 
     @property
     def may_step_down(self) -> bool:
-        """Whether a leader that is about to end gives up now."""
+        """Whether a leadership transfer has begun and the leader may step down now."""
         return self._transfer.has_begun and self._transfer.is_due(self._is_entry_committed(), self.context.now)
 
     @property
     def excludes_itself(self) -> bool:
-        """Whether it is committed that this leader is no member: it was elected while the change was under way."""
+        """Whether this leader's removal is committed; it may be elected while the change is still in progress."""
         return self.excludes(self._own)
 
     def is_expired(self, now: TimeNs) -> bool:
-        """Whether no majority has answered for so long that another member may lead."""
+        """Whether no round has been confirmed for so long that another member may have become the leader."""
         return self.rounds.is_expired(now)
 
     def excludes(self, key: MemberKey) -> bool:
-        """Whether it is committed that this incarnation is no member: it may give up what it promised."""
+        """Whether it is committed that this incarnation is not a member, so that it may discard its votes and entry."""
         committed = self.persistent.committed
         if committed is None or self.quorum_confirmed_at is None:
             return False
         return not committed.has_member(*key) and not self._entry().has_member(*key)
 
     def _entry(self) -> State:
-        """The newest entry; a leader always has one."""
+        """Returns the newest entry; a leader always has one."""
         entry = self.persistent.entry
         assert entry is not None
         return entry
@@ -109,18 +115,18 @@
     # Beginning and end.
 
     def begin(self) -> None:
-        """Proposes the entry found anew: only what is agreed in its own term counts for a leader."""
+        """Proposes the existing entry again in this term: a leader may commit only entries of its own term directly."""
         self.replication.remember_versions(self._entry())
         found = self._electorate.state()
         target_size = found.target_size or len(found.members)  # an older record has none
         self._propose(members=found.members, previous_members=found.previous_members, target_size=target_size)
 
     def begin_transfer(self) -> None:
-        """Takes nothing new from here on, and gives up once all is committed, or a little later."""
+        """Stops accepting orders; the leader steps down once its entry is committed, or after `HANDOVER_NS`."""
         self._transfer.begin(self.context.now)
 
     def close(self) -> None:
-        """Tells all that it leads no longer; pending orders are answered."""
+        """Announces the end of the leadership to all members and answers pending orders."""
         successor = self._successor()
         for key, replica in self.replication.replicas.items():
             hands_over = None if successor is None else key == successor
@@ -129,18 +135,18 @@
         self._orders.abandon()
 
     def _successor(self) -> MemberKey | None:
-        """Which member is to stand for election at once; None unless this leader ends in order."""
+        """Returns the member that is to start an election at once; None unless this is an orderly handover."""
         if not self.context.is_shutting_down and not self.excludes_itself:
             return None
         silent = self.replication.silent_keys()
         replicas = self.replication.replicas
         answering = {key: replica for key, replica in replicas.items() if key not in silent}
-        return most_caught_up(self._entry(), answering)
+        return most_up_to_date(self._entry(), answering)
 
     # Rounds and acknowledgements.
 
     def tick(self) -> None:
-        """To be called about ten times a second."""
+        """Sends heartbeats and handles timeouts; called about ten times a second."""
         now = self.context.now
         if self.rounds.is_due(now) or self._orders.needs_round(self.rounds.current):
             self._start_round()
@@ -151,7 +157,7 @@
         self.strength_monitor.watch(self._entry(), self._is_entry_committed(), now)
 
     def acknowledged(self, message: AppendAcknowledged) -> None:
-        """A member or learner has answered a round."""
+        """Handles the answer of a member or learner to a round."""
         if self.replication.acknowledged(message):
             self._confirm_rounds()
             self.advance_commit()
@@ -162,42 +168,42 @@
         self._confirm_rounds()
 
     def _confirm_rounds(self) -> None:
-        """Looks for the newest round that a majority answered, this leader being one of them."""
+        """Confirms the newest round that a majority answered; this leader counts as one of the majority."""
         electorate = self._electorate.state()
         self.rounds.confirm(lambda number: electorate.has_quorum({self._own, *self.replication.keys_in_round(number)}))
 
     # Entries.
 
     def _propose(self, **changes: Unpack[StateChanges]) -> None:
-        """The next entry. Unless `changes` say otherwise, no change of members is under way in it."""
+        """Proposes the next entry; unless `changes` has `previous_members`, it has no membership change in progress."""
         proposal: StateChanges = {"previous_members": None, **changes, "term": self._term}
         entry = self._entry().next_entry(**proposal)
         self.persistent.append(entry)
         self.replication.remember_versions(entry)
-        had_replicas = self.replication.replace_members(entry)
+        had_replicas = self.replication.set_replicas(entry)
         self.rounds.start(self.context.now)
         self.replication.broadcast_entry(entry, is_first=not had_replicas)
         self._confirm_rounds()
         self.advance_commit()
 
     def advance_commit(self) -> None:
-        """Looks whether the entry is committed now; if so, the next one may follow."""
+        """Commits the entry if a majority has it on disk; if it is committed, proposes the next one if there is one."""
         entry = self._entry()
         if self._is_entry_committed():
             self._answer()
-            self._go_on()
-        elif not entry.has_quorum(self._keys_with(entry)):
+            self._propose_next()
+        elif not entry.has_quorum(self._keys_holding(entry)):
             self._answer()
         else:
             self.replication.commit(entry)
             self.persistent.commit(entry)
             self._answer()
-            if not self._go_on():
-                self._start_round()  # tells the others what is committed
+            if not self._propose_next():
+                self._start_round()  # sends the new commit index to the other members
 
-    def _keys_with(self, entry: State) -> set[MemberKey]:
-        """Who has the entry on disk."""
-        keys = self.replication.keys_with(entry.position)
+    def _keys_holding(self, entry: State) -> set[MemberKey]:
+        """Returns the keys of the members that have the entry on disk, including this leader if it has."""
+        keys = self.replication.keys_holding(entry.position)
         durable = self.persistent.durable.entry
         if durable is not None and durable.position == entry.position:
             keys.add(self._own)
@@ -206,20 +212,24 @@
     def _answer(self) -> None:
         self._orders.answer(self.replication.commit_index, self.rounds.confirmed)
 
-    def _go_on(self) -> bool:
-        """Proposes the next entry, if one is wanted. Orders and members take turns; members of before go last."""
+    def _propose_next(self) -> bool:
+        """Proposes the next entry if there is a reason for one; returns whether it did.
+
+        Orders and membership changes alternate. An entry that only drops the previous member list has the lowest
+        priority, since any other entry drops it as well.
+        """
         if not self._is_entry_committed() or self._transfer.has_begun:
             return False
         entry = self._entry()
         orders = self._orders.waiting() if self._takes_orders() else []
         is_changing = entry.previous_members is not None
-        step = self._next_step() if not orders or self._last_was_for_orders or is_changing else None
+        step = self._next_step() if not orders or self._last_entry_had_orders or is_changing else None
         if step is not None:
-            self._last_was_for_orders = False
+            self._last_entry_had_orders = False
             self._propose(members=step.members, previous_members=step.previous_members, target_size=step.target_size)
         elif orders:
-            self._last_was_for_orders = True
-            self._carry_out(orders)
+            self._last_entry_had_orders = True
+            self._propose_orders(orders)
         elif is_changing:
             self._propose()
         else:
@@ -235,7 +245,7 @@
         return self.membership.next_step(view)
 
     def _reopen_zone(self, entry: State) -> bool:
-        """Opens a zone that nobody certain keeps evacuated any more; returns whether there was one."""
+        """Reopens a zone that no certain operator keeps evacuated any more; returns whether there was one."""
         reopened = self._application.reopen_expired_zone(entry, self.context.now)
         if reopened is None:
             return False
@@ -245,46 +255,51 @@
     # Orders.
 
     def submit(self, order: Order) -> None:
-        """Takes an operator's order, which may come from any node."""
+        """Accepts or rejects an operator's order; any node may have forwarded it."""
         entry, now = self._entry(), self.context.now
         pending = None if self._orders.is_full else pending_order(order, entry, now)
         if pending is None:
             self.context.end_order(order.ref, Outcome.REJECTED)
             return
-        is_first = not self._orders.waiting()  # none waits that might turn round what this one finds
+        is_first = (
+            not self._orders.waiting()
+        )  # otherwise an earlier order may change the state that this one is based on
         self._orders.add(pending)
         is_read = pending.kind is OrderKind.READ
-        if is_read or (is_first and self._changes_nothing_under_way(pending)):
-            pending.ends_as(self._application.outcome(entry, pending))
+        if is_read or (is_first and self._is_applied_by_pending_entry(pending)):
+            pending.set_outcome(self._application.outcome(entry, pending))
             self._application.note(pending, entry, entry, now)
             self._await_round([pending], 0 if is_read else entry.index)
         else:
-            self._go_on()
+            self._propose_next()
 
     def _takes_orders(self) -> bool:
-        """Guards against an acknowledgement by a core that is still too small to bear a loss."""
+        """Whether orders are accepted: a core too small to tolerate a loss must not acknowledge its first ones."""
         entry = self._entry()
         has_orders = entry.revision > 0 or bool(entry.evacuated_zones)
-        bears_loss = len(entry.members) > 2 * self.context.settings.survive
-        return has_orders or bears_loss or self.context.now - self._began_at >= FOUNDING_NS
+        tolerates_loss = len(entry.members) > 2 * self.context.settings.survive
+        return has_orders or tolerates_loss or self.context.now - self._began_at >= BOOTSTRAP_WAIT_NS
 
-    def _changes_nothing_under_way(self, order: PendingOrder) -> bool:
-        """Whether an entry is under way that already has what the order wants."""
+    def _is_applied_by_pending_entry(self, order: PendingOrder) -> bool:
+        """Whether the entry in flight already contains the result of the order."""
         if self._is_entry_committed() or not self.replication.commit_index:
             return False
         entry = self._entry()
         return self._application.apply(entry, order, self.context.now) is entry
 
     def _await_round(self, orders: list[PendingOrder], index: int) -> None:
-        """They change nothing: answered once a majority has answered a round that began after them. So is a CONFLICT:
-        a leader that is deposed unawares may have what is never committed, and the order that it denies may yet be."""
+        """Answers orders that change nothing once a round that begins after them is confirmed.
+
+        A CONFLICT also waits for such a round: a leader that has been deposed without noticing may hold an entry that
+        is never committed, and the order that conflicts with it may still be committed by the new leader.
+        """
         self._orders.await_round(orders, index, self.rounds.current + 1)
         if self.rounds.may_start(self.context.now):
             self._start_round()
             self._answer()
 
-    def _carry_out(self, orders: list[PendingOrder]) -> None:
-        """One entry for all that wait, as far as they may share one."""
+    def _propose_orders(self, orders: list[PendingOrder]) -> None:
+        """Proposes one entry for as many of the waiting orders as may share one."""
         entry = self._entry()
         batch = self._application.batch(entry, orders, self.context.now)
         state = batch.state
@@ -300,27 +315,27 @@
         if batch.unchanged:
             self._await_round(batch.unchanged, 0)
 
-    # Newcomers.
+    # Joining members.
 
     def receive_join_request(self, ip: str, request: JoinRequest) -> None:
-        """One that is no member asks to become a member: it becomes a learner, and is sent what it lacks."""
+        """Handles a non-member's request to join: it becomes a learner and is sent the newest entry."""
         sender = request.sender
         if not self.membership.admits(sender):
             if self.membership.is_retired(sender.incarnation) and self.excludes(sender):
-                # A newcomer may be cut off before it learns that it was added, and be removed again by now.
+                # The sender may have been partitioned before it learned that it was added, and been removed since.
                 self._discovery.send_hint(ip, excluded=sender.incarnation)
             return
-        if request.password != self.password:
+        if request.join_token != self.join_token:
             self._discovery.send_hint(ip)
             return
-        learner = self.membership.enrol(sender, ip, request.counts_towards_size)
-        learner.replica.requested_to_join(ip, self.context.now)
+        learner = self.membership.add_learner(sender, ip, request.is_initial_member)
+        learner.replica.record_join_request(ip, self.context.now)
         if not learner.replica.sent_at:
             self.replication.send_entry(learner.key, learner.replica)
-        self._go_on()
+        self._propose_next()
 
-    # For operators.
+    # Operator status.
 
     def strength(self, now: TimeNs) -> CoreStrength:
-        """The strength of the core at this moment."""
+        """Returns the membership status of the core at time `now`."""
         return self.strength_monitor.strength(self._entry(), now)
--- a/rampfront/consensus/leadership_transfer.py
+++ b/rampfront/consensus/leadership_transfer.py
@@ -1,10 +1,11 @@
-"""How a leader that is about to end hands over (leadership transfer, Ongaro's dissertation, section 3.10).
+"""Leadership transfer of a leader that is shutting down or was removed (Ongaro's dissertation, section 3.10).
 
-It takes no new orders, waits until what it proposed is committed, but no longer than `HANDOVER_NS`, and then names the
-most caught-up member in its `LeadershipEnded`. That one stands for election at once, without a time-out, and gets
-votes although the leader was live a moment ago. The other members wait a little longer before they stand.
+The leader accepts no new orders, waits until its entry is committed, but no longer than `HANDOVER_NS`, and then names
+the most up-to-date member in its `LeadershipEnded` message. That member starts an election at once, without a timeout,
+and receives votes although the leader was live a moment ago. The other members wait a little longer before they start
+an election.
 
-No I/O, no clock. Called by `Leader`.
+No I/O, no clock. `Leader` calls this module.
 """
 
 from collections.abc import Mapping
@@ -13,32 +14,32 @@
 from .replica_progress import ReplicaProgress
 from .state import State
 
-HANDOVER_NS = 300 * MS
+HANDOVER_NS = 300 * MS  # how long a departing leader waits for its entry to be committed
 
 
 class LeadershipTransfer:
-    """The handover of one leader, once it has begun."""
+    """State of one leader's transfer."""
 
     def __init__(self) -> None:
-        """Not begun."""
+        """Creates a transfer that has not begun."""
         self._deadline: TimeNs | None = None
 
     @property
     def has_begun(self) -> bool:
-        """Whether the leader is about to end."""
+        """Whether the transfer has begun."""
         return self._deadline is not None
 
     def begin(self, now: TimeNs) -> None:
-        """The leader is about to end."""
+        """Begins the transfer."""
         self._deadline = now + HANDOVER_NS
 
     def is_due(self, is_committed: bool, now: TimeNs) -> bool:
-        """Whether the leader gives up now. `is_committed`: all that it proposed is committed."""
+        """Whether the leader is to step down now. `is_committed`: whether its newest entry is committed."""
         return self._deadline is not None and (is_committed or now >= self._deadline)
 
 
-def most_caught_up(entry: State, answering: Mapping[MemberKey, ReplicaProgress]) -> MemberKey | None:
-    """The successor: of the members that answer and stay, the one whose disk has the newest entry."""
+def most_up_to_date(entry: State, answering: Mapping[MemberKey, ReplicaProgress]) -> MemberKey | None:
+    """Returns the successor: the responsive member with the newest entry on disk that is not shutting down itself."""
     staying = {
         key: replica
         for key, replica in answering.items()
@@ -52,6 +53,6 @@
 
 
 def _is_current_member(entry: State, key: MemberKey) -> bool:
-    """By the newest list alone, not by the one before a change."""
+    """Whether the key is in the newest member list, disregarding the list before a change in progress."""
     address = entry.members.get(key.name)
     return address is not None and address.incarnation == key.incarnation
--- a/rampfront/consensus/member.py
+++ b/rampfront/consensus/member.py
@@ -1,12 +1,13 @@
-"""One member of the core, as its process sees it: `take(now, event)` returns the effects to be carried out in order.
+"""The public interface of a core member: `take(now, event)` returns the effects to be carried out in order.
 
-Nothing here reads a clock or does I/O; times are ns of a steady clock. This module only passes each input on to the
-part that decides (`__init__.py` says which).
+This module does no I/O and reads no clock; times are ns of a monotonic clock. It only passes each input to the
+component that handles it (see `__init__.py` for the list).
 
 Invariants:
 
-- An input is handled whole before the next one, and before any is, a leader without a majority behind it steps down.
-- A message with a wrong field raises RemoteProtocolError and changes nothing; the caller counts it.
+- An input is handled completely before the next one. Before any input is handled, a leader whose lease has expired
+  steps down.
+- A message with an invalid field raises RemoteProtocolError and changes nothing; the caller counts it.
 """
 
 from collections.abc import Sequence
@@ -37,99 +38,104 @@
 
 
 class Member:
-    """A member of the core, or a node without a disk that only finds the leader. `roles` is public for tests alone."""
+    """A core member, or a node without a disk that only locates the leader. `roles` is public only for tests."""
 
     def __init__(self, settings: MemberSettings, record: bytes | None, random: Random, now: TimeNs) -> None:
-        """`record`: what the disk held, or None.
+        """Restores the member from `record`, the record on disk, or initializes it if `record` is None.
 
-        `random` must be seeded by chance that a restart does not repeat: incarnations come from it.
+        `random` must be seeded differently at each start, because incarnations are drawn from it.
 
-        Raises RecordError for a record that this member can't have stored.
+        Raises RecordError for a record that this member cannot have stored.
         """
         self._context = MemberContext(settings, random, now)
-        first_deadline = now + self._context.draw(START_TIMEOUT)  # drawn before an incarnation is: recorded runs replay
+        first_deadline = now + self._context.draw(
+            START_TIMEOUT
+        )  # drawn before the incarnation, so recorded runs replay
         self._persistent = PersistentState(self._context, record)
         if record is None and self._persistent.entry is not None:
-            first_deadline = now  # the founder has nobody to wait for
+            first_deadline = now  # the first member of a new core need not wait for a leader
         self.roles = Roles(self._context, self._persistent, record is None, first_deadline)
         self._messages = MessageHandler(self.roles)
 
-    # What the caller reads.
+    # Status for the caller.
 
     @property
     def name(self) -> str:
-        """As in the settings."""
+        """Name of this member in the settings."""
         return self._context.settings.name
 
     @property
     def incarnation(self) -> Incarnation:
-        """Of this member's disk; 0 without one."""
+        """Incarnation of this member; 0 without a disk."""
         return self._persistent.incarnation
 
     @property
     def term(self) -> Term:
-        """The newest that this member knows."""
+        """The newest term that this member knows."""
         return self._persistent.term
 
     @property
     def entry(self) -> State | None:
-        """The newest one here; it may never be committed."""
+        """The newest local entry; it may never be committed."""
         return self._persistent.entry
 
     @property
     def committed(self) -> State | None:
-        """The newest state that is known here to be committed."""
+        """The newest state that this member knows to be committed."""
         return self._persistent.committed
 
     @property
     def leader_ip(self) -> str | None:
-        """Who leads as far as this member knows, itself included."""
+        """Address of the leader as far as this member knows; possibly its own."""
         return self.roles.discovery.leader_ip
 
     @property
     def is_leader(self) -> bool:
-        """Whether this member leads."""
+        """Whether this member is the leader."""
         return self.roles.leader is not None
 
     @property
     def quorum_confirmed_at(self) -> TimeNs | None:
-        """All that was acknowledged anywhere before this time is in `committed`. None unless this member leads."""
+        """Time up to which `committed` contains everything that any member acknowledged.
+
+        None unless this member is the leader and has confirmed it.
+        """
         return self.roles.leader.quorum_confirmed_at if self.roles.leader is not None else None
 
     @property
     def seeds(self) -> list[str]:
-        """Ips to ask who leads."""
+        """Addresses to query for the leader."""
         return self._context.seeds
 
     @seeds.setter
     def seeds(self, ips: Sequence[str]) -> None:
-        """They may change at any time."""
+        """Replaces the seeds; allowed at any time."""
         self._context.change_seeds(ips)
 
     def is_leadership_expired(self, now: TimeNs) -> bool:
-        """Whether it leads without a majority behind it: the next `take`, of whatever, makes it step down."""
+        """Whether this member is a leader with an expired lease; it then steps down at the next `take`."""
         return self.roles.leader is not None and self.roles.leader.is_expired(now)
 
     def core_strength(self, now: TimeNs) -> CoreStrength | None:
-        """What the leader knows of the core's members; None unless this member leads."""
+        """Returns the membership status of the core; None unless this member is the leader."""
         return self.roles.leader.strength(now) if self.roles.leader is not None else None
 
     @property
     def node_ips(self) -> list[str]:
-        """Of all nodes that this member knew lately, before its restart too."""
+        """Addresses of all nodes that this member knew recently, including before a restart."""
         return self._persistent.node_ips
 
     def remember_nodes(self, ips: list[str]) -> None:
-        """Keeps the addresses of all nodes that there are, for a leader that finds none behind a loss of power of all.
+        """Stores the addresses of all current nodes, so that a leader knows them after all machines lost power.
 
-        They go to disk with the next input.
+        They are written to disk with the next input.
         """
         self._persistent.remember_nodes(ips)
 
     # Inputs.
 
     def take(self, now: TimeNs, event: Input | None) -> list[Effect]:
-        """Handles one input and returns what is to be done, in order. None comes first of all, at the start."""
+        """Handles one input and returns the effects, in order. The first input after the start must be None."""
         self._context.begin(now)
         roles = self.roles
         if roles.leader is not None and roles.leader.is_expired(now):
@@ -188,7 +194,7 @@
             return
         self.roles.responses.release(durable)
         if durable.term == self._persistent.term and self.roles.election.own_vote_stored():
-            self.roles.lead()
+            self.roles.become_leader()
         if self.roles.leader is not None:
             self.roles.leader.advance_commit()
 
--- a/rampfront/consensus/membership_change.py
+++ b/rampfront/consensus/membership_change.py
@@ -1,24 +1,24 @@
-"""How the list of the core's members changes: who is added, exchanged or removed. No I/O, no clock.
+"""Membership changes of the core: selects which member to add, replace or remove next. No I/O, no clock.
 
 The method is joint consensus, one change at a time (D. Ongaro, J. Ousterhout, "In Search of an Understandable
 Consensus Algorithm", section 6; learners: Ongaro's dissertation, section 4.2.1). The leader proposes an entry with the
 new list in `members` and the old one in `previous_members`. It is committed once a majority of each list has it on
-disk, and only then does the next entry drop the old list. `Leader` calls `next_step` while nothing else is under way
-and an entry of its own term is committed.
+disk, and only then does the next entry drop the old list. `Leader` calls `next_step` while no other change is in
+progress and an entry of its own term is committed.
 
 Invariants:
 
-- A newcomer has no vote before its disk has an entry of this leader's term. Until then it is a learner: it receives
-  entries and acknowledges them, and is counted nowhere.
-- A member is a name with an incarnation. A lost disk means another incarnation, which takes the place of the old one in
-  one step. An incarnation that was removed is never added again.
-- A member is removed only while the others number at least `wanted_size`, so never without a newcomer that has taken
-  its place before, or takes it in the same step, as in a core of odd size. It is one that is shutting down, or one that
-  has been silent while a majority answered for `SILENCE_NS`.
-- Whether it is gone or cut off need not be known: the change is agreed by majorities of both lists, what was
-  acknowledged lies on a majority of the new one, and one that was cut off returns as another incarnation.
-
-Times are ns of the leader's steady clock.
+- A joining node has no vote until its disk has an entry of this leader's term. Until then it is a learner: it receives
+  and acknowledges entries, but is not counted in any majority.
+- A member is identified by a name and an incarnation. After a lost disk, the new incarnation replaces the old one in a
+  single step. An incarnation that was removed is never added again.
+- A member is removed only if at least `wanted_size` others remain, so its replacement must have been added before, or
+  is added in the same step, as in a core of odd size. Only a member that is shutting down, or that has been silent for
+  `SILENCE_NS` while a majority answered, is removed.
+- It does not matter whether a silent member is down or partitioned: majorities of both lists agree to the change,
+  everything acknowledged is on a majority of the new list, and a partitioned member returns as a new incarnation.
+
+Times are ns of the leader's monotonic clock.
 """
 
 from collections.abc import Mapping
@@ -28,37 +28,37 @@
 from .replica_progress import ReplicaProgress
 from .state import MAX_NAMES, State
 
-SILENCE_NS = 1500 * MS  # a majority must have answered for so long without a member before it may be removed
-LONG_SILENCE_NS = 4 * SEC  # after which a silent one is removed before one that shuts down, which may come back
-UNANSWERED_NS = 600 * MS  # about two rounds
-LEARNER_TIMEOUT_NS = SEC  # a learner that is silent for so long is dropped; it asks to join each 0.28 s
-LEAST_EXCHANGED = 3  # members of a core of odd size; a single member has nobody to agree with
+SILENCE_NS = 1500 * MS  # a member may be removed after a majority has answered for this long without it
+LONG_SILENCE_NS = 4 * SEC  # a member silent for this long is removed before one that shuts down, which may come back
+UNRESPONSIVE_NS = 600 * MS  # about two heartbeat rounds
+LEARNER_TIMEOUT_NS = SEC  # a learner silent for this long is dropped; joining nodes send a request every 0.28 s
+MIN_REPLACEMENT_SIZE = 3  # smallest core of odd size that replaces members in one step; a single member cannot
 MAX_LEARNERS = 16
 MAX_RETIRED = 4 * MAX_NAMES
 MAX_MEMBERS = MAX_NAMES // 2
 
 
 class Learner(NamedTuple):
-    """A newcomer that catches up. `counts_towards_size`: it is a machine of the whole system's first start."""
+    """A joining node that is catching up. `is_initial_member`: it takes part in the initial start of the system."""
 
     name: str
     incarnation: Incarnation
-    counts_towards_size: bool
+    is_initial_member: bool
     replica: ReplicaProgress
 
     @property
     def key(self) -> MemberKey:
-        """Its name and incarnation."""
+        """Name and incarnation of the learner."""
         return MemberKey(self.name, self.incarnation)
 
     @property
     def address(self) -> MemberAddress:
-        """As a list of members has it."""
+        """Its entry for a member list."""
         return MemberAddress(self.replica.ip, self.incarnation)
 
 
 class Step(NamedTuple):
-    """The next entry's members. `previous_members`: the list before it; None where nobody is added or removed."""
+    """The member lists of the next entry. `previous_members`: the list before; None if nobody is added or removed."""
 
     members: MemberList
     previous_members: MemberList | None
@@ -66,7 +66,7 @@
 
 
 class RemovalCandidate(NamedTuple):
-    """A member that may be removed. The greatest one goes first, so the order of the fields counts."""
+    """A member that may be removed. The candidate that compares greatest is preferred, so the field order matters."""
 
     is_long_silent: bool
     is_shutting_down: bool
@@ -75,9 +75,9 @@
 
 
 class MembershipView(NamedTuple):
-    """What a leader knows of its members at one moment.
+    """A snapshot of what a leader knows about its members.
 
-    `state`: its newest entry. `replicas`: the other members. `confirmed_at`: when the newest round was sent that a
+    `state`: the newest entry. `replicas`: the other members. `confirmed_at`: send time of the newest round that a
     majority answered. `first_committed_at`: when the first entry of this term was committed.
     """
 
@@ -86,135 +86,143 @@
     confirmed_at: TimeNs
     first_committed_at: TimeNs
 
-    def misses_answers(self) -> bool:
-        """Whether some member has not answered the last rounds."""
-        return any(self._is_unanswered(replica) for replica in self.replicas.values())
+    def has_unresponsive_member(self) -> bool:
+        """Whether any member has not answered the last rounds."""
+        return any(self._is_unresponsive(replica) for replica in self.replicas.values())
 
     def answers_and_stays(self, key: MemberKey) -> bool:
-        """Whether a member answers, and is not about to end."""
+        """Whether a member is responsive and is not shutting down."""
         replica = self.replicas.get(key)
-        return replica is not None and not self._is_unanswered(replica) and not replica.is_shutting_down
+        return replica is not None and not self._is_unresponsive(replica) and not replica.is_shutting_down
 
-    def _is_unanswered(self, replica: ReplicaProgress) -> bool:
-        return self.confirmed_at - replica.last_contact_at > UNANSWERED_NS
+    def _is_unresponsive(self, replica: ReplicaProgress) -> bool:
+        return self.confirmed_at - replica.last_contact_at > UNRESPONSIVE_NS
 
 
 def wanted_size(state: State, survive: int) -> int:
-    """How many members must be left: as many as at the first start, and a majority of them after `survive` losses."""
+    """Returns the number of members to keep: the initial number, and enough for a majority after `survive` losses."""
     return max(state.target_size, 2 * survive + 1)
 
 
 class MembershipChange:
-    """The learners and the next change of one leader, in one term."""
+    """The learners of one leader and its choice of the next membership change, in one term."""
 
     def __init__(self, own: MemberKey, term: int, survive: int) -> None:
-        """`own`: the leader's key; `survive`: how many machines may be lost at once."""
+        """`own`: the leader's key; `survive`: number of machines that may be lost at the same time."""
         self._own = own
         self._term = term
         self._survive = survive
-        self.learners: dict[str, Learner] = {}  # by name; bounded, silent ones are dropped
-        self._retired: set[Incarnation] = set()  # removed by this leader; bounded
+        self.learners: dict[str, Learner] = {}  # by name; at most MAX_LEARNERS, silent ones are dropped
+        self._retired: set[Incarnation] = set()  # incarnations removed by this leader; at most MAX_RETIRED
 
     # Learners.
 
     def learner(self, key: MemberKey) -> Learner | None:
-        """The learner with this key."""
+        """Returns the learner with this key, or None."""
         found = self.learners.get(key.name)
         return found if found is not None and found.key == key else None
 
     def replicas(self) -> dict[MemberKey, ReplicaProgress]:
-        """What is known of each learner, by its key."""
+        """Returns the replication progress of each learner by key."""
         return {learner.key: learner.replica for learner in self.learners.values()}
 
     def admits(self, key: MemberKey) -> bool:
-        """Whether one that asks to join may become a learner."""
+        """Whether a node that asks to join may become a learner."""
         has_room = key.name in self.learners or len(self.learners) < MAX_LEARNERS
         return has_room and key.name != self._own.name and not self.is_retired(key.incarnation)
 
     def is_retired(self, incarnation: Incarnation) -> bool:
-        """Whether this leader has taken it out."""
+        """Whether this leader has removed the incarnation."""
         return incarnation in self._retired
 
-    def enrol(self, key: MemberKey, ip: str, counts_towards_size: bool) -> Learner:
-        """The learner of this key, enrolled if it is none yet; one of the same name but another key is forgotten."""
+    def add_learner(self, key: MemberKey, ip: str, is_initial_member: bool) -> Learner:
+        """Returns the learner with this key, adding it if necessary; it replaces one with another incarnation."""
         learner = self.learner(key)
         if learner is None:
-            learner = Learner(key.name, key.incarnation, counts_towards_size, ReplicaProgress(ip))
+            learner = Learner(key.name, key.incarnation, is_initial_member, ReplicaProgress(ip))
             self.learners[key.name] = learner
         return learner
 
     def expire(self, now: TimeNs) -> None:
-        """Drops learners that fell silent."""
+        """Drops learners that have been silent for `LEARNER_TIMEOUT_NS`."""
         for name, learner in list(self.learners.items()):
             if now - learner.replica.last_contact_at > LEARNER_TIMEOUT_NS:
                 del self.learners[name]
 
     def _is_caught_up(self, learner: Learner) -> bool:
-        """Whether its disk has an entry of this leader's term, which contains all that was acknowledged before it."""
+        """Whether its disk has an entry of this leader's term, which includes everything acknowledged before it."""
         return learner.replica.match_position.term == self._term
 
     # Changes.
 
     def next_step(self, view: MembershipView) -> Step | None:
-        """The next change towards the list that is wanted, or None. The state of `view` is committed, in this term."""
+        """Returns the next change towards the wanted member list, or None.
+
+        The state of `view` must be committed in this term.
+        """
         return self.removal(view) or self._admission(view)
 
     def _admission(self, view: MembershipView) -> Step | None:
-        """Adds one learner that has caught up, in place of its own former incarnation if there is one."""
+        """Returns the step that adds one caught-up learner, replacing its own former incarnation if there is one."""
         state, members = view.state, view.state.members
-        # Guards a majority that is met barely: while one too many is in the list and some do not answer, another
-        # newcomer would raise what a majority takes. It waits until the silent one is removed, or answers again.
+        # While the list is larger than wanted and some members do not answer, adding another one could raise the
+        # majority above the number of responsive members. The learner waits until the silent member is removed or
+        # answers again.
         wanted = wanted_size(state, self._survive)
-        is_crowded = len(members) > wanted and view.misses_answers()
-        # Where the wanted size is odd, a newcomer beside a member that is gone, or about to go, would raise what a
-        # majority takes. So it takes that one's place in one step, and stays a learner until it is known which it is.
-        is_odd = len(members) == wanted and wanted % 2 == 1 and wanted >= LEAST_EXCHANGED
+        is_oversized = len(members) > wanted and view.has_unresponsive_member()
+        # With an odd wanted size, adding a member before removing the one that is down or leaving would raise the
+        # majority. The learner therefore replaces that member in one step, and stays a learner until it is known which
+        # member that is.
+        is_odd = len(members) == wanted and wanted % 2 == 1 and wanted >= MIN_REPLACEMENT_SIZE
         for learner in list(self.learners.values()):
             former = members.get(learner.name)
             with_learner = {**members, learner.name: learner.address}
             if former == learner.address:
                 del self.learners[learner.name]
             elif former is not None and former.incarnation == learner.incarnation:
-                return Step(with_learner, None, state.target_size)  # it has moved to another address
+                return Step(with_learner, None, state.target_size)  # only its address has changed
             elif self._is_caught_up(learner):
                 if former is not None:
                     self._retire(former.incarnation)
                     return Step(with_learner, members, state.target_size)
-                if is_odd and not learner.counts_towards_size:
-                    return self._exchange(view, learner)
-                if len(members) < MAX_MEMBERS and not is_crowded:
-                    return Step(with_learner, members, state.target_size + learner.counts_towards_size)
+                if is_odd and not learner.is_initial_member:
+                    return self._replacement(view, learner)
+                if len(members) < MAX_MEMBERS and not is_oversized:
+                    return Step(with_learner, members, state.target_size + learner.is_initial_member)
         return None
 
-    def _exchange(self, view: MembershipView, learner: Learner) -> Step | None:
-        """Adds a learner in the place of a member that is silent or shuts down; None while there is none."""
+    def _replacement(self, view: MembershipView, learner: Learner) -> Step | None:
+        """Returns the step that replaces a silent or departing member by a learner; None if there is no such member."""
         candidates = self._candidates(view, newcomers=1)
         if not candidates:
             return None
-        remaining = self._without_first(view, candidates)
+        remaining = self._without_preferred(view, candidates)
         return Step({**remaining, learner.name: learner.address}, view.state.members, view.state.target_size)
 
-    def _without_first(self, view: MembershipView, candidates: list[RemovalCandidate]) -> dict[str, MemberAddress]:
-        """The members but the candidate that goes first, which may never come back as it was."""
+    def _without_preferred(self, view: MembershipView, candidates: list[RemovalCandidate]) -> dict[str, MemberAddress]:
+        """Returns the members without the preferred candidate, and retires that candidate's incarnation."""
         members = view.state.members
         gone = max(candidates).name
         self._retire(members[gone].incarnation)
         return {name: address for name, address in members.items() if name != gone}
 
     def removal(self, view: MembershipView) -> Step | None:
-        """Removes one member, if enough are left: one silent for long, one that shuts down, or else a silent one."""
+        """Returns the step that removes one member, or None if too few would remain or there is no candidate.
+
+        In order of preference: a member silent for `LONG_SILENCE_NS`, one that is shutting down, any other silent one.
+        """
         members = view.state.members
         if len(members) <= wanted_size(view.state, self._survive):
             return None
         candidates = self._candidates(view)
         if not candidates:
             return None
-        return Step(self._without_first(view, candidates), members, view.state.target_size)
+        return Step(self._without_preferred(view, candidates), members, view.state.target_size)
 
     def _candidates(self, view: MembershipView, newcomers: int = 0) -> list[RemovalCandidate]:
-        """The members that may be removed: those that are silent, and those that shut down and are not needed.
+        """Returns the members that may be removed: silent ones, and ones that shut down and are not needed.
 
-        `newcomers`: that come in with the same step.
+        `newcomers`: number of members that the same step adds.
         """
         candidates: list[RemovalCandidate] = []
         for name, (_, incarnation) in view.state.members.items():
@@ -222,22 +230,25 @@
             if replica is None:
                 continue
             silence = view.confirmed_at - max(replica.last_contact_at, view.first_committed_at)
-            may_leave = replica.is_shutting_down and self._bears_loss(view, name, newcomers)
+            may_leave = replica.is_shutting_down and self._tolerates_loss(view, name, newcomers)
             if may_leave or silence >= SILENCE_NS:
                 candidates.append(RemovalCandidate(silence >= LONG_SILENCE_NS, may_leave, silence, name))
         return candidates
 
-    def _bears_loss(self, view: MembershipView, without: str, newcomers: int) -> bool:
-        """Whether those that answer and stay are a majority of the list without one member, which still answers, and
-        would be one if `survive` of them were lost at once. `newcomers`: beside them, in that list."""
+    def _tolerates_loss(self, view: MembershipView, excluded: str, newcomers: int) -> bool:
+        """Whether the core can lose `survive` machines at once after removing `excluded`, a member that still answers.
+
+        The responsive members that are not shutting down must then still be a majority of the new list. `newcomers`:
+        number of members that the same step adds to that list.
+        """
         members = view.state.members
         staying = newcomers
         for name, (_, incarnation) in members.items():
             answers = view.answers_and_stays(MemberKey(name, incarnation))
-            staying += name != without and (answers or name == self._own.name)
+            staying += name != excluded and (answers or name == self._own.name)
         return 2 * (staying - self._survive) > len(members) - 1 + newcomers
 
     def _retire(self, incarnation: Incarnation) -> None:
-        """Guards against a late request to join that would bring back an incarnation which was removed."""
+        """Remembers a removed incarnation, so that a delayed join request cannot bring it back."""
         if len(self._retired) < MAX_RETIRED:
             self._retired.add(incarnation)
--- a/rampfront/consensus/message_handler.py
+++ b/rampfront/consensus/message_handler.py
@@ -1,13 +1,15 @@
-"""What a member does with each message of another one.
+"""Handling of messages from other members and nodes.
 
-A message is dispatched by its class: what a leader and its followers say (`ReplicationMessage`) first, as it comes most
-often, then what candidates and voters say (`ElectionMessage`), and who leads (`DiscoveryMessage`). Each method below is
-what the protocol demands of one message; the parts that it calls say why.
+Messages are dispatched by class: those between a leader and its followers first (`ReplicationMessage`), since they are
+the most frequent, then those between candidates and voters (`ElectionMessage`) and those for discovery
+(`DiscoveryMessage`). Each method below implements the protocol's rule for one message; the components that it calls
+document the reasons.
 
 Invariants:
 
-- A message for another incarnation of this member is not answered: this one has promised nothing.
-- A message with a wrong content raises RemoteProtocolError before it changes anything.
+- A message for another incarnation of this member is not answered, because this incarnation has not made the votes and
+  acknowledgements of the other one.
+- A message with invalid content raises RemoteProtocolError before it changes anything.
 
 `Member` calls `receive`.
 """
@@ -38,10 +40,10 @@
 
 
 class MessageHandler:
-    """Handles the messages to one member. `ip` is always that of the sender."""
+    """Handles the messages to one member. `ip` is always the sender's address."""
 
     def __init__(self, roles: Roles) -> None:
-        """`roles`: the member's parts."""
+        """`roles`: the member's components."""
         self._roles = roles
         self._persistent = roles.persistent
         self._election = roles.election
@@ -49,7 +51,7 @@
         self._responses = roles.responses
 
     def receive(self, ip: str, message: Message) -> None:
-        """Handles a message. Raises RemoteProtocolError for one that no member would send."""
+        """Handles a message. Raises RemoteProtocolError if its content is invalid."""
         if not self._roles.context.settings.has_disk:
             if isinstance(message, LeaderHint):
                 self._discovery.receive_hint(ip, message)
@@ -59,14 +61,14 @@
             self._dispatch(ip, message)
 
     def _receive_for_another(self, ip: str, message: Message) -> None:
-        """Meant for one that lost its disk: this one has promised nothing. Yet it learns who leads."""
+        """Handles a message for another incarnation, whose disk was lost: only the leader's address is used."""
         if not isinstance(message, (Heartbeat, AppendEntry)):
             return
         if message.term >= self._persistent.term and not self._persistent.is_member():
             self._discovery.note_leader(ip)
 
     def _dispatch(self, ip: str, message: Message) -> None:
-        match message:  # what comes with every round first
+        match message:  # the messages of each heartbeat round come first, as they are the most frequent
             case Heartbeat():
                 self._receive_heartbeat(ip, message)
             case AppendAcknowledged():
@@ -121,7 +123,7 @@
             self._election.reject_term(ip)
             return
         if self._discovery.has_live_leader() and not request.is_named_successor:
-            return  # one that was cut off would depose a leader that works
+            return  # a member returning from a partition must not depose a working leader
         if request.term > self._persistent.term:
             self._roles.enter_term(request.term)
         vote = self._election.grant_vote(request)
@@ -130,7 +132,7 @@
 
     def _receive_vote(self, vote: VoteGranted) -> None:
         if self._election.vote_granted(vote):
-            self._roles.lead()
+            self._roles.become_leader()
 
     def _receive_leadership_ended(self, ip: str, message: LeadershipEnded) -> None:
         is_own_leader = message.term == self._persistent.term and self._discovery.leader_ip == ip
@@ -138,15 +140,15 @@
             self._discovery.leader_ended()
             self._election.leader_ended(message.hands_over_to_receiver)
 
-    # Following.
+    # Follower.
 
     def _accept_leader(self, ip: str, term: Term) -> bool:
-        """Whether the sender leads now; a newer term is taken up."""
+        """Returns whether the sender is the current leader; enters its term if that is newer."""
         if term < self._persistent.term:
             self._election.reject_term(ip)
             return False
         if self._roles.leader is not None and term == self._persistent.term:
-            raise RemoteProtocolError("two leaders of one term")
+            raise RemoteProtocolError("another leader claims the term in which this member leads")
         if term > self._persistent.term:
             self._roles.enter_term(term)
         self._roles.accept_leader(ip)
@@ -173,12 +175,12 @@
         self._responses.send_when_durable(ip, self._acknowledgement(message))
 
     def _acknowledgement(self, message: Heartbeat | AppendEntry) -> AppendAcknowledged:
-        """It says what is on disk as it leaves; see `DeferredResponses.send`."""
+        """Returns an acknowledgement; `DeferredResponses.send` adds the entry on disk at the time of sending."""
         own, leader = self._persistent.key, message.sender
         return AppendAcknowledged(own, leader.incarnation, self._persistent.term, message.round)
 
     def _commit_up_to(self, index: LogIndex) -> None:
-        """The leader says that entries of this term are committed up to an index."""
+        """Commits the local entry if the leader's commit index covers it and it is of the current term."""
         entry = self._persistent.entry
         if entry is not None and entry.term == self._persistent.term and entry.index <= index:
             self._persistent.commit(entry)
@@ -189,7 +191,7 @@
         else:
             self._roles.learn_of_term(message.term)
 
-    # Joining, and who leads.
+    # Joining and leader discovery.
 
     def _receive_join_request(self, ip: str, request: JoinRequest) -> None:
         if self._roles.leader is not None:
--- a/rampfront/consensus/messages.py
+++ b/rampfront/consensus/messages.py
@@ -1,10 +1,11 @@
-"""The messages between members: an immutable class for each kind. `frame_encoder.py` and `frame_decoder.py`
-say how they look on the wire.
+"""Messages between members: an immutable class for each kind. `frame_encoder.py` and `frame_decoder.py` define the wire
+format.
 
-`sender`: who sent it. `receiver_incarnation`: which incarnation of the receiver is meant; a receiver that is another
-one has lost its disk and must not answer for its former self. None where the sender names none.
+Common fields: `sender` is the key of the sender. `receiver_incarnation` is the incarnation of the receiver that the
+message is addressed to; a receiver with another incarnation has lost its disk since and must not answer on behalf of
+the former one. It is None if the sender does not specify it.
 
-The kinds fall into three groups, by what they are about: `ReplicationMessage`, `ElectionMessage`, `DiscoveryMessage`.
+There are three groups of kinds: `ReplicationMessage`, `ElectionMessage` and `DiscoveryMessage`.
 """
 
 from typing import NamedTuple, TypeAlias
@@ -13,43 +14,49 @@
 
 
 class JoinRequest(NamedTuple):
-    """I have a disk and am no member: add me. `password`: as the leader named it in a `LeaderHint`, or 0."""
+    """A node with a disk that is not a member asks to be added.
+
+    `join_token`: the token from the leader's `LeaderHint`, or 0 if none has been received.
+    """
 
     sender: MemberKey
-    password: int
-    counts_towards_size: bool = False  # the sender starts for the first time in its life, with the whole system
+    join_token: int
+    is_initial_member: bool = False  # the sender takes part in the initial start of the system
     receiver_incarnation: Incarnation | None = None
 
 
 class LeaderQuery(NamedTuple):
-    """Who leads? `sender`: of a member that finds no leader; None from a node without a disk."""
+    """A query for the leader. `sender`: key of a member without a leader; None from a node without a disk."""
 
     sender: MemberKey | None = None
     receiver_incarnation: Incarnation | None = None
 
 
 class LeaderHint(NamedTuple):
-    """Who leads, as the sender knows. `leader_ip`: "" for nobody. `password`: the leader's own, or 0 from others."""
+    """The leader as far as the sender knows.
+
+    `leader_ip`: "" if no leader is known. `join_token`: the leader's token, or 0 if the sender is not the leader.
+    """
 
     term: Term
     leader_ip: str
     member_ips: list[str]
-    password: int
-    receiver_is_excluded: bool  # it is committed that `receiver_incarnation` is no member
+    join_token: int
+    receiver_is_excluded: bool  # it is committed that `receiver_incarnation` is not a member
     receiver_incarnation: Incarnation | None = None
 
 
 class PreVoteRequest(NamedTuple):
-    """Would you vote for me in that term? (Ongaro's dissertation, section 9.6)."""
+    """Asks whether the receiver would vote for the sender in this term (Ongaro's dissertation, section 9.6)."""
 
     sender: MemberKey
     receiver_incarnation: Incarnation | None
     term: Term
-    position: LogPosition  # of the sender's entry
+    position: LogPosition  # position of the sender's entry
 
 
 class PreVoteGranted(NamedTuple):
-    """I would vote for you in that term, as matters are now."""
+    """The sender would currently vote for the receiver in this term."""
 
     sender: MemberKey
     receiver_incarnation: Incarnation | None
@@ -57,17 +64,17 @@
 
 
 class VoteRequest(NamedTuple):
-    """Vote for me in this term (Raft paper, section 5.2)."""
+    """Asks for a vote in this term (Raft paper, section 5.2)."""
 
     sender: MemberKey
     receiver_incarnation: Incarnation | None
     term: Term
-    position: LogPosition  # of the sender's entry
-    is_named_successor: bool = False  # the former leader has handed over to the sender
+    position: LogPosition  # position of the sender's entry
+    is_named_successor: bool = False  # the former leader has transferred leadership to the sender
 
 
 class VoteGranted(NamedTuple):
-    """I have voted for you in this term, and that is on my disk."""
+    """The sender has voted for the receiver in this term, and the vote is on disk."""
 
     sender: MemberKey
     receiver_incarnation: Incarnation | None
@@ -75,14 +82,14 @@
 
 
 class TermRejected(NamedTuple):
-    """There is a newer term than the one that you named."""
+    """Tells the receiver that its term is outdated. `term`: the newer term."""
 
     term: Term
     receiver_incarnation: Incarnation | None = None
 
 
 class Heartbeat(NamedTuple):
-    """I lead in this term. `commit_index`: up to which entries of this term are committed."""
+    """A leader's heartbeat. `commit_index`: entries of this term up to this index are committed."""
 
     sender: MemberKey
     receiver_incarnation: Incarnation | None
@@ -92,20 +99,20 @@
 
 
 class AppendEntry(NamedTuple):
-    """A heartbeat that brings the leader's entry (AppendEntries, or InstallSnapshot where the body comes whole)."""
+    """A heartbeat with the leader's entry (AppendEntries, or InstallSnapshot if the body is sent in full)."""
 
     sender: MemberKey
     receiver_incarnation: Incarnation | None
     term: Term
     round: RoundNumber
     commit_index: LogIndex
-    entry: list[object]  # an encoded `State`, with its body, a delta in its place, or without it
+    entry: list[object]  # an encoded `State`, with its body, with a delta instead of the body, or without either
     versions: list[object] | None = None  # an encoded `VersionDelta`; None from an older leader
-    claims: list[object] | None = None  # on evacuated zones, encoded; None if there are none, or from an older leader
+    claims: list[object] | None = None  # encoded claims on evacuated zones; None if none, or from an older leader
 
 
 class AppendAcknowledged(NamedTuple):
-    """An answer to a heartbeat or an entry: what is on the sender's disk."""
+    """Answers a heartbeat or an entry. `position`, `body_digest`: of the entry on the sender's disk."""
 
     sender: MemberKey
     receiver_incarnation: Incarnation | None
@@ -117,7 +124,10 @@
 
 
 class LeadershipEnded(NamedTuple):
-    """I lead no longer. `hands_over_to_receiver`: None if no successor is named, False if another member is."""
+    """The sender has stepped down as the leader.
+
+    `hands_over_to_receiver`: None if no successor is named, False if another member is the successor.
+    """
 
     sender: MemberKey
     receiver_incarnation: Incarnation | None
--- a/rampfront/consensus/order_application.py
+++ b/rampfront/consensus/order_application.py
@@ -1,11 +1,12 @@
-"""What an order of an operator makes of the state, and how it ends if that is committed. No I/O, no clock.
+"""Applies operators' orders to the state and determines their outcomes. No I/O, no clock.
 
-Several orders may go into one entry (`batch`). Invariants:
+Several orders may share one entry (`batch`). Invariants:
 
-- An order that is acknowledged was committed at some moment: two that turn each other round never share an entry.
-- A configuration's number stands for one content for ever: another content under it is a conflict.
+- The result of every acknowledged order was committed at some time, so two orders that undo each other never share an
+  entry.
+- A configuration number always denotes the same content; an order with other content under that number is a conflict.
 
-Called by `Leader` and its `OrderQueue`.
+`Leader` and its `OrderQueue` call this module.
 """
 
 from typing import NamedTuple
@@ -24,27 +25,27 @@
 
 
 class Configuration(NamedTuple):
-    """The body of an order to configure."""
+    """The body of a CONFIGURE order."""
 
     revision: int
     body: bytes
-    content: bytes  # its digest
+    content: bytes  # digest of the content
 
 
 class AnswerReport(NamedTuple):
-    """The body of a report on the answer to an order on a zone."""
+    """The body of a delivery report on the answer to a zone order."""
 
     zone: str
-    identity: int  # of that order
+    identity: int  # identity of that order
 
 
 @slotted
 class PendingOrder:
     """An order that the leader has not answered yet.
 
-    `change`: the checked body: a configuration, the name of a zone, a report on an answer, or None for a read.
-    `entry_index`: of the entry that carries it, or 0. `round`: that must be confirmed first, or 0. `outcome`: what it
-    is answered then. `identity`: of an order on a zone, or 0.
+    `change`: the validated body: a configuration, a zone's name, a delivery report, or None for a read. `entry_index`:
+    index of the entry that must be committed first, or 0. `round`: heartbeat round that must be confirmed first, or 0.
+    `outcome`: the answer to send then. `identity`: identity of a zone order, or 0.
     """
 
     ref: object
@@ -57,22 +58,26 @@
     identity: int = 0
 
     @property
-    def is_taken_up(self) -> bool:
-        """Whether an entry or a round is under way for it."""
+    def is_in_progress(self) -> bool:
+        """Whether an entry or a heartbeat round is in progress for this order."""
         return bool(self.entry_index or self.round)
 
     def await_commit(self, index: LogIndex, number: RoundNumber = 0) -> None:
-        """It is answered once that entry is committed (0: any), and that round is confirmed (0: none)."""
+        """Sets the entry that must be committed (0: any) and the round that must be confirmed (0: none) first."""
         self.entry_index = index
         self.round = number
 
-    def ends_as(self, outcome: Outcome) -> None:
-        """What it will be answered."""
+    def set_outcome(self, outcome: Outcome) -> None:
+        """Sets the outcome to answer with."""
         self.outcome = outcome
 
 
 class Batch(NamedTuple):
-    """Orders that go into one entry together. `unchanged`: those that change nothing need no entry, but a round."""
+    """Orders that are processed together.
+
+    `state`: the resulting state. `carried`: orders that need the new entry. `unchanged`: orders that change nothing;
+    they need no entry, but a confirmed heartbeat round.
+    """
 
     state: State
     carried: list[PendingOrder]
@@ -80,7 +85,10 @@
 
 
 def pending_order(order: Order, entry: State, now: TimeNs) -> PendingOrder | None:
-    """The checked order; None for one that may not enter the log: its receivers would reject the entry for ever."""
+    """Validates an order; returns None if it is invalid.
+
+    An invalid order must not enter the log, because followers would reject the entry forever.
+    """
     body = order.body
     match order.kind:
         case OrderKind.CONFIGURE:
@@ -98,7 +106,7 @@
 
 
 def _zone_order(order: Order, entry: State, now: TimeNs) -> PendingOrder | None:
-    """The checked order on a zone; None if it names none, or one too many."""
+    """Validates a zone order; returns None if the name is invalid or too many zones would be evacuated."""
     zone, kind = order.body, OrderKind(order.kind)
     if type(zone) is not str or not 0 < len(zone) <= MAX_ZONE_CHARS:
         return None
@@ -109,7 +117,7 @@
 
 
 def _configuration(body: object) -> Configuration | None:
-    """The checked body of an order to configure."""
+    """Returns the validated body of a CONFIGURE order, or None if it is invalid."""
     match body:
         case [revision, bytes() as packed] if type(revision) is int:
             if 0 < revision < MAX_NUMBER and len(packed) <= MAX_BODY_BYTES:
@@ -118,12 +126,12 @@
 
 
 def _identity(identity: object) -> int:
-    """The checked identity; 0 for one that cannot be."""
+    """Returns the validated identity, or 0 if it is invalid."""
     return identity if type(identity) is int and 0 < identity < IDENTITY_LIMIT else 0
 
 
 def _answer_report(body: object) -> AnswerReport | None:
-    """The checked body of a report on an answer."""
+    """Returns the validated body of a delivery report, or None if it is invalid."""
     match body:
         case [str() as zone, identity] if 0 < len(zone) <= MAX_ZONE_CHARS and _identity(identity):
             return AnswerReport(zone, _identity(identity))
@@ -131,32 +139,32 @@
 
 
 class OrderApplication:
-    """Applies orders to states, at one leader."""
+    """Applies orders to states, on one leader."""
 
     def __init__(self, repeat_window: RepeatWindow) -> None:
-        """`repeat_window`: when this leader took the last orders on each zone."""
+        """`repeat_window`: times at which this leader accepted the last orders on each zone."""
         self._repeat_window = repeat_window
 
     def outcome(self, state: State, order: PendingOrder) -> Outcome:
-        """How an order ends if this state, or the one that it makes of it, is committed."""
+        """Returns the outcome of an order, given that this state or the state resulting from it is committed."""
         change = order.change
         if isinstance(change, Configuration) and state.versions.conflicts_with(change.revision, change.content):
             return Outcome.CONFLICT
         return Outcome.DONE
 
     def apply(self, state: State, order: PendingOrder, now: TimeNs) -> State:
-        """The state with an order carried out; the same object if that changes nothing."""
+        """Returns the state after an order; the same object if the order changes nothing."""
         change = order.change
         if isinstance(change, Configuration):
-            return _configured(state, change)
+            return _with_configuration(state, change)
         if change is None:
             return state
         if isinstance(change, AnswerReport):
-            return _with_zones(state, self._reported(state, order.kind, change, now))
-        return _with_zones(state, self._zone_change(state, order, change, now))
+            return _with_zones(state, self._apply_report(state, order.kind, change, now))
+        return _with_zones(state, self._apply_zone_order(state, order, change, now))
 
-    def _zone_change(self, state: State, order: PendingOrder, zone: str, now: TimeNs) -> ZoneChange:
-        """What an order to evacuate or to restore a zone changes."""
+    def _apply_zone_order(self, state: State, order: PendingOrder, zone: str, now: TimeNs) -> ZoneChange:
+        """Returns the zones after an order to evacuate or restore one."""
         zones, evacuations, window = state.evacuated_zones, state.evacuations, self._repeat_window
         if order.kind is OrderKind.EVACUATE:
             may_be_repeat = window.evacuation_may_be_repeat(evacuations, zone, order.identity, now)
@@ -166,16 +174,16 @@
         may_be_repeat = window.restoration_may_be_repeat(zone, order.identity, now)
         return restore(zones, evacuations, zone, may_be_repeat)
 
-    def _reported(self, state: State, kind: OrderKind, report: AnswerReport, now: TimeNs) -> ZoneChange:
-        """What follows from the fate of an answer."""
+    def _apply_report(self, state: State, kind: OrderKind, report: AnswerReport, now: TimeNs) -> ZoneChange:
+        """Returns the zones after a delivery report."""
         zones, evacuations = state.evacuated_zones, state.evacuations
         if kind is OrderKind.ANSWER_LOST:
             return note_lost(zones, evacuations, report.zone, report.identity)
-        was_followed = self._repeat_window.was_evacuated_at_once(report.zone, now)
-        return ZoneChange(zones, note_delivered(evacuations, report.zone, report.identity, was_followed))
+        was_followed_closely = self._repeat_window.was_evacuated_recently(report.zone, now)
+        return ZoneChange(zones, note_delivered(evacuations, report.zone, report.identity, was_followed_closely))
 
     def note(self, order: PendingOrder, before: State, after: State, now: TimeNs) -> None:
-        """An order is taken, which makes one state of another; repeats are known by that."""
+        """Records an accepted order, which changed the state `before` to `after`, for the detection of retries."""
         change, window = order.change, self._repeat_window
         if isinstance(change, AnswerReport):
             if order.kind is OrderKind.ANSWER_DELIVERED:
@@ -191,17 +199,18 @@
             window.note_evacuation(change, now)
 
     def batch(self, entry: State, orders: list[PendingOrder], now: TimeNs) -> Batch:
-        """As many of the orders as may share one entry, carried out in turn."""
+        """Applies orders in sequence, up to the first one that must not share an entry with those before it."""
         state = entry
         carried: list[PendingOrder] = []
         unchanged: list[PendingOrder] = []
-        kinds: dict[str, OrderKind] = {}  # of the orders on each zone
+        kinds: dict[str, OrderKind] = {}  # kind of the orders on each zone
         for order in orders:
-            # An order that another one turns round would be acknowledged, and never was committed: it waits.
+            # If a later order of the same entry undid an earlier one, the earlier one would be acknowledged although
+            # its result was never committed. Orders of the other kind on a zone therefore wait for the next entry.
             zone = order.change
             if isinstance(zone, str) and kinds.setdefault(zone, order.kind) is not order.kind:
                 break
-            order.ends_as(self.outcome(state, order))
+            order.set_outcome(self.outcome(state, order))
             after = self.apply(state, order, now)
             self.note(order, state, after, now)
             (unchanged if after is entry else carried).append(order)
@@ -209,13 +218,13 @@
         return Batch(state, carried, unchanged)
 
     def reopen_expired_zone(self, entry: State, now: TimeNs) -> ZoneChange | None:
-        """Without a zone that nobody certain keeps evacuated any more; None if there is none."""
+        """Reopens a zone that no certain operator keeps evacuated any more; returns None if there is none."""
         zone = self._repeat_window.expired_zone(entry.evacuations, now)
         return None if zone is None else reopen(entry.evacuated_zones, entry.evacuations, zone)
 
 
-def _configured(state: State, change: Configuration) -> State:
-    """The state with a configuration; an older one only enters the history."""
+def _with_configuration(state: State, change: Configuration) -> State:
+    """Returns the state with a configuration; one older than the current one is only added to the history."""
     versions = state.versions.with_version(change.revision, change.content)
     if change.revision > state.revision:
         return state.next_entry(revision=change.revision, body=change.body, versions=versions)
--- a/rampfront/consensus/persistent_state.py
+++ b/rampfront/consensus/persistent_state.py
@@ -1,14 +1,14 @@
-"""What a member knows, and how it gets to the disk before anything that rests on it leaves the member.
+"""The persistent state of a member and its storage on disk.
 
-These are Raft's persistent state (paper, figure 2: term, vote, log) and the newest committed entry, with the member's
-incarnation. Each change raises `version`; `next_store` hands the newest version to the disk, one store at a time, and
-`stored` makes it the durable one. Invariants:
+It consists of Raft's persistent state (paper, figure 2: term, vote, log), the newest committed entry and the member's
+incarnation. Each change increments `version`. `next_store` returns the newest version for the disk, one store at a
+time, and `stored` marks it as durable. Invariants:
 
-- An answer that rests on a version leaves only once that version is durable (`deferred_responses.py`).
-- `term` never falls; `vote` changes within a term only from nobody to somebody.
-- `committed` never goes back to an older index within the life of a process.
+- A response that depends on a version is sent only once that version is durable (`deferred_responses.py`).
+- `term` never decreases; within a term, `vote` changes at most once, from None to a candidate.
+- `committed` never returns to an older index while the process runs.
 
-Called by `Member`, and by the parts that change it: elections, replication, the leader.
+Called by `Member`, and by the components that change the state: election, replication and leader.
 """
 
 from typing import NamedTuple
@@ -20,11 +20,11 @@
 from .record import MAX_NODE_IPS, Record, decode_record, encode_record
 from .state import State, digest
 
-RETRY_NS = 200 * MS  # until a failed store is tried again
+RETRY_NS = 200 * MS  # delay before a failed store is retried
 
 
 class DurableVersion(NamedTuple):
-    """A version that is on disk for sure, or on its way there."""
+    """A version that is on disk, or is being written to it."""
 
     version: int
     term: Term
@@ -32,27 +32,28 @@
 
 
 class PersistentState:
-    """Incarnation, term, vote, entry and the newest committed entry of one member."""
+    """Incarnation, term, vote, newest entry and newest committed entry of one member."""
 
     def __init__(self, context: MemberContext, record: bytes | None) -> None:
-        """`record`: what the disk held; None for an empty one. Raises RecordError.
+        """Loads `record`, the record on disk, or initializes the state if `record` is None. Raises RecordError.
 
-        An empty disk makes a new incarnation. The first seed founds the core on it, with itself as the only member.
+        With an empty disk, a new incarnation is drawn. At the system's initial start, the first seed then bootstraps
+        the core with itself as the only member.
         """
         self._context = context
-        self.key = MemberKey(context.settings.name, 0)  # this member, as others count it; 0: no disk
+        self.key = MemberKey(context.settings.name, 0)  # identity of this member; incarnation 0: no disk
         self.term: Term = 0
-        self.vote: MemberKey | None = None  # in `term`
-        self.entry: State | None = None  # the newest one
-        self.committed: State | None = None  # the newest one known to be committed
-        self.member_ips: list[str] = []  # where to ask, as another member said
-        self.node_ips: list[str] = []  # of all nodes that were known lately, the present ones first
-        self.bodies = BodyHistory()  # that deltas may rest on
+        self.vote: MemberKey | None = None  # vote given in `term`
+        self.entry: State | None = None  # newest entry
+        self.committed: State | None = None  # newest entry known to be committed
+        self.member_ips: list[str] = []  # member addresses received in a hint; used while this is not a member
+        self.node_ips: list[str] = []  # addresses of all recently known nodes, current ones first
+        self.bodies = BodyHistory()  # possible bases of deltas
         self.version = 0
         self.durable = DurableVersion(0, 0, None)
         self.in_flight: DurableVersion | None = None
         self._retry_at: TimeNs = 0
-        self._identity_version = 1 if record is None else 0  # with which the incarnation goes to disk
+        self._identity_version = 1 if record is None else 0  # first version that contains the incarnation
         if record is not None:
             self._load(record)
         elif context.settings.has_disk:
@@ -60,23 +61,27 @@
         if self.entry is not None:
             self.bodies.add(self.entry)
 
-    # Who this is.
+    # Identity.
 
     @property
     def incarnation(self) -> Incarnation:
-        """Of this member's disk."""
+        """Incarnation of this member's disk."""
         return self.key.incarnation
 
     def is_member(self) -> bool:
-        """Whether this incarnation is a member by the newest entry."""
+        """Whether this incarnation is a member according to the newest entry."""
         return self.entry is not None and self.entry.has_member(self.key.name, self.key.incarnation)
 
     def identity_is_durable(self) -> bool:
-        """Whether this incarnation survives a restart."""
+        """Whether the incarnation is on disk and so survives a restart."""
         return self.durable.version >= self._identity_version
 
     def renew_incarnation(self) -> None:
-        """Comes back as another: nothing that the old incarnation promised is at stake, as it never speaks again."""
+        """Draws a new incarnation and drops the vote.
+
+        This is safe because the old incarnation sends no more messages, so its votes and acknowledgements no longer
+        matter.
+        """
         self._set_incarnation(self._context.draw_identifier())
         self.vote = None
         self.version += 1
@@ -88,65 +93,69 @@
     # Changes.
 
     def enter_term(self, term: Term) -> None:
-        """A newer term, in which no vote is given yet."""
+        """Enters a newer term, in which this member has not voted yet."""
         self.term = term
         self.vote = None
         self.version += 1
 
     def follow_term(self, term: Term) -> None:
-        """Of a node without a disk: it never votes, and has nothing to store."""
+        """Updates the term of a node without a disk, which never votes and has nothing to store."""
         self.term = term
 
     def vote_for(self, candidate: MemberKey) -> None:
-        """Gives the vote of this term."""
+        """Records the vote of this term."""
         self.vote = candidate
         self.version += 1
 
-    def stand_as_candidate(self) -> None:
-        """The next term, with the own vote in it."""
+    def begin_candidate_term(self) -> None:
+        """Enters the next term and votes for this member itself."""
         self.term += 1
         self.vote = self.key
         self.version += 1
 
     def append(self, entry: State) -> None:
-        """Takes a newer entry, which replaces the one before it."""
+        """Replaces the entry by a newer one."""
         self.entry = entry
         self.version += 1
         self.bodies.add(entry)
 
     def commit(self, entry: State) -> None:
-        """The entry is known to be committed; nothing changes if a newer one was."""
+        """Records that an entry is committed; does nothing if a newer one is already known to be."""
         if self.committed is None or entry.index > self.committed.index:
             self.committed = entry
             self._context.emit(StateCommitted(entry))
 
     def learn_members(self, ips: list[str]) -> None:
-        """Where to ask, for a member that is none yet. Goes to disk: it may be killed before it is added, and would
-        know nobody then."""
+        """Records the member addresses for a node that is not a member yet.
+
+        They are written to disk, because the process may be killed before it is added and would then know no address.
+        """
         self.member_ips = ips
         if self._context.settings.has_disk:
             self.version += 1
 
     def remember_nodes(self, ips: list[str]) -> None:
-        """The nodes that there are now. Those of before are kept behind them, as far as there is room: they may come
-        back. Goes to disk at once if there is a new one."""
+        """Records the addresses of the current nodes, and writes them to disk if there is a new one.
+
+        Addresses of former nodes are kept after them, up to `MAX_NODE_IPS`, because those nodes may return.
+        """
         former = [ip for ip in self.node_ips if ip not in ips]
         has_new = len(former) + len(ips) > len(self.node_ips)
         self.node_ips = (ips + former)[:MAX_NODE_IPS]
         if has_new:
             self.version += 1
 
-    # The disk.
+    # Storage.
 
     def next_store(self) -> StoreRecord | None:
-        """The newest version, if it is not durable yet and no store is under way."""
+        """Returns the newest version to store; None if it is durable, a store is in flight, or a retry is not due."""
         if self.version <= self.durable.version or self.in_flight is not None or self._context.now < self._retry_at:
             return None
         self.in_flight = DurableVersion(self.version, self.term, self.entry)
         return StoreRecord(self.version, self.encode())
 
     def stored(self, event: RecordStored) -> DurableVersion | None:
-        """The version that is durable from now on; None if the store failed, or was not the one under way."""
+        """Returns the version that became durable; None if the store failed, or is not the one in flight."""
         if self.in_flight is None or self.in_flight.version != event.version:
             return None
         done, self.in_flight = self.in_flight, None
@@ -157,7 +166,7 @@
         return done
 
     def encode(self) -> bytes:
-        """The record for the disk."""
+        """Encodes the record for the disk."""
         record = Record(
             self.incarnation,
             self.term,
--- a/rampfront/consensus/record.py
+++ b/rampfront/consensus/record.py
@@ -1,7 +1,7 @@
-"""The form of a member's record on disk: what it must not forget (Raft paper, figure 2, "persistent state").
+"""The format of a member's record on disk, which holds its persistent state (Raft paper, figure 2).
 
-A record is a list of columns, as cbor2 carries it. Older records lack the last ones. `PersistentState` encodes a
-record with every change, and decodes one at a start.
+A record is a CBOR list of columns; older records lack the last ones. `PersistentState` encodes a record after every
+change and decodes one at startup.
 """
 
 from typing import NamedTuple
@@ -13,17 +13,17 @@
 from .state import State, decode_state
 from .version_history import VersionHistory, decode_history
 
-FORM = 1
+FORMAT_VERSION = 1
 MAX_NODE_IPS = 1024
-MAX_OWNER_LETTERS = 80  # of a foreign record, in an error's text
+MAX_OWNER_CHARS = 80  # length limit for the owner of another member's record in an error message
 
 
 class Record(NamedTuple):
-    """What a member stores.
+    """The data that a member stores.
 
-    `vote`: who it voted for in `term`. `committed_position`: of the newest entry known to be committed, or None.
-    `member_ips`: where to ask, if it is no member by `entry`. `owner`: whose record it is. `node_ips`: of all nodes
-    that this one knew lately, members or not.
+    `vote`: the candidate it voted for in `term`. `committed_position`: position of the newest entry known to be
+    committed, or None. `member_ips`: addresses of members, if it is not a member according to `entry`. `owner`: name of
+    the member that stored the record. `node_ips`: addresses of all recently known nodes, members or not.
     """
 
     incarnation: Incarnation
@@ -37,10 +37,10 @@
 
 
 def encode_record(record: Record) -> bytes:
-    """The bytes for the disk."""
+    """Encodes a record for the disk."""
     entry = record.entry
     columns = [
-        FORM,
+        FORMAT_VERSION,
         record.incarnation,
         record.term,
         list(record.vote) if record.vote else None,
@@ -59,25 +59,26 @@
 
 
 def decode_record(data: bytes, owner: str) -> Record:
-    """The record that the member `owner` stored.
+    """Decodes the record that the member `owner` stored.
 
-    Raises RecordError for what is none, or is another member's: one memory for two members would be two votes.
+    Raises RecordError for a malformed record, and for one of another member: if two members used one record, both could
+    vote with it.
     """
     try:
         columns = cbor2.loads(data)
     except (cbor2.CBORDecodeError, EOFError, TypeError, ValueError):
-        raise RecordError("record that does not read") from None
+        raise RecordError("record cannot be decoded") from None
     match columns:
-        case [form, incarnation, term, vote, committed, row, member_ips, *optional]:
-            defaults: list[object] = [None, owner, None, []]  # the last columns, which an older record lacks
+        case [format_version, incarnation, term, vote, committed, row, member_ips, *optional]:
+            defaults: list[object] = [None, owner, None, []]  # values for the columns that older records lack
             last_columns = [*optional, *defaults[len(optional) :]]
         case _:
-            raise RecordError("record that does not read")
-    if form != FORM:
-        raise RecordError("record of another form")
+            raise RecordError("record cannot be decoded")
+    if format_version != FORMAT_VERSION:
+        raise RecordError("record has an unknown format version")
     stored_owner = last_columns[1]
     if stored_owner != owner:
-        raise RecordError(f"record of {str(stored_owner)[:MAX_OWNER_LETTERS]}")
+        raise RecordError(f"record belongs to member {str(stored_owner)[:MAX_OWNER_CHARS]}")
     return Record(
         incarnation,
         term,
@@ -91,15 +92,18 @@
 
 
 def _decode_node_ips(ips: object) -> list[str]:
-    """The checked addresses. Raises RecordError."""
+    """Validates node addresses. Raises RecordError."""
     if type(ips) is not list or len(ips) > MAX_NODE_IPS or any(type(ip) is not str for ip in ips):
-        raise RecordError("addresses of nodes")
+        raise RecordError("record has invalid node addresses")
     return ips
 
 
 def _decode_entry(row: object, versions: object, claims: object) -> State | None:
-    """The stored entry. `versions`: its encoded history; None in an older record. `claims`: those on evacuated zones;
-    None if there are none. Raises RecordError."""
+    """Decodes the stored entry. Raises RecordError.
+
+    `versions`: its encoded version history; None in an older record. `claims`: its encoded claims on evacuated zones;
+    None if there are none.
+    """
     if not row:
         return None
     try:
--- a/rampfront/consensus/record_store.py
+++ b/rampfront/consensus/record_store.py
@@ -1,13 +1,14 @@
-"""A member's record on disk, in `dbm.dumb`, so that a loss of power at any moment leaves the newest synced one.
+"""Crash-safe storage of a member's record in `dbm.dumb`: after a power loss, the newest synced record is still
+readable.
 
-`dbm.dumb` syncs nothing and rewrites its index by rename, so one database alone can be found empty. Two are used in
-turn: a save goes into the one that does not have the newest good record, which stays untouched meanwhile. Each value
-has a generation and a checksum over both; files and then the folder are synced before `save` returns. A database
-that is missing, torn or out of step (a new index over old data, or the other way round) fails its checksum or does
-not open, and the other one counts. Needs about twice the record's size. What the standard library cannot do for us
-is left out: `sync` of `dbm.dumb` is a rename, no sync.
+`dbm.dumb` never calls fsync (its `sync` method only rewrites the index by rename), so a single database can be found
+empty after a power loss. Two databases are therefore written alternately: a save goes to the one that does not hold the
+newest valid record, and the other one stays untouched. Each value has a generation, and a checksum over the generation
+and the record; the files and then the directory are synced before `save` returns. A database that is missing, torn or
+inconsistent (a new index with old data, or the reverse) does not open or fails its checksum, and the other one is used.
+Disk usage is about twice the record's size.
 
-The only module of the package that does I/O. `node/` calls it on a thread of its own.
+This is the only module of the package that does I/O. `node/` calls it on a dedicated thread.
 """
 
 import dbm.dumb
@@ -19,7 +20,7 @@
 
 KEY = b"record"  # followed by a nonce
 HEADER = struct.Struct("<Q16s")  # generation, checksum
-DATABASES = ("record-a", "record-b")
+DATABASE_NAMES = ("record-a", "record-b")
 CHECKSUM_BYTES = 16
 NONCE_BYTES = 4
 DATA_SUFFIX = ".dat"
@@ -28,14 +29,14 @@
 
 
 class Files:
-    """File operations that `dbm.dumb` lacks or keeps quiet about; tests put a disk in its place that tears writes."""
+    """File operations that `dbm.dumb` lacks, or whose errors it ignores. Tests substitute a disk that tears writes."""
 
     def nonce(self) -> bytes:
-        """Letters that no other save draws."""
+        """Returns a random nonce that is unique to one save, in hex digits."""
         return os.urandom(NONCE_BYTES).hex().encode()
 
     def remove(self, path: str) -> None:
-        """Raises FileNotFoundError, or another OSError."""
+        """Removes a file. Raises FileNotFoundError, or another OSError."""
         os.remove(path)
 
     def sync(self, path: str) -> None:
@@ -43,7 +44,7 @@
         _sync(path, os.O_RDWR)
 
     def sync_folder(self, path: str) -> None:
-        """Returns once a folder's list of files is on stable storage. Raises OSError."""
+        """Returns once a directory's entries are on stable storage. Raises OSError."""
         _sync(path, os.O_RDONLY | os.O_DIRECTORY)
 
 
@@ -61,39 +62,40 @@
 
 
 class RecordStore:
-    """`load` once, then `save` as often as wanted, from one thread at a time. Both block."""
+    """Stores the record of one member. Call `load` once, then `save`, from one thread at a time; both block."""
 
     def __init__(self, folder: str, files: Files | None = None) -> None:
-        """`folder`: must be there. `files`: what stands in for the disk in tests."""
+        """`folder`: an existing directory. `files`: replacement for the disk in tests."""
         self.folder = folder
         self.files = files or Files()
-        self.generation = 0  # of the newest good record
-        self.slot = 1  # which database has it
+        self.generation = 0  # generation of the newest valid record
+        self.slot = 1  # index of the database that holds it
 
     def load(self) -> bytes | None:
-        """The newest good record, or None if none was ever saved whole.
+        """Returns the newest valid record, or None if none was ever saved completely.
 
-        Raises OSError if the disk cannot be read: that is not the same as a disk that holds nothing.
+        Raises OSError if the disk cannot be read, which must not be mistaken for an empty disk.
         """
         newest = None
-        for slot, name in enumerate(DATABASES):
+        for slot, name in enumerate(DATABASE_NAMES):
             found = self._read(name)
             if found is not None and found.generation > self.generation:
                 self.generation = found.generation
                 self.slot = slot
                 newest = found.record
         if newest is not None:
-            # Guards against a save cut short by a kill: its files read well, and a loss of power takes them yet.
+            # If the process was killed during a save, its files may be readable but not synced, and a later power loss
+            # would remove them.
             self._sync(self.slot)
         return newest
 
     def save(self, record: bytes) -> None:
-        """Returns once the record is on stable storage. Raises OSError; the record may or may not be there then."""
+        """Returns once the record is on stable storage. Raises OSError; the record may or may not be stored then."""
         slot = 1 - self.slot
         generation = self.generation + 1
-        path = os.path.join(self.folder, DATABASES[slot])
+        path = os.path.join(self.folder, DATABASE_NAMES[slot])
         for suffix in SUFFIXES:
-            # Guards against a torn index that `dbm.dumb` fails to remove, says nothing of, and then reads.
+            # `dbm.dumb` ignores a failure to remove an old index; it would then read the torn index.
             with suppress(FileNotFoundError):
                 self.files.remove(path + suffix)
         self._write(path, generation, record)
@@ -102,7 +104,7 @@
         self.slot = slot
 
     def _write(self, path: str, generation: int, record: bytes) -> None:
-        """Makes the database anew."""
+        """Creates the database with the record as its only row."""
         with dbm.dumb.open(path, "n") as database:
             try:
                 nonce = self.files.nonce()
@@ -110,12 +112,12 @@
                 database[KEY + nonce] = HEADER.pack(generation, checksum) + record
                 database.close()
             finally:
-                # Guards against a database that failed and writes its index once more when it is closed or collected,
-                # which may be after the next save into the same files.
+                # Without an index, a database whose write failed does not write the index again when it is closed or
+                # garbage-collected, which may happen after the next save to the same files.
                 vars(database)["_index"] = None
 
     def _read(self, name: str) -> _StoredRecord | None:
-        """What a database has, or None if there is none or it is torn. Raises OSError if the disk cannot be read."""
+        """Returns the record in a database, or None if it is missing or torn. Raises OSError if reading fails."""
         with ExitStack() as stack:
             try:
                 database = stack.enter_context(dbm.dumb.open(os.path.join(self.folder, name), "r"))
@@ -123,7 +125,7 @@
                 return None
             except OSError:
                 raise
-            except Exception:  # a torn index is no Python any more, in one of many ways
+            except Exception:  # a torn index is not valid Python, and parsing it may raise various exceptions
                 return None
             try:
                 key, value = next(iter(database.items()))
@@ -135,12 +137,12 @@
 
     def _sync(self, slot: int) -> None:
         for suffix in (DATA_SUFFIX, INDEX_SUFFIX):
-            self.files.sync(os.path.join(self.folder, DATABASES[slot] + suffix))
+            self.files.sync(os.path.join(self.folder, DATABASE_NAMES[slot] + suffix))
         self.files.sync_folder(self.folder)
 
 
 def _checked(key: str | bytes, value: bytes) -> _StoredRecord | None:
-    """The record of a database's one row, or None if the row was not saved whole."""
+    """Returns the record in a database's only row, or None if the row was not saved completely."""
     if not isinstance(key, bytes) or not key.startswith(KEY) or len(value) < HEADER.size:
         return None
     generation, checksum = HEADER.unpack_from(value)
@@ -150,7 +152,10 @@
 
 
 def _checksum(generation: int, record: bytes, nonce: bytes) -> bytes:
-    """Guards against a new index over the data of an older save that failed, of the same generation: it would bring
-    back what was taken to be gone. The index alone has the nonce; an older record has none."""
+    """Returns the checksum over generation, record and nonce.
+
+    The nonce is stored only in the index. It detects a new index with the data of an earlier failed save of the same
+    generation, which would otherwise restore a record that was reported as not stored. Older records have no nonce.
+    """
     salt = struct.pack("<Q", generation)
     return blake2b(record, digest_size=CHECKSUM_BYTES, salt=salt, person=nonce).digest()
--- a/rampfront/consensus/roles.py
+++ b/rampfront/consensus/roles.py
@@ -1,13 +1,13 @@
-"""The changes of role of one member that touch several of its parts, and those parts.
+"""The components of one member, and the role changes that involve several of them.
 
-A member is a learner, follower, candidate or leader of a term (Raft paper, figure 4). `Election` knows the role;
-this module does what goes with the changes: entering a newer term, becoming the leader and stepping down, and coming
-back as another incarnation. `Member` and `MessageHandler` call it.
+A member is a learner, follower, candidate or leader in a term (Raft paper, figure 4). `Election` holds the role; this
+module implements the transitions: entering a newer term, becoming the leader, stepping down, and rejoining as a new
+incarnation. `Member` and `MessageHandler` call it.
 
 Invariants:
 
-- There is a `Leader` exactly while the role is that of the leader.
-- A newer term ends a leadership, and so does the knowledge that this member is none any more.
+- A `Leader` exists exactly while the role is LEADER.
+- A leadership ends with a newer term, and when this member learns that its removal is committed.
 """
 
 from .context import MemberContext
@@ -21,56 +21,56 @@
 
 
 class Roles:
-    """The parts of one member, and its role among them. The parts call each other only through their methods."""
+    """The components of one member. They call each other only through their public methods."""
 
     def __init__(self, context: MemberContext, persistent: PersistentState, is_new: bool, deadline: TimeNs) -> None:
-        """`is_new`: the disk held no record. `deadline`: when this member first asks for votes."""
+        """`is_new`: whether the disk held no record. `deadline`: when this member starts its first pre-vote."""
         self.context = context
         self.persistent = persistent
-        counts_towards_size = is_new and context.settings.is_first_start
-        self.discovery = LeaderDiscovery(context, persistent, counts_towards_size)
+        is_initial_member = is_new and context.settings.is_first_start
+        self.discovery = LeaderDiscovery(context, persistent, is_initial_member)
         self.electorate = Electorate(context, persistent)
         self.responses = DeferredResponses(context, persistent)
         self.election = Election(context, persistent, self.electorate, self.discovery, deadline)
-        self.leader: Leader | None = None  # this member, while it leads
+        self.leader: Leader | None = None  # set while this member is the leader
 
     def enter_term(self, term: Term) -> None:
-        """Into a newer term, as a follower."""
+        """Enters a newer term as a follower."""
         self.persistent.enter_term(term)
         self.discovery.forget_leader()
         if self.leader is not None:
             self.step_down()
-        self.election.follow()
+        self.election.become_follower()
 
     def learn_of_term(self, term: Term) -> None:
-        """Another member names its term."""
+        """Enters the term of another member if it is newer and this node is a member."""
         if term > self.persistent.term and self.persistent.is_member():
             self.enter_term(term)
 
-    def lead(self) -> None:
-        """This member has won the election of its term."""
-        password = self.context.draw_identifier()
-        self.discovery.became_leader(password)
-        self.leader = Leader(self.context, self.persistent, self.electorate, self.discovery, password)
+    def become_leader(self) -> None:
+        """Becomes the leader after winning the election of the current term."""
+        join_token = self.context.draw_identifier()
+        self.discovery.became_leader(join_token)
+        self.leader = Leader(self.context, self.persistent, self.electorate, self.discovery, join_token)
         self.leader.begin()
 
     def step_down(self) -> None:
-        """A leader that can't lead says so: its followers need not wait until they miss it."""
+        """Ends this member's leadership and announces it, so that followers need not wait for a timeout."""
         leader, self.leader = self.leader, None
         if leader is not None:
             self.discovery.leadership_ended()
             leader.close()
-            self.election.follow()
+            self.election.become_follower()
 
     def rejoin(self, leader_ip: str | None) -> None:
-        """It is committed that this incarnation is no member any more: it comes back as another."""
+        """Restarts as a new incarnation, after the removal of the current one has been committed."""
         self.persistent.renew_incarnation()
-        self.election.learn()
+        self.election.become_learner()
         self.discovery.restart(leader_ip)
         self.responses.clear()
 
     def accept_leader(self, ip: str) -> None:
-        """The member at `ip` leads in the current term."""
-        self.election.follow()
+        """Follows the member at `ip`, which leads in the current term."""
+        self.election.become_follower()
         self.electorate.leader_appeared()
         self.discovery.heartbeat_received(ip)
--- a/rampfront/consensus/state.py
+++ b/rampfront/consensus/state.py
@@ -1,7 +1,7 @@
-"""The one entry of the log: the whole replicated state, and its form between members and on disk.
+"""The log entry, which is the whole replicated state, and its encoding for the wire and the disk.
 
-The agreement is Raft with a log of one entry: each entry is the whole state, so the newest one contains all before it,
-and no log has to be compacted. The form is a list of columns, in the order of `State`'s fields, as cbor2 carries it.
+The protocol is Raft with a log of one entry: each entry is the whole state, so the newest one supersedes all earlier
+ones, and the log needs no compaction. The encoding is a CBOR list of columns, in the order of `State`'s fields.
 """
 
 from collections.abc import Collection, Iterable
@@ -16,19 +16,19 @@
 from .identifiers import LogIndex, LogPosition, MemberAddress, MemberList, Term
 from .version_history import VersionHistory, content_digest
 
-MAX_BODY_BYTES = 16 << 20  # of a compressed configuration
-MAX_NAMES = 64  # of zones, and of members
+MAX_BODY_BYTES = 16 << 20  # size of a compressed configuration
+MAX_NAMES = 64  # number of zones, and number of members
 MAX_ZONE_CHARS = 200
-MAX_ADDRESS_LETTERS = 300  # of a member's name and ip together
+MAX_ADDRESS_CHARS = 300  # length of a member's name and IP address together
 MAX_NUMBER = 1 << 53
-BODY_COLUMN = 3  # of an encoded state
+BODY_COLUMN = 3  # index of the body in an encoded state
 DIGEST_COLUMN = 4
-COLUMNS = (8, 9, 10)  # how many there are: an older state lacks the evacuations, and its target size
+COLUMNS = (8, 9, 10)  # valid numbers of columns; older states lack the evacuations and the target size
 DIGEST_BYTES = 8
 
 
 def digest(body: bytes) -> bytes:
-    """8 bytes that identify a compressed configuration, byte by byte."""
+    """Returns an 8-byte digest of the exact bytes of a compressed configuration."""
     return blake2b(body, digest_size=DIGEST_BYTES).digest()
 
 
@@ -49,46 +49,46 @@
 
 @dataclass(frozen=True, slots=True, eq=False)
 class State:
-    """One entry of the log, which is the whole replicated state.
+    """A log entry, which is the whole replicated state.
 
-    `previous_members`: the members before a change that is not yet known to be committed. While they are there, a
-    majority of both lists must agree (joint consensus, Raft paper, section 6): no change of the members can make two
-    majorities that do not meet.
+    `previous_members`: the member list before a change that is not known to be committed yet. While it is set, a
+    majority of each list must agree (joint consensus, Raft paper, section 6), so that a membership change can never
+    produce two disjoint majorities.
     """
 
     index: LogIndex
     term: Term
-    revision: int = 0  # number of the newest configuration; 0: none yet
-    body: bytes = b""  # the configuration as the operator sent it, compressed
+    revision: int = 0  # number of the newest configuration; 0 before the first one
+    body: bytes = b""  # the configuration as sent by the operator, compressed
     evacuated_zones: frozenset[str] = frozenset()
     members: MemberList = field(default_factory=dict)
     previous_members: MemberList | None = None
     body_digest: bytes = b""
-    evacuations: EvacuationTable = field(default_factory=dict)  # what is known of who keeps zones evacuated
-    target_size: int = 0  # members that are wanted: those admitted at the first start; 0: an older record
-    versions: VersionHistory = VersionHistory()  # of all numbers confirmed; not encoded: only members need them
+    evacuations: EvacuationTable = field(default_factory=dict)  # operators that keep zones evacuated
+    target_size: int = 0  # number of members admitted at the initial start; 0 in an older record
+    versions: VersionHistory = VersionHistory()  # confirmed configuration numbers; encoded separately, for members only
 
     @property
     def position(self) -> LogPosition:
-        """Where the entry stands in the log."""
+        """Position of the entry in the log."""
         return LogPosition(self.term, self.index)
 
     def next_entry(self, **changes: Unpack[StateChanges]) -> "State":
-        """The entry after this one."""
+        """Returns the entry that follows this one, with the given changes."""
         if "body" in changes:
             changes["body_digest"] = digest(changes["body"])
         return replace(self, index=self.index + 1, **changes)
 
     def with_versions(self, versions: VersionHistory) -> "State":
-        """The same entry, with a history that has its own configuration's number in any case."""
+        """Returns the same entry with a version history, to which its own configuration is added if missing."""
         if self.revision and versions.digest_of(self.revision) is None:
             versions = versions.with_version(self.revision, content_digest(self.body))
         return replace(self, versions=versions)
 
     def with_claims(self, rows: object) -> "State":
-        """The same entry with its claims on evacuated zones, as `encode_claims` has them.
+        """Returns the same entry with claims on evacuated zones, given in the form of `encode_claims`.
 
-        Raises RemoteProtocolError for what that does not make.
+        Raises RemoteProtocolError for malformed claims.
         """
         if rows is None:
             return self
@@ -96,21 +96,21 @@
         return replace(self, evacuations=table)
 
     def encode_claims(self) -> list[object] | None:
-        """The claims as cbor2 carries them, beside the encoded state: members alone need them. None without any."""
+        """Encodes the claims separately from the state, since only members need them; None if there are none."""
         table = claim_table(self.evacuations)
         return [*encode_claims(table)] if table else None
 
     def all_members(self) -> MemberList:
-        """All whose votes may count; those of `members` go first."""
+        """Returns all members with votes, of both lists; an address in `members` takes precedence."""
         return self.members if self.previous_members is None else {**self.previous_members, **self.members}
 
     def addresses(self) -> list[str]:
-        """The ips of all whose votes may count, once each."""
+        """Returns the IP addresses of all members with votes, without duplicates."""
         listed = chain(self.members.values(), (self.previous_members or {}).values())
         return list(dict.fromkeys(ip for ip, _ in listed))
 
     def has_member(self, name: str, incarnation: int) -> bool:
-        """Whether this incarnation is a member by either list."""
+        """Whether this incarnation is in either member list."""
         for members in (self.members, self.previous_members):
             if members:
                 address = members.get(name)
@@ -119,7 +119,7 @@
         return False
 
     def has_quorum(self, keys: Collection[tuple[str, int]]) -> bool:
-        """Whether the members of `keys` are a majority of each list."""
+        """Whether `keys` contains a majority of each member list."""
         for members in (self.members, self.previous_members):
             if members is not None:
                 count = sum((name, incarnation) in keys for name, (_, incarnation) in members.items())
@@ -128,7 +128,7 @@
         return True
 
     def encode(self, include_body: bool = True) -> list[object]:
-        """As cbor2 carries it; without its body where the receiver is known to have the same."""
+        """Encodes the state for CBOR; the body is omitted if the receiver is known to have it."""
         previous = None if self.previous_members is None else _encode_members(self.previous_members)
         row: list[object] = [
             self.index,
@@ -148,14 +148,14 @@
 
 
 def decode_state(row: object, bodies: Iterable[bytes] = ()) -> State | None:
-    """The checked state of its encoded form, with an empty history of versions.
+    """Decodes and validates a state; its version history is empty.
 
     Parameters:
-        row: as cbor2 carries it, unchecked.
-        bodies: those that the receiver has; one of them is taken where the state comes without its body.
+        row: the encoded state, not validated.
+        bodies: bodies that the receiver has; the matching one is used if the state was sent without its body.
 
-    Returns None if it comes without its body and none of `bodies` is the same.
-    Raises RemoteProtocolError for what `State.encode` does not make.
+    Returns None if the state was sent without its body and none of `bodies` matches its digest.
+    Raises RemoteProtocolError for a malformed state.
     """
     if not isinstance(row, list):
         raise RemoteProtocolError("state")
@@ -169,7 +169,7 @@
     _check_numbers(index, term, revision, target_size)
     _check_zones(zones)
     if type(body_digest) is not bytes:
-        raise RemoteProtocolError("digest of the body")
+        raise RemoteProtocolError("body digest is not bytes")
     member_list = _decode_members(members)
     previous_list = None if previous is None else _decode_members(previous)
     full_body = _full_body(body, body_digest, bodies)
@@ -191,7 +191,7 @@
 
 def _check_numbers(*numbers: object) -> None:
     if any(type(number) is not int or not 0 <= number < MAX_NUMBER for number in numbers):
-        raise RemoteProtocolError("state's numbers")
+        raise RemoteProtocolError("state has a number that is out of range")
 
 
 def _check_zones(zones: object) -> None:
@@ -202,13 +202,13 @@
 
 
 def _full_body(body: object, body_digest: bytes, bodies: Iterable[bytes]) -> bytes | None:
-    """The body, or the one of `bodies` that it stands for; None if that is not among them."""
+    """Returns the body, or the one of `bodies` with its digest if it was omitted; None if none matches."""
     if body is None:
         return next((known for known in bodies if digest(known) == body_digest), None)
     if type(body) is not bytes or len(body) > MAX_BODY_BYTES:
         raise RemoteProtocolError("body")
     if digest(body) != body_digest:
-        raise RemoteProtocolError("body is not what its digest says")
+        raise RemoteProtocolError("body does not match its digest")
     return body
 
 
@@ -225,6 +225,6 @@
 def _decode_member(row: object) -> tuple[str, MemberAddress]:
     match row:
         case [str() as name, str() as ip, int() as incarnation] if type(row) is list and type(incarnation) is int:
-            if len(name) + len(ip) <= MAX_ADDRESS_LETTERS:
+            if len(name) + len(ip) <= MAX_ADDRESS_CHARS:
                 return name, MemberAddress(ip, incarnation)
     raise RemoteProtocolError("member")
--- a/rampfront/consensus/wire_names.py
+++ b/rampfront/consensus/wire_names.py
@@ -1,15 +1,15 @@
-"""The names of messages and their fields on the wire.
+"""Names of message kinds and fields on the wire.
 
-A frame is a map with short keys, because heartbeats go to each member three times a second and bytes between zones are
-priced. Old and new nodes run mixed, so these names stay as they are. `frame_encoder.py` and `frame_decoder.py` alone
-know which class is which kind, and which field has which key.
+A frame is a map with short keys, because each member receives heartbeats three times a second and traffic between zones
+is billed by the byte. Nodes of different versions run together, so the names must not change. Only `frame_encoder.py`
+and `frame_decoder.py` map classes to kinds and fields to keys.
 """
 
 from typing import Any, TypeAlias
 
 Frame: TypeAlias = dict[str, Any]  # a message as the transport carries it
 
-# The wire's keys.
+# Field keys.
 KIND = "k"
 SENDER_NAME = "n"
 SENDER_INCARNATION = "i"
@@ -19,18 +19,18 @@
 BODY_DIGEST = "d"
 ROUND = "s"
 COMMIT_INDEX = "c"
-ENTRY = "x"  # of an AppendEntry
-PASSWORD = "x"  # of a JoinRequest or a LeaderHint
+ENTRY = "x"  # in an AppendEntry
+JOIN_TOKEN = "x"  # in a JoinRequest or a LeaderHint
 VERSIONS = "v"
 CLAIMS = "w"
 LEADER_IP = "l"
 MEMBER_IPS = "m"
 IS_EXCLUDED = "o"
-COUNTS_TOWARDS_SIZE = "f"
+IS_INITIAL_MEMBER = "f"
 IS_SHUTTING_DOWN = "z"
-SUCCESSOR = "h"  # 1: the receiver (of a VoteRequest: the sender) is named, 0: another member is
+SUCCESSOR = "h"  # 1: the receiver (in a VoteRequest: the sender) is the named successor, 0: another member is
 
-# The kinds' names.
+# Message kinds.
 JOIN_REQUEST = "knock"
 LEADER_QUERY = "seek"
 LEADER_HINT = "at"
--- a/tests/consensus/test_excluded_members.py
+++ b/tests/consensus/test_excluded_members.py
@@ -69,7 +69,7 @@
     for node in (old, out):
         core.stop(node)
     core.start(out)
-    out.core_member.roles.election.stand()
+    out.core_member.roles.election.become_candidate()
     core.tell(out, events.Tick())
     core.go(3 * SEC)
     core.start(old)
