--- a/tests/consensus/test_lost_disks.py
+++ b/tests/consensus/test_lost_disks.py
@@ -7,7 +7,7 @@
 from rampfront.consensus import events
 from rampfront.consensus.identifiers import LogPosition, MemberKey
 from rampfront.consensus.messages import Heartbeat, JoinRequest, PreVoteRequest, VoteRequest
-from rampfront.consensus.wire_names import JOIN_REQUEST, KIND, PASSWORD, SENDER_INCARNATION
+from rampfront.consensus.wire_names import JOIN_REQUEST, JOIN_TOKEN, KIND, SENDER_INCARNATION
 from rampfront.simulation.world import MS, SEC
 
 
@@ -96,7 +96,7 @@
         core.start(lost)
         core.go(2 * SEC)
     requests = [request for request in requests if request[SENDER_INCARNATION] != lost.core_member.incarnation]
-    assert any(request[PASSWORD] == leader.core_member.roles.leader.password for request in requests)
+    assert any(request[JOIN_TOKEN] == leader.core_member.roles.leader.join_token for request in requests)
     for request in requests:
         core.tell(leader, events.MessageReceived(lost.ip, request))
     core.go(SEC)
@@ -110,7 +110,7 @@
     leader, out = core.leader, core.others(core.leader)[0]
     before = out.core_member.incarnation
     core.cut([out], core.others(out))
-    request = JoinRequest(MemberKey(out.name, 77), leader.core_member.roles.leader.password)
+    request = JoinRequest(MemberKey(out.name, 77), leader.core_member.roles.leader.join_token)
     core.tell(leader, frame_of(out.ip, request))
     core.go(2 * SEC)
     assert leader.core_member.committed.members[out.name][1] == before
@@ -147,7 +147,7 @@
     request = JoinRequest(MemberKey(leader.name, 77), 0)
     for _ in range(20):
         core.tell(other, frame_of(leader.ip, request)), core.go(100 * MS)
-    assert other.core_member.roles.electorate.sole_survivor_of is None and core.leader is leader
+    assert other.core_member.roles.electorate.sole_voter_position is None and core.leader is leader
     core.stop(leader)
     core.go(2 * SEC)
     core.tell(other, frame_of(leader.ip, request))
@@ -159,7 +159,7 @@
     core.go(2 * SEC)
     core.start(lost)
     core.go(5 * SEC)
-    assert not core.leaders and left.core_member.roles.electorate.sole_survivor_of is None
+    assert not core.leaders and left.core_member.roles.electorate.sole_voter_position is None
 
 
 def test_all_killed_at_once_one_of_them_without_its_disk():
--- a/tests/consensus/test_member_shutdown.py
+++ b/tests/consensus/test_member_shutdown.py
@@ -7,7 +7,7 @@
 from rampfront.consensus import events
 from rampfront.consensus.events import Outcome
 from rampfront.consensus.identifiers import MemberAddress, MemberKey
-from rampfront.consensus.membership_change import UNANSWERED_NS, MembershipChange, MembershipView
+from rampfront.consensus.membership_change import UNRESPONSIVE_NS, MembershipChange, MembershipView
 from rampfront.consensus.messages import VoteRequest
 from rampfront.consensus.replica_progress import ReplicaProgress
 from rampfront.consensus.state import State
@@ -69,7 +69,7 @@
         replica.last_contact_at = now
     replicas["e", 5].is_shutting_down = True
     state = State(7, 3, members=members, target_size=4)
-    replicas["d", 4].last_contact_at = now - UNANSWERED_NS - 1
+    replicas["d", 4].last_contact_at = now - UNRESPONSIVE_NS - 1
     assert change.removal(MembershipView(state, replicas, now, 0)) is None
     replicas["d", 4].last_contact_at = now
     step = change.removal(MembershipView(state, replicas, now, 0))
--- a/tests/consensus/test_version_history.py
+++ b/tests/consensus/test_version_history.py
@@ -18,7 +18,11 @@
     assert history.with_version(1, bytes(8)) is history and history.with_version(4, b"another.") is history
     fuller = history.with_version(5, bytes(8))
     assert fuller.digest_of(2) is None and fuller.digest_of(5) == bytes(8) and len(fuller.rows) == v.MAX_VERSIONS
-    assert fuller.conflicts_with(4, b"another.") and not fuller.conflicts_with(4, bytes(8)) and not fuller.conflicts_with(3, bytes(8))
+    assert (
+        fuller.conflicts_with(4, b"another.")
+        and not fuller.conflicts_with(4, bytes(8))
+        and not fuller.conflicts_with(3, bytes(8))
+    )
     assert v.decode_history(fuller.encode()).rows == fuller.rows
 
 
