--- a/tests/catch_up_fixtures.py
+++ b/tests/catch_up_fixtures.py
@@ -58,12 +58,12 @@
         self.bandwidth = Bandwidth(self, links, FAST, lambda src, dst: (src, dst) in self.cuts)
         for node in self.nodes:
             self.start(node, True)
-        self.go(3 * SEC)
+        self.advance(3 * SEC)
         assert len(self.leader.core_member.committed.members) == members
         self.change()
-        self.go(SEC)
+        self.advance(SEC)
 
-    def go(self, time):
+    def advance(self, time):
         self.run(self.now + time)
 
     @property
@@ -85,7 +85,7 @@
         """So many changes, GAP apart."""
         for _ in range(changes):
             self.change()
-            self.go(GAP)
+            self.advance(GAP)
 
     def held(self, node):
         """Number of the newest version that a member knows to be in force."""
--- a/tests/consensus/test_answer_checks.py
+++ b/tests/consensus/test_answer_checks.py
@@ -21,7 +21,7 @@
     """None of another term, of or for another incarnation, or of a round that has not begun counts as a member's."""
     core = consensus.Core()
     leader = core.leader.core_member
-    core.cut([core.leader], core.others(core.leader))
+    core.cut_links([core.leader], core.others(core.leader))
     (key, peer), *_ = leader.roles.leader.replication.replicas.items()
     mismatched, matching = answers_to(leader, *key, k="ack", s=leader.roles.leader.rounds.current, e=[99, 99], d=b"")
     mismatched["round"] = {**matching, "s": matching["s"] + 1}
--- a/tests/consensus/test_catch_up.py
+++ b/tests/consensus/test_catch_up.py
@@ -32,7 +32,7 @@
     node, calls = core.follower(), len(core.calls)
     came = core.bandwidth.came(node.ip)
     core.burst(30)
-    core.go(SEC)
+    core.advance(SEC)
     assert core.held(node) == core.rev and core.bandwidth.came(node.ip) - came < 30 * 1000
     assert max(call.done_at - call.sent for call in core.calls[calls:]) < 100 * MS
 
@@ -50,7 +50,7 @@
     assert core.rev - held[-1] < 20
     assert not core.counts.get("transfers lost") and core.counts["leaders"] == 1
     assert core.bandwidth.most_waited[node.ip] < 250 * MS
-    core.go(2 * SEC)
+    core.advance(2 * SEC)
     assert core.held(node) == core.rev
 
 
@@ -61,16 +61,16 @@
     node.core_member.roles.persistent.bodies.by_digest.clear()
     node.core_member.roles.persistent.entry = node.core_member.roles.persistent.durable.entry
     core.change()
-    core.go(SEC)
+    core.advance(SEC)
     assert core.held(node) == core.rev
     rev = core.rev
     kept = node.core_member.roles.persistent.bodies.by_digest
     for mark, held in list(kept.items()):
         kept[mark] = zlib.compress(zlib.decompress(held).replace(b"3000ms", b"9999ms"))
     core.change()
-    core.go(100 * MS)
+    core.advance(100 * MS)
     assert core.held(node) == rev and node.core_member.entry.revision == rev
-    core.go(SEC)
+    core.advance(SEC)
     assert core.held(node) == rev + 1
 
 
@@ -100,7 +100,7 @@
     )
     assert peer.match_position == node.core_member.roles.persistent.durable.entry.position
     node.disk.wait = node.disk.usual
-    core.go(SEC)
+    core.advance(SEC)
     assert core.held(node) == core.rev
 
 
@@ -111,7 +111,7 @@
     node.disk.hangs = True
     core.burst(3)
     core.freeze(led)  # no heartbeat asks for it
-    core.go(20 * MS)
+    core.advance(20 * MS)
     sent = []
     core.send = lambda node, ip, message: sent.append(message)
 
@@ -139,7 +139,7 @@
     node.disk.full = False
     core.burst(10)
     assert core.rev - core.held(node) <= 1
-    core.go(SEC)
+    core.advance(SEC)
     assert node.core_member.roles.persistent.durable.entry.revision == core.rev
 
 
@@ -156,9 +156,9 @@
         held = node.core_member.entry.position
         assert held >= stamp
         core.change()
-        core.go(core.chance.randrange(10, 400) * MS)
+        core.advance(core.chance.randrange(10, 400) * MS)
         stamp = node.core_member.roles.persistent.durable.entry.position
         core.stop(node)
-        core.go(50 * MS)
+        core.advance(50 * MS)
     seconds, came = core.catch_up(node)
     assert seconds <= 1 and came < 100_000
--- a/tests/consensus/test_commitment.py
+++ b/tests/consensus/test_commitment.py
@@ -16,11 +16,11 @@
     hung = core.others(leader)[:2]
     for node in hung:
         node.disk.hangs = True
-    call = core.config(1)
-    core.go(2 * SEC)
+    call = core.configure(1)
+    core.advance(2 * SEC)
     assert call.verdict is None and leader.core_member.is_leader
     hung[0].disk.hangs = False
-    core.go(SEC // 2)
+    core.advance(SEC // 2)
     assert done(call)
 
 
@@ -28,13 +28,13 @@
     core = Core()
     leader = core.leader
     leader.disk.full = True
-    first, _ = core.config(1), core.go(SEC)
+    first, _ = core.configure(1), core.advance(SEC)
     assert done(first)  # by the three others
     core.stop(core.others(leader)[0])
-    second, _ = core.config(2), core.go(4 * SEC)
+    second, _ = core.configure(2), core.advance(4 * SEC)
     assert second.verdict == Outcome.UNKNOWN
     leader.disk.full = False
-    core.go(SEC)
+    core.advance(SEC)
     assert core.leader.core_member.committed.revision == 2  # it was sent, so it may come into force
 
 
@@ -57,15 +57,15 @@
 def test_a_vote_and_its_term_outlive_a_kill():
     core = Core()
     voter = core.others(core.leader)[0]
-    core.cut([voter], core.others(voter))
-    core.go(2 * SEC)
+    core.cut_links([voter], core.others(voter))
+    core.advance(2 * SEC)
     entry = voter.core_member.entry
 
     def answers(message):
         sent = core.sent = []
         core.send = lambda node, ip, message: sent.append((ip, message[KIND]))
         core.tell(voter, frame_of("10.0.0.9", message))
-        core.go(50 * MS)
+        core.advance(50 * MS)
         return [kind for ip, kind in sent if ip == "10.0.0.9"]
 
     incarnation = voter.core_member.incarnation
@@ -80,9 +80,9 @@
 
 def test_a_leader_killed_right_after_its_acknowledgement_is_followed_by_one_that_has_the_entry():
     core = Core()
-    call = core.config(7)
+    call = core.configure(7)
     while not done(call):
-        core.go(MS)
+        core.advance(MS)
     core.stop(core.leader, power=True)
-    core.go(3 * SEC)
+    core.advance(3 * SEC)
     assert core.leader.core_member.committed.revision == 7
--- a/tests/consensus/test_consensus_messages.py
+++ b/tests/consensus/test_consensus_messages.py
@@ -20,12 +20,12 @@
     send = core.send
     core.send = lambda node, ip, message: (sent.append(message), send(node, ip, message))
     body = os.urandom(50_000)
-    core.config(1, body=body), core.go(SEC)
+    core.configure(1, body=body), core.advance(SEC)
     assert sum(message[KIND] == APPEND_ENTRY and message[ENTRY][BODY_COLUMN] is not None for message in sent) == 3
     del sent[:]
-    core.ask(core.leader, OrderKind.EVACUATE, "zone"), core.go(SEC)
+    core.place_order(core.leader, OrderKind.EVACUATE, "zone"), core.advance(SEC)
     core.stop(core.leader)
-    core.go(4 * SEC)
+    core.advance(4 * SEC)
     assert (
         core.leader.core_member.committed.evacuated_zones == {"zone"} and core.leader.core_member.committed.body == body
     )
@@ -68,15 +68,15 @@
     send = core.send
     core.send = lambda node, ip, message: (sent.append(message), send(node, ip, message))
     for number in range(1, 200):
-        core.config(number), core.go(50 * MS)
-    core.go(SEC)
+        core.configure(number), core.advance(50 * MS)
+    core.advance(SEC)
     del sent[:]
-    core.config(200), core.ask(core.leader, OrderKind.EVACUATE, "zone"), core.go(SEC)
+    core.configure(200), core.place_order(core.leader, OrderKind.EVACUATE, "zone"), core.advance(SEC)
     entries = [message for message in sent if message[KIND] == APPEND_ENTRY]
     assert entries and all(len(message[VERSIONS][1]) <= v.ROW.size for message in entries)
     core.stop(core.leader)
     del sent[:]
-    core.go(4 * SEC)  # nor does a leader's first entry
+    core.advance(4 * SEC)  # nor does a leader's first entry
     entries = [message for message in sent if message[KIND] == APPEND_ENTRY]
     assert entries and all(not message[VERSIONS][1] for message in entries)
     assert core.leader.core_member.committed.versions.rows[0][0] == 1
--- a/tests/consensus/test_core_orders.py
+++ b/tests/consensus/test_core_orders.py
@@ -9,11 +9,11 @@
 
 def test_the_same_revision_twice_and_old_ones_change_nothing():
     core = Core()
-    core.config(5), core.go(SEC)
+    core.configure(5), core.advance(SEC)
     index = core.leader.core_member.committed.index
-    again, other, _ = core.config(5), core.config(5, body=b"another"), core.go(SEC)
+    again, other, _ = core.configure(5), core.configure(5, body=b"another"), core.advance(SEC)
     assert done(again) and other.verdict == Outcome.CONFLICT and core.leader.core_member.committed.index == index
-    old, _ = core.config(3), core.go(SEC)
+    old, _ = core.configure(3), core.advance(SEC)
     assert done(old) and old.state.revision == 5
     assert again.state.body == other.state.body == old.state.body == b"body of 5"
 
@@ -21,8 +21,8 @@
 def test_pending_orders_share_one_entry_and_the_highest_revision_is_in_force():
     core = Core()
     index = core.leader.core_member.committed.index
-    calls = [core.config(rev) for rev in (2, 9, 4, 9)] + [core.ask(core.leader, OrderKind.EVACUATE, "zone")]
-    core.go(SEC)
+    calls = [core.configure(rev) for rev in (2, 9, 4, 9)] + [core.place_order(core.leader, OrderKind.EVACUATE, "zone")]
+    core.advance(SEC)
     assert all(map(done, calls)) and core.leader.core_member.committed.index == index + 2
     assert (
         core.leader.core_member.committed.body == b"body of 9"
@@ -32,15 +32,15 @@
 
 def test_an_acknowledged_order_was_committed_though_another_one_reverses_it_at_once():
     core = Core()
-    core.config(1)
-    calls = [core.ask(core.leader, kind, "zone") for kind in (OrderKind.EVACUATE, OrderKind.RESTORE)]
-    core.go(SEC)  # `Ledger.done` looks whether the zone was ever emptied
+    core.configure(1)
+    calls = [core.place_order(core.leader, kind, "zone") for kind in (OrderKind.EVACUATE, OrderKind.RESTORE)]
+    core.advance(SEC)  # `Ledger.done` looks whether the zone was ever emptied
     assert all(map(done, calls)) and not core.leader.core_member.committed.evacuated_zones
 
 
 def test_only_the_leader_takes_orders():
     core = Core()
-    call = core.config(1, core.others(core.leader)[0])
+    call = core.configure(1, core.others(core.leader)[0])
     assert (call.verdict, call.leader_ip) == (Outcome.NOT_LEADER, core.leader.ip)
 
 
@@ -59,19 +59,19 @@
 )
 def test_orders_that_no_member_would_accept_are_rejected(kind, body):
     core = Core()
-    assert core.ask(core.leader, kind, body).verdict == Outcome.REJECTED
+    assert core.place_order(core.leader, kind, body).verdict == Outcome.REJECTED
 
 
 def test_pending_orders_are_bounded():
     core = Core()
     for node in core.others(core.leader):
         node.disk.hangs = True
-    calls = [core.config(rev) for rev in range(1, 301)]
+    calls = [core.configure(rev) for rev in range(1, 301)]
     assert [call.verdict for call in calls[:256]] == [None] * 256 and calls[-1].verdict == Outcome.REJECTED
-    core.go(3 * SEC)
+    core.advance(3 * SEC)
     assert calls[0].verdict == Outcome.UNKNOWN  # sent to others
     assert calls[1].verdict == Outcome.REJECTED  # never sent
     for node in core.nodes:
         node.disk.hangs = False
-    core.go(SEC)
+    core.advance(SEC)
     assert core.leader.core_member.committed.revision == 1
--- a/tests/consensus/test_core_strength.py
+++ b/tests/consensus/test_core_strength.py
@@ -15,15 +15,15 @@
     assert {row.condition for row in report()} == {MemberCondition.VOTER} and core.strong()
     gone = core.others(core.leader)[0]
     core.lose(gone)
-    core.go(2 * SEC)
+    core.advance(2 * SEC)
     assert {row.name: row.condition for row in report()}[gone.name] == MemberCondition.SILENT
     assert core.leader.core_member.roles.leader.strength_monitor.full_since is None
     core.start(core.newcomer())
     seen = set()
     while not core.strong():
-        core.go(5 * MS)
+        core.advance(5 * MS)
         seen |= {row.condition for row in report() if row.name == gone.name}
     assert MemberCondition.REPLACED in seen
     since = core.leader.core_member.roles.leader.strength_monitor.full_since
-    core.go(SEC)
+    core.advance(SEC)
     assert core.leader.core_member.roles.leader.strength_monitor.full_since == since
--- a/tests/consensus/test_elections.py
+++ b/tests/consensus/test_elections.py
@@ -27,11 +27,11 @@
     core = Core()
     old = core.leader
     others = core.others(old)
-    core.cut(*(([old], others) if out else (others, [old])), both=False)
-    calls = [core.config(1), core.ask(old, OrderKind.READ)]
-    core.go(1500 * MS)
+    core.cut_links(*(([old], others) if out else (others, [old])), both=False)
+    calls = [core.configure(1), core.place_order(old, OrderKind.READ)]
+    core.advance(1500 * MS)
     assert not old.core_member.is_leader and not any(map(done, calls))
-    core.go(2 * SEC)
+    core.advance(2 * SEC)
     new = core.leader
     assert (
         new is not old
@@ -43,13 +43,13 @@
 def test_a_leader_without_answers_announces_its_end_and_is_followed_sooner():
     core = Core()
     old = core.leader
-    core.cut(core.others(old), [old], both=False)
+    core.cut_links(core.others(old), [old], both=False)
     at = core.now
     while old.core_member.is_leader:
-        core.go(10 * MS)
+        core.advance(10 * MS)
     gave_up = core.now
     while not core.leaders:
-        core.go(10 * MS)
+        core.advance(10 * MS)
     assert gave_up - at < 1600 * MS and core.now - gave_up < 600 * MS
 
 
@@ -57,10 +57,10 @@
     core = Core()
     leader, away = core.leader, core.others(core.leader)[0]
     term = leader.core_member.term
-    core.cut([away], core.others(away))
-    core.go(10 * SEC)
-    core.heal()
-    core.go(3 * SEC)
+    core.cut_links([away], core.others(away))
+    core.advance(10 * SEC)
+    core.heal_links()
+    core.advance(3 * SEC)
     assert core.leader is leader and leader.core_member.term == term == away.core_member.term
 
 
@@ -68,11 +68,11 @@
     core = Core()
     leader = core.leader
     followers = core.others(leader)
-    core.cut([leader], followers[1:])
-    core.config(4), core.go(100 * MS)  # reaches one follower only
+    core.cut_links([leader], followers[1:])
+    core.configure(4), core.advance(100 * MS)  # reaches one follower only
     core.stop(leader)
-    core.heal()
-    core.go(4 * SEC)
+    core.heal_links()
+    core.advance(4 * SEC)
     new = core.leader
     assert (
         new is followers[0]
@@ -85,7 +85,7 @@
     core = Core()
     old = core.leader
     core.tell(old, events.Shutdown())
-    core.go(SEC)
+    core.advance(SEC)
     assert core.leader is not old
 
 
@@ -102,7 +102,7 @@
     told = []
     send = core.send
     core.send = lambda sender, ip, message: (told.append((sender, message)), send(sender, ip, message))
-    core.go(200 * MS)
+    core.advance(200 * MS)
     node.core_member.roles.election.start_pre_vote()
     for other in up:
         member = node.core_member
@@ -110,7 +110,7 @@
             member.roles.persistent.key, other.core_member.incarnation, member.term + 50, member.entry.position
         )
         core.tell(other, events.MessageReceived(node.ip, encode(request)))
-    core.go(3 * SEC)
+    core.advance(3 * SEC)
     incarnation = node.core_member.incarnation
     granted = [frame for _, frame in told if frame[KIND] in (PRE_VOTE_GRANTED, VOTE_GRANTED)]
     assert not [frame for frame in granted if frame[SENDER_INCARNATION] and frame[RECEIVER_INCARNATION] == incarnation]
@@ -125,11 +125,11 @@
     core.send = lambda sender, ip, message: (kept.append((sender.ip, ip, message)), send(sender, ip, message))
     core.burst(10)
     core.stop(old)
-    core.go(3 * SEC)
+    core.advance(3 * SEC)
     assert core.leader is not old
     core.burst(10)
     core.start(old)
-    core.go(2 * SEC)
+    core.advance(2 * SEC)
     core.send, term = send, core.leader.core_member.term
     stale = [row for row in kept if row[2].get(TERM, 0) < term]
     assert {HEARTBEAT, APPEND_ENTRY, APPEND_ACKNOWLEDGED} <= {message[KIND] for *_, message in stale}
@@ -153,5 +153,5 @@
     for src, dst, message in stale:
         core.tell(core.by_ip[dst], events.MessageReceived(src, message))
     assert standing() == before and core.leader.core_member.roles.leader.rounds.confirmed == confirmed
-    core.go(2 * SEC)
+    core.advance(2 * SEC)
     assert [row[:1] for row in standing()] == [row[:1] for row in before] and core.held(old) == core.rev
--- a/tests/consensus/test_evacuation_claims.py
+++ b/tests/consensus/test_evacuation_claims.py
@@ -27,7 +27,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.go(8 * SEC)
+        self.advance(8 * SEC)
         self.first_sent: dict[tuple[OrderKind, int], object] = {}  # what was in force when an order was sent first
 
     def place(self, kind: OrderKind, identity: int) -> None:
@@ -50,7 +50,7 @@
             self.place(kind, identity)
 
     def wait(self, ms: int) -> None:
-        self.go(ms * MS)
+        self.advance(ms * MS)
 
     @property
     def is_evacuated(self) -> bool:
--- a/tests/consensus/test_evacuations.py
+++ b/tests/consensus/test_evacuations.py
@@ -14,9 +14,9 @@
     """Orders on the zone, each of which is to be done; numbers are ms to wait."""
     for step in steps:
         if isinstance(step, int):
-            core.go(step * MS)
+            core.advance(step * MS)
         else:
-            call = core.ask(core.leader, step, "hall")
+            call = core.place_order(core.leader, step, "hall")
             until(core, lambda call=call: done(call))
 
 
@@ -27,7 +27,7 @@
 def opens_within(core: Core, ms: int) -> bool:
     end = core.now + ms * MS
     while is_emptied(core) and core.now < end:
-        core.go(20 * MS)
+        core.advance(20 * MS)
     return not is_emptied(core)
 
 
@@ -57,7 +57,7 @@
     core = Core()
     gives(core, 8000, OrderKind.EVACUATE, apart, OrderKind.EVACUATE, 8000 - apart, OrderKind.RESTORE)
     for _ in range(apart // 100 - 1):
-        core.go(100 * MS)
+        core.advance(100 * MS)
         assert is_emptied(core)
     gives(core, OrderKind.RESTORE)
     assert opens_within(core, REPEATS + 300)
@@ -83,7 +83,7 @@
 def test_a_repeat_during_another_order_counts_as_a_repeat() -> None:
     core = Core()
     gives(core, 8000, OrderKind.EVACUATE, 3000, OrderKind.EVACUATE, 3000)
-    core.config(5)
+    core.configure(5)
     gives(core, OrderKind.EVACUATE, 5000, OrderKind.EVACUATE)  # within the time of the one before
     assert core.leader.core_member.committed.evacuations["hall"] == e.Evacuation(1, repeated=True)
 
@@ -94,7 +94,7 @@
     def change() -> None:
         old = core.leader
         core.stop(old, power=True)
-        core.go(3 * SEC)
+        core.advance(3 * SEC)
         core.start(old, False)
 
     gives(core, 8000, OrderKind.EVACUATE, 30000, OrderKind.EVACUATE, 30000, OrderKind.RESTORE)
@@ -113,11 +113,11 @@
     core = Core(4)
     lost = core.leader
     heir = core.others(lost)[0]
-    core.cut([lost], [node for node in core.others(lost) if node is not heir])
-    first = core.ask(lost, OrderKind.EVACUATE, "hall")
+    core.cut_links([lost], [node for node in core.others(lost) if node is not heir])
+    first = core.place_order(lost, OrderKind.EVACUATE, "hall")
     until(core, lambda: "hall" in heir.core_member.roles.persistent.durable.entry.evacuated_zones)
     core.stop(lost)
-    core.heal()
+    core.heal_links()
     assert first.verdict is None
     until(core, lambda: len(core.leaders) == 1 and "hall" in core.leader.core_member.entry.evacuated_zones)
     gives(core, OrderKind.EVACUATE, 10000, OrderKind.RESTORE)
--- a/tests/consensus/test_excluded_members.py
+++ b/tests/consensus/test_excluded_members.py
@@ -15,8 +15,8 @@
 def test_a_member_removed_while_cut_off_is_soon_back_as_another_incarnation(members: int, survive: int) -> None:
     core = site(members, survive)
     away, before = cut_off_and_taken_out(core)
-    core.go(12 * SEC)
-    core.heal()
+    core.advance(12 * SEC)
+    core.heal_links()
     assert core.until_strong() < 2500 * MS
     assert core.members()[away.name] == away.core_member.incarnation != before
     core.strike(survive, 2)
@@ -29,11 +29,11 @@
     new = core.newcomer()
     core.start(new)
     while new.name not in core.leader.core_member.entry.members:
-        core.go(MS)
-    core.cut([new], core.others(new))
-    core.go(4 * SEC)
+        core.advance(MS)
+    core.cut_links([new], core.others(new))
+    core.advance(4 * SEC)
     assert new.name not in core.members() and not new.core_member.roles.persistent.is_member()
-    core.heal()
+    core.heal_links()
     assert core.until_strong() < 2500 * MS
     core.strike(survive, 2)
 
@@ -45,11 +45,11 @@
     core.stop(away)
     for node in core.others(away):
         core.start(core.newcomer())
-        core.go(CATCH_UP)
+        core.advance(CATCH_UP)
         core.tell(node, events.Shutdown())
-        core.go(SEC)
+        core.advance(SEC)
         core.lose(node)
-        core.go(CATCH_UP)
+        core.advance(CATCH_UP)
     core.seeds = ["10.9.9.9", core.others(core.leader)[-1].ip]
     core.start(away)
     assert core.until_strong() < CATCH_UP
@@ -65,13 +65,13 @@
         out.name in out.core_member.entry.members
         or out.core_member.roles.persistent.durable.entry is not out.core_member.entry
     ):
-        core.go(MS)
+        core.advance(MS)
     for node in (old, out):
         core.stop(node)
     core.start(out)
     out.core_member.roles.election.become_candidate()
     core.tell(out, events.Tick())
-    core.go(3 * SEC)
+    core.advance(3 * SEC)
     core.start(old)
     assert out.life in {life for _, (name, life) in core.ledger.leaders.items() if name == out.name}
     assert core.until_strong() < CATCH_UP and core.members()[out.name] != before
@@ -80,8 +80,8 @@
 def test_an_exclusion_counts_only_for_the_incarnation_it_names() -> None:
     core = site(4, 1)
     away = core.others(core.leader)[0]
-    core.cut([away], core.others(away))
-    core.go(2 * SEC)
+    core.cut_links([away], core.others(away))
+    core.advance(2 * SEC)
     incarnation, term = away.core_member.incarnation, away.core_member.term
     hint = LeaderHint(term, core.leader.ip, [], 1, True, incarnation + 1)
     core.tell(away, frame_of(core.leader.ip, hint))
@@ -92,10 +92,10 @@
     core = site(4, 1, newcomers=1)
     leader, away = core.leader, core.others(core.leader)[0]
     incarnation = away.core_member.incarnation
-    core.cut([away], core.others(away))
+    core.cut_links([away], core.others(away))
     for node in core.others(leader, away):
         node.disk.hangs = True
-    core.go(3 * SEC)
+    core.advance(3 * SEC)
     assert away.name not in leader.core_member.entry.members and away.name in core.members()
     query = LeaderQuery(MemberKey(away.name, incarnation))
     sent = leader.core_member.take(core.now + leader.offset, frame_of(away.ip, query))
--- a/tests/consensus/test_leader_discovery.py
+++ b/tests/consensus/test_leader_discovery.py
@@ -13,13 +13,13 @@
 
 def test_other_seeds_do_not_hinder_members_that_know_each_other():
     core = Core()
-    core.config(1), core.go(SEC)
+    core.configure(1), core.advance(SEC)
     for node in core.nodes:
         core.stop(node)
     core.seeds = ["10.9.9.9", "10.9.9.8", "10.9.9.7"]
     for node in core.nodes:
         core.start(node)
-    core.go(3 * SEC)
+    core.advance(3 * SEC)
     assert core.leader.core_member.committed.revision == 1
 
 
--- a/tests/consensus/test_learners.py
+++ b/tests/consensus/test_learners.py
@@ -12,14 +12,14 @@
     new = core.newcomer()
     core.start(new)
     while not core.leader.core_member.roles.leader.membership.learners:
-        core.go(MS)
+        core.advance(MS)
     new.disk.hangs = True
-    core.go(5 * SEC)
+    core.advance(5 * SEC)
     assert new.name not in core.members() and core.leader.core_member.entry.previous_members is None
     report = {row.name: row.condition for row in core.leader.core_member.core_strength(core.now).members}
     assert report.pop(new.name) == MemberCondition.LEARNER and set(report.values()) == {MemberCondition.VOTER}
     new.disk.hangs = False
-    core.go(SEC)
+    core.advance(SEC)
     assert new.name in core.members() and new.core_member.entry.revision == 1
 
 
@@ -31,7 +31,7 @@
         new = core.newcomer()
         core.start(new)
         new.disk.full = True
-    core.go(2 * SEC)
+    core.advance(2 * SEC)
     assert len(core.members()) == 4
     core.change(2)
 
@@ -43,8 +43,8 @@
     core.start(new)
     calls = []
     for rev in range(2, 42):
-        calls.append(core.config(rev))
-        core.go(50 * MS)
+        calls.append(core.configure(rev))
+        core.advance(50 * MS)
     assert all(map(done, calls)) and new.name in core.members()
 
 
@@ -53,12 +53,12 @@
     core = site(4, 1, newcomers=1)
     for node in core.others(core.leader)[:2]:
         core.lose(node)
-    core.go(SEC)
+    core.advance(SEC)
     new = core.newcomer()
     core.start(new)
     while len(core.leader.core_member.entry.members) == 5:
-        core.go(5 * MS)
+        core.advance(5 * MS)
     assert len(core.leader.core_member.entry.members) == 4
     core.lose(new)
-    core.go(SEC)
+    core.advance(SEC)
     core.change(2)
--- a/tests/consensus/test_lost_disks.py
+++ b/tests/consensus/test_lost_disks.py
@@ -15,22 +15,22 @@
     core = Core(members=6)
     leader = core.leader
     stale, keep = core.others(leader)[:2], core.others(leader)[2:]
-    core.cut(stale, core.others(*stale))
-    call, _ = core.config(8), core.go(SEC)
+    core.cut_links(stale, core.others(*stale))
+    call, _ = core.configure(8), core.advance(SEC)
     assert done(call)
     wiped, holders = keep[:2], [leader, *keep[2:]]
     for node in wiped:
         core.wipe(node)
     for node in holders:
         core.stop(node, power=True)
-    core.heal()
+    core.heal_links()
     for node in wiped:
         core.start(node)
-    core.go(10 * SEC)
+    core.advance(10 * SEC)
     assert not core.leaders  # two that forgot and two that never knew are four of six
     for node in holders:
         core.start(node)
-    core.go(4 * SEC)
+    core.advance(4 * SEC)
     members = core.leader.core_member.committed.members
     assert core.leader.core_member.committed.revision == 8 and len(members) == 6
     assert all(members[node.name][1] == node.core_member.incarnation for node in wiped)
@@ -40,10 +40,10 @@
     core = Core()
     lost = core.others(core.leader)[0]
     before = lost.core_member.incarnation
-    core.cut([lost], core.others(lost))
+    core.cut_links([lost], core.others(lost))
     core.wipe(lost)
     core.start(lost)
-    core.go(SEC)
+    core.advance(SEC)
     assert lost.core_member.incarnation != before
     sender, position = MemberKey("x", 1), LogPosition(9, 9)
     for message in (
@@ -59,19 +59,19 @@
     core = Core()
     down = core.others(core.leader)[0]
     core.stop(down)
-    core.go(30 * SEC)
-    core.config(1), core.go(SEC)
+    core.advance(30 * SEC)
+    core.configure(1), core.advance(SEC)
     assert down.name in core.leader.core_member.committed.members
 
 
 def test_a_member_that_lost_its_disk_is_a_member_again_within_a_second():
     core = Core()
-    core.config(2), core.go(SEC)
+    core.configure(2), core.advance(SEC)
     lost = core.others(core.leader)[0]
     core.wipe(lost)
-    core.go(SEC)
+    core.advance(SEC)
     core.start(lost)
-    core.go(SEC)
+    core.advance(SEC)
     assert (
         lost.core_member.committed.revision == 2
         and not core.is_joining(lost)
@@ -94,12 +94,12 @@
     for _ in range(2):
         core.wipe(lost)
         core.start(lost)
-        core.go(2 * SEC)
+        core.advance(2 * SEC)
     requests = [request for request in requests if request[SENDER_INCARNATION] != lost.core_member.incarnation]
     assert any(request[JOIN_TOKEN] == leader.core_member.roles.leader.join_token for request in requests)
     for request in requests:
         core.tell(leader, events.MessageReceived(lost.ip, request))
-    core.go(SEC)
+    core.advance(SEC)
     assert leader.core_member.committed.members[lost.name][1] == lost.core_member.incarnation
 
 
@@ -109,13 +109,13 @@
     core = Core()
     leader, out = core.leader, core.others(core.leader)[0]
     before = out.core_member.incarnation
-    core.cut([out], core.others(out))
+    core.cut_links([out], core.others(out))
     request = JoinRequest(MemberKey(out.name, 77), leader.core_member.roles.leader.join_token)
     core.tell(leader, frame_of(out.ip, request))
-    core.go(2 * SEC)
+    core.advance(2 * SEC)
     assert leader.core_member.committed.members[out.name][1] == before
-    core.heal()
-    core.go(10 * SEC)
+    core.heal_links()
+    core.advance(10 * SEC)
     assert leader.core_member.committed.members[out.name][1] == out.core_member.incarnation == before
 
 
@@ -123,20 +123,20 @@
 def test_a_core_of_two_outlives_a_lost_disk(leader):
     """Nothing is agreed without either, so the other one holds it all: it goes on alone, and takes the new one in."""
     core = Core(2)
-    core.config(2), core.go(SEC)
+    core.configure(2), core.advance(SEC)
     lost = core.leader if leader else core.others(core.leader)[0]
     (other,) = core.others(lost)
     core.wipe(lost)
-    core.go(SEC)
+    core.advance(SEC)
     core.start(lost)
-    core.go(4 * SEC)
+    core.advance(4 * SEC)
     assert (
         core.leader is other
         and lost.core_member.committed.revision == 2
         and len(other.core_member.committed.members) == 2
     )
-    order = core.config(3)
-    core.go(SEC)
+    order = core.configure(3)
+    core.advance(SEC)
     assert done(order) and not core.is_joining(lost)
 
 
@@ -146,34 +146,34 @@
     leader, other = core.leader, core.others(core.leader)[0]
     request = JoinRequest(MemberKey(leader.name, 77), 0)
     for _ in range(20):
-        core.tell(other, frame_of(leader.ip, request)), core.go(100 * MS)
+        core.tell(other, frame_of(leader.ip, request)), core.advance(100 * MS)
     assert other.core_member.roles.electorate.sole_voter_position is None and core.leader is leader
     core.stop(leader)
-    core.go(2 * SEC)
+    core.advance(2 * SEC)
     core.tell(other, frame_of(leader.ip, request))
-    core.go(3 * SEC)
+    core.advance(3 * SEC)
     assert not core.leaders
     core = Core(3)
     lost, gone, left = core.nodes
     core.stop(gone), core.wipe(lost)
-    core.go(2 * SEC)
+    core.advance(2 * SEC)
     core.start(lost)
-    core.go(5 * SEC)
+    core.advance(5 * SEC)
     assert not core.leaders and left.core_member.roles.electorate.sole_voter_position is None
 
 
 def test_all_killed_at_once_one_of_them_without_its_disk():
     core = Core()
-    call = core.config(6)
+    call = core.configure(6)
     while not done(call):
-        core.go(MS)
+        core.advance(MS)
     core.wipe(core.leader)
     for node in core.nodes:
         core.stop(node, power=True)
-    core.go(SEC)
+    core.advance(SEC)
     for node in core.nodes:
         core.start(node)
-    core.go(3 * SEC)
+    core.advance(3 * SEC)
     assert core.leader.core_member.committed.revision == 6 and len(core.leader.core_member.committed.members) == 4
     assert all(node.core_member.committed.revision == 6 for node in core.nodes)
 
@@ -184,7 +184,7 @@
     lost = core.others(core.leader)[0]
     index = core.leader.core_member.committed.index
     core.wipe(lost)
-    core.go(SEC // 2)
+    core.advance(SEC // 2)
     core.start(lost)
     assert core.until_strong() < SEC
     sizes = {len(seen[-1]) for at, seen in core.ledger.states.items() if at >= index}
@@ -196,16 +196,16 @@
     lost = core.others(core.leader, core.nodes[0])[0]
     core.wipe(lost)
     core.start(lost, True)
-    core.go(2 * SEC)
+    core.advance(2 * SEC)
     assert core.strong() and core.leader.core_member.committed.target_size == 4
 
 
 def test_a_member_that_lost_its_disk_gets_the_whole_version_history() -> None:
     core = Core()
     for number in range(1, 20):
-        core.config(number), core.go(50 * MS)
+        core.configure(number), core.advance(50 * MS)
     lost = core.others(core.leader)[0]
     core.wipe(lost)
     core.start(lost)
-    core.go(4 * SEC)
+    core.advance(4 * SEC)
     assert lost.core_member.committed.versions.checksum() == core.leader.core_member.committed.versions.checksum()
--- a/tests/consensus/test_machine_replacement.py
+++ b/tests/consensus/test_machine_replacement.py
@@ -24,10 +24,10 @@
     core = site(members, survive)
     for turn, node in enumerate(list(core.nodes)):
         core.replace(node)
-        core.go(CATCH_UP)
+        core.advance(CATCH_UP)
         assert core.strong()
         core.strike(survive, 10 * turn + 2)
-        core.go(CATCH_UP)
+        core.advance(CATCH_UP)
     assert not core.members().keys() & {f"front-{number}" for number in range(1, members + 1)}
 
 
@@ -42,15 +42,15 @@
     successor = core.newcomer()
     if planned:
         core.start(successor)
-        core.go(SEC)
+        core.advance(SEC)
         core.tell(gone, events.Shutdown())
     else:
         core.lose(gone)
-        core.go(SEC)
+        core.advance(SEC)
         core.start(successor)
     while successor.name not in core.members():
         assert len(core.members()) == members
-        core.go(10 * MS)
+        core.advance(10 * MS)
     assert len(core.members()) == members and gone.name not in core.members()
     if planned:
         core.lose(gone)
@@ -59,7 +59,7 @@
     core.wipe(successor)
     for node in core.nodes:
         core.start(node)
-    core.go(3 * SEC)
+    core.advance(3 * SEC)
     core.change(2)
 
 
@@ -69,7 +69,7 @@
     gone = [core.leader, core.others(core.leader)[0]]
     for node in gone:
         core.lose(node)
-    core.go(SEC)
+    core.advance(SEC)
     for _ in gone:
         core.start(core.newcomer())
     core.recovers(2)
@@ -80,7 +80,7 @@
     for node in core.nodes:
         core.start(node, True)
     while not core.leaders or len(core.members()) < 4:
-        core.go(10 * MS)
+        core.advance(10 * MS)
     core.replace(core.nodes[0])
     assert core.until_strong() < CATCH_UP and core.leader.core_member.committed.target_size == 4
     core.strike(1, 2)
@@ -90,7 +90,7 @@
     core = site(4, 1)
     gone = core.others(core.leader)[0]
     core.lose(gone)
-    core.go(SEC)
+    core.advance(SEC)
     core.start(core.newcomer(gone.ip))
     core.recovers(1)
 
@@ -99,18 +99,18 @@
     core = site(4, 1)
     before = core.members()
     away = core.others(core.leader)[0]
-    core.cut([away], core.others(away))
-    core.go(20 * SEC)
+    core.cut_links([away], core.others(away))
+    core.advance(20 * SEC)
     assert core.members() == before
-    core.heal()
-    core.go(SEC)
+    core.heal_links()
+    core.advance(SEC)
     assert core.members() == before and core.strong()
 
 
 def test_a_successor_that_comes_late_takes_the_place_at_once() -> None:
     core = site(4, 1)
     core.lose(core.others(core.leader)[0])
-    core.go(30 * SEC)
+    core.advance(30 * SEC)
     core.start(core.newcomer())
     assert core.until_strong() < SEC
     core.strike(1, 2)
@@ -119,17 +119,17 @@
 def test_a_replacement_while_another_member_is_cut_off() -> None:
     core = site(6, 2)
     away = core.others(core.leader)[-1]
-    core.cut([away], core.others(away))
-    core.go(SEC)
+    core.cut_links([away], core.others(away))
+    core.advance(SEC)
     gone = core.leader
     core.lose(gone)
-    core.go(SEC)
+    core.advance(SEC)
     new = core.newcomer()
-    core.cut([away], [new])
+    core.cut_links([away], [new])
     core.start(new)
-    core.go(CATCH_UP)
+    core.advance(CATCH_UP)
     core.change(2)
-    core.heal()
+    core.heal_links()
     assert core.until_strong() < CATCH_UP
     core.strike(2, 3)
 
@@ -137,12 +137,12 @@
 def test_a_newcomer_that_dies_again_is_replaced_too() -> None:
     core = site(4, 1)
     core.lose(core.others(core.leader)[0])
-    core.go(SEC)
+    core.advance(SEC)
     first = core.newcomer()
     core.start(first)
-    core.go(300 * MS)
+    core.advance(300 * MS)
     core.lose(first)
-    core.go(SEC)
+    core.advance(SEC)
     core.start(core.newcomer())
     core.recovers(1)
 
@@ -152,11 +152,11 @@
         core = site(6, 2)
         gone = core.others(core.leader)[0]
         core.lose(gone)
-        core.go(SEC)
+        core.advance(SEC)
         core.start(core.newcomer())
-        core.go(pause * MS)
+        core.advance(pause * MS)
         core.lose(core.leader)
-        core.go(SEC)
+        core.advance(SEC)
         core.start(core.newcomer())
         assert core.until_strong() < CATCH_UP + SEC
         core.strike(2, 2)
@@ -172,10 +172,10 @@
             if planned:
                 core.start(core.newcomer())
                 began = core.now
-                core.go(SEC)
+                core.advance(SEC)
                 core.tell(old, events.Shutdown())
                 while old.name in (core.members() if len(core.leaders) == 1 else {old.name}):
-                    core.go(10 * MS)
+                    core.advance(10 * MS)
             else:
                 core.replace(old)
                 began = core.now
--- a/tests/consensus/test_member_shutdown.py
+++ b/tests/consensus/test_member_shutdown.py
@@ -23,10 +23,10 @@
     assert len(core.members()) == members + 1
     old = core.leader if leads else core.others(core.leader)[0]
     core.tell(old, events.Shutdown())
-    core.go(SEC)
+    core.advance(SEC)
     assert old.name not in core.members() and old.up
     core.lose(old)
-    core.go(SEC)
+    core.advance(SEC)
     assert core.strong()
     core.strike(survive, 2)
 
@@ -36,11 +36,11 @@
     leaving = [core.leader, core.others(core.leader)[0]]
     for node in leaving:
         core.tell(node, events.Shutdown())
-    core.go(1500 * MS)
+    core.advance(1500 * MS)
     assert not core.members().keys() & {node.name for node in leaving}
     for node in leaving:
         core.lose(node)
-    core.go(CATCH_UP)
+    core.advance(CATCH_UP)
     core.strike(1, 2)
 
 
@@ -49,9 +49,9 @@
     leaving, first, second, _ = core.others(core.leader)
     core.lose(first)
     core.lose(second)
-    core.go(SEC)
+    core.advance(SEC)
     core.tell(leaving, events.Shutdown())
-    core.go(3 * SEC)
+    core.advance(3 * SEC)
     assert leaving.name in core.members()
     core.change(2)
 
@@ -81,7 +81,7 @@
     core = site(4, 1, newcomers=1)
     old = core.leader
     core.tell(old, events.Shutdown())
-    core.go(pause * MS)
+    core.advance(pause * MS)
     core.lose(old)
     core.recovers(1)
 
@@ -89,11 +89,11 @@
 def test_a_leader_that_shuts_down_in_a_partition() -> None:
     core = site(4, 1, newcomers=1)
     old = core.leader
-    core.cut([old], core.others(old))
+    core.cut_links([old], core.others(old))
     core.tell(old, events.Shutdown())
-    core.go(SEC)
+    core.advance(SEC)
     core.lose(old)
-    core.heal()
+    core.heal_links()
     core.recovers(1)
 
 
@@ -103,13 +103,13 @@
     before = core.members()
     for node in core.nodes:
         core.tell(node, events.Shutdown())
-        core.go(3 * SEC)
+        core.advance(3 * SEC)
         core.stop(node)
-        core.go(SEC)
+        core.advance(SEC)
         core.start(node)
-        core.go(SEC)
+        core.advance(SEC)
         assert len(core.leaders) == 1
-    core.go(SEC)
+    core.advance(SEC)
     assert core.members() == before and core.strong()
 
 
@@ -120,7 +120,7 @@
     core.tell(old, events.Shutdown())
     began = core.now
     while not any(node is not old and node.core_member.quorum_confirmed_at for node in core.leaders):
-        core.go(5 * MS)
+        core.advance(5 * MS)
     assert core.now - began < 200 * MS  # five messages of up to 21 ms each, and stores; a drawn wait is 20 to 300 ms
     assert core.leader.core_member.committed.revision == 1
 
@@ -139,11 +139,11 @@
 def test_a_leader_that_shuts_down_commits_what_it_began() -> None:
     core = site(4, 1)
     old = core.leader
-    call = core.config(2)
+    call = core.configure(2)
     core.tell(old, events.Shutdown())
-    late = core.config(3, old)
+    late = core.configure(3, old)
     assert late.verdict == Outcome.NOT_LEADER
-    core.go(SEC)
+    core.advance(SEC)
     assert done(call) and core.leader.core_member.committed.revision == 2
 
 
@@ -152,9 +152,9 @@
     old = core.leader
     behind, *rest = core.others(old)
     behind.disk.hangs = True
-    call = core.config(2)
-    core.go(200 * MS)
+    call = core.configure(2)
+    core.advance(200 * MS)
     assert done(call)
     core.tell(old, events.Shutdown())
-    core.go(200 * MS)
+    core.advance(200 * MS)
     assert core.leader in rest
--- a/tests/consensus/test_read_rounds.py
+++ b/tests/consensus/test_read_rounds.py
@@ -10,22 +10,22 @@
     core = Core()
     old = core.leader
     core.freeze(old)
-    core.go(5 * SEC)
-    core.config(3), core.go(SEC)
+    core.advance(5 * SEC)
+    core.configure(3), core.advance(SEC)
     old.frozen = False
-    read = core.ask(old, OrderKind.READ)
+    read = core.place_order(old, OrderKind.READ)
     assert read.verdict == Outcome.NOT_LEADER and old.core_member.quorum_confirmed_at is None
 
 
 def test_a_read_waits_for_a_round_that_began_behind_it():
     core = Core()
     leader = core.leader
-    core.config(1), core.go(SEC)
-    core.cut([leader], core.others(leader))
-    read = core.ask(leader, OrderKind.READ)
-    core.go(900 * MS)
+    core.configure(1), core.advance(SEC)
+    core.cut_links([leader], core.others(leader))
+    read = core.place_order(leader, OrderKind.READ)
+    core.advance(900 * MS)
     assert read.verdict is None  # still leads as it sees it, and says nothing
-    core.go(SEC)
+    core.advance(SEC)
     assert read.verdict == Outcome.NOT_LEADER
 
 
@@ -35,10 +35,10 @@
     core = Core()
     way = 100 * MS
     core.send = lambda node, ip, message: core.at(core.now + way, core.arrive, node.ip, core.by_ip[ip], message)
-    core.go(2 * SEC)
+    core.advance(2 * SEC)
     leader = core.leader
     ages = []
     for _ in range(100):
-        core.go(10 * MS)
+        core.advance(10 * MS)
         ages.append(core.now - (leader.core_member.quorum_confirmed_at - leader.offset))
     assert 2 * way <= min(ages) <= 3 * way and max(ages) < SEC
--- a/tests/consensus/test_remembered_addresses.py
+++ b/tests/consensus/test_remembered_addresses.py
@@ -15,7 +15,7 @@
     core = Core()
     node = core.others(core.leader)[0]
     node.core_member.remember_nodes(NODES)
-    core.go(500 * MS)
+    core.advance(500 * MS)
     core.stop(node, power=True)
     core.start(node, False)
     assert node.core_member.node_ips == NODES
--- a/tests/consensus/test_state_codec.py
+++ b/tests/consensus/test_state_codec.py
@@ -5,7 +5,7 @@
 import cbor2
 import pytest
 from catch_up_fixtures import BusyCore
-from core_fixtures import Core, packed
+from core_fixtures import Core, compressed_configuration
 from replacement_fixtures import site
 
 from rampfront.consensus import version_history as v
@@ -58,7 +58,7 @@
         node.disk.record = None if node.disk.record is None else without_target(node.disk.record)
     for node in core.nodes:
         core.start(node)
-    core.go(3 * SEC)
+    core.advance(3 * SEC)
     assert core.leader.core_member.committed.target_size == 4
 
 
@@ -74,19 +74,19 @@
 @pytest.mark.parametrize("width", [8, 9])
 def test_older_records_are_read_and_know_their_own_revision(width: int) -> None:
     core = Core(1)
-    core.config(5, body=packed(5)), core.go(SEC)
+    core.configure(5, body=compressed_configuration(5)), core.advance(SEC)
     (node,) = core.nodes
     record = cbor2.loads(node.core_member.roles.persistent.encode())
     record[5] = [*record[5][:8], []][:width]
     member = node.core_member
     found = PersistentState(member.roles.context, cbor2.dumps(record[:7])).entry
-    assert found.revision == 5 and found.body == packed(5)
-    assert found.versions.rows == ((5, v.content_digest(packed(5))),)
+    assert found.revision == 5 and found.body == compressed_configuration(5)
+    assert found.versions.rows == ((5, v.content_digest(compressed_configuration(5))),)
 
 
 def test_an_entry_of_an_older_leader_loses_no_history() -> None:
     core = Core()
-    core.config(5), core.go(SEC)
+    core.configure(5), core.advance(SEC)
     member = core.others(core.leader)[0].core_member
     state = member.entry.next_entry(revision=9, body=b"nine")
     message = AppendEntry(MemberKey("x", 1), member.incarnation, state.term, 1, 0, state.encode())
--- a/tests/core_fixtures.py
+++ b/tests/core_fixtures.py
@@ -18,10 +18,10 @@
         if start:
             for node in self.nodes:
                 self.start(node, True)
-            self.go(3 * SEC)
+            self.advance(3 * SEC)
             assert len(self.leader.core_member.committed.members) == members
 
-    def go(self, time):
+    def advance(self, time):
         self.run(self.now + time)
 
     @property
@@ -36,7 +36,7 @@
     def others(self, *nodes):
         return [node for node in self.nodes if node not in nodes]
 
-    def ask(self, node, kind, body=None):
+    def place_order(self, node, kind, body=None):
         """Places an order at one node, once; its verdict is read off the call."""
         call = PlacedOrder(kind, body, self.ledger.newest())
         self.tell(node, events.Order((call, 0), kind, body))
@@ -48,17 +48,17 @@
         if effect.outcome == Outcome.DONE:
             self.ledger.done(self.now, call, effect.state)
 
-    def config(self, rev, node=None, body=b""):
-        return self.ask(node or self.leader, OrderKind.CONFIGURE, (rev, body or b"body of %d" % rev))
+    def configure(self, rev, node=None, body=b""):
+        return self.place_order(node or self.leader, OrderKind.CONFIGURE, (rev, body or b"body of %d" % rev))
 
-    def cut(self, ones, twos, both=True):
+    def cut_links(self, ones, twos, both=True):
         for one in ones:
             for two in twos:
                 self.cuts[one.ip, two.ip] = 1
                 if both:
                     self.cuts[two.ip, one.ip] = 1
 
-    def heal(self):
+    def heal_links(self):
         self.cuts.clear()
 
 
@@ -84,7 +84,7 @@
     return events.MessageReceived(ip, encode(message))
 
 
-SMALL = {
+SMALL_CONFIGURATION = {
     "Revision": "r5",
     "Caps": {},
     "Customers": [],
@@ -93,9 +93,9 @@
 }
 
 
-def packed(number: int, word: str = "web", **dumping: object) -> bytes:
+def compressed_configuration(number: int, word: str = "web", **dumping: object) -> bytes:
     """A configuration's body, as nodes pass it on."""
-    told = {**SMALL, "Revision": f"r{number}", "Groups": [{"Name": word, "HealthPath": "/health"}]}
+    told = {**SMALL_CONFIGURATION, "Revision": f"r{number}", "Groups": [{"Name": word, "HealthPath": "/health"}]}
     return zlib.compress(json.dumps(told, **dumping).encode())
 
 
@@ -104,4 +104,4 @@
     end = core.now + 5 * SEC
     while not what():
         assert core.now < end
-        core.go(MS)
+        core.advance(MS)
--- a/tests/node/test_configuration_answers.py
+++ b/tests/node/test_configuration_answers.py
@@ -7,7 +7,7 @@
 
 import cbor2
 import pytest
-from core_fixtures import SMALL, packed
+from core_fixtures import SMALL_CONFIGURATION, compressed_configuration
 
 from rampfront.consensus import evacuations as e
 from rampfront.consensus import version_history as v
@@ -46,14 +46,18 @@
 
 
 def held(number: int, word: str = "web") -> State:
-    return State(8, 2, members={"m1": ("10.0.0.1", 1)}).next_entry(revision=number, body=packed(number, word))
+    return State(8, 2, members={"m1": ("10.0.0.1", 1)}).next_entry(
+        revision=number, body=compressed_configuration(number, word)
+    )
 
 
-BODY = zlib.decompress(packed(5))
+BODY = zlib.decompress(compressed_configuration(5))
 
 
 def test_a_conflict_from_the_leader_rests_on_a_state_that_is_no_older() -> None:
-    order = OpenOrder(OrderRequest(1, 2, OrderKind.CONFIGURE, (5, packed(5))), 0, 9, lambda *words: None)
+    order = OpenOrder(
+        OrderRequest(1, 2, OrderKind.CONFIGURE, (5, compressed_configuration(5))), 0, 9, lambda *words: None
+    )
     order.sent_to.add("10.0.0.1")
     reply = OrderReply(1, 2, Outcome.CONFLICT, held(5))  # of index 9
     assert OrderReply.decode(cbor2.loads(cbor2.dumps(reply.encode()))).state.revision == 5
@@ -91,10 +95,14 @@
     calls.replace_configuration(asked := Asked(BODY))
     status, said, _ = asked.said
     assert (status, said["Field"]) == (409, "Revision") and "raise Revision above r5" in said["Message"]
-    assert said["Holds"] == {"Revision": "r5", "Digest": v.content_digest(packed(5, "mail")).hex()}
-    assert said["Sent"] == {"Revision": "r5", "Digest": v.content_digest(packed(5)).hex()} != said["Holds"]
+    assert said["Holds"] == {"Revision": "r5", "Digest": v.content_digest(compressed_configuration(5, "mail")).hex()}
+    assert (
+        said["Sent"]
+        == {"Revision": "r5", "Digest": v.content_digest(compressed_configuration(5)).hex()}
+        != said["Holds"]
+    )
     assert calls.counts["orders_refused"] == 1
-    assert orders == [(OrderKind.CONFIGURE, (5, packed(5)))]
+    assert orders == [(OrderKind.CONFIGURE, (5, compressed_configuration(5)))]
 
 
 @pytest.mark.parametrize("verdict", [None, Outcome.UNKNOWN, Outcome.REJECTED])
@@ -115,8 +123,8 @@
     "body, field",
     [
         (b"{", ""),
-        (json.dumps({**SMALL, "Revision": "five"}).encode(), "Revision"),
-        (json.dumps({**SMALL, "Groups": [{"Name": 5}]}).encode(), "Groups[0].Name"),
+        (json.dumps({**SMALL_CONFIGURATION, "Revision": "five"}).encode(), "Revision"),
+        (json.dumps({**SMALL_CONFIGURATION, "Groups": [{"Name": 5}]}).encode(), "Groups[0].Name"),
     ],
 )
 def test_an_invalid_configuration_is_400_and_names_the_field(body: bytes, field: str) -> None:
--- a/tests/replacement_fixtures.py
+++ b/tests/replacement_fixtures.py
@@ -30,7 +30,7 @@
     def replace(self, node: Node, pause: int = SEC) -> Node:
         """Gone for good; another one starts behind a pause."""
         self.lose(node)
-        self.go(pause)
+        self.advance(pause)
         new = self.newcomer()
         self.start(new)
         return new
@@ -50,7 +50,7 @@
         """ns until the core is at full strength."""
         began = self.now
         while not self.strong():
-            self.go(10 * MS)
+            self.advance(10 * MS)
             assert self.now - began < most, (self.members(), [node.name for node in self.running()])
         return self.now - began
 
@@ -61,9 +61,9 @@
     def strike(self, lost: int, rev: int) -> None:
         """A configuration is acknowledged; so many of those that hold it lose their disks, all others their power. All
         come back, and it must be read back and followed by another."""
-        call = self.config(rev)
+        call = self.configure(rev)
         while not done(call):
-            self.go(MS)
+            self.advance(MS)
         running = self.running()
         holders = sorted(
             running, key=lambda node: -node.core_member.committed.index if node.core_member.committed else 0
@@ -72,19 +72,19 @@
             self.wipe(node)
         for node in holders[lost:]:
             self.stop(node, power=True)
-        self.go(900 * MS)
+        self.advance(900 * MS)
         for node in running:
             self.start(node)
-        self.go(4 * SEC)
-        read = self.ask(self.leader, OrderKind.READ)
-        self.go(SEC)
+        self.advance(4 * SEC)
+        read = self.place_order(self.leader, OrderKind.READ)
+        self.advance(SEC)
         assert done(read) and read.state.revision == rev
         self.change(rev + 1)
 
     def change(self, rev: int) -> None:
         """A configuration must be acknowledged within a second."""
-        call = self.config(rev)
-        self.go(SEC)
+        call = self.configure(rev)
+        self.advance(SEC)
         assert done(call)
 
     def recovers(self, survive: int) -> None:
@@ -109,8 +109,8 @@
     away = core.others(core.leader)[0]
     before = away.core_member.incarnation
     core.start(core.newcomer())
-    core.go(SEC)
-    core.cut([away], core.others(away))
-    core.go(3 * SEC)
+    core.advance(SEC)
+    core.cut_links([away], core.others(away))
+    core.advance(3 * SEC)
     assert away.name not in core.members()
     return away, before
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -72,14 +72,14 @@
     monkeypatch.setattr(Leader, "is_expired", lambda *_: False)
     core = Core()
     old = core.leader
-    core.config(1), core.go(SEC)
-    core.cut([old], core.others(old))
-    core.go(3 * SEC)
+    core.configure(1), core.advance(SEC)
+    core.cut_links([old], core.others(old))
+    core.advance(3 * SEC)
     (new,) = [node for node in core.leaders if node is not old]
-    newer, _ = core.config(2, new), core.go(SEC)
+    newer, _ = core.configure(2, new), core.advance(SEC)
     assert done(newer)
     with pytest.raises(Broken, match="was acknowledged before"):
-        core.ask(old, OrderKind.READ)
+        core.place_order(old, OrderKind.READ)
 
 
 def test_two_bodies_confirmed_under_one_number_are_found(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -94,23 +94,23 @@
     old list and the new one of three members each have a majority of which no member is in both. Returns whether it
     came to that."""
     core = Core(members=3, survive=1, seed=seed)
-    core.config(1), core.go(SEC)
+    core.configure(1), core.advance(SEC)
     old, send = core.leader, core.send
     late: list[tuple[Node, Node, dict]] = []
-    core.cut([old], core.others(old))
+    core.cut_links([old], core.others(old))
 
     def held(node: Node, ip: str, message: dict) -> None:
         late.append((node, core.by_ip[ip], message)) if message[KIND] == VOTE_GRANTED else send(node, ip, message)
 
     core.send = held
     while not late and old.core_member.is_leader:
-        core.go(MS)
+        core.advance(MS)
     if not late:
         return False
     voter, candidate, vote = late[0]
     core.wipe(voter)
-    core.heal()
-    core.cut([candidate], [old, voter])
+    core.heal_links()
+    core.cut_links([candidate], [old, voter])
     core.start(voter)
     order = None
     while (
@@ -118,14 +118,14 @@
         and candidate.core_member.roles.election.role is Role.CANDIDATE
         and not (order and done(order))
     ):
-        core.go(MS)
+        core.advance(MS)
         if order is None and old.core_member.committed.members[voter.name][1] == voter.incarnation:
-            order = core.config(9, old)
+            order = core.configure(9, old)
     core.tell(candidate, events.MessageReceived(voter.ip, vote))
-    core.go(50 * MS)
-    core.heal()
+    core.advance(50 * MS)
+    core.heal_links()
     core.send = send
-    core.go(6 * SEC)  # `Ledger.ruled` looks whether two states came into force at one index
+    core.advance(6 * SEC)  # `Ledger.ruled` looks whether two states came into force at one index
     assert order is None or not done(order) or core.leader.core_member.committed.revision == 9
     return True
 
