--- a/rampfront/consensus/body_history.py
+++ b/rampfront/consensus/body_history.py
@@ -134,7 +134,7 @@
             case [bytes() as base, list() as operations]:
                 body = self._apply(base, operations)
             case _:
-                raise RemoteProtocolError("delta")
+                raise RemoteProtocolError("malformed body delta")
         if body is None or digest(body) != row[DIGEST_COLUMN]:
             return None
         return [*row[:BODY_COLUMN], body, *row[DIGEST_COLUMN:]]
@@ -146,4 +146,4 @@
         try:
             return zlib.compress(apply_delta(zlib.decompress(old), operations))
         except (TypeError, ValueError, zlib.error):
-            raise RemoteProtocolError("delta") from None
+            raise RemoteProtocolError("malformed body delta") from None
--- a/rampfront/consensus/evacuation_claims.py
+++ b/rampfront/consensus/evacuation_claims.py
@@ -103,7 +103,7 @@
 def decode_claims(rows: object) -> dict[str, Claims]:
     """Decodes and validates a table made by `encode_claims`. Raises RemoteProtocolError for a malformed one."""
     if not isinstance(rows, list) or len(rows) > MAX_ZONES:
-        raise RemoteProtocolError("claims")
+        raise RemoteProtocolError("malformed table of claims")
     return dict(map(_decode_row, rows))
 
 
@@ -112,12 +112,12 @@
         case [str() as zone, *columns] if 0 < len(columns) <= 3 * MAX_CLAIMS and len(columns) % 3 == 0:
             triples = zip(columns[::3], columns[1::3], columns[2::3], strict=True)
             return zone, tuple(_decode_claim(*triple) for triple in triples)
-    raise RemoteProtocolError("claims")
+    raise RemoteProtocolError("malformed table of claims")
 
 
 def _decode_claim(identity: object, delivery: object, counted: object) -> Claim:
     if type(identity) is not int or not 0 < identity < IDENTITY_LIMIT or type(counted) is not bool:
-        raise RemoteProtocolError("claim")
+        raise RemoteProtocolError("malformed claim")
     if type(delivery) is not int or delivery not in (Delivery.UNKNOWN, Delivery.DELIVERED, Delivery.LOST):
-        raise RemoteProtocolError("claim")
+        raise RemoteProtocolError("malformed claim")
     return Claim(identity, Delivery(delivery), counted)
--- a/rampfront/consensus/evacuations.py
+++ b/rampfront/consensus/evacuations.py
@@ -194,7 +194,7 @@
 def with_claims(zones: frozenset[str], evacuations: EvacuationTable, claims: Mapping[str, Claims]) -> EvacuationTable:
     """Adds claims to a decoded table. Raises RemoteProtocolError for claims on a zone that is not evacuated."""
     if any(zone not in zones for zone in claims):
-        raise RemoteProtocolError("claims")
+        raise RemoteProtocolError("claim on a zone that is not evacuated")
     return {
         zone: evacuations.get(zone, SINGLE_OPERATOR)._replace(claims=claims.get(zone, ()))
         for zone in {**evacuations, **claims}
@@ -208,13 +208,13 @@
         RemoteProtocolError: for a malformed table, or for a zone that is not among `zones`.
     """
     if not isinstance(rows, list) or len(rows) > MAX_ROWS:
-        raise RemoteProtocolError("evacuations")
+        raise RemoteProtocolError("malformed table of evacuations")
     if all(isinstance(row, str) for row in rows):
         table = {zone: Evacuation(min(rows.count(zone), MAX_OPERATORS)) for zone in rows}
     else:
         table = dict(map(_decode_row, rows))
     if len(table) > len(zones) or any(zone not in zones for zone in table):
-        raise RemoteProtocolError("evacuations")
+        raise RemoteProtocolError("malformed table of evacuations")
     return {zone: evacuation for zone, evacuation in table.items() if evacuation != SINGLE_OPERATOR}
 
 
@@ -224,4 +224,4 @@
         case [str() as zone, int() as operators, bool() as repeated, bool() as returned]:
             if 0 <= operators <= MAX_OPERATORS and (operators or returned):
                 return zone, Evacuation(operators, repeated, returned)
-    raise RemoteProtocolError("evacuation")
+    raise RemoteProtocolError("malformed evacuation")
--- a/rampfront/consensus/frame_decoder.py
+++ b/rampfront/consensus/frame_decoder.py
@@ -237,14 +237,14 @@
     for key in schema.numbers:
         value = frame.get(key)
         if type(value) is not int or not 0 <= value < MAX_NUMBER:
-            raise RemoteProtocolError(f"{kind}: {key}")
+            raise RemoteProtocolError(f"{kind}: invalid field {key}")
     for key, is_valid in schema.others.items():
         if not is_valid(frame.get(key)):
-            raise RemoteProtocolError(f"{kind}: {key}")
+            raise RemoteProtocolError(f"{kind}: invalid field {key}")
     if (
         len(frame) > len(schema.numbers) + len(schema.others) + 1
     ):  # there are more keys than the kind and the required fields
         for key, is_valid in _OPTIONAL.items():
             if key in frame and not is_valid(frame[key]):
-                raise RemoteProtocolError(f"{kind}: {key}")
+                raise RemoteProtocolError(f"{kind}: invalid field {key}")
     return schema.build(frame)
--- a/rampfront/consensus/messages.py
+++ b/rampfront/consensus/messages.py
@@ -21,7 +21,7 @@
 
     sender: MemberKey
     join_token: int
-    is_initial_member: bool = False  # the sender takes part in the initial start of the system
+    is_initial_member: bool = False  # a new member in the initial start of the system
     receiver_incarnation: Incarnation | None = None
 
 
--- a/rampfront/consensus/state.py
+++ b/rampfront/consensus/state.py
@@ -158,12 +158,12 @@
     Raises RemoteProtocolError for a malformed state.
     """
     if not isinstance(row, list):
-        raise RemoteProtocolError("state")
+        raise RemoteProtocolError("malformed state")
     match row:
         case [index, term, revision, body, body_digest, zones, members, previous, *optional] if len(row) in COLUMNS:
             pass
         case _:
-            raise RemoteProtocolError("state")
+            raise RemoteProtocolError("malformed state")
     evacuations = optional[0] if optional else []
     target_size = optional[1] if len(optional) > 1 else 0
     _check_numbers(index, term, revision, target_size)
@@ -196,9 +196,9 @@
 
 def _check_zones(zones: object) -> None:
     if type(zones) is not list or len(zones) > MAX_NAMES:
-        raise RemoteProtocolError("zones")
+        raise RemoteProtocolError("malformed list of evacuated zones")
     if any(type(zone) is not str or len(zone) > MAX_ZONE_CHARS for zone in zones):
-        raise RemoteProtocolError("zones")
+        raise RemoteProtocolError("malformed list of evacuated zones")
 
 
 def _full_body(body: object, body_digest: bytes, bodies: Iterable[bytes]) -> bytes | None:
@@ -206,7 +206,7 @@
     if body is None:
         return next((known for known in bodies if digest(known) == body_digest), None)
     if type(body) is not bytes or len(body) > MAX_BODY_BYTES:
-        raise RemoteProtocolError("body")
+        raise RemoteProtocolError("body is not bytes, or too large")
     if digest(body) != body_digest:
         raise RemoteProtocolError("body does not match its digest")
     return body
@@ -218,7 +218,7 @@
 
 def _decode_members(rows: object) -> MemberList:
     if type(rows) is not list or not 0 < len(rows) <= MAX_NAMES:
-        raise RemoteProtocolError("members")
+        raise RemoteProtocolError("malformed member list")
     return dict(map(_decode_member, rows))
 
 
@@ -227,4 +227,4 @@
         case [str() as name, str() as ip, int() as incarnation] if type(row) is list and type(incarnation) is int:
             if len(name) + len(ip) <= MAX_ADDRESS_CHARS:
                 return name, MemberAddress(ip, incarnation)
-    raise RemoteProtocolError("member")
+    raise RemoteProtocolError("malformed member")
--- a/rampfront/consensus/version_history.py
+++ b/rampfront/consensus/version_history.py
@@ -133,7 +133,7 @@
         case [[int() as term, int() as index], bytes() as rows, bytes() as checksum]:
             new, position = decode_history(rows), LogPosition(term, index)
         case _:
-            raise RemoteProtocolError("versions")
+            raise RemoteProtocolError("malformed version delta")
     history = VersionHistory() if position == NO_POSITION else bases.get(position)
     if history is None:
         return None
