--- a/tests/faulty_disk.py
+++ b/tests/faulty_disk.py
@@ -1,4 +1,4 @@
-"""A disk in memory that forgets as real ones do: of what was not synced each write is there, missing or torn."""
+"""An in-memory disk that simulates a power loss: each write that was not synced is kept, lost or torn."""
 
 import dbm.dumb
 import errno
@@ -19,35 +19,35 @@
     def __init__(self):
         self.data, self.durable, self.pending = bytearray(), b"", []
 
-    def apply(self, data, at, piece):
-        if at is None:
+    def apply(self, data, offset, chunk):
+        if offset is None:
             del data[:]
             return
-        if len(data) < at:
-            data.extend(bytes(at - len(data)))
-        data[at : at + len(piece)] = piece
+        if len(data) < offset:
+            data.extend(bytes(offset - len(data)))
+        data[offset : offset + len(chunk)] = chunk
 
-    def write(self, at, piece):
-        self.pending.append((at, piece))
-        self.apply(self.data, at, piece)
+    def write(self, offset, chunk):
+        self.pending.append((offset, chunk))
+        self.apply(self.data, offset, chunk)
 
-    def after_loss(self, chance):
+    def lose_power(self, random):
         data = bytearray(self.durable)
-        for at, piece in self.pending:
-            fate = chance.randrange(3)
-            if fate == 0 or at is None and fate == 1:
-                self.apply(data, at, piece)
-            elif fate == 1:  # torn
-                for start in range(0, len(piece), SECTOR):
-                    if chance.random() < 0.5:
-                        self.apply(data, at + start, piece[start : start + SECTOR])
+        for offset, chunk in self.pending:
+            outcome = random.randrange(3)
+            if outcome == 0 or offset is None and outcome == 1:
+                self.apply(data, offset, chunk)
+            elif outcome == 1:  # torn
+                for start in range(0, len(chunk), SECTOR):
+                    if random.random() < 0.5:
+                        self.apply(data, offset + start, chunk[start : start + SECTOR])
         self.data, self.durable, self.pending = bytearray(data), bytes(data), []
 
 
 class File:
     def __init__(self, faulty_disk, inode, mode):
         self.faulty_disk, self.inode, self.text = faulty_disk, inode, "b" not in mode
-        self.at = len(inode.data) if "a" in mode else 0
+        self.offset = len(inode.data) if "a" in mode else 0
 
     def __enter__(self):
         return self
@@ -61,73 +61,74 @@
     def __iter__(self):
         return iter(io.StringIO(bytes(self.inode.data).decode("Latin-1")))
 
-    def seek(self, at, whence=0):
-        self.at = at if whence == 0 else len(self.inode.data) + at
+    def seek(self, offset, whence=0):
+        self.offset = offset if whence == 0 else len(self.inode.data) + offset
 
     def tell(self):
-        return self.at
+        return self.offset
 
     def read(self, size):
-        return bytes(self.inode.data[self.at : self.at + size])
+        return bytes(self.inode.data[self.offset : self.offset + size])
 
-    def write(self, piece):
-        piece = piece.encode("Latin-1") if self.text else bytes(piece)
-        if not piece:
+    def write(self, chunk):
+        chunk = chunk.encode("Latin-1") if self.text else bytes(chunk)
+        if not chunk:
             return
         try:
-            self.faulty_disk.step()
+            self.faulty_disk.count_operation()
         except OSError:
-            self.inode.write(self.at, piece[: len(piece) // 2])
+            self.inode.write(self.offset, chunk[: len(chunk) // 2])
             raise
-        self.inode.write(self.at, piece)
-        self.at += len(piece)
+        self.inode.write(self.offset, chunk)
+        self.offset += len(chunk)
 
 
 class FaultyDisk:
-    """`steps_left`: operations that change something until `fails` is raised; None: never."""
+    """A simulated disk that can fail. `steps_left`: modifying operations until `error` is raised; None: never."""
 
     def __init__(self):
-        self.names, self.was = {}, {}  # name to inode; name to what it stood for since the folder was synced
-        self.steps_left, self.fails, self.steps = None, None, 0
+        # Inodes by name, and by name the inodes that it was bound to since the directory was last synced.
+        self.names, self.unsynced_bindings = {}, {}
+        self.steps_left, self.error, self.steps = None, None, 0
         self.nonces = 0
 
-    def step(self):
+    def count_operation(self):
         self.steps += 1
         if self.steps_left is not None:
             if self.steps_left <= 0:
-                raise self.fails
+                raise self.error
             self.steps_left -= 1
 
-    def fail(self, steps, fails):
-        self.steps_left, self.fails = steps, fails
+    def fail_after(self, steps, error):
+        self.steps_left, self.error = steps, error
 
-    def fill(self, steps):
-        self.fail(steps, OSError(errno.ENOSPC, "full"))
+    def fill_after(self, steps):
+        self.fail_after(steps, OSError(errno.ENOSPC, "full"))
 
     def bind(self, name, inode):
-        self.was.setdefault(name, [self.names.get(name)]).append(inode)
+        self.unsynced_bindings.setdefault(name, [self.names.get(name)]).append(inode)
         if inode is None:
             del self.names[name]
         else:
             self.names[name] = inode
 
-    def after_loss(self, seed):
-        chance = Random(seed)
-        for name, bindings in self.was.items():
-            inode = chance.choice(bindings)
+    def lose_power(self, seed):
+        random = Random(seed)
+        for name, bindings in self.unsynced_bindings.items():
+            inode = random.choice(bindings)
             if inode is None:
                 self.names.pop(name, None)
             else:
                 self.names[name] = inode
-        self.was = {}
+        self.unsynced_bindings = {}
         for inode in dict.fromkeys(self.names.values()):
-            inode.after_loss(chance)
+            inode.lose_power(random)
         self.steps_left = None
 
     def bytes(self):
         return sum(len(inode.data) for inode in self.names.values())
 
-    # What `dbm.dumb` and the logbook call.
+    # Operations called by `dbm.dumb` and `RecordStore`.
 
     def open(self, path, mode="r", encoding=None):
         name = os.fsencode(path)
@@ -135,11 +136,11 @@
         if inode is None:
             if mode[0] == "r":
                 raise FileNotFoundError(errno.ENOENT, name)
-            self.step()
+            self.count_operation()
             inode = Inode()
             self.bind(name, inode)
         elif mode[0] == "w":
-            self.step()
+            self.count_operation()
             inode.write(None, b"")
         return File(self, inode, mode)
 
@@ -147,7 +148,7 @@
         name = os.fsencode(path)
         if name not in self.names:
             raise FileNotFoundError(errno.ENOENT, name)
-        self.step()
+        self.count_operation()
         self.bind(name, None)
 
     unlink = remove
@@ -156,21 +157,22 @@
         name, other = os.fsencode(path), os.fsencode(other)
         if name not in self.names:
             raise FileNotFoundError(errno.ENOENT, name)
-        self.step()
+        self.count_operation()
         inode = self.names[name]
         self.bind(name, None)
         self.bind(other, inode)
 
     def sync(self, path):
-        self.step()
+        self.count_operation()
         name = os.fsencode(path)
         inode = self.names[name]
         inode.durable, inode.pending = bytes(inode.data), []
-        self.was.pop(name, None) if None in self.was.get(name, ()) else None  # a new file lasts with its own sync
+        # Syncing a new file also makes its name durable.
+        self.unsynced_bindings.pop(name, None) if None in self.unsynced_bindings.get(name, ()) else None
 
     def sync_folder(self, path):
-        self.step()
-        self.was = {}
+        self.count_operation()
+        self.unsynced_bindings = {}
 
     def nonce(self):
         self.nonces += 1
