--- a/tests/catch_up_fixtures.py
+++ b/tests/catch_up_fixtures.py
@@ -1,4 +1,4 @@
-"""A core under a burst of changes, on links of a bounded bandwidth."""
+"""Fixtures for tests of a core with frequent changes on links with limited bandwidth."""
 
 import json
 import zlib
@@ -9,13 +9,13 @@
 from rampfront.simulation.bandwidth import Bandwidth
 from rampfront.simulation.world import MS, SEC, World
 
-SLOW, FAST = 2_000_000 / 8, 100_000_000 / 8  # bytes a second of links of 2 and 100 Mbit/s
+SLOW_LINK, FAST_LINK = 2_000_000 / 8, 100_000_000 / 8  # bytes per second of 2 and 100 Mbit/s links
 
 
-GAP = 100 * MS  # between two changes of a storm
+CHANGE_INTERVAL = 100 * MS  # between two changes of a burst
 
 
-def rule(name, weight):
+def route_rule(name, weight):
     return {
         "Name": f"r-{name}",
         "Type": "read_only",
@@ -30,32 +30,38 @@
 
 
 @cache
-def names(count):
+def route_names(count):
     draw = Random(count)
     return [f"{draw.getrandbits(36):x}" for _ in range(count)]
 
 
-def body(rev, routes, anew=False):
-    """A configuration in which each version changes one route (`anew`: all of it), compressed as the core holds it."""
-    rules = [rule(name, rev if k == rev % routes else 90) for k, name in enumerate(names(routes + anew * rev))]
+def configuration_body(rev, routes, replaces_all=False):
+    """Returns a compressed configuration. Each version changes one route, or all of them with `replaces_all`."""
+    route_rules = [
+        route_rule(name, rev if k == rev % routes else 90)
+        for k, name in enumerate(route_names(routes + replaces_all * rev))
+    ]
     whole = {
         "Revision": f"r{rev}",
         "Caps": {},
-        "Sockets": [{"Hostname": "h.example", "Rulebook": rules}],
+        "Sockets": [{"Hostname": "h.example", "Rulebook": route_rules}],
         "Groups": [{"Name": name, "HealthPath": "/health"} for name in ("one", "two")],
     }
     return zlib.compress(json.dumps(whole).encode())
 
 
 class BusyCore(World):
-    """A core under a change each 100 ms. `rates`: bytes a second of machines' links by number; the others' are FAST."""
+    """A core with a configuration change every 100 ms.
 
-    def __init__(self, routes=50, rates=(), members=4, seed=1, anew=False):
+    `rates`: bandwidth of machines' links in bytes per second, by machine number; the others have FAST_LINK.
+    """
+
+    def __init__(self, routes=50, rates=(), members=4, seed=1, replaces_all=False):
         super().__init__(seed, members, (members - 1) // 2)
         self.loss = self.repeat = 0
-        self.routes, self.rev, self.anew = routes, 0, anew
+        self.routes, self.rev, self.replaces_all = routes, 0, replaces_all
         links = {f"10.0.0.{number}": rate for number, rate in dict(rates).items()}
-        self.bandwidth = Bandwidth(self, links, FAST, lambda src, dst: (src, dst) in self.cuts)
+        self.bandwidth = Bandwidth(self, links, FAST_LINK, lambda src, dst: (src, dst) in self.cuts)
         for node in self.nodes:
             self.start(node, True)
         self.advance(3 * SEC)
@@ -68,36 +74,38 @@
 
     @property
     def leader(self):
-        (led,) = [node for node in self.nodes if node.up and not node.frozen and node.core_member.is_leader]
-        return led
+        (leader,) = [node for node in self.nodes if node.up and not node.frozen and node.core_member.is_leader]
+        return leader
 
     def follower(self, number=4):
-        """A member by its number, or another that doesn't lead."""
+        """Returns the member with this number, or the one before it if that is the leader."""
         node = self.nodes[number - 1]
         return node if node is not self.leader else self.nodes[number - 2]
 
     def change(self):
         self.rev += 1
-        led = next((node for node in self.nodes if node.up and node.core_member.is_leader), None)
-        self.call(OrderKind.CONFIGURE, (self.rev, body(self.rev, self.routes, self.anew)), led)
+        leader = next((node for node in self.nodes if node.up and node.core_member.is_leader), None)
+        self.call(OrderKind.CONFIGURE, (self.rev, configuration_body(self.rev, self.routes, self.replaces_all)), leader)
 
     def burst(self, changes):
-        """So many changes, GAP apart."""
+        """Makes a number of changes at intervals of CHANGE_INTERVAL."""
         for _ in range(changes):
             self.change()
-            self.advance(GAP)
+            self.advance(CHANGE_INTERVAL)
 
-    def held(self, node):
-        """Number of the newest version that a member knows to be in force."""
+    def committed_revision(self, node):
+        """Returns the newest revision that a member knows to be committed, or 0."""
         return node.core_member.committed.revision if node.core_member.committed else 0
 
     def catch_up(self, node, limit=8 * SEC):
-        """Starts a member while changes go on; (seconds, bytes that came to it) until it knows what was the newest
-        when it started."""
-        began, came = self.now, self.bandwidth.came(node.ip)
+        """Starts a member while changes continue, and waits until it has the revision that was the newest at its start.
+
+        Returns the elapsed seconds and the number of bytes that it received.
+        """
+        began, bytes_received = self.now, self.bandwidth.came(node.ip)
         self.start(node)
         target = self.rev
-        while self.held(node) < target:
-            assert self.now - began < limit, f"holds r{self.held(node)} of r{target}"
+        while self.committed_revision(node) < target:
+            assert self.now - began < limit, f"holds r{self.committed_revision(node)} of r{target}"
             self.burst(1)
-        return (self.now - began) / SEC, self.bandwidth.came(node.ip) - came
+        return (self.now - began) / SEC, self.bandwidth.came(node.ip) - bytes_received
--- a/tests/consensus/test_answer_checks.py
+++ b/tests/consensus/test_answer_checks.py
@@ -1,4 +1,4 @@
-"""Answers count only for what they answer: their term, round, sender and receiver, each by its incarnation."""
+"""Answers are counted only if their term, round, and sender and receiver incarnations match."""
 
 import core_fixtures as consensus
 import pytest
@@ -10,7 +10,7 @@
 
 
 def answers_to(member, name, incarnation, **more):
-    """Answers to `member` that bear all that fits but one thing, by what that is; and the one that fits."""
+    """Returns answers to `member` with one wrong field each, by the name of that field, and a correct answer."""
     matching = {"n": name, "i": incarnation, "j": member.incarnation, "t": member.term, **more}
     mismatched = {what: {**matching, **change} for what, change in MISMATCHES.items()}
     mismatched["term"] = {**matching, "t": member.term - 1}
@@ -18,7 +18,7 @@
 
 
 def test_acknowledgements_count_for_their_round_term_and_incarnation():
-    """None of another term, of or for another incarnation, or of a round that has not begun counts as a member's."""
+    """Answers of another term, from or to another incarnation, or for a round that has not begun are ignored."""
     core = consensus.Core()
     leader = core.leader.core_member
     core.cut_links([core.leader], core.others(core.leader))
@@ -35,7 +35,7 @@
 
 @pytest.mark.parametrize(("kind", "role", "ahead"), [("may", Role.PRE_CANDIDATE, 1), ("aye", Role.CANDIDATE, 0)])
 def test_votes_count_for_their_term_and_candidate(kind, role, ahead):
-    """One for another term, or for one that lost its disk, is none; one of a stranger makes no majority."""
+    """Votes for another term or another incarnation are ignored, and votes of non-members do not make a majority."""
     core = consensus.Core(members=6)
     member = core.others(core.leader)[0].core_member
     others = [(name, inc) for name, (_, inc) in member.entry.members.items() if name != member.name]
--- a/tests/consensus/test_catch_up.py
+++ b/tests/consensus/test_catch_up.py
@@ -1,9 +1,9 @@
-"""Members far behind: they missed hundreds of changes, on slow links and slow disks, while changes go on."""
+"""Catch-up of members that missed hundreds of changes, on slow links and disks, while changes continue."""
 
 import zlib
 
 import pytest
-from catch_up_fixtures import SLOW, BusyCore
+from catch_up_fixtures import SLOW_LINK, BusyCore
 
 from rampfront.consensus import events
 from rampfront.consensus.errors import RemoteProtocolError
@@ -14,10 +14,11 @@
 
 
 @pytest.mark.parametrize(
-    "routes, rate, changes, most", ((50, SLOW, 300, 8_000), (400, SLOW, 300, 16_000), (2000, SLOW, 40, 70_000))
+    "routes, rate, changes, most",
+    ((50, SLOW_LINK, 300, 8_000), (400, SLOW_LINK, 300, 16_000), (2000, SLOW_LINK, 40, 70_000)),
 )
 def test_a_member_far_behind_catches_up_within_a_second(routes, rate, changes, most):
-    """12 KB, 94 KB and 470 KB as sent. One whole comes, then what changed; a second is enough on 2 Mbit/s."""
+    """Bodies of 12 KB, 94 KB and 470 KB as sent: the member gets one in full, then deltas, within 1 s on 2 Mbit/s."""
     core = BusyCore(routes, {4: rate})
     node = core.follower()
     core.stop(node)
@@ -27,56 +28,58 @@
 
 
 def test_members_are_sent_only_what_changed():
-    """Not the whole again for one route of 2,000: bytes, and the waits of operators, stay as in a small core."""
-    core = BusyCore(2000, dict.fromkeys((1, 2, 3, 4), SLOW))
+    """A change of one route of 2,000 is sent as a delta, so traffic and the latency of orders stay small."""
+    core = BusyCore(2000, dict.fromkeys((1, 2, 3, 4), SLOW_LINK))
     node, calls = core.follower(), len(core.calls)
     came = core.bandwidth.came(node.ip)
     core.burst(30)
     core.advance(SEC)
-    assert core.held(node) == core.rev and core.bandwidth.came(node.ip) - came < 30 * 1000
+    assert core.committed_revision(node) == core.rev and core.bandwidth.came(node.ip) - came < 30 * 1000
     assert max(call.done_at - call.sent for call in core.calls[calls:]) < 100 * MS
 
 
 def test_no_entry_replaces_the_one_in_flight():
-    """Each version is new from end to end and takes 0.3 s on the link of one member, a change comes each 0.1 s. It gets
-    some of them whole, one transfer at a time, and beats pass beside them."""
-    core = BusyCore(1500, {4: SLOW / 2}, anew=True)
+    """A newer entry must not cancel a transfer in progress, or a member on a slow link never receives any.
+
+    Each version is completely new and takes 0.3 s on one member's link, with a change every 0.1 s. The member still
+    receives some of them, one transfer at a time, and heartbeats are not delayed.
+    """
+    core = BusyCore(1500, {4: SLOW_LINK / 2}, replaces_all=True)
     node = core.follower()
     held = []
     for _ in range(10):
         core.burst(10)
-        held.append(core.held(node))
+        held.append(core.committed_revision(node))
     assert all(new > old for old, new in zip(held, held[1:], strict=False)), held
     assert core.rev - held[-1] < 20
     assert not core.counts.get("transfers lost") and core.counts["leaders"] == 1
     assert core.bandwidth.most_waited[node.ip] < 250 * MS
     core.advance(2 * SEC)
-    assert core.held(node) == core.rev
+    assert core.committed_revision(node) == core.rev
 
 
 def test_a_delta_that_does_not_fit_is_followed_by_the_whole_entry():
-    """A member that lost what the difference rests on, or comes out elsewhere, takes nothing, and gets the whole."""
+    """A member that lacks the base of a delta, or computes another result, rejects it and is sent the entry in full."""
     core = BusyCore(50)
     node = core.follower()
     node.core_member.roles.persistent.bodies.by_digest.clear()
     node.core_member.roles.persistent.entry = node.core_member.roles.persistent.durable.entry
     core.change()
     core.advance(SEC)
-    assert core.held(node) == core.rev
+    assert core.committed_revision(node) == core.rev
     rev = core.rev
     kept = node.core_member.roles.persistent.bodies.by_digest
     for mark, held in list(kept.items()):
         kept[mark] = zlib.compress(zlib.decompress(held).replace(b"3000ms", b"9999ms"))
     core.change()
     core.advance(100 * MS)
-    assert core.held(node) == rev and node.core_member.entry.revision == rev
+    assert core.committed_revision(node) == rev and node.core_member.entry.revision == rev
     core.advance(SEC)
-    assert core.held(node) == rev + 1
+    assert core.committed_revision(node) == rev + 1
 
 
 @pytest.mark.parametrize("odd", ([], [b"x"], [b"x", 5], [5, []], [b"x", [], []], None))
 def test_invalid_deltas_change_nothing(odd):
-    """They change nothing."""
     core = BusyCore(50)
     node, led = core.follower(), core.leader
     member, entry = node.core_member, node.core_member.entry
@@ -90,7 +93,7 @@
 
 
 def test_a_slow_disk_in_a_burst_of_changes():
-    """One store is under way at a time; the leader knows what is on disk, though newer entries have come since."""
+    """One store is in flight at a time; the leader knows which entry is on disk although newer ones have arrived."""
     core = BusyCore(50)
     node, led = core.follower(), core.leader
     node.disk.wait = 400 * MS
@@ -101,16 +104,16 @@
     assert peer.match_position == node.core_member.roles.persistent.durable.entry.position
     node.disk.wait = node.disk.usual
     core.advance(SEC)
-    assert core.held(node) == core.rev
+    assert core.committed_revision(node) == core.rev
 
 
 def test_what_is_stored_is_acknowledged_at_once():
-    """Also while newer entries wait for the disk: else each of them would push back the word of those before it."""
+    """A stored entry is acknowledged although newer ones wait for the disk, or each of them would delay the answer."""
     core = BusyCore(50)
     node, led = core.follower(), core.leader
     node.disk.hangs = True
     core.burst(3)
-    core.freeze(led)  # no heartbeat asks for it
+    core.freeze(led)  # so that no heartbeat triggers an acknowledgement
     core.advance(20 * MS)
     sent = []
     core.send = lambda node, ip, message: sent.append(message)
@@ -129,7 +132,7 @@
 
 
 def test_a_full_disk_in_a_burst_of_changes():
-    """Nothing counts as held meanwhile; behind it the member catches up."""
+    """Nothing is acknowledged while the disk is full; afterwards the member catches up."""
     core = BusyCore(400)
     node = core.follower()
     node.disk.full = True
@@ -138,15 +141,15 @@
     assert node.core_member.roles.persistent.durable.entry is before
     node.disk.full = False
     core.burst(10)
-    assert core.rev - core.held(node) <= 1
+    assert core.rev - core.committed_revision(node) <= 1
     core.advance(SEC)
     assert node.core_member.roles.persistent.durable.entry.revision == core.rev
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_a_member_killed_while_it_catches_up(seed):
-    """At any moment of the transfer or the store; what it held before is still there, or the newer one."""
-    core = BusyCore(1500, {4: SLOW}, seed=seed)
+    """A kill at any time during a transfer or a store leaves the old entry or the newer one on disk."""
+    core = BusyCore(1500, {4: SLOW_LINK}, seed=seed)
     node = core.follower()
     core.stop(node)
     core.burst(20)
--- a/tests/consensus/test_commitment.py
+++ b/tests/consensus/test_commitment.py
@@ -1,6 +1,6 @@
-"""What an acknowledgement rests on: the disks of a majority, and votes that outlive a kill."""
+"""Acknowledged orders are on the disks of a majority, and votes survive a kill."""
 
-from core_fixtures import Core, done, frame_of
+from core_fixtures import Core, done, received_frame
 
 from rampfront.consensus import events
 from rampfront.consensus.events import Outcome
@@ -29,13 +29,13 @@
     leader = core.leader
     leader.disk.full = True
     first, _ = core.configure(1), core.advance(SEC)
-    assert done(first)  # by the three others
+    assert done(first)  # committed by the three other members
     core.stop(core.others(leader)[0])
     second, _ = core.configure(2), core.advance(4 * SEC)
     assert second.verdict == Outcome.UNKNOWN
     leader.disk.full = False
     core.advance(SEC)
-    assert core.leader.core_member.committed.revision == 2  # it was sent, so it may come into force
+    assert core.leader.core_member.committed.revision == 2  # it was sent to the others, so it may be committed
 
 
 def test_a_failed_store_lets_no_vote_out():
@@ -46,7 +46,7 @@
     entry = voter.core_member.entry
     newer = LogPosition(98, entry.index + 1)
     request = VoteRequest(MemberKey("x", 5), voter.core_member.incarnation, 99, newer)
-    (store,) = voter.core_member.take(core.now + voter.offset, frame_of("10.0.0.9", request))
+    (store,) = voter.core_member.take(core.now + voter.offset, received_frame("10.0.0.9", request))
     assert voter.core_member.take(core.now + voter.offset, events.RecordStored(store.version, False)) == []
     later = core.now + voter.offset + SEC
     (store,) = [each for each in voter.core_member.take(later, events.Tick()) if type(each) is events.StoreRecord]
@@ -64,7 +64,7 @@
     def answers(message):
         sent = core.sent = []
         core.send = lambda node, ip, message: sent.append((ip, message[KIND]))
-        core.tell(voter, frame_of("10.0.0.9", message))
+        core.tell(voter, received_frame("10.0.0.9", message))
         core.advance(50 * MS)
         return [kind for ip, kind in sent if ip == "10.0.0.9"]
 
--- a/tests/consensus/test_configuration_conflicts.py
+++ b/tests/consensus/test_configuration_conflicts.py
@@ -1,7 +1,7 @@
-"""One revision stands for one content: configurations that race, or come again late or elsewhere."""
+"""A revision denotes one content only, when configurations race or are repeated late or at another member."""
 
 import pytest
-from core_fixtures import Core, compressed_configuration, done, until
+from core_fixtures import Core, compressed_configuration, done, run_until
 
 from rampfront.consensus import version_history as v
 from rampfront.consensus.events import Outcome
@@ -21,7 +21,7 @@
 
 def test_within_one_batch_the_first_of_two_contents_is_confirmed() -> None:
     core = Core()
-    core.configure(1)  # the others wait for its entry, and go into one behind it
+    core.configure(1)  # the following orders wait for this entry and then share the next one
     index = core.leader.core_member.entry.index
     calls = [
         core.configure(5, body=b"one"),
@@ -53,8 +53,10 @@
 
 
 def test_a_conflict_is_answered_only_once_it_cannot_be_undone() -> None:
-    """A leader that is cut off unawares holds a content that never comes into force; the other one may come into force
-    yet, and was refused then."""
+    """A partitioned leader must not report a conflict with an entry that is never committed.
+
+    The content that it would reject may still be committed by the new leader.
+    """
     core = Core()
     lost = core.leader
     core.cut_links([lost], core.others(lost))
@@ -75,7 +77,7 @@
     core.cut_links([lost], core.others(lost))
     other = core.configure(5, lost, b"other")
     core.advance(500 * MS)
-    assert other.verdict is None  # no majority bears it out
+    assert other.verdict is None  # no majority has confirmed it
     core.advance(2 * SEC)
     assert other.verdict in (Outcome.NOT_LEADER, Outcome.UNKNOWN)
 
@@ -83,7 +85,7 @@
 def test_a_repeat_at_the_next_leader_is_acknowledged_also_behind_a_higher_revision() -> None:
     core = Core()
     first = core.configure(5)
-    until(core, lambda: done(first))
+    run_until(core, lambda: done(first))
     core.stop(core.leader, power=True)
     core.advance(3 * SEC)
     core.configure(9), core.advance(SEC)
@@ -94,14 +96,14 @@
 def test_an_order_of_unknown_outcome_is_repeated_at_the_next_leader_while_the_first_copy_is_in_flight() -> None:
     core = Core(4)
     lost = core.leader
-    heir = core.others(lost)[0]
-    core.cut_links([lost], [node for node in core.others(lost) if node is not heir])
+    successor = core.others(lost)[0]
+    core.cut_links([lost], [node for node in core.others(lost) if node is not successor])
     first = core.configure(5, lost)
-    until(core, lambda: heir.core_member.roles.persistent.durable.entry.revision == 5)  # on two disks of four
+    run_until(core, lambda: successor.core_member.roles.persistent.durable.entry.revision == 5)  # on two of four disks
     core.stop(lost)
     core.heal_links()
     assert first.verdict is None
-    until(core, lambda: len(core.leaders) == 1 and core.leader.core_member.entry.revision == 5)
+    run_until(core, lambda: len(core.leaders) == 1 and core.leader.core_member.entry.revision == 5)
     again, other = core.configure(5), core.configure(5, body=b"other")
     core.advance(2 * SEC)
     assert done(again) and other.verdict == Outcome.CONFLICT
@@ -135,7 +137,7 @@
         core.advance(SEC),
     )
     assert done(first) and done(again) and other.verdict == Outcome.CONFLICT
-    assert again.state.body == compressed_configuration(5)  # byte for byte as it was sent first
+    assert again.state.body == compressed_configuration(5)  # the bytes as first sent
 
 
 def test_a_burst_of_revisions_stays_known_down_to_the_bound() -> None:
@@ -154,7 +156,7 @@
         core.configure(20, body=b"y"),
     )
     core.advance(SEC)
-    # Below the bound nothing can be told apart: acknowledged as the protocol says, and it changes nothing.
+    # Numbers below the bound are no longer known: orders with them are acknowledged and change nothing.
     assert [call.verdict for call in (known, other, below, below_too)] == [
         Outcome.DONE,
         Outcome.CONFLICT,
--- a/tests/consensus/test_consensus_messages.py
+++ b/tests/consensus/test_consensus_messages.py
@@ -1,4 +1,4 @@
-"""The messages between members: what they carry, and that invalid ones are refused."""
+"""Messages between members: their content, and the rejection of invalid ones."""
 
 import os
 
@@ -76,7 +76,7 @@
     assert entries and all(len(message[VERSIONS][1]) <= v.ROW.size for message in entries)
     core.stop(core.leader)
     del sent[:]
-    core.advance(4 * SEC)  # nor does a leader's first entry
+    core.advance(4 * SEC)  # a leader's first entry is small as well
     entries = [message for message in sent if message[KIND] == APPEND_ENTRY]
     assert entries and all(not message[VERSIONS][1] for message in entries)
     assert core.leader.core_member.committed.versions.rows[0][0] == 1
--- a/tests/consensus/test_core_orders.py
+++ b/tests/consensus/test_core_orders.py
@@ -1,4 +1,4 @@
-"""Orders at the leader: which are taken, how they share an entry, and how each ends."""
+"""Orders at the leader: acceptance, batching into entries, and outcomes."""
 
 import pytest
 from core_fixtures import Core, done
@@ -34,7 +34,7 @@
     core = Core()
     core.configure(1)
     calls = [core.place_order(core.leader, kind, "zone") for kind in (OrderKind.EVACUATE, OrderKind.RESTORE)]
-    core.advance(SEC)  # `Ledger.done` looks whether the zone was ever emptied
+    core.advance(SEC)  # `Ledger.done` checks that the zone was evacuated at some time
     assert all(map(done, calls)) and not core.leader.core_member.committed.evacuated_zones
 
 
@@ -69,7 +69,7 @@
     calls = [core.configure(rev) for rev in range(1, 301)]
     assert [call.verdict for call in calls[:256]] == [None] * 256 and calls[-1].verdict == Outcome.REJECTED
     core.advance(3 * SEC)
-    assert calls[0].verdict == Outcome.UNKNOWN  # sent to others
+    assert calls[0].verdict == Outcome.UNKNOWN  # sent to the other members
     assert calls[1].verdict == Outcome.REJECTED  # never sent
     for node in core.nodes:
         node.disk.hangs = False
--- a/tests/consensus/test_core_schedules.py
+++ b/tests/consensus/test_core_schedules.py
@@ -1,4 +1,4 @@
-"""Seeded schedules of faults, played on real members."""
+"""Seeded fault schedules, run on real members."""
 
 import pytest
 
@@ -12,7 +12,7 @@
 
 
 def test_schedules_of_two():
-    """One disk lost, though the core is too small for it to be promised."""
+    """Schedules with one lost disk in a core of two, which is too small to guarantee surviving it."""
     for seed in range(1, 13):
         run = Run(seed, 2)
         run.survive = 1
--- a/tests/consensus/test_elections.py
+++ b/tests/consensus/test_elections.py
@@ -1,4 +1,4 @@
-"""Leaders that lose their majority or hand over, and elections that disturb nobody."""
+"""Leaders that lose their majority or transfer leadership, and elections that do not disrupt a working core."""
 
 import pytest
 from catch_up_fixtures import BusyCore
@@ -44,13 +44,13 @@
     core = Core()
     old = core.leader
     core.cut_links(core.others(old), [old], both=False)
-    at = core.now
+    cut_at = core.now
     while old.core_member.is_leader:
         core.advance(10 * MS)
-    gave_up = core.now
+    stepped_down_at = core.now
     while not core.leaders:
         core.advance(10 * MS)
-    assert gave_up - at < 1600 * MS and core.now - gave_up < 600 * MS
+    assert stepped_down_at - cut_at < 1600 * MS and core.now - stepped_down_at < 600 * MS
 
 
 def test_a_member_that_was_cut_off_does_not_depose_a_working_leader():
@@ -69,7 +69,7 @@
     leader = core.leader
     followers = core.others(leader)
     core.cut_links([leader], followers[1:])
-    core.configure(4), core.advance(100 * MS)  # reaches one follower only
+    core.configure(4), core.advance(100 * MS)  # reaches only one follower
     core.stop(leader)
     core.heal_links()
     core.advance(4 * SEC)
@@ -90,21 +90,21 @@
 
 
 def test_a_restarted_member_neither_grants_votes_nor_leads_with_an_older_entry():
-    """Alone with members that hold more it asks in vain, and hands its vote to none that holds less than it."""
+    """A member with an older entry gets no votes from members with newer ones, and does not become the leader."""
     core = BusyCore(50, members=5)
     node = core.follower(5)
     core.stop(node)
     core.burst(20)
     rest = [other for other in core.nodes if other is not node]
     core.stop(core.leader)
-    up = [other for other in rest if other.up]
+    running = [other for other in rest if other.up]
     core.start(node)
-    told = []
+    frames = []
     send = core.send
-    core.send = lambda sender, ip, message: (told.append((sender, message)), send(sender, ip, message))
+    core.send = lambda sender, ip, message: (frames.append((sender, message)), send(sender, ip, message))
     core.advance(200 * MS)
     node.core_member.roles.election.start_pre_vote()
-    for other in up:
+    for other in running:
         member = node.core_member
         request = VoteRequest(
             member.roles.persistent.key, other.core_member.incarnation, member.term + 50, member.entry.position
@@ -112,17 +112,17 @@
         core.tell(other, events.MessageReceived(node.ip, encode(request)))
     core.advance(3 * SEC)
     incarnation = node.core_member.incarnation
-    granted = [frame for _, frame in told if frame[KIND] in (PRE_VOTE_GRANTED, VOTE_GRANTED)]
+    granted = [frame for _, frame in frames if frame[KIND] in (PRE_VOTE_GRANTED, VOTE_GRANTED)]
     assert not [frame for frame in granted if frame[SENDER_INCARNATION] and frame[RECEIVER_INCARNATION] == incarnation]
-    assert core.leader is not node and core.held(node) == core.rev
+    assert core.leader is not node and core.committed_revision(node) == core.rev
 
 
 def test_late_frames_of_a_deposed_leader_change_nothing():
-    """All that it and its followers said in its term comes again behind a new leader's changes: nothing moves."""
+    """Frames of an earlier term, from the old leader and its followers, arrive again and must not change any state."""
     core = BusyCore(50)
-    old, kept = core.leader, []
+    old, frames = core.leader, []
     send = core.send
-    core.send = lambda sender, ip, message: (kept.append((sender.ip, ip, message)), send(sender, ip, message))
+    core.send = lambda sender, ip, message: (frames.append((sender.ip, ip, message)), send(sender, ip, message))
     core.burst(10)
     core.stop(old)
     core.advance(3 * SEC)
@@ -131,10 +131,10 @@
     core.start(old)
     core.advance(2 * SEC)
     core.send, term = send, core.leader.core_member.term
-    stale = [row for row in kept if row[2].get(TERM, 0) < term]
+    stale = [row for row in frames if row[2].get(TERM, 0) < term]
     assert {HEARTBEAT, APPEND_ENTRY, APPEND_ACKNOWLEDGED} <= {message[KIND] for *_, message in stale}
 
-    def standing():
+    def member_states():
         return [
             (
                 member.term,
@@ -149,9 +149,11 @@
             for member in (node.core_member for node in core.nodes)
         ]
 
-    before, confirmed = standing(), core.leader.core_member.roles.leader.rounds.confirmed
+    before, confirmed = member_states(), core.leader.core_member.roles.leader.rounds.confirmed
     for src, dst, message in stale:
         core.tell(core.by_ip[dst], events.MessageReceived(src, message))
-    assert standing() == before and core.leader.core_member.roles.leader.rounds.confirmed == confirmed
+    assert member_states() == before and core.leader.core_member.roles.leader.rounds.confirmed == confirmed
     core.advance(2 * SEC)
-    assert [row[:1] for row in standing()] == [row[:1] for row in before] and core.held(old) == core.rev
+    assert [row[:1] for row in member_states()] == [row[:1] for row in before] and core.committed_revision(
+        old
+    ) == core.rev
--- a/tests/consensus/test_evacuation_claims.py
+++ b/tests/consensus/test_evacuation_claims.py
@@ -1,8 +1,8 @@
-"""A repeat of an order on a zone is told from a second operator's by what became of the answer before it."""
+"""A retry of a zone order is distinguished from another operator's order by the delivery of the previous answer."""
 
 import cbor2
 import pytest
-from core_fixtures import Core, PlacedOrder, until
+from core_fixtures import Core, PlacedOrder, run_until
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -16,38 +16,39 @@
 from rampfront.simulation.world import MS, SEC
 
 ZONE = "hall"
-REPEATS = 7300  # ms: within which callers repeat, and a zone opens behind its last certain operator
-NAMED = claims.EXPLICIT_IDENTITY
+# Callers retry for less than this time, and a zone reopens within it after its last certain operator restored it.
+RETRY_WINDOW_MS = 7300
+EXPLICIT = claims.EXPLICIT_IDENTITY
 ONE, TWO, THREE, FOUR = range(11, 15)
-GOT, LOST = OrderKind.ANSWER_DELIVERED, OrderKind.ANSWER_LOST
+DELIVERED, LOST = OrderKind.ANSWER_DELIVERED, OrderKind.ANSWER_LOST
 
 
 class Scene(Core):
-    """A core of long standing, and orders on one zone."""
+    """A core past its initial retry window, and orders on one zone."""
 
     def __init__(self) -> None:
         super().__init__()
         self.advance(8 * SEC)
-        self.first_sent: dict[tuple[OrderKind, int], object] = {}  # what was in force when an order was sent first
+        self.state_at_first_send: dict[tuple[OrderKind, int], object] = {}  # newest state when an order was first sent
 
-    def place(self, kind: OrderKind, identity: int) -> None:
-        """An order, or a report on the answer to one, which the leader takes."""
-        is_report = kind in (GOT, LOST)
+    def submit(self, kind: OrderKind, identity: int) -> None:
+        """Submits an order, or a delivery report on one, to the leader and waits for its acknowledgement."""
+        is_report = kind in (DELIVERED, LOST)
         body = (ZONE, identity) if is_report else ZONE
-        floor = self.first_sent.setdefault((kind, identity), self.ledger.newest())
+        floor = self.state_at_first_send.setdefault((kind, identity), self.ledger.newest())
         call = PlacedOrder(kind, body, floor)
         self.tell(self.leader, events.Order((call, 0), kind, body, 0 if is_report else identity))
-        until(self, lambda: call.verdict == Outcome.DONE)
+        run_until(self, lambda: call.verdict == Outcome.DONE)
 
     def evacuate(self, identity: int) -> None:
-        self.place(OrderKind.EVACUATE, identity)
+        self.submit(OrderKind.EVACUATE, identity)
 
     def restore(self, identity: int) -> None:
-        self.place(OrderKind.RESTORE, identity)
+        self.submit(OrderKind.RESTORE, identity)
 
     def report(self, kind: OrderKind, *identities: int) -> None:
         for identity in identities:
-            self.place(kind, identity)
+            self.submit(kind, identity)
 
     def wait(self, ms: int) -> None:
         self.advance(ms * MS)
@@ -60,7 +61,7 @@
     def evacuation(self) -> e.Evacuation:
         return self.leader.core_member.committed.evacuations.get(ZONE, e.SINGLE_OPERATOR)
 
-    def opens_within(self, ms: int) -> bool:
+    def reopens_within(self, ms: int) -> bool:
         end = self.now + ms * MS
         while self.is_evacuated and self.now < end:
             self.wait(20)
@@ -80,16 +81,16 @@
     scene = Scene()
     scene.evacuate(ONE)
     if reported == "at once":
-        scene.report(GOT, ONE)
+        scene.report(DELIVERED, ONE)
     scene.wait(apart)
     scene.evacuate(TWO)
     if reported == "late":
         scene.wait(600)
-        scene.report(GOT, ONE)
-    scene.report(GOT, TWO)
+        scene.report(DELIVERED, ONE)
+    scene.report(DELIVERED, TWO)
     assert (scene.evacuation.operators, scene.evacuation.repeated) == (2, False)
     scene.restore(THREE)
-    assert not scene.opens_within(60000)
+    assert not scene.reopens_within(60000)
     scene.restore(FOUR)
     assert not scene.is_evacuated
 
@@ -110,17 +111,17 @@
 
 
 def test_an_order_that_follows_a_delivered_answer_at_once_may_be_a_repeat() -> None:
-    """A program loses an answer that its machine has taken, and sends again after its first pause."""
+    """A program may lose an answer that its machine has acknowledged; it then retries after its first retry delay."""
     scene = Scene()
     scene.evacuate(ONE)
-    scene.report(GOT, ONE)
+    scene.report(DELIVERED, ONE)
     scene.wait(150)
     scene.evacuate(TWO)
-    scene.report(GOT, TWO)
+    scene.report(DELIVERED, TWO)
     assert (scene.evacuation.operators, scene.evacuation.repeated) == (1, True)
     scene.wait(9000)
     scene.restore(THREE)
-    assert scene.is_evacuated and scene.opens_within(REPEATS)
+    assert scene.is_evacuated and scene.reopens_within(RETRY_WINDOW_MS)
 
 
 @pytest.mark.parametrize("repeat, opens", [(THREE, True), (FOUR, False)])
@@ -129,30 +130,30 @@
 ) -> None:
     scene = Scene()
     scene.evacuate(ONE)
-    scene.report(GOT, ONE)
+    scene.report(DELIVERED, ONE)
     scene.wait(1000)
     scene.evacuate(TWO)
-    scene.report(GOT, TWO)
+    scene.report(DELIVERED, TWO)
     scene.restore(THREE)
     if opens:
-        scene.report(GOT, THREE)
+        scene.report(DELIVERED, THREE)
         scene.wait(1000)
     scene.restore(FOUR)
-    assert scene.is_evacuated is not opens  # without the report it may be the same order
+    assert scene.is_evacuated is not opens  # without the report, it may be a retry
 
 
 def test_claims_outlive_a_change_of_leader_and_a_loss_of_power_of_all() -> None:
     scene = Scene()
     scene.evacuate(ONE)
-    scene.report(GOT, ONE)
+    scene.report(DELIVERED, ONE)
     scene.change_leader()
     scene.wait(1000)
-    scene.evacuate(TWO)  # within 7 s of the first, and of the new leader's beginning
+    scene.evacuate(TWO)  # within 7 s of the first order and of the new leader's election
     assert scene.evacuation.operators == 2
     scene.report(LOST, TWO)
     assert scene.evacuation.operators == 1
     scene.evacuate(THREE)
-    scene.report(GOT, THREE)
+    scene.report(DELIVERED, THREE)
     for node in scene.nodes:
         scene.stop(node, power=True)
     scene.wait(300)
@@ -161,41 +162,41 @@
     scene.wait(8000)
     assert (scene.evacuation.operators, scene.evacuation.repeated) == (2, False)
     scene.restore(FOUR)
-    assert not scene.opens_within(20000)
+    assert not scene.reopens_within(20000)
 
 
 def test_an_order_that_its_caller_named_is_known_by_its_name() -> None:
     scene = Scene()
-    for identity in (NAMED + ONE, NAMED + ONE, NAMED + TWO, NAMED + ONE):
+    for identity in (EXPLICIT + ONE, EXPLICIT + ONE, EXPLICIT + TWO, EXPLICIT + ONE):
         scene.evacuate(identity)
         scene.wait(100)
     assert (scene.evacuation.operators, scene.evacuation.repeated) == (2, False)
-    for identity in (NAMED + THREE, NAMED + THREE):
+    for identity in (EXPLICIT + THREE, EXPLICIT + THREE):
         scene.restore(identity)
     assert scene.is_evacuated
-    scene.restore(NAMED + FOUR)
+    scene.restore(EXPLICIT + FOUR)
     assert not scene.is_evacuated
     scene.evacuate(ONE)
-    scene.restore(NAMED + FOUR)  # a late repeat, behind a new evacuation
+    scene.restore(EXPLICIT + FOUR)  # a late retry, after a new evacuation
     assert scene.is_evacuated
 
 
 def test_a_report_on_an_order_that_is_not_known_changes_nothing() -> None:
     scene = Scene()
     scene.report(LOST, ONE)
-    scene.report(GOT, ONE)
+    scene.report(DELIVERED, ONE)
     assert not scene.is_evacuated
     scene.evacuate(ONE)
     before = scene.leader.core_member.committed.index
     scene.report(LOST, TWO)
-    scene.report(GOT, TWO)
+    scene.report(DELIVERED, TWO)
     assert scene.leader.core_member.committed.index == before and scene.is_evacuated
 
 
 def test_a_record_of_before_reads_and_keeps_its_operators() -> None:
     scene = Scene()
     scene.evacuate(ONE)
-    scene.report(GOT, ONE)
+    scene.report(DELIVERED, ONE)
     scene.wait(1000)
     scene.evacuate(TWO)
     persistent = scene.leader.core_member.roles.persistent
@@ -238,34 +239,36 @@
 @settings(max_examples=400, deadline=None)
 @given(st.data())
 def test_any_history_of_lost_and_repeated_orders_counts_the_operators(data: st.DataObject) -> None:
-    """Each operator sends until an answer reaches him; reports come late and in any order; none is followed at once."""
+    """Operators retry until an answer arrives; delivery reports are late and in any order; no retry is immediate."""
     operators = data.draw(st.integers(1, 3))
-    left = {operator: data.draw(st.integers(0, 2)) for operator in range(operators)}  # answers that will be lost
-    waiting: list[tuple[Delivery, int]] = []
+    lost_answers = {
+        operator: data.draw(st.integers(0, 2)) for operator in range(operators)
+    }  # answers that will be lost
+    unreported: list[tuple[Delivery, int]] = []
     zones: frozenset[str] = frozenset()
     table: e.EvacuationTable = {}
     identity = 0
-    while left or waiting:
-        if left and (not waiting or data.draw(st.booleans())):
-            operator = data.draw(st.sampled_from(sorted(left)))
+    while lost_answers or unreported:
+        if lost_answers and (not unreported or data.draw(st.booleans())):
+            operator = data.draw(st.sampled_from(sorted(lost_answers)))
             identity += 1
-            fate = Delivery.LOST if left[operator] else Delivery.DELIVERED
-            waiting.append((fate, identity))
-            left[operator] -= 1
-            if fate is Delivery.DELIVERED:
-                del left[operator]
+            delivery = Delivery.LOST if lost_answers[operator] else Delivery.DELIVERED
+            unreported.append((delivery, identity))
+            lost_answers[operator] -= 1
+            if delivery is Delivery.DELIVERED:
+                del lost_answers[operator]
             last = claims.last_counted(table.get(ZONE, e.SINGLE_OPERATOR).claims)
             may_be_repeat = last is None or last.delivery is not Delivery.DELIVERED
             zones, table = e.evacuate(zones, table, ZONE, may_be_repeat, identity)
         else:
-            fate, reported = waiting.pop(data.draw(st.integers(0, len(waiting) - 1)))
-            if fate is Delivery.LOST:
+            delivery, reported = unreported.pop(data.draw(st.integers(0, len(unreported) - 1)))
+            if delivery is Delivery.LOST:
                 zones, table = e.note_lost(zones, table, ZONE, reported)
             else:
                 table = e.note_delivered(table, ZONE, reported, False)
         assert ZONE in zones
     assert (table[ZONE].operators, table[ZONE].repeated) == (operators, False)
-    for back in range(operators):
-        assert ZONE in zones, f"open behind {back} of {operators} returns"
+    for restored in range(operators):
+        assert ZONE in zones, f"zone is open after {restored} of {operators} restorations"
         zones, table = e.restore(zones, table, ZONE, False)
     assert ZONE not in zones and not table
--- a/tests/consensus/test_founding.py
+++ b/tests/consensus/test_founding.py
@@ -1,4 +1,4 @@
-"""The first start of a core: who founds it, and from when on it takes orders."""
+"""Bootstrap of a core: which member creates it, and when it starts to accept orders."""
 
 from core_fixtures import Core, done
 
--- a/tests/consensus/test_leader_discovery.py
+++ b/tests/consensus/test_leader_discovery.py
@@ -27,11 +27,11 @@
     core = Core()
     settings = MemberSettings("front-9", "10.0.0.9", core.seeds, has_disk=False, is_first_start=True, survive=1)
     core_member = Member(settings, None, random.Random(1), 0)
-    seeks = [each for each in core_member.take(SEC, events.Tick()) if type(each) is events.SendMessage]
-    assert {each.ip for each in seeks} == set(core.seeds)
-    for each in seeks:
+    queries = [each for each in core_member.take(SEC, events.Tick()) if type(each) is events.SendMessage]
+    assert {each.ip for each in queries} == set(core.seeds)
+    for each in queries:
         node = core.by_ip[each.ip]
         for reply in node.core_member.take(core.now + node.offset, events.MessageReceived("10.0.0.9", each.message)):
             core_member.take(SEC, events.MessageReceived(each.ip, reply.message))
-    (told,) = core_member.take(SEC, events.Order("ref", OrderKind.READ))
-    assert (told.outcome, told.leader_ip) == (Outcome.NOT_LEADER, core.leader.ip)
+    (result,) = core_member.take(SEC, events.Order("ref", OrderKind.READ))
+    assert (result.outcome, result.leader_ip) == (Outcome.NOT_LEADER, core.leader.ip)
--- a/tests/consensus/test_learners.py
+++ b/tests/consensus/test_learners.py
@@ -1,15 +1,15 @@
-"""Newcomers: they have no vote before they have caught up."""
+"""Joining members are learners without a vote until they have caught up."""
 
 from core_fixtures import done
-from replacement_fixtures import site
+from replacement_fixtures import running_core
 
 from rampfront.consensus.core_strength import MemberCondition
 from rampfront.simulation.world import MS, SEC
 
 
 def test_a_newcomer_has_no_vote_before_its_disk_holds_what_the_leader_has() -> None:
-    core = site(4, 1)
-    new = core.newcomer()
+    core = running_core(4, 1)
+    new = core.new_machine()
     core.start(new)
     while not core.leader.core_member.roles.leader.membership.learners:
         core.advance(MS)
@@ -24,11 +24,11 @@
 
 
 def test_newcomers_with_empty_disks_are_no_part_of_a_majority() -> None:
-    """Four of which one goes: three newcomers whose disks take nothing may not outvote what is left."""
-    core = site(4, 1)
+    """After one of four members is lost, three new machines with full disks must not count towards the majority."""
+    core = running_core(4, 1)
     core.lose(core.others(core.leader)[0])
     for _ in range(3):
-        new = core.newcomer()
+        new = core.new_machine()
         core.start(new)
         new.disk.full = True
     core.advance(2 * SEC)
@@ -37,9 +37,9 @@
 
 
 def test_a_learner_keeps_up_with_changes_and_becomes_a_member_among_them() -> None:
-    core = site(4, 1)
+    core = running_core(4, 1)
     core.lose(core.others(core.leader)[0])
-    new = core.newcomer()
+    new = core.new_machine()
     core.start(new)
     calls = []
     for rev in range(2, 42):
@@ -49,12 +49,12 @@
 
 
 def test_a_second_newcomer_waits_until_a_silent_member_is_out() -> None:
-    """Two gone and one more newcomer would make six, of which four are a majority: the newcomer would be needed."""
-    core = site(4, 1, newcomers=1)
+    """With two of five members lost, a sixth would raise the majority to four, and the core would need the new one."""
+    core = running_core(4, 1, new_machines=1)
     for node in core.others(core.leader)[:2]:
         core.lose(node)
     core.advance(SEC)
-    new = core.newcomer()
+    new = core.new_machine()
     core.start(new)
     while len(core.leader.core_member.entry.members) == 5:
         core.advance(5 * MS)
--- a/tests/consensus/test_lost_disks.py
+++ b/tests/consensus/test_lost_disks.py
@@ -1,8 +1,8 @@
-"""Members that lose their disks: they come back as other incarnations, and no majority forgets."""
+"""Members that lose their disks rejoin as new incarnations, and no acknowledged state is lost."""
 
 import pytest
-from core_fixtures import Core, done, frame_of
-from replacement_fixtures import SIZES, site
+from core_fixtures import Core, done, received_frame
+from replacement_fixtures import CORE_SIZES, running_core
 
 from rampfront.consensus import events
 from rampfront.consensus.identifiers import LogPosition, MemberKey
@@ -27,7 +27,7 @@
     for node in wiped:
         core.start(node)
     core.advance(10 * SEC)
-    assert not core.leaders  # two that forgot and two that never knew are four of six
+    assert not core.leaders  # two without their disks and two without the entry would be four of six
     for node in holders:
         core.start(node)
     core.advance(4 * SEC)
@@ -51,7 +51,7 @@
         PreVoteRequest(sender, before, 50, position),
         Heartbeat(sender, before, 50, 1, 0),
     ):
-        assert lost.core_member.take(core.now + lost.offset, frame_of("10.0.0.9", message)) == []
+        assert lost.core_member.take(core.now + lost.offset, received_frame("10.0.0.9", message)) == []
     assert lost.core_member.term == 0
 
 
@@ -104,14 +104,16 @@
 
 
 def test_a_forged_join_request_removes_nobody():
-    """It has the password and another incarnation, but nothing is on its disk. Whoever was removed by agreement comes
-    back as another: `test_excluded_members.py`."""
+    """A join request with the right join token must not replace a member, as nothing is on the new incarnation's disk.
+
+    Members whose removal is committed are covered by `test_excluded_members.py`.
+    """
     core = Core()
     leader, out = core.leader, core.others(core.leader)[0]
     before = out.core_member.incarnation
     core.cut_links([out], core.others(out))
     request = JoinRequest(MemberKey(out.name, 77), leader.core_member.roles.leader.join_token)
-    core.tell(leader, frame_of(out.ip, request))
+    core.tell(leader, received_frame(out.ip, request))
     core.advance(2 * SEC)
     assert leader.core_member.committed.members[out.name][1] == before
     core.heal_links()
@@ -121,7 +123,7 @@
 
 @pytest.mark.parametrize("leader", (True, False))
 def test_a_core_of_two_outlives_a_lost_disk(leader):
-    """Nothing is agreed without either, so the other one holds it all: it goes on alone, and takes the new one in."""
+    """Every commit needed both members, so the remaining one has it, continues alone and adds the new incarnation."""
     core = Core(2)
     core.configure(2), core.advance(SEC)
     lost = core.leader if leader else core.others(core.leader)[0]
@@ -141,16 +143,16 @@
 
 
 def test_neither_of_two_goes_on_alone_for_a_late_join_request():
-    """Nor while it hears a leader, nor for a silent other one, nor in a core of more."""
+    """A member continues alone neither for a single join request, nor with a live leader, nor in a core of three."""
     core = Core(2)
     leader, other = core.leader, core.others(core.leader)[0]
     request = JoinRequest(MemberKey(leader.name, 77), 0)
     for _ in range(20):
-        core.tell(other, frame_of(leader.ip, request)), core.advance(100 * MS)
+        core.tell(other, received_frame(leader.ip, request)), core.advance(100 * MS)
     assert other.core_member.roles.electorate.sole_voter_position is None and core.leader is leader
     core.stop(leader)
     core.advance(2 * SEC)
-    core.tell(other, frame_of(leader.ip, request))
+    core.tell(other, received_frame(leader.ip, request))
     core.advance(3 * SEC)
     assert not core.leaders
     core = Core(3)
@@ -178,26 +180,26 @@
     assert all(node.core_member.committed.revision == 6 for node in core.nodes)
 
 
-@pytest.mark.parametrize("members, survive", SIZES)
+@pytest.mark.parametrize("members, survive", CORE_SIZES)
 def test_a_lost_disk_is_exchanged_in_one_step(members: int, survive: int) -> None:
-    core = site(members, survive)
+    core = running_core(members, survive)
     lost = core.others(core.leader)[0]
     index = core.leader.core_member.committed.index
     core.wipe(lost)
     core.advance(SEC // 2)
     core.start(lost)
-    assert core.until_strong() < SEC
+    assert core.run_until_full_strength() < SEC
     sizes = {len(seen[-1]) for at, seen in core.ledger.states.items() if at >= index}
     assert sizes == {members}
 
 
 def test_a_machine_that_lost_its_disk_counts_once_towards_the_target_size() -> None:
-    core = site(4, 1)
+    core = running_core(4, 1)
     lost = core.others(core.leader, core.nodes[0])[0]
     core.wipe(lost)
     core.start(lost, True)
     core.advance(2 * SEC)
-    assert core.strong() and core.leader.core_member.committed.target_size == 4
+    assert core.is_at_full_strength() and core.leader.core_member.committed.target_size == 4
 
 
 def test_a_member_that_lost_its_disk_gets_the_whole_version_history() -> None:
--- a/tests/consensus/test_read_rounds.py
+++ b/tests/consensus/test_read_rounds.py
@@ -1,4 +1,4 @@
-"""Reads, and the age of what a leader knows: both count from the round that a majority answered."""
+"""Reads and the age of a leader's state are based on the heartbeat round that a majority answered."""
 
 from core_fixtures import Core
 
@@ -24,14 +24,16 @@
     core.cut_links([leader], core.others(leader))
     read = core.place_order(leader, OrderKind.READ)
     core.advance(900 * MS)
-    assert read.verdict is None  # still leads as it sees it, and says nothing
+    assert read.verdict is None  # it still considers itself the leader, but does not answer
     core.advance(SEC)
     assert read.verdict == Outcome.NOT_LEADER
 
 
 def test_a_confirmation_is_as_old_as_its_heartbeat():
-    """What a majority answers tells of the moment at which it was asked: counted from the answer, a lease would run on
-    behind another leader's acknowledgement."""
+    """A majority's answer confirms the leadership at the time the round was sent, not when the answer arrives.
+
+    Measured from the answer, a lease could extend beyond another leader's acknowledgement.
+    """
     core = Core()
     way = 100 * MS
     core.send = lambda node, ip, message: core.at(core.now + way, core.arrive, node.ip, core.by_ip[ip], message)
--- a/tests/consensus/test_remembered_addresses.py
+++ b/tests/consensus/test_remembered_addresses.py
@@ -1,4 +1,4 @@
-"""Members keep the addresses of all nodes beside their record."""
+"""Members store the addresses of all nodes in their record."""
 
 import cbor2
 import pytest
--- a/tests/consensus/test_state_codec.py
+++ b/tests/consensus/test_state_codec.py
@@ -1,4 +1,4 @@
-"""The encoded state: read back as it was, and refused where it is invalid."""
+"""Encoding and decoding of states and records, and the rejection of invalid ones."""
 
 from random import Random
 
@@ -6,7 +6,7 @@
 import pytest
 from catch_up_fixtures import BusyCore
 from core_fixtures import Core, compressed_configuration
-from replacement_fixtures import site
+from replacement_fixtures import running_core
 
 from rampfront.consensus import version_history as v
 from rampfront.consensus.context import MemberSettings
@@ -52,18 +52,18 @@
 
 
 def test_a_core_with_older_records_learns_its_target_size() -> None:
-    core = site(4, 1)
+    core = running_core(4, 1)
     for node in core.nodes:
         core.stop(node)
-        node.disk.record = None if node.disk.record is None else without_target(node.disk.record)
+        node.disk.record = None if node.disk.record is None else without_target_size(node.disk.record)
     for node in core.nodes:
         core.start(node)
     core.advance(3 * SEC)
     assert core.leader.core_member.committed.target_size == 4
 
 
-def without_target(record: bytes) -> bytes:
-    """A record as it was before the wanted size stood in it."""
+def without_target_size(record: bytes) -> bytes:
+    """Returns a record in the older format without the target size."""
     import cbor2
 
     rows = cbor2.loads(record)
@@ -95,7 +95,7 @@
 
 
 def test_the_record_of_another_member_is_refused():
-    """It is no memory of this one: not taken in, and left as it is. One without a name is of an older version."""
+    """Another member's record must be neither loaded nor overwritten; one without an owner is from an older version."""
     core = BusyCore(50)
     node, other = core.follower(4), core.follower(3)
     record = other.disk.record
@@ -112,7 +112,7 @@
 
 @pytest.mark.parametrize("cut", (0, 1, 3, -1))
 def test_a_torn_record_is_refused(cut):
-    """What its checksum passes and is no record is a fault to be seen, not a lost disk; nothing is sent or stored."""
+    """A malformed record with a valid checksum is an error, not a lost disk; the member does not start."""
     core = BusyCore(50)
     node = core.follower()
     core.stop(node)
--- a/tests/consensus/test_version_history.py
+++ b/tests/consensus/test_version_history.py
@@ -1,4 +1,4 @@
-"""The history of confirmed revisions, and its deltas."""
+"""The history of confirmed configuration numbers, and its deltas."""
 
 import zlib
 
@@ -31,11 +31,11 @@
     for number in range(1, v.MAX_VERSIONS + 1):
         old = old.with_version(number, bytes(8))
     new = old.with_version(900, bytes(8)).with_version(901, bytes(8))
-    told = cbor2.loads(cbor2.dumps(new.delta_from(old, LogPosition(3, 7)).encode()))
-    assert len(told[1]) == 2 * v.ROW.size
-    assert v.apply_delta(told, {(3, 7): old}).rows == new.rows
-    assert v.apply_delta(told, {(3, 6): old}) is None  # rests on what is not held
-    assert v.apply_delta(told, {(3, 7): v.VersionHistory()}) is None  # comes out as something else
+    encoded = cbor2.loads(cbor2.dumps(new.delta_from(old, LogPosition(3, 7)).encode()))
+    assert len(encoded[1]) == 2 * v.ROW.size
+    assert v.apply_delta(encoded, {(3, 7): old}).rows == new.rows
+    assert v.apply_delta(encoded, {(3, 6): old}) is None  # the base is missing
+    assert v.apply_delta(encoded, {(3, 7): v.VersionHistory()}) is None  # the result does not match the checksum
     assert v.apply_delta(new.delta_from(v.VersionHistory(), NO_POSITION).encode(), {}).rows == new.rows
 
 
--- a/tests/core_fixtures.py
+++ b/tests/core_fixtures.py
@@ -1,4 +1,4 @@
-"""A core of real members on a fake clock, driven by hand: what the tests of `consensus/` share."""
+"""Shared fixtures of the consensus tests: a core of real members on a simulated clock, which the test controls."""
 
 import json
 import zlib
@@ -10,7 +10,7 @@
 
 
 class Core(World):
-    """A world without chance losses, driven by hand."""
+    """A simulated core without random message loss, advanced by the test."""
 
     def __init__(self, members=4, survive=None, seed=1, start=True):
         super().__init__(seed, members, (members - 1) // 2 if survive is None else survive)
@@ -30,14 +30,14 @@
 
     @property
     def leader(self):
-        (led,) = self.leaders
-        return led
+        (leader,) = self.leaders
+        return leader
 
     def others(self, *nodes):
         return [node for node in self.nodes if node not in nodes]
 
     def place_order(self, node, kind, body=None):
-        """Places an order at one node, once; its verdict is read off the call."""
+        """Submits an order to one node, without retries. The returned object receives the outcome."""
         call = PlacedOrder(kind, body, self.ledger.newest())
         self.tell(node, events.Order((call, 0), kind, body))
         return call
@@ -51,19 +51,19 @@
     def configure(self, rev, node=None, body=b""):
         return self.place_order(node or self.leader, OrderKind.CONFIGURE, (rev, body or b"body of %d" % rev))
 
-    def cut_links(self, ones, twos, both=True):
-        for one in ones:
-            for two in twos:
-                self.cuts[one.ip, two.ip] = 1
+    def cut_links(self, sources, targets, both=True):
+        for source in sources:
+            for target in targets:
+                self.cuts[source.ip, target.ip] = 1
                 if both:
-                    self.cuts[two.ip, one.ip] = 1
+                    self.cuts[target.ip, source.ip] = 1
 
     def heal_links(self):
         self.cuts.clear()
 
 
 class PlacedOrder:
-    """An order that was placed at one node, and how it ended there. The ledger of the simulation reads it."""
+    """An order submitted to one node, and its outcome. The simulation's ledger reads it."""
 
     def __init__(self, kind, body, floor):
         self.kind = kind
@@ -79,8 +79,8 @@
     return call.verdict == Outcome.DONE
 
 
-def frame_of(ip, message):
-    """A message of the member at `ip`, as a member gets it."""
+def received_frame(ip, message):
+    """Returns the input by which a member receives a message from the member at `ip`."""
     return events.MessageReceived(ip, encode(message))
 
 
@@ -93,15 +93,15 @@
 }
 
 
-def compressed_configuration(number: int, word: str = "web", **dumping: object) -> bytes:
-    """A configuration's body, as nodes pass it on."""
-    told = {**SMALL_CONFIGURATION, "Revision": f"r{number}", "Groups": [{"Name": word, "HealthPath": "/health"}]}
-    return zlib.compress(json.dumps(told, **dumping).encode())
+def compressed_configuration(number: int, group: str = "web", **dump_options: object) -> bytes:
+    """Returns the body of a configuration, in the form that nodes send to the core."""
+    content = {**SMALL_CONFIGURATION, "Revision": f"r{number}", "Groups": [{"Name": group, "HealthPath": "/health"}]}
+    return zlib.compress(json.dumps(content, **dump_options).encode())
 
 
-def until(core: Core, what: object) -> None:
-    """Goes on step by step until something holds."""
+def run_until(core: Core, condition: object) -> None:
+    """Advances the core in steps of 1 ms until the condition is true; fails after 5 s."""
     end = core.now + 5 * SEC
-    while not what():
+    while not condition():
         assert core.now < end
         core.advance(MS)
--- a/tests/replacement_fixtures.py
+++ b/tests/replacement_fixtures.py
@@ -1,21 +1,21 @@
-"""A core whose machines are replaced by others, at other addresses and under other names."""
+"""Fixtures for tests in which machines of a core are replaced by others with other addresses and names."""
 
 from core_fixtures import Core, done
 
 from rampfront.consensus.events import OrderKind
 from rampfront.simulation.world import MS, SEC, Node
 
-CATCH_UP = 4 * SEC  # from the start of a successor, as the smaller deployments have it
+CATCH_UP = 4 * SEC  # from the start of a replacement machine; the value used by the smaller deployments
 
 
-SIZES = [(4, 1), (6, 2), (8, 2)]  # members with a disk, and how many may be lost at once
+CORE_SIZES = [(4, 1), (6, 2), (8, 2)]  # members with a disk, and how many may be lost at the same time
 
 
-class Site(Core):
-    """A core whose machines are replaced by others, at other addresses and under other names."""
+class ReplaceableCore(Core):
+    """A core whose machines can be replaced."""
 
-    def newcomer(self, ip: str | None = None) -> Node:
-        """An empty machine that was not there before; not started yet. Its seeds are machines that run."""
+    def new_machine(self, ip: str | None = None) -> Node:
+        """Creates an empty machine without starting it. Its seeds are running machines."""
         self.seeds = [node.ip for node in self.running()][:3]
         node = Node(len(self.nodes) + 1, MS)
         node.ip = ip or node.ip
@@ -24,43 +24,47 @@
         return node
 
     def lose(self, node: Node) -> None:
-        """Gone for good, with its disk."""
+        """Removes a machine permanently, including its disk."""
         self.stop(node, power=True)
 
     def replace(self, node: Node, pause: int = SEC) -> Node:
-        """Gone for good; another one starts behind a pause."""
+        """Removes a machine permanently, and starts a replacement after a pause."""
         self.lose(node)
         self.advance(pause)
-        new = self.newcomer()
+        new = self.new_machine()
         self.start(new)
         return new
 
     def running(self) -> list[Node]:
-        """Machines that are there."""
+        """Returns the running machines."""
         return [node for node in self.nodes if node.up]
 
-    def strong(self) -> bool:
-        """Whether the members are exactly those that run, all at full strength as the leader says."""
+    def is_at_full_strength(self) -> bool:
+        """Whether the running machines are exactly the members, and the leader reports full strength."""
         leaders = self.leaders
         if len(leaders) != 1 or leaders[0].core_member.roles.leader.strength_monitor.full_since is None:
             return False
         return self.members() == {node.name: node.core_member.incarnation for node in self.running()}
 
-    def until_strong(self, most: int = 20 * SEC) -> int:
-        """ns until the core is at full strength."""
+    def run_until_full_strength(self, limit: int = 20 * SEC) -> int:
+        """Runs until the core is at full strength and returns the elapsed time in ns."""
         began = self.now
-        while not self.strong():
+        while not self.is_at_full_strength():
             self.advance(10 * MS)
-            assert self.now - began < most, (self.members(), [node.name for node in self.running()])
+            assert self.now - began < limit, (self.members(), [node.name for node in self.running()])
         return self.now - began
 
     def members(self) -> dict[str, int]:
-        """Name to incarnation, as the leader has it in force."""
-        return {name: inc for name, (_, inc) in self.leader.core_member.committed.members.items()}
+        """Returns the members that the leader has committed: incarnations by name."""
+        return {name: incarnation for name, (_, incarnation) in self.leader.core_member.committed.members.items()}
 
-    def strike(self, lost: int, rev: int) -> None:
-        """A configuration is acknowledged; so many of those that hold it lose their disks, all others their power. All
-        come back, and it must be read back and followed by another."""
+    def check_survives_losses(self, lost_disks: int, rev: int) -> None:
+        """Checks that an acknowledged configuration survives lost disks and a power loss.
+
+        After the acknowledgement, `lost_disks` of the machines that have the configuration lose their disks and all
+        others lose power. After a restart of all machines, the configuration must be read back, and another one must be
+        accepted.
+        """
         call = self.configure(rev)
         while not done(call):
             self.advance(MS)
@@ -68,9 +72,9 @@
         holders = sorted(
             running, key=lambda node: -node.core_member.committed.index if node.core_member.committed else 0
         )
-        for node in holders[:lost]:
+        for node in holders[:lost_disks]:
             self.wipe(node)
-        for node in holders[lost:]:
+        for node in holders[lost_disks:]:
             self.stop(node, power=True)
         self.advance(900 * MS)
         for node in running:
@@ -82,33 +86,36 @@
         self.change(rev + 1)
 
     def change(self, rev: int) -> None:
-        """A configuration must be acknowledged within a second."""
+        """Checks that a configuration is acknowledged within a second."""
         call = self.configure(rev)
         self.advance(SEC)
         assert done(call)
 
-    def recovers(self, survive: int) -> None:
-        """Full strength must be back in time, and then bear the full loss."""
-        assert self.until_strong() < CATCH_UP
-        self.strike(survive, 2)
+    def check_recovery(self, survive: int) -> None:
+        """Checks that full strength is restored in time, and that the core then survives the maximum loss."""
+        assert self.run_until_full_strength() < CATCH_UP
+        self.check_survives_losses(survive, 2)
 
 
-def site(members: int, survive: int, seed: int = 1, newcomers: int = 0) -> Site:
-    """A core at full strength that holds configuration 1, with newcomers that have been taken in beside the others."""
-    core = Site(members, survive, seed)
+def running_core(members: int, survive: int, seed: int = 1, new_machines: int = 0) -> ReplaceableCore:
+    """Returns a core at full strength with configuration 1, after additional new machines have become members."""
+    core = ReplaceableCore(members, survive, seed)
     assert core.leader.core_member.committed.target_size == members
-    for _ in range(newcomers):
-        core.start(core.newcomer())
+    for _ in range(new_machines):
+        core.start(core.new_machine())
     core.change(1)
-    assert core.strong() and len(core.members()) == members + newcomers
+    assert core.is_at_full_strength() and len(core.members()) == members + new_machines
     return core
 
 
-def cut_off_and_taken_out(core: Site) -> tuple[Node, int]:
-    """A newcomer stands ready for a planned replacement as another member than the one that is to go is cut off."""
+def remove_while_partitioned(core: ReplaceableCore) -> tuple[Node, int]:
+    """Partitions a member while a new machine is available, so that the member is removed.
+
+    Returns the removed member and its former incarnation.
+    """
     away = core.others(core.leader)[0]
     before = away.core_member.incarnation
-    core.start(core.newcomer())
+    core.start(core.new_machine())
     core.advance(SEC)
     core.cut_links([away], core.others(away))
     core.advance(3 * SEC)
