--- a/rampfront/edge/admin.py
+++ b/rampfront/edge/admin.py
@@ -62,7 +62,7 @@
         outcomes = dict(zip(self._product_names, self._gateway.outcomes, strict=False))
         driver = self._driver
         node = driver.node  # it is read between inputs, never while it takes one
-        is_doubtful: Callable[[Any], bool] = node.doubtful  # `choice.py` has no types
+        is_doubtful: Callable[[Any], bool] = node.is_doubtful  # `choice.py` has no types
         listed = [server for server in node.servers.values() if server.state != t.REMOVED]
         avoided = [server for server in listed if server.state != t.UP or is_doubtful(server)]
         figures = {
--- a/rampfront/lab/system/counts_cost.py
+++ b/rampfront/lab/system/counts_cost.py
@@ -103,10 +103,10 @@
 def parts(nodes: int) -> tuple[float, float]:
     """Further tries that a node may save up, and requests a second to a cold server, of its fleet's budgets."""
     bounds = SimpleNamespace(retry_ratio=0.2, extra_tries=EXTRA_TRIES)
-    node = SimpleNamespace(spare=1.0)
+    node = SimpleNamespace(saved_retries=1.0)
     service = SimpleNamespace(cold_per_s=COLD_PER_S, warmup=3 * SEC)
     set_budgets(node, bounds, service, nodes)
-    return node.spare_most, node.bear_most
+    return node.max_saved_retries, node.cold_limit
 
 
 @click.command()
--- a/rampfront/lab/system/machine.py
+++ b/rampfront/lab/system/machine.py
@@ -92,9 +92,9 @@
 
 def by_chance(node, txn):
     """Any server that the rules leave, all alike."""
-    some = node.lawful(txn)
+    some = node.eligible_servers(txn)
     some = [server for server in some if server.id != txn.last_server] or some
-    return node.pick(some)[0] if some else None
+    return node.choices(some)[0] if some else None
 
 
 def builder(told):
--- a/rampfront/net/decision_driver.py
+++ b/rampfront/net/decision_driver.py
@@ -12,7 +12,7 @@
 from typing import Any, Generic, NamedTuple
 
 from .. import terms as t
-from ..choice import Line, Node
+from ..choice import Node, ProductState
 from ..in_flight import InFlight
 from .decision_ports import (
     DecisionRecorder,
@@ -189,8 +189,8 @@
 
     def add_line(self, product: t.Product) -> int:
         """Adds a line for one more product while the node runs; its intents are not recorded. Returns its index."""
-        add_line: Callable[[t.Product], Line] = Line
-        self.node.lines.append(add_line(product))
+        add_line: Callable[[t.Product], ProductState] = ProductState
+        self.node.products.append(add_line(product))
         self._once_only.append(False)
         return len(self._once_only) - 1
 
--- a/rampfront/proxy/budget_shares.py
+++ b/rampfront/proxy/budget_shares.py
@@ -50,14 +50,14 @@
 
 def limit_initial_budget(node: Node) -> None:
     """A process that has just started begins with next to no further attempts saved up."""
-    node.spare = min(_MAX_SAVED_AT_START, node.spare)
+    node.saved_retries = min(_MAX_SAVED_AT_START, node.saved_retries)
 
 
 def set_budgets(node: Node, guarantees: Guarantees, service: Service, proxy_count: int) -> None:
     """The fleet has another number of proxies, or the service other bounds: sets this proxy's parts."""
     budget = retry_budget(guarantees, proxy_count)
-    node.spare_rate = budget.earned_per_request
-    node.spare_most = budget.max_saved
-    node.spare = min(node.spare, node.spare_most)
-    node.bear_most = slow_start_per_s(service, proxy_count)
-    node.warm_within = service.warmup or DEFAULT_WARM_UP_NS
+    node.retry_ratio = budget.earned_per_request
+    node.max_saved_retries = budget.max_saved
+    node.saved_retries = min(node.saved_retries, node.max_saved_retries)
+    node.cold_limit = slow_start_per_s(service, proxy_count)
+    node.warm_up = service.warmup or DEFAULT_WARM_UP_NS
--- a/rampfront/proxy/server_connections.py
+++ b/rampfront/proxy/server_connections.py
@@ -80,7 +80,7 @@
         self.idle_ns = now_ns - self.idle_since_ns if self.state is IDLE else None
         self.reader.expects_no_body = exchange is not None and exchange.head[:5] == b"HEAD "
         if exchange:
-            mean_ns = pool.driver.node.lines[exchange.product].mean
+            mean_ns = pool.driver.node.products[exchange.product].mean_time
             self.observation = pool.observer.request_started(self.server.uid, mean_ns, now_ns)
         super().begin(exchange, attempt, allow_ns)
 
--- a/rampfront/proxy/service_pool.py
+++ b/rampfront/proxy/service_pool.py
@@ -56,7 +56,7 @@
     @property
     def saved_attempts(self) -> float:
         """Further attempts that this proxy has saved up for the service."""
-        saved: float = self.driver.node.spare
+        saved: float = self.driver.node.saved_retries
         return saved
 
     def line(self, route: Route) -> ServiceLine:
--- a/tests/helper.py
+++ b/tests/helper.py
@@ -93,7 +93,7 @@
         """Room for all: what is out holds no place."""
         for server in self.node.servers.values():
             server.occupied = 0
-        self.node.free, self.node.looked_at, self.node.saved = 9.0, self.node.now + 10**12, 1.0
+        self.node.free_places, self.node.free_at, self.node.slack = 9.0, self.node.now + 10**12, 1.0
 
     def sent_to(self):
         return int([line for line in self.lines if " to " in line][-1].split(" to ")[1].split()[0])
--- a/tests/net/test_decision_driver.py
+++ b/tests/net/test_decision_driver.py
@@ -57,4 +57,4 @@
     """Each effect of `terms.py` is carried out, and each input taken: the closed sets leave none out."""
     driver = Stage().driver
     assert set(driver._carriers) == set(get_args(Effect))
-    assert set(choice.INPUTS) == {*get_args(Input), type(None)}
+    assert set(choice.HANDLERS) == {*get_args(Input), type(None)}
--- a/tests/net/test_submissions.py
+++ b/tests/net/test_submissions.py
@@ -95,7 +95,7 @@
         s.wait(20)
         s.reply(s.out())
     s.lines.clear()
-    s.driver.node.silent = 0.9  # what was out for long lately never came
+    s.driver.node.lost_share = 0.9  # what was out for long lately never came
     s.ask(7)
     first = s.out()
     s.wait(120)
--- a/tests/proxy/test_slow_start.py
+++ b/tests/proxy/test_slow_start.py
@@ -19,7 +19,7 @@
     for tag, wait, cold in (("t1", 4000, True), ("t2", 2500, False)):
         proxy.wait(wait)
         proxy.send_request(tag=tag)
-        assert (node.ready(server) < 1.0) is cold, tag
+        assert (node.readiness(server) < 1.0) is cold, tag
 
 
 @pytest.mark.parametrize("back", (False, True))
--- a/tests/proxy_fixtures.py
+++ b/tests/proxy_fixtures.py
@@ -214,7 +214,7 @@
         """One request; `more` are lines of the head."""
         for service_pool in self.request_proxy.service_pools.values() if self.saved else ():
             # Retries are not what is tested, unless `saved` is cleared.
-            service_pool.driver.node.spare = service_pool.driver.node.spare_most
+            service_pool.driver.node.saved_retries = service_pool.driver.node.max_saved_retries
         changing = path.startswith(("/write", "/put"))
         method = method or ("POST" if changing else "GET")
         head = f"{method} {path} HTTP/1.1\r\nHost: {host}\r\n"
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -109,7 +109,7 @@
             p.count(how=t.TIMED_OUT)
         p.serve([2 + k, 12 + k], account=f"b{k}")
     p.wait(100)
-    p.say(f"counter {p.node.counter}; customer a asks for much")
+    p.say(f"counter {p.node.breaker}; customer a asks for much")
     p.serve(range(20, 30))
     p.check("silent")
 
@@ -241,7 +241,7 @@
             full += p.node.servers[1].in_flight + p.node.servers[2].in_flight
             for txn in list(p.node.txns):
                 p.end(txn, server=p.node.txns[txn].last_server)
-    p.lines = [f"sent: {to}", f"limit {p.node.limit / p.node.start:.2f} of its start", f"out when full: {full}"]
+    p.lines = [f"sent: {to}", f"limit {p.node.limit / p.node.initial_limit:.2f} of its start", f"out when full: {full}"]
     p.check("ill_by_itself")
 
 
@@ -256,7 +256,7 @@
                 how = t.TIMED_OUT if k % lost == 0 else t.DONE
                 p.end(k, how, p.node.txns[k].last_server, 1000 if how == t.TIMED_OUT else 50, final=True)
             p.wait(5)
-        p.lines = [f"1 of {lost} lost: limit {p.node.limit / p.node.start:.2f} of its start"]
+        p.lines = [f"1 of {lost} lost: limit {p.node.limit / p.node.initial_limit:.2f} of its start"]
         p.check(f"answers_lost_{lost}")
 
 
@@ -359,7 +359,7 @@
         p.tell(t.Probed(k, t.DONE, MS, {}))
     for k in range(6):
         p.arrive(k, account=f"i{k}", nodes=2)
-    p.lines = [f"{len(p.node.txns)} of 6 sent, {sum(s.in_flight for s in p.node.heard)} of them to those probed"]
+    p.lines = [f"{len(p.node.txns)} of 6 sent, {sum(s.in_flight for s in p.node.probed)} of them to those probed"]
     p.check("probed_are_full")
 
 
@@ -376,7 +376,7 @@
         p.wait(80)
     p.lines = [
         f"sent: {sent[False]} of 120 to those that serve, {sent[True]} to the gone",
-        f"limit {p.node.limit / p.node.start:.2f} of its start, savings {p.node.spare:.0f}",
+        f"limit {p.node.limit / p.node.initial_limit:.2f} of its start, savings {p.node.saved_retries:.0f}",
     ]
     p.check("list_of_the_gone")
 
@@ -405,7 +405,7 @@
     there is room, and held to its quota once txns inside theirs find none."""
     p = Play(nodes=300, servers=200, plans=(t.Plan(2.0, 10.0, 0, 0.0, 0.0, 0.0, 1.2),))
     for k, (pressed, over) in enumerate(((0.0, 1.06), (0.0, 1.2), (0.2, 1.06))):
-        p.node.pressed = pressed
+        p.node.declined_share = pressed
         p.adds.clear()
         p.arrive(k, nodes=200, account=f"a{k}")
         age = p.node.txns[k].age_weight
@@ -456,7 +456,7 @@
         p = Play(**METERED)
         calls = sent = 0
         for k in range(60):
-            p.node.stretch = stretch
+            p.node.tick_scale = stretch
             p.room()
             p.arrive(k, nodes=200)
             calls += len(p.adds)
@@ -503,7 +503,7 @@
         for k in range(3):
             p.end(k, t.TIMED_OUT, where[k], 1000)
         p.count(how=t.TIMED_OUT)
-        p.lines = [f"limit {p.node.limit / limit:.2f} of before, stretch {p.node.stretch:g}"]
+        p.lines = [f"limit {p.node.limit / limit:.2f} of before, stretch {p.node.tick_scale:g}"]
         p.check(f"stood_still_{still}")
 
 
@@ -513,7 +513,7 @@
     for silent in (0.0, 0.9):
         p = Play(servers=1, nodes=1, has_counter=False)
         p.serve([0, 1, 2])
-        p.node.silent = silent
+        p.node.lost_share = silent
         for k in range(10, 14):
             p.arrive(k, account=f"g{k}")
         for k in range(10, 13):
@@ -534,7 +534,7 @@
     p.serve([0, 1, 2])
     for silent, tardy, product in ((0.0, 0.0, 0), (0.9, 0.0, 0), (0.9, 0.0, 2), (0.9, 0.5, 0)):
         txn = 10 + len(p.lines)
-        p.node.silent, p.node.tardy = silent, tardy
+        p.node.lost_share, p.node.late_share = silent, tardy
         p.say(f"product {product}, {silent:g} never comes, {tardy:g} slow")
         p.arrive(txn, product=product, account=f"c{txn}")
         p.wait(400)
@@ -551,12 +551,12 @@
     """While txns inside their quotas find no room, untold ones of accounts near theirs go first."""
     for pressed in (0.0, 0.6):
         p = Play(**METERED)
-        p.node.stretch, p.node.pressed = 24.0, pressed
+        p.node.tick_scale, p.node.declined_share = 24.0, pressed
         sent = [0, 0]
         for k in range(200):
             for which, use in enumerate((0.2, 0.7)):
                 account = p.node.account(f"y{which}", 0, 200)
-                account.usage, account.usage_read_at, p.node.pressed = use, p.node.now, pressed
+                account.usage, account.usage_read_at, p.node.declined_share = use, p.node.now, pressed
                 p.room()
                 p.arrive(2 * k + which, account=f"y{which}", nodes=200)
                 p.adds.clear()
@@ -571,7 +571,7 @@
 def test_the_last_room_is_for_those_of_high_rank():
     """What yields first finds none where there is still some for the others; while there is plenty, rank is nothing."""
     p = Play(servers=2, nodes=1, has_counter=False)
-    p.node.saved = 1.0
+    p.node.slack = 1.0
     at = p.node.limit
     for held, expected in ((0.0, [True, True]), (0.8 * at, [False, True]), (at, [False, False])):
         for server in p.node.servers.values():
@@ -582,7 +582,7 @@
                 shed_rank=rank,
                 proximity_exponent=1.0,
                 last_server=-1,
-                product=p.node.lines[0],
+                product=p.node.products[0],
                 in_flight={},
                 expires_at=p.node.now + 1000 * MS,
                 submissions=1,
--- a/tests/test_move.py
+++ b/tests/test_move.py
@@ -208,20 +208,20 @@
 
 def repeat_all(nodes):
     for driver in nodes:
-        driver.node.lines[2].kind = t.READ_ONLY
+        driver.node.products[2].kind = t.READ_ONLY
 
 
 def rush(nodes):
     for driver in nodes:
-        node, lawful = driver.node, driver.node.lawful
-        node.lawful = lambda txn, node=node, lawful=lawful: (
-            not txn.submissions and [s for s in node.up if s.started_at] or lawful(txn)
+        node, eligible_servers = driver.node, driver.node.eligible_servers
+        node.eligible_servers = lambda txn, node=node, eligible_servers=eligible_servers: (
+            not txn.submissions and [s for s in node.up if s.started_at] or eligible_servers(txn)
         )
 
 
 def starve(nodes):
     for driver in nodes[::2]:
-        driver.node.within = driver.node.fits = lambda *_: False
+        driver.node.within_quota = driver.node.has_room = lambda *_: False
 
 
 @pytest.mark.parametrize(
