--- a/rampfront/choice.py
+++ b/rampfront/choice.py
@@ -399,9 +399,9 @@
                 # The counter is silent, slow or overloaded: the others are assumed to go on as last read, and to leave this
                 # node its fair share. Drawback: a customer that moved to this node waits for the next reading.
                 fair = min(counts.others_at_read, limit - account.quota.burst / counts.nodes)
-                others = max(others, epoch.left(limit, counts) if marks else fair) if own > 0 else 0.0
+                others = max(others, epoch.others_unread(limit, counts) if marks else fair) if own > 0 else 0.0
             if marks and (alone or marks.heard < marks.nodes):  # the refill is unknown
-                return own + others + units <= limit * marks.part() and self.below_cap(account)
+                return own + others + units <= limit * marks.quota_share() and self.below_cap(account)
             # A window remembers a burst longer than the quota does. With fresh counts, the units refilled since then are
             # admitted, less the others' even part since the last total.
             unseen = (1.0 - 1.0 / counts.nodes) * account.quota.rate * (self.now - counts.read_at) / SEC
@@ -504,7 +504,7 @@
 
     def flush(self, counts, window):  # adds the growth since the last add; the first add also reads
         grown = window.own - window.acknowledged - window.uncertain
-        asks = not self.is_fresh(counts) if window is counts.current else self.marks and epoch.tail(counts)
+        asks = not self.is_fresh(counts) if window is counts.current else self.marks and epoch.has_unread_tail(counts)
         if window.in_flight is None and (grown > 1e-6 or window.uncertain or asks) and self.step_breaker(CALL):
             amount = window.in_flight = max(0.0, round(grown, 4))
             name = self.count_name(counts.key, window.number)
@@ -515,13 +515,13 @@
         self.effects.append(t.AddToCount(name, amount, min(life, 60 * SEC)))
 
     def write_marks(self):  # an open breaker counts as a missed mark: it must not hide a lost counter
-        calls = self.marks.due(self.now) if self.step_breaker(CALL) else self.on_mark(t.Counted(0, 0.0, t.NOT_ACCEPTED, 0))
+        calls = self.marks.mark_calls(self.now) if self.step_breaker(CALL) else self.on_mark(t.Counted(0, 0.0, t.NOT_ACCEPTED, 0))
         for mark, key, number, amount, life in calls or ():
             self.add(self.count_name(key, number), amount, life, self.on_mark, mark, number)
-        self.remind(self.marks.wait(self.now), self.write_marks)
+        self.remind(self.marks.delay(self.now), self.write_marks)
 
     def on_mark(self, event, *args):
-        if change := self.marks.told(*args, event.total) if event.outcome == t.DONE else self.marks.missed():
+        if change := self.marks.on_answer(*args, event.total) if event.outcome == t.DONE else self.marks.on_missed():
             self.effects.append(t.CounterNotice(change, self.marks.heard))
             epoch.reseed(self.accounts.values() if change == epoch.NEW else ())
 
--- a/rampfront/epoch.py
+++ b/rampfront/epoch.py
@@ -1,19 +1,20 @@
-"""What the counter is to this node: the one counter of all nodes, a new one, half of one, or none. No I/O, no clock.
+"""What a node knows of the counter that all nodes share: whether it is whole, was replaced, is split, or is lost. It also
+ages and settles the windows of counts. No I/O, no clock.
 
-Once each slice of time a node makes three calls (`due`): it adds 1 to a name of its own, adds 1 to the name of the
+Once in each slice of time a node makes three calls (`mark_calls`): it adds 1 to a name of its own, adds 1 to the name of the
 present slice, which all nodes share, and reads the slice before. Three things follow that an account's totals
-cannot tell in time:
-
-- its own name shows less than it added: the counter lost its names, or is another one (NEW). What this node told it
-  is to be told again (`reseed`);
-- the slice before shows fewer marks than there are nodes: some count elsewhere (SPLIT). All share the clock, so no
-  node's jitter shows in it. What they send on is not seen here, so their even part of every quota is left to them at
-  once (`part`); it is taken back after `SURE` whole slices in a row (WHOLE);
-- no answers (LOST, FOUND).
-
-A node that is dead is not told from one that counts elsewhere: its even part stays with it. Harm: an account that
-fills its quota is held to the live nodes' part of it. Off unless `Domain.Marks` says so: three calls a second a node.
-RFC 0015 has no word on a counter that is replaced or split; its held counts that only rise are kept as they are.
+cannot show in time:
+
+- its own name has a lower count than the node added: the counter lost its names, or is another one (NEW). The node then
+  reports all of its counts again (`reseed`);
+- the slice before has fewer marks than there are nodes: some nodes use another counter (SPLIT). All share the clock, so
+  no node's jitter shows in it. What these nodes admit is not seen here, so their even part of every quota is left to
+  them at once (`quota_share`); it is taken back after `CONFIRMATIONS` whole slices in a row (WHOLE);
+- calls are not answered (LOST, FOUND).
+
+A dead node cannot be told from one that uses another counter, so its even part stays reserved. Drawback: an account that
+fills its quota is held to the live nodes' part of it. Off unless `Domain.Marks` is set: it costs three calls a second
+for each node. RFC 0015 does not cover a counter that is replaced or split; its rule that held counts only rise is kept.
 """
 
 from collections.abc import Callable, Iterable
@@ -22,148 +23,157 @@
 from .state import Account, RateCounts, Window
 
 SEC = 10**9
-SLICE = SEC  # length of a slice
-EARLIEST, LATEST = 0.1, 0.6  # parts of a slice between which a node marks it
-KEPT = 4  # slices that a slice's name lives
-TERM = 30 * SEC  # a node's own name is changed so often; names live twice as long, at most
-SURE = 2  # whole slices in a row behind which nobody is missing; marks in a row unanswered behind which it is lost
-BLIND = 0.92  # of a part: what the nodes of one half have sent on and not told each other adds up past the window
-UNTOLD = 1.125  # the others' part at a reading, with half of what they may have sent on and not told (EARLY)
-MINE, ALL, BEFORE, LAST = "mine", "all", "before", "last"
+SLICE_NS = SEC
+EARLIEST_SHARE, LATEST_SHARE = 0.1, 0.6  # parts of a slice between which a node writes its mark
+SLICE_NAME_LIFE = 4  # lifetime of a slice's name, in slices
+TERM_NS = 30 * SEC  # period after which a node changes its own name; a name lives at most twice as long
+CONFIRMATIONS = 2  # whole slices in a row that end a split; unanswered calls in a row that mean a lost counter
+SPLIT_MARGIN = 0.92  # of a part: nodes of one half also admit units that they have not reported to each other yet
+UNREPORTED_FACTOR = 1.125  # of the others' part: with half of what they may not have reported (EARLY_ADD_SHARE)
+OWN, ALL, PREVIOUS_SLICE, PREVIOUS_OWN = "mine", "all", "before", "last"
 NEW, SPLIT, WHOLE, LOST, FOUND = "new", "split", "whole", "lost", "found"
 
-Call = tuple[str, str, int, int, int]  # what it is, the name's key, the name's number, the amount, the name's life
+MarkCall = tuple[str, str, int, int, int]  # kind, key and number of the name, amount, lifetime of the name
 
 
 class Marks:
-    """`nodes` that mark; `draw(low, high)` jitters; `key` tells this start of this node from all others. `heard`:
-    the nodes that the counter heard of in the last slice read."""
+    """The marks of this node on the counter, and what the answers show.
+
+    Attributes:
+        nodes: the number of nodes that write marks.
+        draw: `draw(low, high)` returns a random number, for jitter.
+        key: distinguishes this start of this node from all others.
+        heard: the number of nodes whose marks the counter had in the last slice read.
+    """
 
     def __init__(self, nodes: int, draw: Callable[[float, float], float], key: str) -> None:
-        """As the class says."""
+        """The parameters are described at the class."""
         self.nodes, self.draw, self.key = nodes, draw, key
-        self.heard, self.whole, self.tries = nodes, 0, 0
-        self.term, self.added = -1, 0.0  # of the own name: its number, and what it holds of ours at least
-        self.marked = -1  # the last slice whose mark was answered
-        self.slice = self.blind = -1  # the present slice; the last one whose total tells nothing
-
-    def wait(self, now: int) -> int:
-        """ns until the next mark: at a drawn moment of the next slice."""
-        return SLICE - now % SLICE + int(self.draw(EARLIEST, LATEST) * SLICE)
-
-    def due(self, now: int) -> tuple[Call, ...]:
-        """The calls of a mark, each: what it is, the name's key, the name's number, the amount, the name's life."""
-        self.slice = number = now // SLICE
-        # Guards against a counter that is replaced just as a node's own name turns: the old one is read once more.
-        last = () if self.term in (-1, now // TERM) else ((LAST, self.key, self.term, 0, 2 * TERM),)
+        self.heard, self.whole_slices, self.missed_calls = nodes, 0, 0
+        self.own_term, self.own_total = -1, 0.0  # of the own name: its number, and the least total that it must have
+        self.marked_slice = -1  # the last slice whose mark was acknowledged
+        self.present_slice = self.skipped_slice = -1  # the present slice; the last one whose total cannot be used
+
+    def delay(self, now: int) -> int:
+        """Returns the time in ns until the next mark, which is at a random moment of the next slice."""
+        return SLICE_NS - now % SLICE_NS + int(self.draw(EARLIEST_SHARE, LATEST_SHARE) * SLICE_NS)
+
+    def mark_calls(self, now: int) -> tuple[MarkCall, ...]:
+        """Returns the calls of the next mark."""
+        self.present_slice = number = now // SLICE_NS
+        # The old name is read once more, to detect a counter that is replaced just when a node changes its own name.
+        last = (
+            () if self.own_term in (-1, now // TERM_NS) else ((PREVIOUS_OWN, self.key, self.own_term, 0, 2 * TERM_NS),)
+        )
         return (
             *last,
-            (MINE, self.key, now // TERM, 1, 2 * TERM),
-            (BEFORE, ALL, number - 1, 0, KEPT * SLICE),
-            (ALL, ALL, number, 1, KEPT * SLICE),
+            (OWN, self.key, now // TERM_NS, 1, 2 * TERM_NS),
+            (PREVIOUS_SLICE, ALL, number - 1, 0, SLICE_NAME_LIFE * SLICE_NS),
+            (ALL, ALL, number, 1, SLICE_NAME_LIFE * SLICE_NS),
         )
 
-    def told(self, what: str, number: int, total: float) -> str | None:
-        """A call was answered. Returns what has changed, or None."""
-        was, self.tries = self.tries, 0
-        found = FOUND if was >= SURE else None
-        if what == ALL:
-            self.marked = number
+    def on_answer(self, kind: str, number: int, total: float) -> str | None:
+        """Handles the answer to a call of kind `kind`. Returns the change in the counter's state, or None."""
+        previous_missed, self.missed_calls = self.missed_calls, 0
+        found = FOUND if previous_missed >= CONFIRMATIONS else None
+        if kind == ALL:
+            self.marked_slice = number
             return found
-        if what == LAST and number != self.term:
+        if kind == PREVIOUS_OWN and number != self.own_term:
             return found
-        if what in (MINE, LAST):
-            known = self.added + (what == MINE) if number == self.term else 0.5
-            if what == MINE:
-                self.term, self.added = number, total
+        if kind in (OWN, PREVIOUS_OWN):
+            known = self.own_total + (kind == OWN) if number == self.own_term else 0.5
+            if kind == OWN:
+                self.own_term, self.own_total = number, total
             if total >= known - 0.5:
                 return found
-            # Guards against a new counter that passes for a split one: who marked this slice before it was replaced
-            # is not in it.
-            self.blind = self.slice
+            # The new counter lacks the nodes that marked this slice before the replacement. Without this it would be taken
+            # for a split one.
+            self.skipped_slice = self.present_slice
             return NEW
-        if number != self.marked or number <= self.blind:  # our own mark, or those of others, may be missing
+        if number != self.marked_slice or number <= self.skipped_slice:  # our own mark, or the others', may be missing
             return found
         heard, before = min(self.nodes, max(1, round(total))), self.heard
-        self.whole = self.whole + 1 if heard >= self.nodes else 0
+        self.whole_slices = self.whole_slices + 1 if heard >= self.nodes else 0
         if heard < self.nodes:
             self.heard = heard
             return SPLIT if heard != before else found
-        if before < self.nodes and self.whole >= SURE:
+        if before < self.nodes and self.whole_slices >= CONFIRMATIONS:
             self.heard = self.nodes
             return WHOLE
         return found
 
-    def missed(self) -> str | None:
-        """A call had no answer. LOST, once."""
-        self.tries += 1
-        return LOST if self.tries == SURE else None
+    def on_missed(self) -> str | None:
+        """Handles a call without an answer. Returns LOST once, after `CONFIRMATIONS` of them in a row."""
+        self.missed_calls += 1
+        return LOST if self.missed_calls == CONFIRMATIONS else None
 
-    def part(self) -> float:
-        """The part of every quota that the nodes on this counter may use."""
-        return 1.0 if self.heard >= self.nodes else self.heard / self.nodes * BLIND
+    def quota_share(self) -> float:
+        """Returns the part of every quota that the nodes on this counter may use."""
+        return 1.0 if self.heard >= self.nodes else self.heard / self.nodes * SPLIT_MARGIN
 
 
 def reseed(accounts: Iterable[Account]) -> None:
-    """A new counter holds nothing of ours: all of it is told again with the next adds. Where the old one was there
-    after all, our counts stand twice until the window ends, so the others let in less, never more."""
-    for ledger in [account.counts for account in accounts if account.counts]:
-        for window in (ledger.current, ledger.previous):
+    """Prepares all counts to be reported again with the next adds, since a new counter has none of them. If it is the old
+    counter after all, our counts stand in it twice until the window ends, so the others admit less, never more."""
+    for counts in [account.counts for account in accounts if account.counts]:
+        for window in (counts.current, counts.previous):
             window.acknowledged = window.uncertain = window.last_total = 0.0
 
 
 def settle(window: Window, amount: float, total: float) -> float:
-    """Takes in the total that came back for an add of `amount` to the window's count. Returns by how much the
-    others' part grew."""
+    """Applies the total that was returned for an add of `amount` to the window's count. Returns the growth of the others'
+    part."""
     slack = 1e-3 + 1e-6 * total
     if total < window.last_total + amount - slack:
-        # Guards against a counter that lost counts: our own are put back, the others put back theirs.
+        # The counter lost counts: this node reports its own again, and the others report theirs.
         window.acknowledged, window.uncertain = amount, 0.0
     else:
-        landed = total - window.acknowledged - amount - window.uncertain >= window.others - slack
-        window.acknowledged += amount + (window.uncertain if landed else 0.0)
+        applied = total - window.acknowledged - amount - window.uncertain >= window.others - slack
+        window.acknowledged += amount + (window.uncertain if applied else 0.0)
         window.uncertain = 0.0
     grown, window.others = window.others, max(window.others, total - window.acknowledged)
     window.last_total = total
     return window.others - grown
 
 
-def left(limit: float, ledger: RateCounts) -> float:
-    """What the others may have counted when nobody can be read: as last read, and their even part of what was left.
+def others_unread(limit: float, counts: RateCounts) -> float:
+    """Returns what the others may have counted while the counter cannot be read: their part at the last reading, and an even
+    part of what was left then.
 
-    The nodes read nearly the same total, so what they take adds up to the limit: their own, and limit - total once.
-    Never read: all but an even part."""
-    share = 1.0 - 1.0 / ledger.nodes
-    if ledger.others_at_read == float("inf"):
+    The nodes read nearly the same total, so what they use adds up to the limit: their own counts, and limit - total once.
+    If nothing was read yet, it is all but this node's even part."""
+    share = 1.0 - 1.0 / counts.nodes
+    if counts.others_at_read == float("inf"):
         return limit * share
-    others = ledger.others_at_read * UNTOLD
-    return others + share * max(0.0, limit - others - ledger.own_at_read)
+    others = counts.others_at_read * UNREPORTED_FACTOR
+    return others + share * max(0.0, limit - others - counts.own_at_read)
 
 
 class SlidingWindow(Protocol):
-    """Counts of this window and the past one, as far as `roll` and `weigh` need them."""
+    """Counts of the current and the previous window, as far as `roll` and `weigh` need them."""
 
     quota: Any  # its `window` is a length in ns
     current: Window
     previous: Window
 
 
-def roll(ledger: SlidingWindow, now: int) -> float:
-    """Ages windows out; returns the past window's weight, one minus the elapsed share of this one."""
-    window: int = ledger.quota.window
-    number, last = now // window, ledger.current
+def roll(counts: SlidingWindow, now: int) -> float:
+    """Replaces windows that have ended. Returns the weight of the previous one: 1 minus the elapsed part of this one."""
+    window: int = counts.quota.window
+    number, last = now // window, counts.current
     if number != last.number:
-        ledger.previous = last if number == last.number + 1 else Window(number - 1)
-        ledger.current = Window(number)
+        counts.previous = last if number == last.number + 1 else Window(number - 1)
+        counts.current = Window(number)
     return 1.0 - (now % window) / window
 
 
-def weigh(ledger: SlidingWindow, left: float) -> tuple[float, float]:
-    """Our own and the others' counts: of this window, and of the past one by the weight that it has left."""
-    return ledger.current.own + ledger.previous.own * left, ledger.current.others + ledger.previous.others * left
+def weigh(counts: SlidingWindow, left: float) -> tuple[float, float]:
+    """Returns our own and the others' counts, where those of the previous window are weighted by `left`."""
+    return counts.current.own + counts.previous.own * left, counts.current.others + counts.previous.others * left
 
 
-def tail(ledger: RateCounts) -> bool:
-    """Whether the others' last adds to the past window are unread: without them each window's end is let in free."""
-    past = ledger.previous
-    return 0.0 < past.last_total and past.read_at < (past.number + 1) * ledger.quota.window
+def has_unread_tail(counts: RateCounts) -> bool:
+    """Returns whether the others' last adds to the previous window are unread. Otherwise they would never be counted."""
+    previous = counts.previous
+    return 0.0 < previous.last_total and previous.read_at < (previous.number + 1) * counts.quota.window
--- a/tests/test_epoch.py
+++ b/tests/test_epoch.py
@@ -30,9 +30,9 @@
                 if alive and k not in alive:
                     continue
                 now = self.second * SEC + (k + 1) * SEC // 10
-                for what, key, number, amount, life in marks.due(now):
+                for what, key, number, amount, life in marks.mark_calls(now):
                     total = None if silent else self.stores[k].add((key, number), amount, life, now)
-                    news = marks.missed() if silent else marks.told(what, number, total)
+                    news = marks.on_missed() if silent else marks.on_answer(what, number, total)
                     if news:
                         self.said[k].append((news, marks.heard))
         return self
@@ -40,7 +40,7 @@
 
 def test_a_whole_counter_is_no_news():
     fleet = Fleet(3).slices(120)  # over four terms of the nodes' own names
-    assert fleet.said == [[], [], []] and [m.part() for m in fleet.marks] == [1.0] * 3
+    assert fleet.said == [[], [], []] and [m.quota_share() for m in fleet.marks] == [1.0] * 3
 
 
 def test_a_new_counter_is_known_by_every_node_within_a_slice():
@@ -49,7 +49,7 @@
     fleet.slices(1)
     assert fleet.said == [[(epoch.NEW, 3)]] * 3  # and not taken for a split
     fleet.slices(10)
-    assert fleet.said == [[(epoch.NEW, 3)]] * 3 and [m.part() for m in fleet.marks] == [1.0] * 3
+    assert fleet.said == [[(epoch.NEW, 3)]] * 3 and [m.quota_share() for m in fleet.marks] == [1.0] * 3
 
 
 def test_a_counter_replaced_as_names_turn_is_known_too():
@@ -68,7 +68,7 @@
     fleet.stores = [whole, twin, whole]
     fleet.slices(3)
     assert [m.heard for m in fleet.marks] == [2, 1, 2]
-    assert fleet.marks[0].part() + fleet.marks[1].part() == pytest.approx(epoch.BLIND)  # one half each
+    assert fleet.marks[0].quota_share() + fleet.marks[1].quota_share() == pytest.approx(epoch.SPLIT_MARGIN)  # one half each
     fleet.stores = [whole] * 3  # what the other half counted is lost: its node says so
     fleet.slices(1)
     assert epoch.NEW in [news for news, _ in fleet.said[1]] and not fleet.said[0][2:]
@@ -90,8 +90,8 @@
             RateCounts("k", None, 3, 0, Window(1), Window(0), others_at_read=sum(used) - own, own_at_read=own)
             for own in used
         ]
-        assert 85.0 < sum(100.0 - epoch.left(100.0, ledger) for ledger in ledgers) <= 100.0 + 1e-9 or max(used) == 100.0
-    assert epoch.left(90.0, RateCounts("k", None, 3, 0, Window(1), Window(0))) == pytest.approx(60.0)  # never read
+        assert 85.0 < sum(100.0 - epoch.others_unread(100.0, ledger) for ledger in ledgers) <= 100.0 + 1e-9 or max(used) == 100.0
+    assert epoch.others_unread(90.0, RateCounts("k", None, 3, 0, Window(1), Window(0))) == pytest.approx(60.0)  # never read
 
 
 def test_reseeding_tells_everything_again():
