--- a/rampfront/epoch.py
+++ b/rampfront/epoch.py
@@ -1,8 +1,8 @@
-"""What a node knows of the counter that all nodes share: whether it is whole, was replaced, is split, or is lost. It also
+"""What a node knows of the counter that all nodes share: whether it is whole, replaced, split or lost. The module also
 ages and settles the windows of counts. No I/O, no clock.
 
-Once in each slice of time a node makes three calls (`mark_calls`): it adds 1 to a name of its own, adds 1 to the name of the
-present slice, which all nodes share, and reads the slice before. Three things follow that an account's totals
+Once in each slice of time a node makes three calls (`mark_calls`): it adds 1 to a name of its own, adds 1 to the name
+of the present slice, which all nodes share, and reads the slice before. Three things follow that an account's totals
 cannot show in time:
 
 - its own name has a lower count than the node added: the counter lost its names, or is another one (NEW). The node then
@@ -12,9 +12,10 @@
   them at once (`quota_share`); it is taken back after `CONFIRMATIONS` whole slices in a row (WHOLE);
 - calls are not answered (LOST, FOUND).
 
-A dead node cannot be told from one that uses another counter, so its even part stays reserved. Drawback: an account that
-fills its quota is held to the live nodes' part of it. Off unless `Domain.Marks` is set: it costs three calls a second
-for each node. RFC 0015 does not cover a counter that is replaced or split; its rule that held counts only rise is kept.
+A dead node cannot be told from one that uses another counter, so its even part stays reserved. Drawback: an account
+that fills its quota is held to the live nodes' part of it. Off unless `Domain.Marks` is set: it costs three calls a
+second for each node. RFC 0015 does not cover a counter that is replaced or split; its rule that held counts only rise
+is kept.
 """
 
 from collections.abc import Callable, Iterable
@@ -87,8 +88,8 @@
                 self.own_term, self.own_total = number, total
             if total >= known - 0.5:
                 return found
-            # The new counter lacks the nodes that marked this slice before the replacement. Without this it would be taken
-            # for a split one.
+            # The new counter lacks the marks that were made in this slice before the replacement. Without this, it
+            # would be taken for a split one.
             self.skipped_slice = self.present_slice
             return NEW
         if number != self.marked_slice or number <= self.skipped_slice:  # our own mark, or the others', may be missing
@@ -114,16 +115,15 @@
 
 
 def reseed(accounts: Iterable[Account]) -> None:
-    """Prepares all counts to be reported again with the next adds, since a new counter has none of them. If it is the old
-    counter after all, our counts stand in it twice until the window ends, so the others admit less, never more."""
+    """Prepares all counts to be reported again with the next adds, since a new counter has none of them. If it is the
+    old counter after all, our counts stand in it twice until the window ends, so the others admit less, never more."""
     for counts in [account.counts for account in accounts if account.counts]:
         for window in (counts.current, counts.previous):
             window.acknowledged = window.uncertain = window.last_total = 0.0
 
 
 def settle(window: Window, amount: float, total: float) -> float:
-    """Applies the total that was returned for an add of `amount` to the window's count. Returns the growth of the others'
-    part."""
+    """Applies the total that an add of `amount` to the window returned. Returns the growth of the others' part."""
     slack = 1e-3 + 1e-6 * total
     if total < window.last_total + amount - slack:
         # The counter lost counts: this node reports its own again, and the others report theirs.
@@ -138,11 +138,11 @@
 
 
 def others_unread(limit: float, counts: RateCounts) -> float:
-    """Returns what the others may have counted while the counter cannot be read: their part at the last reading, and an even
-    part of what was left then.
+    """Returns what the others may have counted while the counter cannot be read: their part at the last reading, and an
+    even part of what was left then.
 
-    The nodes read nearly the same total, so what they use adds up to the limit: their own counts, and limit - total once.
-    If nothing was read yet, it is all but this node's even part."""
+    The nodes read nearly the same total, so what they use adds up to the limit: their own counts, and limit - total
+    once. If nothing was read yet, it is all but this node's even part."""
     share = 1.0 - 1.0 / counts.nodes
     if counts.others_at_read == float("inf"):
         return limit * share
@@ -159,7 +159,7 @@
 
 
 def roll(counts: SlidingWindow, now: int) -> float:
-    """Replaces windows that have ended. Returns the weight of the previous one: 1 minus the elapsed part of this one."""
+    """Replaces ended windows. Returns the weight of the previous one: 1 minus the elapsed part of this one."""
     window: int = counts.quota.window
     number, last = now // window, counts.current
     if number != last.number:
@@ -174,6 +174,6 @@
 
 
 def has_unread_tail(counts: RateCounts) -> bool:
-    """Returns whether the others' last adds to the previous window are unread. Otherwise they would never be counted."""
+    """Returns whether the others' last adds to the previous window are unread. They would stay uncounted otherwise."""
     previous = counts.previous
     return 0.0 < previous.last_total and previous.read_at < (previous.number + 1) * counts.quota.window
--- a/tests/test_epoch.py
+++ b/tests/test_epoch.py
@@ -68,7 +68,8 @@
     fleet.stores = [whole, twin, whole]
     fleet.slices(3)
     assert [m.heard for m in fleet.marks] == [2, 1, 2]
-    assert fleet.marks[0].quota_share() + fleet.marks[1].quota_share() == pytest.approx(epoch.SPLIT_MARGIN)  # one half each
+    # one half each
+    assert fleet.marks[0].quota_share() + fleet.marks[1].quota_share() == pytest.approx(epoch.SPLIT_MARGIN)
     fleet.stores = [whole] * 3  # what the other half counted is lost: its node says so
     fleet.slices(1)
     assert epoch.NEW in [news for news, _ in fleet.said[1]] and not fleet.said[0][2:]
@@ -86,12 +87,13 @@
 
 def test_what_is_left_to_the_others_adds_up_to_the_limit_at_most():
     for used in ((30.0, 20.0, 10.0), (0.0, 0.0, 0.0), (100.0, 0.0, 0.0)):
-        ledgers = [
+        rows = [
             RateCounts("k", None, 3, 0, Window(1), Window(0), others_at_read=sum(used) - own, own_at_read=own)
             for own in used
         ]
-        assert 85.0 < sum(100.0 - epoch.others_unread(100.0, ledger) for ledger in ledgers) <= 100.0 + 1e-9 or max(used) == 100.0
-    assert epoch.others_unread(90.0, RateCounts("k", None, 3, 0, Window(1), Window(0))) == pytest.approx(60.0)  # never read
+        assert 85.0 < sum(100.0 - epoch.others_unread(100.0, row) for row in rows) <= 100.0 + 1e-9 or max(used) == 100.0
+    never_read = RateCounts("k", None, 3, 0, Window(1), Window(0))
+    assert epoch.others_unread(90.0, never_read) == pytest.approx(60.0)
 
 
 def test_reseeding_tells_everything_again():
