--- a/rampfront/edge/optional_parts.py
+++ b/rampfront/edge/optional_parts.py
@@ -34,14 +34,14 @@
     create: Callable[..., RetryStormControl] = Storm  # it has no types
     return create(
         values=settings.values,
-        slas=settings.sla_ns,
+        latency_targets=settings.sla_ns,
         draw=context.draw,
         counts=context.log.counts,
-        share=settings.retry_share,
-        least=settings.retries_per_s,
+        retry_share=settings.retry_share,
+        min_retries_per_s=settings.retries_per_s,
         window=settings.window_ns,
-        accepts=settings.accepts_per_s,
-        longest=settings.max_retry_after_ns,
+        accepts_per_s=settings.accepts_per_s,
+        max_retry_after=settings.max_retry_after_ns,
     )
 
 
--- a/tests/test_storm.py
+++ b/tests/test_storm.py
@@ -38,13 +38,13 @@
 def test_the_table_of_repeats_is_bounded_and_forgets():
     table = storm.Repeats(SEC, 100)
     for k in range(1000):
-        table.seen(k, T + k)
-    assert len(table.now) + len(table.past) <= 200
-    assert table.seen(999, T + 1000) is not None and table.seen(999, T + 5 * SEC) is None
+        table.record_attempt(k, T + k)
+    assert len(table.current) + len(table.previous) <= 200
+    assert table.record_attempt(999, T + 1000) is not None and table.record_attempt(999, T + 5 * SEC) is None
 
 
 def test_the_budget_bounds_retries_and_keeps_the_most_for_the_dearest():
-    s = one(share=0.2, least=0.0)
+    s = one(retry_share=0.2, min_retries_per_s=0.0)
     s.budget = storm.Bucket(0.0, 20.0)
     let = [0, 0]
     for k in range(1000):
@@ -56,7 +56,7 @@
 
 
 def test_a_calm_day_sheds_nothing():
-    s = one(share=0.0, least=0.0)
+    s = one(retry_share=0.0, min_retries_per_s=0.0)
     s.budget = storm.Bucket(0.0, 0.0)
     for k in range(2000):
         assert s.arrived(("a", 0, k), 0, False, T + k * SEC // 100) == (False, None)
@@ -66,7 +66,7 @@
 
 def test_late_retries_wait_until_nearly_all_settles_and_then_get_the_budget_alone():
     for part, share in ((7, 0.2), (10, 0.0)):  # seven in ten settle, and there is budget; all do, and there is none
-        s = one(share=share, least=0.0)
+        s = one(retry_share=share, min_retries_per_s=0.0)
         s.budget = storm.Bucket(0.0, 100.0 * share)
         let = {"in time": [], "late": []}
         for k in range(400):
@@ -76,7 +76,7 @@
                 s.settled(("a", 0, k), at)
             if k > 200 and k % 10 >= 7:
                 for what, old in (("in time", 10), ("late", 50)):  # 0.2 s behind its first try, and 1 s
-                    s.repeats.now[("a", 0, -k)] = [1, True, at - old * SEC // 50]
+                    s.repeats.current[("a", 0, -k)] = [1, True, at - old * SEC // 50]
                     let[what].append(s.arrived(("a", 0, -k), 0, True, at)[1] is None)
         assert all(let["in time"]) and not any(let["late"][10:])  # by then it is known for a storm
 
