--- a/rampfront/announced.py
+++ b/rampfront/announced.py
@@ -1,4 +1,4 @@
-"""What the operators announce at start, turned into our terms; both fronts read it. Nothing here decides."""
+"""Reads the settings that the operators announce at start. Used by edge nodes and by `benchlink/`; decides nothing."""
 
 from . import terms as t
 
@@ -6,42 +6,42 @@
 GROUPS = {"all": t.ALL, "zone": t.ZONE, "cell": t.CELL}
 
 
-class Odd(Exception):
-    """Something names what was never announced, or leaves out what it must hold."""
+class InvalidSetup(Exception):
+    """An input names something that was not announced, or lacks a required field."""
 
 
-def ns(ms):
-    return round(ms * 1000) * 1000  # what is announced counts in microseconds
+def to_ns(ms):
+    return round(ms * 1000) * 1000  # announced times have microsecond resolution
 
 
-def word(table, key, what):
+def look_up(table, key, kind):
     try:
         return table[key]
     except (KeyError, TypeError):
-        raise Odd(f"unknown {what} {key!r}") from None
+        raise InvalidSetup(f"unknown {kind} {key!r}") from None
 
 
 class Names:
-    """The index of each name that the settings announce."""
+    """The indices of the names that the settings announce."""
 
-    def __init__(self, setup):
-        self.products = {row["Name"]: k for k, row in enumerate(setup["Classes"])}
-        self.plans = {row["Name"]: k for k, row in enumerate(setup["Packages"])}
-        self.zones = {name: k for k, name in enumerate(setup.get("Areas", ()))}
+    def __init__(self, settings):
+        self.products = {row["Name"]: k for k, row in enumerate(settings["Classes"])}
+        self.plans = {row["Name"]: k for k, row in enumerate(settings["Packages"])}
+        self.zones = {name: k for k, name in enumerate(settings.get("Areas", ()))}
 
 
-def read_terms(setup):
-    limits, rules, domain = setup["Limits"], setup["Rules"], setup.get("Domain", {})
+def read_terms(settings):
+    limits, rules, domain = settings["Limits"], settings["Rules"], settings.get("Domain", {})
     products = [
         t.Product(
-            word(EFFECTS, row["Effect"], "effect"),
-            word(GROUPS, row.get("Group", "all"), "group"),
-            ns(row["OnTime"]),
-            ns(row.get("RepeatWindow", 0)),
+            look_up(EFFECTS, row["Effect"], "effect"),
+            look_up(GROUPS, row.get("Group", "all"), "group"),
+            to_ns(row["OnTime"]),
+            to_ns(row.get("RepeatWindow", 0)),
             row.get("LateWorth", 0.0),
-            ns(row.get("HardLimit", 0)),
+            to_ns(row.get("HardLimit", 0)),
         )
-        for row in setup["Classes"]
+        for row in settings["Classes"]
     ]
     plans = [
         t.Plan(
@@ -53,27 +53,27 @@
             row.get("BeyondEarns", 0.0),
             row.get("ExcessCost", 0.0),
         )
-        for row in setup["Packages"]
+        for row in settings["Packages"]
     ]
     return t.Terms(
         products=products,
         plans=plans,
-        nodes=setup["PeersTotal"],
+        nodes=settings["PeersTotal"],
         max_submissions=limits["AttemptsCap"],
         may_probe=limits.get("Probing", False),
         may_cancel=limits.get("MayCancel", False),
         has_counter=domain.get("HasCounter", False),
-        counter_timeout=ns(domain.get("CountWait", 0)),
+        counter_timeout=to_ns(domain.get("CountWait", 0)),
         max_units=domain.get("Largest", 1.0),
-        subscribes=setup.get("Discovery") == "subscribe",
-        max_retry_after=ns(limits.get("MaxRetryAfter", 0)) if limits.get("RetryAfter") else 0,
-        min_input_gap=ns(setup.get("Tick", 1.0)),
+        subscribes=settings.get("Discovery") == "subscribe",
+        max_retry_after=to_ns(limits.get("MaxRetryAfter", 0)) if limits.get("RetryAfter") else 0,
+        min_input_gap=to_ns(settings.get("Tick", 1.0)),
         cold_share=rules["ColdShare"],
-        warm_up=ns(rules["WarmWithin"]),
+        warm_up=to_ns(rules["WarmWithin"]),
         cold_overload_factor=rules["FallMultiple"],
-        cold_overload_after=ns(rules["TipAfter"]),
+        cold_overload_after=to_ns(rules["TipAfter"]),
         may_duplicate=limits.get("MayDuplicate", False),
-        usage_period=ns(domain.get("UsePeriod", 0)),
+        usage_period=to_ns(domain.get("UsePeriod", 0)),
         marks_counter=domain.get("Marks", False),
-        probe_cost=setup.get("Prices", {}).get("Probe", 0.0),
+        probe_cost=settings.get("Prices", {}).get("Probe", 0.0),
     )
--- a/rampfront/benchlink/__init__.py
+++ b/rampfront/benchlink/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter between the simulator's wire and the decision module; it decides nothing."""
+"""The adapter between the simulator's protocol and the decision module. It decides nothing."""
--- a/rampfront/benchlink/__main__.py
+++ b/rampfront/benchlink/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m rampfront.benchlink`: plays the wire on standard input and output until input ends."""
+"""`python -m rampfront.benchlink`: the simulator's protocol on standard input and output, until the input ends."""
 
 import sys
 
@@ -8,8 +8,8 @@
 def main():
     try:
         Host(sys.stdout.buffer).serve(sys.stdin.buffer)
-    except Malformed as trouble:
-        print(f"rampfront: {trouble}", file=sys.stderr)
+    except Malformed as error:
+        print(f"rampfront: {error}", file=sys.stderr)
         return 2
     except (KeyboardInterrupt, BrokenPipeError):
         return 1
--- a/rampfront/benchlink/codec.py
+++ b/rampfront/benchlink/codec.py
@@ -1,4 +1,4 @@
-"""The wire's words and units against ours. Times on the wire are milliseconds, ours whole nanoseconds."""
+"""Translates the protocol's names and units. Times are milliseconds on the wire, and whole nanoseconds in the code."""
 
 from .. import terms as t
 
@@ -15,5 +15,5 @@
 STATES = {"healthy": t.UP, "cordoned": t.DRAINING, "deregistered": t.REMOVED}
 
 
-def ms(nanos):
-    return nanos / 1e6
+def to_ms(ns):
+    return ns / 1e6
--- a/rampfront/benchlink/host.py
+++ b/rampfront/benchlink/host.py
@@ -1,22 +1,22 @@
-"""Hosts many nodes on one wire. They share nothing: each has its own ids, timers and decisions."""
+"""Hosts many nodes on one connection. They share no state: each has its own ids, timers and decisions."""
 
 import sys
 
 import orjson
 
 from .. import terms as t
-from ..announced import Names, Odd, ns, read_terms, word
+from ..announced import InvalidSetup, Names, look_up, read_terms, to_ns
 from ..choice import Node
 from ..in_flight import InFlight
-from .codec import ENDINGS, STATES, ms
+from .codec import ENDINGS, STATES, to_ms
 
 
 class Malformed(Exception):
-    """The wire itself cannot be followed any further."""
+    """The input is not valid, so that no further message can be read."""
 
 
-class Desk:
-    """One instance: its node, and what is in flight."""
+class Instance:
+    """One instance: its node, and its table of what is in flight."""
 
     def __init__(self, now, event):
         setup = event["Setup"]
@@ -24,12 +24,12 @@
         self.node = Node(read_terms(setup), event["Seed"], now)
         self.in_flight = InFlight()
 
-    def tell(self, now, event):
+    def handle(self, now, event):
         handler = HANDLERS.get(event["cmd"])
         if handler is None:
-            raise Odd(f"unknown event {event['cmd']!r}")
-        told = handler(self, event)
-        return self.write(self.node.take(now, told)) if told is not None else []
+            raise InvalidSetup(f"unknown event {event['cmd']!r}")
+        message = handler(self, event)
+        return self.write(self.node.take(now, message)) if message is not None else []
 
     # ---- events
 
@@ -39,7 +39,7 @@
             return t.ServerList(False, True)
         whole, rows = mode != "incr", []
         for row in event.get("Rows", ()):
-            state = word(STATES, row["Status"], "status")
+            state = look_up(STATES, row["Status"], "status")
             index = self.in_flight.list_server(row["Server"], state == t.REMOVED)
             if index is None:
                 continue
@@ -50,7 +50,7 @@
                     self.names.zones.get(row.get("Locality"), -1),
                     row.get("Cohort", 0),
                     row.get("Nominal", 1.0),
-                    ns(row.get("CameUp", 0)),
+                    to_ns(row.get("CameUp", 0)),
                 )
             )
         if whole:
@@ -58,8 +58,8 @@
         return t.ServerList(whole, False, rows)
 
     def req(self, event):
-        product = word(self.names.products, event["TierClass"], "product")
-        plan = word(self.names.plans, event["Tier"], "plan")
+        product = look_up(self.names.products, event["TierClass"], "product")
+        plan = look_up(self.names.plans, event["Tier"], "plan")
         txn = self.in_flight.open(event["Req"])
         return t.Arrival(
             txn,
@@ -67,15 +67,15 @@
             plan,
             event["UserKey"],
             event.get("Weight", 1),
-            ns(event["Remaining"]),
+            to_ns(event["Remaining"]),
             max(1, event.get("SetSize", 1)),
         )
 
     def underway(self, event):
-        return None  # a stream that has started ends with an outcome that is final
+        return None  # a stream that has started ends later, with a final outcome
 
     def returned(self, event):
-        how = word(ENDINGS, event["Ending"], "ending")
+        outcome = look_up(ENDINGS, event["Ending"], "ending")
         txn = self.in_flight.transactions.find(event["Req"])
         server = self.in_flight.servers.find(event["Server"])
         attempt = event.get("Attempt", 0)
@@ -87,8 +87,8 @@
         return t.Ended(
             txn,
             server,
-            how,
-            ns(event.get("Took", 0)),
+            outcome,
+            to_ns(event.get("Took", 0)),
             final,
             event.get("Charged", 0),
             attempt,
@@ -103,20 +103,23 @@
         return t.Due(event["Ref"])
 
     def sampled(self, event):
-        how = word(ENDINGS, event["Ending"], "ending")
+        outcome = look_up(ENDINGS, event["Ending"], "ending")
         server = self.in_flight.servers.find(event["Server"])
         if server is None or not self.in_flight.is_busy(server):
             return None
         self.in_flight.end_health_check(server)
-        return t.Probed(server, how, ns(event.get("Took", 0)), event.get("Report") or {})
+        return t.Probed(server, outcome, to_ns(event.get("Took", 0)), event.get("Report") or {})
 
     def added(self, event):
         return t.Counted(
-            event["Book"], event.get("Total", 0), word(ENDINGS, event["Ending"], "ending"), ns(event.get("Took", 0))
+            event["Book"],
+            event.get("Total", 0),
+            look_up(ENDINGS, event["Ending"], "ending"),
+            to_ns(event.get("Took", 0)),
         )
 
     def peerdata(self, event):
-        return None  # nodes say nothing to each other
+        return None  # nodes do not exchange messages
 
     # ---- effects
 
@@ -129,7 +132,7 @@
             "cmd": "Route",
             "Req": self.in_flight.transactions.key(e.txn),
             "Server": self.in_flight.servers.key(e.server),
-            "AllowFor": ms(e.timeout),
+            "AllowFor": to_ms(e.timeout),
         }
 
     def cancel(self, e):
@@ -137,21 +140,21 @@
 
     def decline(self, e):
         self.in_flight.finish(e.txn)
-        return {"cmd": "Reject", "Req": self.in_flight.transactions.key(e.txn), "RetryIn": ms(e.retry_after)}
+        return {"cmd": "Reject", "Req": self.in_flight.transactions.key(e.txn), "RetryIn": to_ms(e.retry_after)}
 
     def void(self, e):
         self.in_flight.finish(e.txn)
         return {"cmd": "Lose", "Req": self.in_flight.transactions.key(e.txn)}
 
     def remind(self, e):
-        return {"cmd": "Remind", "Delay": ms(e.delay), "Ref": e.ref}
+        return {"cmd": "Remind", "Delay": to_ms(e.delay), "Ref": e.ref}
 
     def probe(self, e):
         self.in_flight.add_health_check(e.server)
         return {"cmd": "Poll", "Server": self.in_flight.servers.key(e.server)}
 
     def add(self, e):
-        return {"cmd": "ChargeCounter", "Book": e.name, "Delta": e.amount, "Lifetime": ms(e.lifetime)}
+        return {"cmd": "ChargeCounter", "Book": e.name, "Delta": e.amount, "Lifetime": to_ms(e.lifetime)}
 
     def subscribe(self, e):
         return {"cmd": "KeepInformed", "Active": True}
@@ -161,32 +164,32 @@
 
 
 HANDLERS = {
-    "Targets": Desk.targets,
-    "Req": Desk.req,
-    "UnderWay": Desk.underway,
-    "Returned": Desk.returned,
-    "Dropped": Desk.dropped,
-    "Wake": Desk.wake,
-    "Sampled": Desk.sampled,
-    "Added": Desk.added,
-    "PeerData": Desk.peerdata,
+    "Targets": Instance.targets,
+    "Req": Instance.req,
+    "UnderWay": Instance.underway,
+    "Returned": Instance.returned,
+    "Dropped": Instance.dropped,
+    "Wake": Instance.wake,
+    "Sampled": Instance.sampled,
+    "Added": Instance.added,
+    "PeerData": Instance.peerdata,
 }
 WRITERS = {
-    t.Submit: Desk.submit,
-    t.Cancel: Desk.cancel,
-    t.Decline: Desk.decline,
-    t.Void: Desk.void,
-    t.Remind: Desk.remind,
-    t.Probe: Desk.probe,
-    t.AddToCount: Desk.add,
-    t.Subscribe: Desk.subscribe,
-    t.CounterNotice: Desk.notice,
+    t.Submit: Instance.submit,
+    t.Cancel: Instance.cancel,
+    t.Decline: Instance.decline,
+    t.Void: Instance.void,
+    t.Remind: Instance.remind,
+    t.Probe: Instance.probe,
+    t.AddToCount: Instance.add,
+    t.Subscribe: Instance.subscribe,
+    t.CounterNotice: Instance.notice,
 }
 
 
 class Host:
     def __init__(self, output):
-        self.output, self.desks, self.now = output, {}, 0
+        self.output, self.instances, self.now = output, {}, 0
 
     def serve(self, lines):
         replies = []
@@ -196,7 +199,7 @@
             event = self.parse(line)
             cmd = event["cmd"]
             if cmd == "Tick":
-                self.now = ns(event["Time"]) if "Time" in event else self.lacking(event, "Time")
+                self.now = to_ns(event["Time"]) if "Time" in event else self.fail_missing(event, "Time")
             elif cmd == "YourTurn":
                 replies.append({"cmd": "End"})
                 lines = (orjson.dumps(reply, option=orjson.OPT_APPEND_NEWLINE) for reply in replies)
@@ -204,49 +207,49 @@
                 self.output.flush()
                 replies = []
             else:
-                replies += self.one(event)
+                replies += self.handle_event(event)
 
     @staticmethod
     def parse(line):
         try:
             event = orjson.loads(line)
-        except orjson.JSONDecodeError as trouble:
-            raise Malformed(f"not JSON ({trouble}): {line[:80]!r}") from None
+        except orjson.JSONDecodeError as error:
+            raise Malformed(f"not JSON ({error}): {line[:80]!r}") from None
         if not isinstance(event, dict) or not isinstance(event.get("cmd"), str):
             raise Malformed(f"no message name in {line[:80]!r}")
         return event
 
     @staticmethod
-    def lacking(event, name):
+    def fail_missing(event, name):
         raise Malformed(f"{event['cmd']} without {name}")
 
-    def one(self, event):
-        where, cmd = event.get("I"), event["cmd"]
-        if not isinstance(where, int):
-            self.lacking(event, "I")
+    def handle_event(self, event):
+        instance_id, cmd = event.get("I"), event["cmd"]
+        if not isinstance(instance_id, int):
+            self.fail_missing(event, "I")
         try:
             if cmd == "NewInstance":
-                self.desks[where] = Desk(self.now, event)
-                replies = self.desks[where].write(self.desks[where].node.take(self.now, None))
+                self.instances[instance_id] = Instance(self.now, event)
+                replies = self.instances[instance_id].write(self.instances[instance_id].node.take(self.now, None))
             elif cmd == "CrashNow":
-                self.desks.pop(where, None)
+                self.instances.pop(instance_id, None)
                 return []
-            elif where not in self.desks:
-                return []  # for a life that has ended
+            elif instance_id not in self.instances:
+                return []  # the instance has ended
             else:
-                replies = self.desks[where].tell(self.now, event)
-                self.desks[where].in_flight.release()
-        except Odd as trouble:
-            return self.fault(where, f"{cmd}: {trouble}")
-        except KeyError as trouble:
-            return self.fault(where, f"{cmd}: missing or unknown {trouble}")
-        except Exception as trouble:  # the wire has a word for a failed decision: no traceback, no silence
-            return self.fault(where, f"{cmd}: {type(trouble).__name__}: {trouble}")
+                replies = self.instances[instance_id].handle(self.now, event)
+                self.instances[instance_id].in_flight.release()
+        except InvalidSetup as error:
+            return self.fault(instance_id, f"{cmd}: {error}")
+        except KeyError as error:
+            return self.fault(instance_id, f"{cmd}: missing or unknown {error}")
+        except Exception as error:  # a failed decision is reported as a Fault, without a traceback
+            return self.fault(instance_id, f"{cmd}: {type(error).__name__}: {error}")
         for reply in replies:
-            reply["I"] = where
+            reply["I"] = instance_id
         return replies
 
     @staticmethod
-    def fault(where, text):
-        print(f"rampfront: instance {where}: {text}", file=sys.stderr)
-        return [{"cmd": "Fault", "I": where, "Msg": text}]
+    def fault(instance_id, text):
+        print(f"rampfront: instance {instance_id}: {text}", file=sys.stderr)
+        return [{"cmd": "Fault", "I": instance_id, "Msg": text}]
--- a/rampfront/edge/optional_settings.py
+++ b/rampfront/edge/optional_settings.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any, NamedTuple
 
-from ..announced import Names, ns
+from ..announced import Names, to_ns
 from ..terms import Terms
 from .configuration_checks import ConfigurationError, check_address
 
@@ -24,7 +24,7 @@
 _NS_PER_S = 1e9
 _DEFAULT_VALUE = 1.0
 
-_to_ns: Callable[[float], int] = ns  # `announced.py` has no types
+_to_ns: Callable[[float], int] = to_ns  # `announced.py` has no types
 Tables = dict[str, Any]
 """Name to table of `rampfront/tables.py`; None: the node does not have that part."""
 
