--- a/rampfront/announced.py
+++ b/rampfront/announced.py
@@ -6,31 +6,35 @@
 GROUPS = {"all": t.ALL, "zone": t.ZONE, "cell": t.CELL}
 
 
-class InvalidSetup(Exception):
+class InvalidSetupError(Exception):
     """An input names something that was not announced, or lacks a required field."""
 
 
 def to_ns(ms):
+    """Converts milliseconds to ns."""
     return round(ms * 1000) * 1000  # announced times have microsecond resolution
 
 
 def look_up(table, key, kind):
+    """Returns the entry of a key. Raises InvalidSetupError, which names the kind of the key, if there is none."""
     try:
         return table[key]
     except (KeyError, TypeError):
-        raise InvalidSetup(f"unknown {kind} {key!r}") from None
+        raise InvalidSetupError(f"unknown {kind} {key!r}") from None
 
 
 class Names:
     """The indices of the names that the settings announce."""
 
     def __init__(self, settings):
+        """Numbers the names in the order in which they are announced."""
         self.products = {row["Name"]: k for k, row in enumerate(settings["Classes"])}
         self.plans = {row["Name"]: k for k, row in enumerate(settings["Packages"])}
         self.zones = {name: k for k, name in enumerate(settings.get("Areas", ()))}
 
 
 def read_terms(settings):
+    """Returns the `Terms` of the announced settings. Raises InvalidSetupError or KeyError."""
     limits, rules, domain = settings["Limits"], settings["Rules"], settings.get("Domain", {})
     products = [
         t.Product(
--- a/rampfront/benchlink/__main__.py
+++ b/rampfront/benchlink/__main__.py
@@ -2,13 +2,14 @@
 
 import sys
 
-from .host import Host, Malformed
+from .host import Host, MalformedInputError
 
 
 def main():
+    """Runs until the input ends. Returns the exit status: 2 if the input was malformed, 1 if interrupted, else 0."""
     try:
         Host(sys.stdout.buffer).serve(sys.stdin.buffer)
-    except Malformed as error:
+    except MalformedInputError as error:
         print(f"rampfront: {error}", file=sys.stderr)
         return 2
     except (KeyboardInterrupt, BrokenPipeError):
--- a/rampfront/benchlink/codec.py
+++ b/rampfront/benchlink/codec.py
@@ -16,4 +16,5 @@
 
 
 def to_ms(ns):
+    """Converts ns to ms."""
     return ns / 1e6
--- a/rampfront/benchlink/host.py
+++ b/rampfront/benchlink/host.py
@@ -5,13 +5,13 @@
 import orjson
 
 from .. import terms as t
-from ..announced import InvalidSetup, Names, look_up, read_terms, to_ns
+from ..announced import InvalidSetupError, Names, look_up, read_terms, to_ns
 from ..choice import Node
 from ..in_flight import InFlight
 from .codec import ENDINGS, STATES, to_ms
 
 
-class Malformed(Exception):
+class MalformedInputError(Exception):
     """The input is not valid, so that no further message can be read."""
 
 
@@ -19,21 +19,24 @@
     """One instance: its node, and its table of what is in flight."""
 
     def __init__(self, now, event):
+        """Creates the node of a NewInstance message."""
         setup = event["Setup"]
         self.names = Names(setup)
         self.node = Node(read_terms(setup), event["Seed"], now)
         self.in_flight = InFlight()
 
     def handle(self, now, event):
+        """Gives a message to the node. Returns the replies."""
         handler = HANDLERS.get(event["cmd"])
         if handler is None:
-            raise InvalidSetup(f"unknown event {event['cmd']!r}")
+            raise InvalidSetupError(f"unknown event {event['cmd']!r}")
         message = handler(self, event)
         return self.write(self.node.take(now, message)) if message is not None else []
 
     # ---- events
 
     def targets(self, event):
+        """Reads the server list."""
         mode = event["Mode"]
         if mode == "lost":
             return t.ServerList(False, True)
@@ -58,6 +61,7 @@
         return t.ServerList(whole, False, rows)
 
     def req(self, event):
+        """Reads a request."""
         product = look_up(self.names.products, event["TierClass"], "product")
         plan = look_up(self.names.plans, event["Tier"], "plan")
         txn = self.in_flight.open(event["Req"])
@@ -75,6 +79,7 @@
         return None  # a stream that has started ends later, with a final outcome
 
     def returned(self, event):
+        """Reads the end of a submission."""
         outcome = look_up(ENDINGS, event["Ending"], "ending")
         txn = self.in_flight.transactions.find(event["Req"])
         server = self.in_flight.servers.find(event["Server"])
@@ -96,13 +101,16 @@
         )
 
     def dropped(self, event):
+        """Reads that the client of a request has gone."""
         txn = self.in_flight.transactions.find(event["Req"])
         return t.Left(txn) if txn is not None and self.in_flight.finish(txn) else None
 
     def wake(self, event):
+        """Reads a reminder that is due."""
         return t.Due(event["Ref"])
 
     def sampled(self, event):
+        """Reads the end of a probe."""
         outcome = look_up(ENDINGS, event["Ending"], "ending")
         server = self.in_flight.servers.find(event["Server"])
         if server is None or not self.in_flight.is_busy(server):
@@ -111,6 +119,7 @@
         return t.Probed(server, outcome, to_ns(event.get("Took", 0)), event.get("Report") or {})
 
     def added(self, event):
+        """Reads the end of a call to the counter."""
         return t.Counted(
             event["Book"],
             event.get("Total", 0),
@@ -124,9 +133,11 @@
     # ---- effects
 
     def write(self, effects):
+        """Returns the effects as messages."""
         return [WRITERS[type(effect)](self, effect) for effect in effects]
 
     def submit(self, e):
+        """Writes a submission."""
         self.in_flight.add_submission(e.txn, e.server)
         return {
             "cmd": "Route",
@@ -136,30 +147,38 @@
         }
 
     def cancel(self, e):
+        """Writes the cancellation of a submission."""
         return {"cmd": "Retract", "Req": self.in_flight.transactions.key(e.txn), "Attempt": e.attempt}
 
     def decline(self, e):
+        """Writes that a request has not run."""
         self.in_flight.finish(e.txn)
         return {"cmd": "Reject", "Req": self.in_flight.transactions.key(e.txn), "RetryIn": to_ms(e.retry_after)}
 
     def void(self, e):
+        """Writes that a request may have run."""
         self.in_flight.finish(e.txn)
         return {"cmd": "Lose", "Req": self.in_flight.transactions.key(e.txn)}
 
     def remind(self, e):
+        """Writes a reminder."""
         return {"cmd": "Remind", "Delay": to_ms(e.delay), "Ref": e.ref}
 
     def probe(self, e):
+        """Writes a probe."""
         self.in_flight.add_health_check(e.server)
         return {"cmd": "Poll", "Server": self.in_flight.servers.key(e.server)}
 
     def add(self, e):
+        """Writes a call to the counter."""
         return {"cmd": "ChargeCounter", "Book": e.name, "Delta": e.amount, "Lifetime": to_ms(e.lifetime)}
 
     def subscribe(self, e):
+        """Writes the subscription to the server list."""
         return {"cmd": "KeepInformed", "Active": True}
 
     def notice(self, e):
+        """Writes a change of the counter's state as a debug message."""
         return {"cmd": "Debug", "Msg": f"counter {e.change}, hears of {e.heard_nodes} nodes"}
 
 
@@ -188,10 +207,14 @@
 
 
 class Host:
+    """Reads messages, gives them to their instances and writes their replies."""
+
     def __init__(self, output):
+        """Starts without instances. `output`: where replies are written."""
         self.output, self.instances, self.now = output, {}, 0
 
     def serve(self, lines):
+        """Handles messages until the input ends. Replies are written when the simulator gives the turn."""
         replies = []
         for line in lines:
             if not line.strip():
@@ -211,19 +234,22 @@
 
     @staticmethod
     def parse(line):
+        """Returns the message of a line. Raises MalformedInputError."""
         try:
             event = orjson.loads(line)
         except orjson.JSONDecodeError as error:
-            raise Malformed(f"not JSON ({error}): {line[:80]!r}") from None
+            raise MalformedInputError(f"not JSON ({error}): {line[:80]!r}") from None
         if not isinstance(event, dict) or not isinstance(event.get("cmd"), str):
-            raise Malformed(f"no message name in {line[:80]!r}")
+            raise MalformedInputError(f"no message name in {line[:80]!r}")
         return event
 
     @staticmethod
     def fail_missing(event, name):
-        raise Malformed(f"{event['cmd']} without {name}")
+        """Raises MalformedInputError for a message that lacks a field."""
+        raise MalformedInputError(f"{event['cmd']} without {name}")
 
     def handle_event(self, event):
+        """Returns the replies of an instance to a message, or a Fault."""
         instance_id, cmd = event.get("I"), event["cmd"]
         if not isinstance(instance_id, int):
             self.fail_missing(event, "I")
@@ -239,7 +265,7 @@
             else:
                 replies = self.instances[instance_id].handle(self.now, event)
                 self.instances[instance_id].in_flight.release()
-        except InvalidSetup as error:
+        except InvalidSetupError as error:
             return self.fault(instance_id, f"{cmd}: {error}")
         except KeyError as error:
             return self.fault(instance_id, f"{cmd}: missing or unknown {error}")
@@ -251,5 +277,6 @@
 
     @staticmethod
     def fault(instance_id, text):
+        """Returns a Fault as the only reply, and prints it."""
         print(f"rampfront: instance {instance_id}: {text}", file=sys.stderr)
         return [{"cmd": "Fault", "I": instance_id, "Msg": text}]
--- a/rampfront/edge/configuration.py
+++ b/rampfront/edge/configuration.py
@@ -12,7 +12,7 @@
 
 import orjson
 
-from ..announced import InvalidSetup, Names, read_terms, to_ns
+from ..announced import InvalidSetupError, Names, read_terms, to_ns
 from ..net.limits import NetworkLimits, compute_limits
 from ..net.transaction_gateway import AnnouncedNames
 from ..terms import Terms, slotted
@@ -197,7 +197,7 @@
     try:
         names = _read_names(settings)
         terms = _read_terms(settings)
-    except (InvalidSetup, KeyError, TypeError, ValueError) as error:
+    except (InvalidSetupError, KeyError, TypeError, ValueError) as error:
         expected = "as the simulator's first message has it"
         raise ConfigurationError.for_key("settings", expected, str(error)) from None
     if terms.has_counter and not terms.counter_timeout:
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from rampfront.benchlink.host import Host, Malformed
+from rampfront.benchlink.host import Host, MalformedInputError
 
 SETUP = {
     "Classes": [{"Name": "c", "Effect": "pure", "OnTime": 1000.0, "HardLimit": 3000.0}],
@@ -58,5 +58,5 @@
 
 @pytest.mark.parametrize("line", [b"{nonsense", b"[1]", b'{"I":1}', b'{"cmd":"Req"}', b'{"cmd":"Tick"}'])
 def test_malformed(line):
-    with pytest.raises(Malformed):
+    with pytest.raises(MalformedInputError):
         play(line)
