--- a/rampfront/storm.py
+++ b/rampfront/storm.py
@@ -32,9 +32,11 @@
     """Recent attempts that did not settle: mark to [attempts, whether units were counted, time of the first]."""
 
     def __init__(self, window, max_rows):
+        """Starts empty. `window`: ns."""
         self.window, self.max_rows, self.rotated_at, self.current, self.previous = window, max_rows, 0, {}, {}
 
     def rotate(self, at):
+        """Starts a new generation once the current one is full or older than a window."""
         if at - self.rotated_at >= self.window or len(self.current) >= self.max_rows:
             self.previous = self.current if at - self.rotated_at < 2 * self.window else {}
             self.current, self.rotated_at = {}, at
@@ -52,11 +54,13 @@
         return row
 
     def sent(self, mark):
+        """Notes that the units of the txn were counted."""
         row = self.current.get(mark) or self.previous.get(mark)
         if row:
             row[1] = True
 
     def settled(self, mark):
+        """Removes the row of a settled txn."""
         self.current.pop(mark, None)
         self.previous.pop(mark, None)
 
@@ -65,14 +69,17 @@
     """An exponentially decaying rate of events, per second."""
 
     def __init__(self):
+        """Starts at zero."""
         self.sum, self.at = 0.0, 0
 
     def read(self, at):
+        """Returns the rate at `at`, in ns."""
         self.sum *= 0.5 ** ((at - self.at) / HALF_LIFE_NS)
         self.at = at
         return self.sum * 0.693147 * SEC / HALF_LIFE_NS
 
     def add(self, at, amount=1.0):
+        """Counts an event."""
         self.read(at)
         self.sum += amount
 
@@ -81,15 +88,18 @@
     """A token bucket: `rate` tokens a second, at most `depth`."""
 
     def __init__(self, rate, depth):
+        """Starts full."""
         self.rate, self.depth, self.level, self.at = rate, depth, depth, 0
 
     def refill(self, at):
+        """Adds the tokens earned since the last call. Returns the level."""
         if self.at:
             self.level = min(self.depth, self.level + (at - self.at) / SEC * self.rate)
         self.at = at
         return self.level
 
     def take(self, at, amount=1.0):
+        """Takes tokens if there are enough. Returns whether it did."""
         if self.refill(at) < amount:
             return False
         self.level -= amount
@@ -120,6 +130,20 @@
         accepts_per_s=500.0,
         max_retry_after=5 * SEC,
     ):
+        """Starts without attempts.
+
+        Args:
+            values: of the products, by index.
+            latency_targets: of the products, by index, ns.
+            draw: as in the attributes.
+            counts: as in the attributes.
+            retry_share: as in the attributes.
+            min_retries_per_s: retries admitted in any case.
+            window: how long an attempt is remembered, ns.
+            max_rows: of a generation of `Repeats`.
+            accepts_per_s: new connections admitted.
+            max_retry_after: as in the attributes.
+        """
         self.draw, self.retry_share, self.max_retry_after, self.latency_targets, self.counts = (
             draw,
             retry_share,
@@ -190,6 +214,7 @@
         self.repeats.sent(mark)
 
     def settled(self, mark, at):
+        """The txn was answered with a response."""
         self.repeats.settled(mark)
         self.settles.add(at)
 
