--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -1,4 +1,4 @@
-"""The adapter: plain words for what is malformed, and instances that share nothing."""
+"""The benchmark adapter: faults name the malformed part, and instances share no state."""
 
 import io
 import json
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -1,4 +1,4 @@
-"""Short plays against traces that people read; each says what it guards against."""
+"""Short runs of one `choice.Node`, compared with readable traces. Each test names the failure it guards against."""
 
 from types import SimpleNamespace
 
@@ -8,7 +8,7 @@
 
 
 def test_window_and_others():
-    """The design's test: own and others' counts, adds of what grew, and early ones in a surge."""
+    """The window test of RFC 0015: own and others' counts, adds of the growth, and early adds in a surge."""
     p = Play()
     p.serve(range(2))
     p.wait(100)
@@ -24,8 +24,8 @@
 
 
 def test_quota_refills():
-    """After a burst the window is full for long; what the quota has earned since is let in by fresh counts, less
-    what the others used of it."""
+    """After a burst the window stays full for long. With fresh counts, the units that the quota has earned since are
+    admitted, less those that the others used."""
     for others in (0, 6):
         p, totals = Play(), {}
         p.say(f"a burst, then a try each half second; {others} units of others meanwhile")
@@ -42,7 +42,7 @@
 
 
 def test_true_units():
-    """A lower true figure nets against later growth: adds never fall."""
+    """Actual units below the announced ones are offset against later growth: adds never decrease."""
     p = Play()
     p.arrive(0, units=4)
     p.end(0, true=1)
@@ -57,7 +57,7 @@
 
 
 def test_add_in_doubt():
-    """A timed-out add is neither resent blindly nor forgotten: the next total tells whether it landed."""
+    """A timed-out add is neither resent blindly nor forgotten: the next total shows whether it was applied."""
     for landed, total in ((True, 2), (False, 0)):
         p = Play()
         p.serve(range(2))
@@ -71,8 +71,8 @@
 
 
 def test_comes_once():
-    """A customer that comes once costs the counter no call; the second txn brings the first reading, which
-    tells of both. Under a ceiling, which waits for a total, the first one asks."""
+    """A customer's single txn costs the counter no call. The second txn causes the first reading, which covers both.
+    Under a ceiling, which needs a total, the first txn causes it."""
     p = Play()
     p.serve([0])
     p.wait(3000)
@@ -86,7 +86,7 @@
 
 
 def test_counts_lost():
-    """A total below what earlier ones imply: the counter lost counts, our own are put back."""
+    """A total below what earlier totals imply means that the counter lost counts: the node reports its own again."""
     p = Play()
     p.serve(range(2))
     p.count(3)
@@ -99,7 +99,8 @@
 
 
 def test_counter_silent():
-    """Silent counter: the breaker opens, calls are paced, and the others are taken to go on as last read."""
+    """If the counter is silent, the breaker opens, calls are paced, and the others are assumed to go on as last
+    read."""
     p = Play()
     p.serve(range(2))
     p.count(3)
@@ -115,7 +116,7 @@
 
 
 def test_cap():
-    """A cap on submissions out at once: the epoch's count rises and falls with ours, the rest is others'."""
+    """A cap on submissions in flight: the shared count rises and falls with our own; the rest of it is the others'."""
     p = Play()
     p.arrive(0, plan=1)
     p.count(2)
@@ -127,7 +128,7 @@
 
 
 def test_ceiling_after_start():
-    """A restart fills nothing: the share of the ceiling counts as spent, whatever the quota would allow."""
+    """A restart does not refill the ceiling: the node's share counts as spent, whatever the quota would allow."""
     p = Play()
     p.arrive(0, plan=2, units=4)
     p.wait(500)
@@ -137,8 +138,8 @@
 
 
 def test_ceiling_by_totals():
-    """A total lifts our share of the ceiling to an even part of what it leaves, wherever the traffic comes in;
-    where the others have used it, or nobody answers, the even split at the ceiling's rate stays."""
+    """A total raises our share of the ceiling to an even part of what it leaves, on whichever node the traffic arrives.
+    If the others have used it, or the counter does not answer, the even split at the ceiling's rate stays."""
     for others in (0, 26):
         p = Play()
         p.say(f"the others have sent on {others}")
@@ -153,8 +154,8 @@
 
 
 def test_repeats():
-    """Rule 2: what each product may still do once a submission may have run, or surely has not."""
-    p = Play(servers=0, nodes=1)  # room for all, so that rules alone decide
+    """Rule 2: which repeats each product allows once a submission may have run, or certainly has not."""
+    p = Play(servers=0, nodes=1)  # capacity for all, so that only the rules decide
     p.list(0)
     p.list(1, cell=1, whole=False)
     for product, name in ((0, "inquiry-like"), (1, "referenced, by cell"), (2, "once-only")):
@@ -176,7 +177,8 @@
 
 
 def test_drains():
-    """Rule 3: draining, gone, left out of a whole list; with none left a txn is answered at once."""
+    """Rule 3: servers that drain, are removed or missing from a complete list; with none left a txn is answered at
+    once."""
     p = Play(servers=2)
     p.list(0, state=t.DRAINING, whole=False)
     p.arrive(0, account="x")
@@ -191,7 +193,7 @@
 
 
 def test_cold_budget():
-    """Rule 4: a new app server gets a cold share of what a warm one does for us, in any span."""
+    """Rule 4: in any span, a new app server gets the cold share of what a warm one does for this node."""
     p = Play(servers=1)
     for k in range(160):
         p.arrive(k, account=f"c{k}")
@@ -210,7 +212,7 @@
 
 
 def test_fast_failure():
-    """Fast failure must not look like room, yet the app server is tried again now and then."""
+    """Fast failures must not look like free capacity, yet the app server is tried again from time to time."""
     p = Play(servers=3, has_counter=False)
     to = [0, 0, 0]
     for k in range(300):
@@ -225,8 +227,8 @@
 
 
 def test_ill_by_itself():
-    """One app server that refuses every connect costs the limits of the others nothing, and is no resort once
-    they are full: what finds no room is declined at once."""
+    """One app server that refuses every connection does not lower the limits of the others, and is no fallback once
+    they are full: txns beyond the capacity are declined at once."""
     p = Play(servers=3, has_counter=False, nodes=1)
     to, full = [0, 0, 0], 0
     for k in range(400):
@@ -246,8 +248,8 @@
 
 
 def test_answers_lost():
-    """One answer in four never comes back while the rest come in time: limits must not shrink by it, or what is
-    lost holds the room. Where nearly all time out, they do."""
+    """One answer in four is lost while the rest arrive in time. Limits must not shrink by it, or lost answers would
+    occupy the capacity. If nearly all time out, they do shrink."""
     for lost in (4, 1):
         p = Play(servers=3, has_counter=False, nodes=1)
         for k in range(200):
@@ -261,7 +263,8 @@
 
 
 def test_full_fleet():
-    """Limits below one hold in sum and on average: savings first, then declines at once, then room comes back."""
+    """Limits below one hold in sum and on average: first savings are used, then txns are declined, then capacity
+    returns."""
     p = Play(servers=4, nodes=16)
     for k in range(16):
         p.arrive(k, account=f"f{k}", nodes=2)
@@ -277,8 +280,8 @@
 
 
 def test_thin_share():
-    """A share under one txn: each txn is told its account's count first; one declined takes its add back. With no
-    answer it goes by free room, as its excess costs much."""
+    """If the node's share is under one txn, each txn reads its account's count first; a declined one takes its add
+    back. Without an answer free capacity decides, as excess work costs much."""
     p = Play(nodes=300, servers=200, plans=(t.Plan(2.0, 10.0, 0, 0.0, 0.0, 0.0, 1.2),))
     for k, total in enumerate((2.1465, 21, 24)):
         p.arrive(k, nodes=200)
@@ -297,7 +300,7 @@
 
 
 def test_thin_cap():
-    """Under a cap the add stands while the submission is out and is taken off at its end."""
+    """Under a cap the add stays while the submission is in flight and is taken back at its end."""
     p = Play(nodes=300, servers=200)
     p.arrive(0, plan=1, nodes=200)
     p.count(1)
@@ -309,7 +312,7 @@
 
 
 def test_cold_among_many():
-    """Rule 4 over a fleet: 200 nodes that each see an app server now and then keep to the budget together."""
+    """Rule 4 over a fleet: 200 nodes that each use an app server rarely keep to the budget together."""
     sent = 0
     for seed in range(200):
         p = Play(servers=1, nodes=200, seed=seed)
@@ -329,7 +332,7 @@
 
 
 def test_late_is_over():
-    """Past the SLA time a product whose late answer earns nothing is not sent again: no load for nothing."""
+    """Past the latency target, a txn whose late answer has no value is not sent again: that load would be useless."""
     p = Play(servers=2)
     p.arrive(0)
     p.wait(1000)
@@ -341,8 +344,8 @@
 
 
 def test_probes_by_own_txns():
-    """However many app servers and nodes there are, probes stay under one a txn; and where the settings tell a fee
-    eight times the usual, an eighth of that: many nodes pay for them together."""
+    """However many app servers and nodes there are, there is less than one probe a txn. If the settings give eight
+    times the usual price, there are an eighth as many, because all nodes together pay for them."""
     for name, fee in (("probes", 0.0), ("dear_probes", 0.08)):
         p = Play(servers=60, nodes=300, may_probe=True, probe_cost=fee)
         for k in range(200):
@@ -353,7 +356,7 @@
 
 
 def test_probed_are_full():
-    """Room at the few that probes told of is soon gone in a thin node: a txn then goes to one of the others."""
+    """In a node with little traffic the few probed servers are soon full: a txn is then sent to one of the others."""
     p = Play(servers=60, nodes=40)
     for k in range(4):
         p.tell(t.Probed(k, t.DONE, MS, {}))
@@ -364,8 +367,8 @@
 
 
 def test_list_of_the_gone():
-    """A list that is old names twenty that are gone beside ten that serve: what reaches nobody is no load, so limits
-    stand, further submissions are free, and the gone are soon left alone."""
+    """An outdated list names twenty removed servers beside ten that serve. A failed connect is no load, so limits stay,
+    further submissions are free, and the removed servers are soon avoided."""
     p, sent = Play(servers=30, nodes=12, has_counter=False), {True: 0, False: 0}
     for k in range(120):
         p.arrive(k, account=f"e{k}")
@@ -382,8 +385,8 @@
 
 
 def test_replaced_at_once():
-    """Six in ten app servers are new and cold: nodes that know none of them warm them nevertheless, within rule 4; and
-    a txn for which those that a probe told of bear nothing goes elsewhere."""
+    """Six in ten app servers are new and cold. Nodes without statistics of them warm them up nevertheless, within rule
+    4, and a txn that the probed servers may not take is sent to another one."""
     p, cold, settled = Play(servers=60, nodes=40, has_counter=False), 0, 0
     for k in range(600):
         if k == 300:
@@ -401,8 +404,8 @@
 
 
 def test_noise_of_fading_counts():
-    """A count that fades stands higher than what the quota has refilled: a little over, a thin account is let in while
-    there is room, and held to its quota once txns inside theirs find none."""
+    """A decaying count is higher than the quota's refill warrants. An account with a shared count may be a little over
+    its quota while there is capacity, and is held to it once txns within their quotas find none."""
     p = Play(nodes=300, servers=200, plans=(t.Plan(2.0, 10.0, 0, 0.0, 0.0, 0.0, 1.2),))
     for k, (pressed, over) in enumerate(((0.0, 1.06), (0.0, 1.2), (0.2, 1.06))):
         p.node.declined_share = pressed
@@ -416,7 +419,8 @@
 
 
 def test_few_are_kept_to():
-    """Many app servers, few txns: a node keeps to those it knows, so that connections are few and ill ones known."""
+    """With many app servers and few txns, a node keeps to servers it knows: few connections, and failing servers
+    known."""
     p, used = Play(servers=60, nodes=40, has_counter=False), set()
     for k in range(400):
         p.arrive(k, account=f"e{k}")
@@ -431,7 +435,7 @@
 
 
 def test_short_expiry_and_leaving():
-    """Rule 1: a submission ends before the expiry, however short; a client that left is owed nothing."""
+    """Rule 1: a submission ends before the expiry, however short; a client that has left gets no answer."""
     p = Play()
     p.arrive(0, expiry=50)
     p.wait(46)
@@ -450,8 +454,8 @@
 
 
 def test_meter_spares_calls():
-    """A crowded counter is not asked for an account that answers tell to be calm; one that uses more than its quota
-    is declined without a call, though nobody was asked. With room on the counter all are asked."""
+    """An overloaded counter is not asked about an account whose reported usage is low, and an account that uses more
+    than its quota is declined without a call. If the counter is not overloaded, it is asked for all."""
     for use, stretch in ((0.2, 1.0), (0.2, 20.0), (2.0, 20.0)):
         p = Play(**METERED)
         calls = sent = 0
@@ -473,8 +477,8 @@
 
 
 def test_patience():
-    """The SLA time runs from the client's first try: a later one that brings too little of its patience is declined
-    at once. Where first tries bring no common patience nothing is taken off."""
+    """The latency target counts from the client's first try: a later try with too little time left is declined at once.
+    If first tries have no common time left, nothing is deducted."""
     product = t.Product(t.READ_ONLY, t.ALL, 1000 * MS, 0, 0.0, client_timeout=4000 * MS)
     for common in (True, False):
         p = Play(servers=3, nodes=1, products=(product,), has_counter=False)
@@ -489,7 +493,7 @@
 
 
 def test_stood_still():
-    """What a node finds at once after it stood still tells of itself: no limit shrinks, no tick is stretched."""
+    """Time-outs found right after a stall are the node's own fault: no limit shrinks and no tick gets longer."""
     for still in (True, False):
         p = Play(servers=3, nodes=1)
         for k in range(3):
@@ -498,7 +502,7 @@
         p.wait(100)
         limit, where = p.node.limit, [p.node.txns[k].last_server for k in range(3)]
         if still:
-            p.ms += 2000  # no reminder was handled meanwhile
+            p.ms += 2000  # no reminder is handled meanwhile
             p.wait(0)
         for k in range(3):
             p.end(k, t.TIMED_OUT, where[k], 1000)
@@ -508,8 +512,8 @@
 
 
 def test_places_given_up():
-    """Where a time-out stops nothing its place stays taken for some mean times, so that work does not pile up; while
-    answers are lost but come in time otherwise, it is free at once."""
+    """A timed-out submission may still run, so its place stays occupied for some mean times and work does not pile up.
+    While answers are lost but arrive in time otherwise, the place is free at once."""
     for silent in (0.0, 0.9):
         p = Play(servers=1, nodes=1, has_counter=False)
         p.serve([0, 1, 2])
@@ -528,8 +532,8 @@
 
 
 def test_second_copy():
-    """Once what is out for long mostly never comes, a txn that may run again gets a copy elsewhere, the first answer
-    settles it and the other is called off; a once-only txn gets none, nor does any while all are slow."""
+    """Once most overdue answers are lost, a read-only txn is duplicated on another server; the first answer settles it
+    and the other submission is cancelled. A once-only txn is not duplicated, nor is any while all servers are slow."""
     p = Play(servers=3, nodes=1, has_counter=False, may_duplicate=True)
     p.serve([0, 1, 2])
     for silent, tardy, product in ((0.0, 0.0, 0), (0.9, 0.0, 0), (0.9, 0.0, 2), (0.9, 0.5, 0)):
@@ -548,7 +552,8 @@
 
 
 def test_busy_accounts_yield():
-    """While txns inside their quotas find no room, untold ones of accounts near theirs go first."""
+    """While txns within their quotas find no capacity, accounts near their quotas whose count is unread are shed
+    first."""
     for pressed in (0.0, 0.6):
         p = Play(**METERED)
         p.node.tick_scale, p.node.declined_share = 24.0, pressed
@@ -569,7 +574,7 @@
 
 
 def test_the_last_room_is_for_those_of_high_rank():
-    """What yields first finds none where there is still some for the others; while there is plenty, rank is nothing."""
+    """The last capacity is kept from txns of high shed rank; while there is plenty, the rank has no effect."""
     p = Play(servers=2, nodes=1, has_counter=False)
     p.node.slack = 1.0
     at = p.node.limit
--- a/tests/test_epoch.py
+++ b/tests/test_epoch.py
@@ -1,4 +1,5 @@
-"""The counter lost, replaced, split: the marks alone, then three nodes and flooding accounts on the laboratory."""
+"""A counter that is lost, replaced or split: first the marks alone, then three nodes with flooding accounts in the
+lab."""
 
 from pathlib import Path
 
@@ -17,7 +18,7 @@
 
 
 class Fleet:
-    """Nodes that mark stores without a socket between; `say` holds what each was told, in order."""
+    """Nodes that mark stores without a network; `said` holds the news of each node, in order."""
 
     def __init__(self, nodes):
         self.marks = [epoch.Marks(nodes, lambda low, high, k=k: 0.1 + 0.1 * k, k) for k in range(nodes)]
@@ -30,16 +31,16 @@
                 if alive and k not in alive:
                     continue
                 now = self.second * SEC + (k + 1) * SEC // 10
-                for what, key, number, amount, life in marks.mark_calls(now):
+                for kind, key, number, amount, life in marks.mark_calls(now):
                     total = None if silent else self.stores[k].add((key, number), amount, life, now)
-                    news = marks.on_missed() if silent else marks.on_answer(what, number, total)
+                    news = marks.on_missed() if silent else marks.on_answer(kind, number, total)
                     if news:
                         self.said[k].append((news, marks.heard))
         return self
 
 
 def test_a_whole_counter_is_no_news():
-    fleet = Fleet(3).slices(120)  # over four terms of the nodes' own names
+    fleet = Fleet(3).slices(120)  # four terms of the nodes' own names
     assert fleet.said == [[], [], []] and [m.quota_share() for m in fleet.marks] == [1.0] * 3
 
 
@@ -70,7 +71,7 @@
     assert [m.heard for m in fleet.marks] == [2, 1, 2]
     # one half each
     assert fleet.marks[0].quota_share() + fleet.marks[1].quota_share() == pytest.approx(epoch.SPLIT_MARGIN)
-    fleet.stores = [whole] * 3  # what the other half counted is lost: its node says so
+    fleet.stores = [whole] * 3  # the counts of the other half are lost: its node reports that
     fleet.slices(1)
     assert epoch.NEW in [news for news, _ in fleet.said[1]] and not fleet.said[0][2:]
     fleet.slices(3)
@@ -102,37 +103,37 @@
     epoch.reseed([Account("k", None, 3, 0, ledger, 0, False), Account("cap", None, 3, 0, None, 0, False)])
     assert (window.own - window.acknowledged, window.others) == (7.0, 5.0)
     assert epoch.settle(window, 7.0, 7.0) == 0.0 and window.acknowledged == 7.0 and window.others == 5.0
-    assert epoch.settle(window, 0.0, 15.0) == 3.0  # the others' part rises only past what is held
+    assert epoch.settle(window, 0.0, 15.0) == 3.0  # the others' part grows only beyond what is known
 
 
-# ---- on the laboratory: a shorter minute, the same faults; figures are emulated
+# ---- in the lab: the same faults in a shorter time; figures are emulated
 
 EXPERIMENTS = Path(__file__).parents[1] / "experiments"
 BOUND = 5.0  # percent of the allowance
 
 
 def counter_run(name, tmp_path, at=5.0, length=8.0, duration=25.0):
-    told = read_plan(EXPERIMENTS / f"counter-{name}.toml")
-    faults = [msgspec.structs.replace(f, at_s=at, for_s=length if f.for_s else 0.0) for f in told.faults[:1]]
-    streams = [msgspec.structs.replace(s, from_s=7.0 if s.from_s else 0.0) for s in told.load.streams]
+    plan = read_plan(EXPERIMENTS / f"counter-{name}.toml")
+    faults = [msgspec.structs.replace(f, at_s=at, for_s=length if f.for_s else 0.0) for f in plan.faults[:1]]
+    streams = [msgspec.structs.replace(s, from_s=7.0 if s.from_s else 0.0) for s in plan.load.streams]
     plans = [
-        msgspec.structs.replace(p, burst=p.rate) for p in told.plans
+        msgspec.structs.replace(p, burst=p.rate) for p in plan.plans
     ]  # bursts of a second: the fault is shorter too
-    told = changed(
-        told,
+    plan = changed(
+        plan,
         duration_s=duration,
         warmup_s=1.0,
         faults=faults,
         plans=plans,
-        load=msgspec.structs.replace(told.load, streams=streams),
+        load=msgspec.structs.replace(plan.load, streams=streams),
     )
-    done, folder = experiment(told, tmp_path, 1)
+    done, folder = experiment(plan, tmp_path, 1)
     admitted = np.load(folder / "admissions.npy")
-    strict = report.between(admitted, told, "flood-0", at, at + length)
+    strict = report.between(admitted, plan, "flood-0", at, at + length)
     over = report.between(
-        admitted, told, "flood-0", at, at + length, burst=True
+        admitted, plan, "flood-0", at, at + length, burst=True
     )  # of its allowance: burst + rate * time
-    after = report.between(admitted, told, "flood-0", duration - 5.0, duration, burst=True)  # what it left unused
+    after = report.between(admitted, plan, "flood-0", duration - 5.0, duration, burst=True)  # what it left unused
     print(
         f"\ncounter {name}: overshoot of flood-0 {over:.2f} % of its allowance while the fault stood ({strict:.2f} % of its rate "
         f"alone), {after:.2f} % at the end (emulated)"
--- a/tests/test_move.py
+++ b/tests/test_move.py
@@ -1,6 +1,7 @@
-"""The move: edge nodes in the old shape and in the new before the same app servers and one counter, on loopback.
+"""Migration: edge nodes with old and with new settings in front of the same app servers and one counter, on loopback.
 
-`play` checks all rules on what the stand-ins saw; each is then broken on purpose, and `play` must say so."""
+`play` checks all rules on what the emulated parties saw. Then each rule is broken on purpose, which `play` must detect.
+"""
 
 import asyncio
 import io
@@ -41,7 +42,7 @@
 
 
 class Parties:
-    """The app servers, the counter and discovery, as the protocol's page has them; all note what they see."""
+    """Emulated app servers, counter and discovery, which record what they see."""
 
     def __init__(self):
         self.counts, self.watches, self.seen, self.use = {}, [], [], 0
@@ -59,9 +60,9 @@
                 self.seen.append((time.monotonic(), name, number))
                 await asyncio.sleep(0.02)
                 if number % 10 == 3 and first.startswith("POST"):
-                    return writer.close()  # it ran, and the connection breaks
+                    return writer.close()  # executed, then the connection is lost
                 if number % 10 == 4 and name == "s0":
-                    await asyncio.sleep(2)  # it ran, and the answer never comes
+                    await asyncio.sleep(2)  # executed, but the answer never arrives
                 writer.write(b"HTTP/1.1 200 OK\r\nX-RateLimit-Used: 51\r\nContent-Length: 3\r\n\r\nyes")
         except (asyncio.IncompleteReadError, ConnectionError):
             writer.close()
@@ -93,8 +94,8 @@
         return time.monotonic()
 
 
-async def ask(port, number, product, plan, tries):
-    """One txn of a client; notes the status, whether it came in time, and whether anything came behind it."""
+async def ask(port, number, product, plan, results):
+    """Sends one txn of a client. Records its status, whether it was in time, and whether anything followed it."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     method = "GET" if product == "fetch" else "POST"
     writer.write(
@@ -104,22 +105,22 @@
             f"X-Call-Terms: units=1,spread={NODES},first=0\r\n\r\n"
         ).encode()
     )
-    said = None
+    status = None
     try:
         async with asyncio.timeout(1.5):
             first, fields = await read_head(reader)
             await reader.readexactly(int(fields["content-length"]))
-            said = int(first.split()[1])
+            status = int(first.split()[1])
         async with asyncio.timeout(0.1):
-            said = said if not await reader.read(1) else "more than one answer"
+            status = status if not await reader.read(1) else "more than one answer"
     except TimeoutError:
         pass
     writer.close()
-    tries.append((number, product, plan, port, said))
+    results.append((number, product, plan, port, status))
 
 
-def play(spoil=lambda nodes: None):
-    loop, parties, tries, listeners = uvloop.new_event_loop(), Parties(), [], []
+def play(break_rule=lambda nodes: None):
+    loop, parties, results, listeners = uvloop.new_event_loop(), Parties(), [], []
 
     def listen(what):
         listeners.append(loop.run_until_complete(asyncio.start_server(what, "127.0.0.1", 0)))
@@ -136,14 +137,14 @@
     ]
     there = {"discovery": listen(parties.watch), "counter": listen(parties.counter)}
     nodes, ports, clock = [], {}, Clock()
-    # A window of `held` begins with the test. Guards the verdict against the hour: where one turned within these
-    # seconds, what the nodes had not yet read of the past one came on top (26 settled, seen once in CI).
+    # A window of `held` begins with the test, so that the result does not depend on the time of day. If a window ended
+    # within these seconds, counts of it that the nodes had not read yet came on top (26 settled, seen once in CI).
     clock.offset_ns -= clock() % WINDOW
     for k, settings in enumerate((OLD, NEW, OLD, NEW)):
         with socket.create_server(("127.0.0.1", 0)) as free:
             port = free.getsockname()[1]
         ports[port] = "new" if settings is NEW else "old"
-        told = {
+        content = {
             "name": f"n{k}",
             "listen": f"127.0.0.1:{port}",
             **there,
@@ -152,10 +153,10 @@
             "limits": {"sockets": 1024},
             "known": {"rev": 1, "all": True, "targets": rows[:4]},
         }
-        nodes.append(start(loop, clock, read_configuration(told, {}), Log(f"n{k}", 10**10, io.BytesIO())).driver)
-    spoil(nodes)
+        nodes.append(start(loop, clock, read_configuration(content, {}), Log(f"n{k}", 10**10, io.BytesIO())).driver)
+    break_rule(nodes)
 
-    async def day():
+    async def run():
         begun, tasks, order = time.monotonic(), [], list(ports)
         marks = {}
         for number in range(int(SECONDS * 100)):
@@ -165,11 +166,11 @@
             if number == 120:
                 marks["cold"] = parties.tell(3, {**rows[4], "boot_ms": clock() // 10**6})
             product, plan = ("ledger" if number % 2 else "fetch"), ("held" if number % 5 == 0 else "open")
-            tasks.append(loop.create_task(ask(order[number // 5 % 4], number, product, plan, tries)))
+            tasks.append(loop.create_task(ask(order[number // 5 % 4], number, product, plan, results)))
         await asyncio.wait(tasks)
         return marks
 
-    marks = loop.run_until_complete(day())
+    marks = loop.run_until_complete(run())
     for driver in nodes:
         driver.gateway.listeners[0].retire(lambda: None)
     for listener in listeners:
@@ -177,18 +178,18 @@
     loop.run_until_complete(asyncio.sleep(0.05))
     loop.stop()
 
-    assert len(tries) == int(SECONDS * 100)
-    assert not [row for row in tries if row[4] not in (200, 429, 502)], "rule 1: one whole answer in time"
+    assert len(results) == int(SECONDS * 100)
+    assert not [row for row in results if row[4] not in (200, 429, 502)], "rule 1: one whole answer in time"
     ran = [number for _, _, number in parties.seen]
-    assert not [n for n, product, *_ in tries if product == "ledger" and ran.count(n) > 1], "rule 2"
+    assert not [n for n, product, *_ in results if product == "ledger" and ran.count(n) > 1], "rule 2"
     late = [at for at, name, _ in parties.seen if name == "s3" and at > marks["drain"] + 0.5]
     assert not late, "rule 3: nothing new to what drains"
     span = [name for at, name, _ in parties.seen if marks["cold"] <= at <= marks["cold"] + 1.0]
     assert span.count("s4") <= 2.0 * 0.2 * max(span.count("s1"), span.count("s2")) + 2, "rule 4: cold"
     assert not sum(driver.log.counts["faults"] for driver in nodes), "no fault of ours"
     settled = {}
-    for _, _, plan, port, said in tries:
-        settled[plan, ports[port]] = settled.get((plan, ports[port]), 0) + (said == 200)
+    for _, _, plan, port, status in results:
+        settled[plan, ports[port]] = settled.get((plan, ports[port]), 0) + (status == 200)
     for plan in ("open", "held"):
         old, new = settled[plan, "old"], settled[plan, "new"]
         assert min(old, new) >= 0.1 * (old + new) > 0, f"{plan}: neither kind starves the other, {settled}"
@@ -225,12 +226,13 @@
 
 
 @pytest.mark.parametrize(
-    "spoil, says", [(void_nothing, "rule 1"), (repeat_all, "rule 2"), (rush, "rule 4"), (starve, "starves")]
+    "break_rule, message",
+    [(void_nothing, "rule 1"), (repeat_all, "rule 2"), (rush, "rule 4"), (starve, "starves")],
 )
 @pytest.mark.slow(3)
-def test_broken_on_purpose(spoil, says):
-    with pytest.raises(AssertionError, match=says):
-        play(spoil)
+def test_broken_on_purpose(break_rule, message):
+    with pytest.raises(AssertionError, match=message):
+        play(break_rule)
 
 
 @pytest.mark.slow(3)
