--- a/rampfront/choice.py
+++ b/rampfront/choice.py
@@ -27,20 +27,20 @@
 DECLINED_WEIGHT = 1.0  # weight of the share of in-quota txns declined for lack of room, in admission by usage alone
 OVERDUE_MEANS = 3.0  # age, in mean times, at which a submission is duplicated; half of the time left if that is sooner
 GENERAL_LATE_SHARE = 0.2  # part of the responses that are late; from here on all are taken to be slow, rather than some lost
-METERED_TICK_SCALE, METERED_REPRESENTS = 1.2, 3.0  # tick scale past which metered accounts ask more rarely, and the factor
+METERED_TICK_SCALE, METERED_FACTOR = 1.2, 3.0  # tick scale past which metered accounts ask more rarely, and the factor
 MAX_ADD_SHARE = 0.5  # part of a quota that one add may represent
 COARSE = 2.0  # txns for each add; a count of coarser adds is only one more reading for a metered account
 USAGE_VALID_NS = 8 * SEC  # how long a known usage below LOW_USE saves calls to the counter
 LOW_USE, FULL_USE = 0.8, 1.15  # parts of the quota in use between which ever fewer txns are admitted without a count
-NOISE_SHARE = 0.4  # part of the deviation of a decaying count that an account may exceed its quota by, while there is room
+NOISE_SHARE = 0.4  # an account may exceed its quota by this part of its decaying count's deviation, while there is room
 MAX_METER_WEIGHT, METER_UNITS = 0.6, 10.0  # most weight of a usage report; units in its period that give it full weight
-COUNT_LIFE_FADES = 10  # lifetime of a decaying count, in its decay times
+COUNT_LIFE_DECAYS = 10  # lifetime of a decaying count, in its decay times
 CAP_COUNT_LIFE_NS, CAP_COUNT_VALID_NS = 4 * SEC, SEC  # lifetime of a count of submissions in flight, and validity of a reading
 INITIAL_IN_FLIGHT = 3.5  # submissions in flight at one app server, of all nodes, before anything is known of it
 LIMIT_GROWTH = 0.08  # speed of limit growth: with LATE_AFTER_SHARE it settles at its start if two responses in five are late
 LATE_AFTER_SHARE = 0.5  # part of the latency target past which a response indicates an overloaded app server
 RETRY_RATIO, MAX_SAVED_RETRIES = 0.2, 10.0  # further submissions earned by each first one, and the most saved up
-PROBES_PER_TXN, PROBE_BOOST, USUAL_PROBE_COST = 0.1, 8.0, 0.01  # more probes where own responses are rare; usual price
+PROBES_PER_TXN, PROBE_BOOST, USUAL_PROBE_COST = 0.1, 8.0, 0.01  # probes a txn; more where own responses are rare; usual price
 CANDIDATES, MAX_PROBED, NEAREST = 16, 4, 12  # app servers examined for a txn; last probed ones kept; nearest ones
 MAX_SLACK = 1.0  # most unused capacity saved up, in submissions times seconds
 PRIOR_OUTCOMES, HALF_LIFE_NS, UNREACHED_WEIGHT = 4.0, 8 * SEC, 4.0  # outcomes that weigh as much as the prior; a failed connect's
@@ -74,8 +74,8 @@
         # largest shared count; its decay time and its lifetime; nodes past which an account has less than one txn a node
         self.max_count, self.limit_txns = plan.burst or plan.max_in_flight, (self.limit or plan.max_in_flight or inf) / typical
         self.noise = NOISE_SHARE * sqrt(typical / self.max_count) if plan.rate > 0 else 1e-6  # of a decaying count
-        self.fade_time = plan.burst / plan.rate * SEC if plan.rate > 0 else inf
-        self.life = int(self.fade_time * COUNT_LIFE_FADES) if plan.rate > 0 else CAP_COUNT_LIFE_NS
+        self.decay_time = plan.burst / plan.rate * SEC if plan.rate > 0 else inf
+        self.life = int(self.decay_time * COUNT_LIFE_DECAYS) if plan.rate > 0 else CAP_COUNT_LIFE_NS
         self.idle_time = int(max(2 * self.window, 2 * CAP_COUNT_LIFE_NS, self.depth / (self.ceiling_rate or inf) * SEC))
 
 
@@ -242,7 +242,7 @@
             return False
         low_use = account.usage < LOW_USE and self.now - account.usage_read_at < USAGE_VALID_NS
         txn.represents = self.tick_scale if low_use else sqrt(self.tick_scale)  # the few txns that ask represent all
-        txn.represents *= METERED_REPRESENTS if self.is_metered(account) and self.tick_scale > METERED_TICK_SCALE else 1.0
+        txn.represents *= METERED_FACTOR if self.is_metered(account) and self.tick_scale > METERED_TICK_SCALE else 1.0
         asks = (not account.quota.excess_pays and self.is_useful(txn) and self.has_room()
                 and self.random() * txn.represents < 1.0 and self.step_breaker(CALL))
         # Prevents one add from filling a quota for all that read it. Drawback: counts are too low under overload.
@@ -445,7 +445,7 @@
         """Holds the txn until its account's count is read. Adds grow as fast as counts decay, so one total is enough."""
         quota = txn.account.quota
         txn.count_name, age = self.shared_count(txn.account)
-        txn.age_weight = exp(age / quota.fade_time)
+        txn.age_weight = exp(age / quota.decay_time)
         self.add(txn.count_name, round(txn.units * txn.represents * txn.age_weight, 4), quota.life, self.on_count, txn)
 
     def on_count(self, event, txn):
