--- a/rampfront/benchlink/__main__.py
+++ b/rampfront/benchlink/__main__.py
@@ -1,15 +1,16 @@
-"""`python -m rampfront.benchlink`: plays the wire on standard input and output until input ends."""
+"""`python -m rampfront.benchlink`: the simulator's protocol on standard input and output, until the input ends."""
 
 import sys
 
-from .host import Host, Malformed
+from .host import Host, MalformedInputError
 
 
 def main():
+    """Runs until the input ends. Returns the exit status: 2 if the input was malformed, 1 if interrupted, else 0."""
     try:
         Host(sys.stdout.buffer).serve(sys.stdin.buffer)
-    except Malformed as trouble:
-        print(f"rampfront: {trouble}", file=sys.stderr)
+    except MalformedInputError as error:
+        print(f"rampfront: {error}", file=sys.stderr)
         return 2
     except (KeyboardInterrupt, BrokenPipeError):
         return 1
