--- a/rampfront/edge/server_list.py
+++ b/rampfront/edge/server_list.py
@@ -79,7 +79,7 @@
         zone=zones.get(cast(str, row.get("az")), _UNKNOWN_ZONE),
         cell=int(row.get("pod_group", 0)),
         weight=float(row.get("capacity_hint", 1.0)),
-        came_up_ns=int(row.get("boot_ms", 0)) * _NS_PER_MS,
+        started_at_ns=int(row.get("boot_ms", 0)) * _NS_PER_MS,
         address=parse_address(row["endpoint"]) if has_address else None,
     )
 
--- a/rampfront/net/decision_driver.py
+++ b/rampfront/net/decision_driver.py
@@ -177,7 +177,7 @@
             index = self.in_flight.list_server(row.uid, row.state == t.REMOVED)
             if index is None:
                 continue
-            listed.append(t.ServerListRow(index, row.state, row.zone, row.cell, row.weight, row.came_up_ns, row.near))
+            listed.append(t.ServerListRow(index, row.state, row.zone, row.cell, row.weight, row.started_at_ns, row.near))
             if self.recorder:
                 self.recorder.record_server_state(row.uid, row.state)
             self.servers.list_server(index, row)
--- a/rampfront/net/decision_ports.py
+++ b/rampfront/net/decision_ports.py
@@ -31,7 +31,7 @@
     zone: int
     cell: int
     weight: float
-    came_up_ns: int
+    started_at_ns: int
     address: tuple[str, int] | None
     near: float = 1.0
 
