--- a/rampfront/journal/durable_intent_journal.py
+++ b/rampfront/journal/durable_intent_journal.py
@@ -120,13 +120,13 @@
         """Withdraws an intent that is not durable yet. Returns whether its submission now never leaves."""
         return self._rule.withdraw(number)
 
-    def record_outcome(self, number: int, how: int) -> None:
-        """A submission ended, for the reason `how` of `terms.py`. What may have run stays in doubt.
+    def record_outcome(self, number: int, outcome: int) -> None:
+        """A submission ended, for the reason `outcome` of `terms.py`. What may have run stays in doubt.
 
         Past the most records the outcome is not recorded: the transaction is in doubt after a crash, which is safe.
         """
         if len(self._queue) < _MAX_QUEUED_RECORDS:
-            self._enqueue(Outcome(number, self._clock(), _ending(how)))
+            self._enqueue(Outcome(number, self._clock(), _ending(outcome)))
 
     def close(self) -> None:
         """Writes the outcomes that are left.
@@ -241,8 +241,8 @@
                 assert_never(effect)
 
 
-def _ending(how: int) -> Ending:
-    """The ending that is recorded, of the reason `how` of `terms.py`."""
-    if how == terms.DONE:
+def _ending(outcome: int) -> Ending:
+    """The ending that is recorded, of the reason `outcome` of `terms.py`."""
+    if outcome == terms.DONE:
         return Ending.SUCCEEDED
-    return Ending.NOT_RUN if how in _ENDS_WITHOUT_RUN else Ending.DOUBT
+    return Ending.NOT_RUN if outcome in _ENDS_WITHOUT_RUN else Ending.DOUBT
--- a/rampfront/mqtt/front.py
+++ b/rampfront/mqtt/front.py
@@ -32,7 +32,7 @@
 
     __slots__ = ("front", "session", "pid", "qos", "response", "correlation", "exchange")
     accepts_streams = False  # an MQTT packet tells its length first: what cannot be held is void
-    damped = False  # a connection past the accept rate never gets past its CONNECT
+    throttled = False  # a connection past the accept rate never gets past its CONNECT
 
     def __init__(self, front, session, packet):
         self.front, self.session = front, session
@@ -68,14 +68,14 @@
         "over",
         "stuck",
         "packets",
-        "damped",
+        "throttled",
         "largest",
         "held",
     )
 
     def __init__(self, front):
         self.front, self.session, self.version, self.packets = front, None, None, []
-        self.over = self.stuck = self.damped = self.held = False
+        self.over = self.stuck = self.throttled = self.held = False
         self.alive, self.largest = front.bounds.first_request_timeout_ns, 1 << 28
         self.decoder = c.Decoder(front.most)
 
@@ -171,7 +171,7 @@
         self.counts["mqtt_clients"] += 1
         self.links[link] = None
         if self.gateway.storm and not self.gateway.storm.connected(self.clock()):
-            link.damped = True
+            link.throttled = True
         if len(self.links) > self.connections + self.bounds.overflow_clients:
             link.over = True
             link.transport.abort()
@@ -246,7 +246,7 @@
         code = c.OK
         if self.draining or self.closing:
             code = c.UNAVAILABLE
-        elif link.damped or len(self.links) > self.connections:
+        elif link.throttled or len(self.links) > self.connections:
             code = c.QUOTA
         elif "auth_method" in properties:
             code = c.BAD_METHOD
@@ -270,7 +270,7 @@
         if code:
             self.counts["mqtt_refused"] += 1
             more = {}
-            if link.damped and self.gateway.storm:
+            if link.throttled and self.gateway.storm:
                 back = self.gateway.storm.advice(0, self.clock()) // MS
                 more["user"] = [("retry-after-ms", str(back))]
             link.write(c.connack(link.version, False, code, **more))
--- a/rampfront/net/client_connection.py
+++ b/rampfront/net/client_connection.py
@@ -36,7 +36,7 @@
     read_buffer: memoryview
     max_request_bytes: int
     swept_ns: int
-    ends_connections: bool
+    closes_connections: bool
 
     def connection_opened(self, connection: "ClientConnection") -> None:
         """A connection is up."""
@@ -81,7 +81,7 @@
         closing: the last response is written, and nothing more will be.
         write_paused: the client takes its response too slowly.
         over_limit: it came when there were too many, and ends behind its first response.
-        damped: it came faster than connections are accepted, and what it brings is declined.
+        throttled: it came faster than connections are accepted, and what it brings is declined.
         fresh: it has brought nothing complete yet.
     """
 
@@ -100,7 +100,7 @@
         "closing",
         "write_paused",
         "over_limit",
-        "damped",
+        "throttled",
         "fresh",
         "_message_complete",
         "_received_bytes",
@@ -123,7 +123,7 @@
         self.closing = False
         self.write_paused = False
         self.over_limit = False
-        self.damped = False
+        self.throttled = False
         self.fresh = True
         self._message_complete = False
         self._received_bytes = 0  # of the present request, with all framing
@@ -291,7 +291,7 @@
         self.phase_since_ns = self.listener.clock()
         if self.closing:
             return
-        last = self._ends_behind_response()
+        last = self._closes_after_response()
         connection_field = b"Connection: close\r\n" if last else b""
         self.transport.write(b"%sContent-Length: %d\r\n%s\r\n%s" % (head, len(body), connection_field, body))
         if last:
@@ -320,9 +320,9 @@
         self.ignores_input = True
         self.transport.abort()
 
-    def _ends_behind_response(self) -> bool:
+    def _closes_after_response(self) -> bool:
         """Whether the response that is written next is the last one."""
-        return not self._keep_alive or self.ignores_input or self.over_limit or self.listener.ends_connections
+        return not self._keep_alive or self.ignores_input or self.over_limit or self.listener.closes_connections
 
     def _drop_stream(self) -> None:
         """Ends a stream to the client, which has gone. Nothing to do here; see `TransactionConnection`."""
--- a/rampfront/net/client_listener.py
+++ b/rampfront/net/client_listener.py
@@ -63,7 +63,7 @@
         self.server: asyncio.Server | None = None
         self.closing = False
         self.draining = False
-        self.ends_connections = False
+        self.closes_connections = False
         self.swept_ns = clock()
         self.read_buffer = memoryview(bytearray(limits.read_buffer_bytes))
         self.max_request_bytes = limits.max_head_bytes + limits.max_body_bytes
@@ -115,7 +115,7 @@
         The listening socket stays: what the load balancer in front of us still sends is served.
         """
         self.draining = True
-        self.ends_connections = True
+        self.closes_connections = True
         for connection in list(self.clients):
             if not (connection.busy or connection.message_begun or connection.fresh):
                 connection.close()
@@ -123,12 +123,12 @@
     def activate(self) -> None:
         """Welcomes clients again."""
         self.draining = False
-        self.ends_connections = self.closing
+        self.closes_connections = self.closing
 
     def retire(self, done: Callable[[], None]) -> None:
         """Takes nothing new, and calls `done` once every client has its answer and is gone."""
         self.closing = True
-        self.ends_connections = True
+        self.closes_connections = True
         self._retired = done
         if self.server is not None:
             self.server.close()
@@ -147,7 +147,7 @@
         if self.storm and not self.storm.connected(self.clock()):
             # A wave of reconnects: what they bring is declined at once, with advice that spreads them over time.
             connection.over_limit = True
-            connection.damped = True
+            connection.throttled = True
         limits = self.limits
         if len(self.clients) > limits.max_clients and not self._shed():
             connection.over_limit = True
--- a/rampfront/net/decision_driver.py
+++ b/rampfront/net/decision_driver.py
@@ -99,7 +99,7 @@
         self._reminders: list[_Reminder] = []  # a heap
         self._reminder_timer: Timer | None = None  # for the first reminder
         self._reminder_timer_ns = 0  # when; 0 for never
-        self._carriers: dict[type[Effect], Callable[[Any], None]] = {
+        self._effect_handlers: dict[type[Effect], Callable[[Any], None]] = {
             t.Submit: self._submit,
             t.Cancel: self._cancel,
             t.Decline: self._decline,
@@ -149,26 +149,28 @@
     def submission_ended(self, end: SubmissionEnd[ExchangeT]) -> None:
         """A submission has ended. The first good response goes to the client at once, and ends the transaction."""
         exchange = end.exchange
-        done = end.how == t.DONE
+        done = end.outcome == t.DONE
         final = self.in_flight.end_submission(exchange.txn, end.attempt, end.server, done)
         exchange.submissions.pop(end.attempt, None)
         if self.once_only_gate:
-            self.once_only_gate.record_outcome(exchange, end.how)
+            self.once_only_gate.record_outcome(exchange, end.outcome)
         if done:
             if self.recorder:
                 self.recorder.record_transaction("settled", exchange)
             if exchange.client:
                 self.gateway.complete(exchange, end.body, end.stream)
-        self.post(t.Ended(exchange.txn, end.server, end.how, end.took_ns, final, end.units, end.attempt, end.use))
+        self.post(
+            t.Ended(exchange.txn, end.server, end.outcome, end.duration_ns, final, end.units, end.attempt, end.usage)
+        )
 
-    def health_checked(self, server: int, how: int, took_ns: int, report: dict[str, float]) -> None:
+    def health_checked(self, server: int, outcome: int, duration_ns: int, report: dict[str, float]) -> None:
         """A health check has ended."""
         self.in_flight.end_health_check(server)
-        self.post(t.Probed(server, how, took_ns, report))
+        self.post(t.Probed(server, outcome, duration_ns, report))
 
-    def counted(self, name: int, total: float, how: int, took_ns: int) -> None:
+    def counted(self, name: int, total: float, outcome: int, duration_ns: int) -> None:
         """A call to the counter has ended."""
-        self.post(t.Counted(name, total, how, took_ns))
+        self.post(t.Counted(name, total, outcome, duration_ns))
 
     def update_servers(self, complete: bool, rows: Iterable[ServerRow]) -> None:
         """The server list, or what changed of it. `complete`: servers that it leaves out are removed."""
@@ -177,7 +179,9 @@
             index = self.in_flight.list_server(row.uid, row.state == t.REMOVED)
             if index is None:
                 continue
-            listed.append(t.ServerListRow(index, row.state, row.zone, row.cell, row.weight, row.started_at_ns, row.near))
+            listed.append(
+                t.ServerListRow(index, row.state, row.zone, row.cell, row.weight, row.started_at_ns, row.proximity)
+            )
             if self.recorder:
                 self.recorder.record_server_state(row.uid, row.state)
             self.servers.list_server(index, row)
@@ -205,7 +209,7 @@
         current: Input | None = None
         inputs = self._inputs
         reminders = self._reminders
-        carriers = self._carriers
+        effect_handlers = self._effect_handlers
         take: Callable[[int, Input | None], list[Effect]] = self.node.take
         self._running = True
         try:
@@ -218,7 +222,7 @@
                 else:
                     break
                 for effect in take(now_ns, current):
-                    carriers[type(effect)](effect)
+                    effect_handlers[type(effect)](effect)
         except Exception as error:
             self._contain_fault(current, error)
         finally:
--- a/rampfront/net/decision_ports.py
+++ b/rampfront/net/decision_ports.py
@@ -33,7 +33,7 @@
     weight: float
     started_at_ns: int
     address: tuple[str, int] | None
-    near: float = 1.0
+    proximity: float = 1.0
 
 
 class SubmissionEnd(NamedTuple, Generic[ExchangeT]):
@@ -54,10 +54,10 @@
     exchange: ExchangeT
     attempt: int
     server: int
-    how: int
-    took_ns: int
+    outcome: int
+    duration_ns: int
     units: float = 0
-    use: float | None = None
+    usage: float | None = None
     body: ResponseBody = None
     stream: StreamSource | None = None
 
@@ -97,7 +97,7 @@
         """A server left the list."""
         raise NotImplementedError
 
-    def submit(self, exchange: ExchangeT_contra, attempt: int, index: int, allow_ns: int) -> None:
+    def submit(self, exchange: ExchangeT_contra, attempt: int, index: int, timeout_ns: int) -> None:
         """Sends a submission."""
         raise NotImplementedError
 
--- a/rampfront/net/exchange.py
+++ b/rampfront/net/exchange.py
@@ -56,12 +56,12 @@
 
     Attributes:
         accepts_streams: whether `stream` may be called in place of `succeeded`.
-        damped: whether its connection is past the rate at which connections are accepted, so that what it brings is
+        throttled: whether its connection is past the rate at which connections are accepted, so that what it brings is
             declined with advice when to come back.
     """
 
     accepts_streams: bool
-    damped: bool
+    throttled: bool
 
     def accepted(self, exchange: "AnyExchange") -> None:
         """The transaction is accepted: nothing but its one answer is owed from now on."""
@@ -87,7 +87,7 @@
 class Submission(Protocol):
     """One submission of a transaction that is out: a server's connection, or an intent that waits for the journal."""
 
-    def finish(self, how: int) -> None:
+    def finish(self, outcome: int) -> None:
         """Ends it, for the reason `how` of `terms.py`. This is the one path of every cancellation."""
         raise NotImplementedError
 
--- a/rampfront/net/once_only.py
+++ b/rampfront/net/once_only.py
@@ -29,7 +29,7 @@
         """Withdraws an intent that is not durable yet. Returns whether it was withdrawn."""
         raise NotImplementedError
 
-    def record_outcome(self, number: int, how: int) -> None:
+    def record_outcome(self, number: int, outcome: int) -> None:
         """Records how a submission ended."""
         raise NotImplementedError
 
@@ -71,9 +71,9 @@
         self._gate.timers.cancel(self._timer)
         self.exchange.submissions.pop(self.attempt, None)
 
-    def finish(self, how: int) -> None:
+    def finish(self, outcome: int) -> None:
         """Withdraws it. If its record is being written it cannot be withdrawn, and the journal ends it."""
-        self._gate.withdraw(self, how)
+        self._gate.withdraw(self, outcome)
 
 
 class OnceOnlyGate:
@@ -125,26 +125,26 @@
         """An intent is durable: its submission leaves, in what is left of its time."""
         pending.release()
         pending.exchange.intent_number = number
-        allow_ns = max(_NS_PER_MS, pending.due_ns - self.timers.clock())
-        self._servers.submit(pending.exchange, pending.attempt, pending.server, allow_ns)
+        timeout_ns = max(_NS_PER_MS, pending.due_ns - self.timers.clock())
+        self._servers.submit(pending.exchange, pending.attempt, pending.server, timeout_ns)
 
     def refuse(self, pending: PendingIntent) -> None:
         """An intent cannot be recorded, so its submission does not leave."""
         pending.release()
         self._end_unsent(pending, t.NOT_SENT)
 
-    def withdraw(self, pending: PendingIntent, how: int) -> None:
+    def withdraw(self, pending: PendingIntent, outcome: int) -> None:
         """Ends an intent that waits, if the journal can still withdraw it."""
         if pending.number is not None and self.journal.withdraw(pending.number):
             pending.release()
-            self._end_unsent(pending, how)
+            self._end_unsent(pending, outcome)
 
-    def record_outcome(self, exchange: AnyExchange, how: int) -> None:
+    def record_outcome(self, exchange: AnyExchange, outcome: int) -> None:
         """Records how a submission ended, if it was recorded."""
         if exchange.intent_number is not None:
-            self.journal.record_outcome(exchange.intent_number, how)
+            self.journal.record_outcome(exchange.intent_number, outcome)
             exchange.intent_number = None
 
-    def _end_unsent(self, pending: PendingIntent, how: int) -> None:
+    def _end_unsent(self, pending: PendingIntent, outcome: int) -> None:
         """The submission of an intent has ended without leaving."""
-        self._on_end(SubmissionEnd(pending.exchange, pending.attempt, pending.server, how, took_ns=0))
+        self._on_end(SubmissionEnd(pending.exchange, pending.attempt, pending.server, outcome, duration_ns=0))
--- a/rampfront/net/response_stream.py
+++ b/rampfront/net/response_stream.py
@@ -52,7 +52,7 @@
 
     def stall_time_left_ns(self, now_ns: int, limit_ns: int) -> int:
         """How long it may go on without progress. A client that takes it slowly is its own listener's matter."""
-        left_ns = self.last_progress_ns + limit_ns - now_ns
-        if left_ns > 0 or (self.sink and self.sink.write_paused):
-            return max(left_ns, limit_ns // 4)
+        remaining_ns = self.last_progress_ns + limit_ns - now_ns
+        if remaining_ns > 0 or (self.sink and self.sink.write_paused):
+            return max(remaining_ns, limit_ns // 4)
         return 0
--- a/rampfront/net/server_connection.py
+++ b/rampfront/net/server_connection.py
@@ -73,7 +73,7 @@
     connections: int
 
     def health_check_ended(
-        self, connection: "ServerConnection[ExchangeT]", how: int, took_ns: int, report: bytes | None
+        self, connection: "ServerConnection[ExchangeT]", outcome: int, duration_ns: int, report: bytes | None
     ) -> None:
         """A health check has ended."""
         raise NotImplementedError
@@ -111,7 +111,7 @@
     reader_type: type[ServerResponseReader] = ServerResponseReader
 
     def __init__(self, pool: ConnectionPool[ExchangeT], server: "Server[ServerConnection[ExchangeT]]") -> None:
-        """Starts unconnected; see `connecting`."""
+        """Starts unconnected; see `set_connect_task`."""
         self.pool = pool
         self.server = server
         self.transport: asyncio.Transport | None = None
@@ -133,12 +133,12 @@
 
     # ---- a submission or health check
 
-    def connecting(self, task: "asyncio.Task[Any]") -> None:
+    def set_connect_task(self, task: "asyncio.Task[Any]") -> None:
         """The task that connects it; its failure ends the submission."""
         self._connect_task = task
         task.add_done_callback(self._connect_ended)
 
-    def begin(self, exchange: ExchangeT | None, attempt: int, allow_ns: int) -> None:
+    def begin(self, exchange: ExchangeT | None, attempt: int, timeout_ns: int) -> None:
         """Begins a submission, or a health check (`exchange` None), which may take `allow_ns`."""
         now_ns = self.pool.clock()
         self.exchange = exchange
@@ -146,20 +146,20 @@
         self.sent_at_ns = now_ns
         if exchange:
             exchange.submissions[attempt] = self
-        self._due_ns = now_ns + allow_ns
+        self._due_ns = now_ns + timeout_ns
         if self.state is IDLE:
-            self._send(allow_ns)
+            self._send(timeout_ns)
         else:
-            connect_ns = min(allow_ns, self.pool.limits.connect_timeout_ns)
-            self._timer = self.pool.driver.timers.at(now_ns + connect_ns, self._time_out)
+            connect_timeout_ns = min(timeout_ns, self.pool.limits.connect_timeout_ns)
+            self._timer = self.pool.driver.timers.at(now_ns + connect_timeout_ns, self._time_out)
 
-    def write_request(self, exchange: ExchangeT, left_ns: int) -> None:
+    def write_request(self, exchange: ExchangeT, remaining_ns: int) -> None:
         """Writes a submission; `left_ns`: the time that the server has for it."""
         assert self.transport is not None
-        left_ms = left_ns // _NS_PER_MS
+        left_ms = remaining_ns // _NS_PER_MS
         self.transport.write(b"%sX-Deadline-Ms: %d\r\n\r\n%s" % (exchange.head, left_ms, exchange.body))
 
-    def finish(self, how: int, keep: bool = False) -> None:
+    def finish(self, outcome: int, keep: bool = False) -> None:
         """Ends the submission or health check: the one way in which it does.
 
         Args:
@@ -172,30 +172,30 @@
             pool.driver.timers.cancel(self._timer)
             self._timer = None
         now_ns = pool.clock()
-        took_ns = now_ns - self.sent_at_ns
-        end = self.submission_end(exchange, how, took_ns) if exchange else None
-        report = self.health_report() if end is None and how == t.DONE else None
+        duration_ns = now_ns - self.sent_at_ns
+        end = self.submission_end(exchange, outcome, duration_ns) if exchange else None
+        report = self.health_report() if end is None and outcome == t.DONE else None
         self.exchange = None
         self.reader.body_parts = []  # an idle connection holds nothing of its last response
         if keep and self.server.up:
-            self._rest(now_ns)
+            self._become_idle(now_ns)
         else:
             self.close()
         if end:
-            pool.counts[_COUNTERS[how]] += 1
+            pool.counts[_COUNTERS[outcome]] += 1
             pool.driver.submission_ended(end)
         else:
-            pool.health_check_ended(self, how, took_ns, report)
+            pool.health_check_ended(self, outcome, duration_ns, report)
 
-    def submission_end(self, exchange: ExchangeT, how: int, took_ns: int) -> SubmissionEnd[ExchangeT]:
+    def submission_end(self, exchange: ExchangeT, outcome: int, duration_ns: int) -> SubmissionEnd[ExchangeT]:
         """What the driver is told of a submission that ended as `how` after `took_ns`."""
         reader = self.reader
         index = self.server.index
-        if how == t.DONE:
+        if outcome == t.DONE:
             body = b"".join(reader.body_parts)
-            return SubmissionEnd(exchange, self.attempt, index, how, took_ns, reader.units, reader.use, body)
-        use = reader.use if how == t.ERROR else None
-        return SubmissionEnd(exchange, self.attempt, index, how, took_ns, 0, use)
+            return SubmissionEnd(exchange, self.attempt, index, outcome, duration_ns, reader.units, reader.usage, body)
+        usage = reader.usage if outcome == t.ERROR else None
+        return SubmissionEnd(exchange, self.attempt, index, outcome, duration_ns, 0, usage)
 
     def health_report(self) -> bytes | None:
         """The report of load in the response to a health check: its body, or else a header field."""
@@ -205,12 +205,12 @@
         """Ends the submission with its complete response. `intact`: nothing that breaks the protocol came behind it."""
         self.reader.complete = False
         status = self.reader.status
-        how = _ENDS.get(status)
-        if how is None:
-            how = t.NOT_ACCEPTED if self.reader.not_run and status in _MAY_BE_UNRUN else t.ERROR
+        outcome = _ENDS.get(status)
+        if outcome is None:
+            outcome = t.NOT_ACCEPTED if self.reader.not_run and status in _MAY_BE_UNRUN else t.ERROR
             if status not in _MAY_BE_UNRUN:
                 self.pool.log.record_limited("odd status", self.server.uid, status=status)
-        self.finish(how, intact and self.reader.keep_alive)
+        self.finish(outcome, intact and self.reader.keep_alive)
 
     def protocol_broken(self, reason: str) -> None:
         """The server broke the protocol: its submission may have run, and the connection is of no further use."""
@@ -317,9 +317,9 @@
         self.pool.counts["connects_failed"] += 1
         self.finish(t.CONNECT_FAILED)
 
-    def _send(self, left_ns: int) -> None:
+    def _send(self, remaining_ns: int) -> None:
         """Writes the submission or health check, for which `left_ns` are left."""
-        if left_ns <= 0:
+        if remaining_ns <= 0:
             self.finish(t.NOT_ACCEPTED)
             return
         assert self.transport is not None
@@ -327,12 +327,12 @@
         self.reader.expect_response()
         if self.exchange:
             self.pool.counts["dispatches"] += 1
-            self.write_request(self.exchange, left_ns)
+            self.write_request(self.exchange, remaining_ns)
         else:
             self.transport.write(self.pool.health_check_request)
         self._set_timer(self._due_ns)
 
-    def _rest(self, now_ns: int) -> None:
+    def _become_idle(self, now_ns: int) -> None:
         """Waits for the next submission."""
         self.state = IDLE
         self.idle_since_ns = now_ns
--- a/rampfront/net/server_connection_pool.py
+++ b/rampfront/net/server_connection_pool.py
@@ -102,14 +102,14 @@
 
     # ---- submissions and health checks
 
-    def submit(self, exchange: ExchangeT, attempt: int, index: int, allow_ns: int) -> None:
+    def submit(self, exchange: ExchangeT, attempt: int, index: int, timeout_ns: int) -> None:
         """Sends a submission, which may take `allow_ns`. Its end is reported to the driver in any case."""
         connection = self.connection_to(index)
         if connection is None:
             self.counts["unseen"] += 1
-            self.driver.submission_ended(SubmissionEnd(exchange, attempt, index, t.NOT_ACCEPTED, took_ns=0))
+            self.driver.submission_ended(SubmissionEnd(exchange, attempt, index, t.NOT_ACCEPTED, duration_ns=0))
         else:
-            connection.begin(exchange, attempt, allow_ns)
+            connection.begin(exchange, attempt, timeout_ns)
 
     def cancel(self, exchange: ExchangeT, attempt: int) -> None:
         """Cancels a submission, if it is still out."""
@@ -127,13 +127,13 @@
             connection.begin(None, 0, self.limits.health_check_timeout_ns)
 
     def health_check_ended(
-        self, connection: ServerConnection[ExchangeT], how: int, took_ns: int, report: bytes | None
+        self, connection: ServerConnection[ExchangeT], outcome: int, duration_ns: int, report: bytes | None
     ) -> None:
         """A health check has ended. `report`: the text of the server's report of load, if it gave one."""
-        if how != t.DONE:
+        if outcome != t.DONE:
             self.counts["probes_failed"] += 1
         load = self._read_report(connection.server, report) if report else {}
-        self.driver.health_checked(connection.server.index, how, took_ns, load)
+        self.driver.health_checked(connection.server.index, outcome, duration_ns, load)
 
     def _read_report(self, server: Server[ServerConnection[ExchangeT]], text: bytes) -> Report:
         """The numbers of a report; none if it cannot be read."""
@@ -181,7 +181,7 @@
         self.connections += 1
         self.counts["connects"] += 1
         connecting = self.loop.create_connection(lambda: connection, *server.address)
-        connection.connecting(self.loop.create_task(connecting))
+        connection.set_connect_task(self.loop.create_task(connecting))
         return connection
 
     def _shed(self) -> bool:
--- a/rampfront/net/server_response_reader.py
+++ b/rampfront/net/server_response_reader.py
@@ -52,7 +52,7 @@
         "stream",
         "not_run",
         "units",
-        "use",
+        "usage",
         "load_report",
         "_parser",
         "_limits",
@@ -79,7 +79,7 @@
         self.stream: ResponseStream | None = None
         self.not_run = False
         self.units: float = 0
-        self.use: float | None = None
+        self.usage: float | None = None
         self.load_report: bytes | None = None
         self._parser: httptools.HttpResponseParser | None = httptools.HttpResponseParser(self)
         self._limits = limits
@@ -140,7 +140,7 @@
         self.chunked = False
         self.not_run = False
         self.units = 0
-        self.use = None
+        self.usage = None
         self.load_report = None
         self._body_bytes = 0
 
@@ -196,7 +196,7 @@
         elif name == b"x-cost-units":
             self.units = parse_units(value)
         elif name == b"x-ratelimit-used":
-            self.use = parse_quota_use(value)
+            self.usage = parse_quota_use(value)
         elif name == b"x-load":
             self.load_report = value
 
--- a/rampfront/net/streaming_connection.py
+++ b/rampfront/net/streaming_connection.py
@@ -90,10 +90,10 @@
         reader.stream = stream
         pool.counts["relayed"] += 1
         pool.counts["done"] += 1
-        took_ns = now_ns - self.sent_at_ns
+        duration_ns = now_ns - self.sent_at_ns
         index = self.server.index
         pool.driver.submission_ended(
-            SubmissionEnd(exchange, self.attempt, index, t.DONE, took_ns, reader.units, reader.use, stream=self)
+            SubmissionEnd(exchange, self.attempt, index, t.DONE, duration_ns, reader.units, reader.usage, stream=self)
         )
         if client.stream_source is not self:  # the client had gone, or was answered otherwise
             reader.stream = None
@@ -125,7 +125,7 @@
             stream.complete()
         if self.state is STREAMING and reader.should_keep_alive() and self.server.up:
             reader.is_large = False
-            self._rest(self.pool.clock())
+            self._become_idle(self.pool.clock())
         else:
             self.close()
 
@@ -136,9 +136,9 @@
         if self.state is not STREAMING or stream is None:
             return
         limit_ns = self.pool.limits.stream_stall_timeout_ns
-        left_ns = stream.stall_time_left_ns(self.pool.clock(), limit_ns)
-        if left_ns:
-            self._timer = self.pool.driver.timers.after(left_ns, self._check_stall)
+        remaining_ns = stream.stall_time_left_ns(self.pool.clock(), limit_ns)
+        if remaining_ns:
+            self._timer = self.pool.driver.timers.after(remaining_ns, self._check_stall)
             return
         self.pool.log.record_limited("odd answer", self.server.uid, why="stops mid-answer")
         self.close()
--- a/rampfront/net/transaction_gateway.py
+++ b/rampfront/net/transaction_gateway.py
@@ -185,8 +185,8 @@
         client.accepted(exchange)
         expires_in_ns = request.expires_in_ns - self._limits.answer_margin_ns
         txn = self.driver.open(exchange)
-        allow_ns = max(_NS_PER_MS, expires_in_ns)
-        self.driver.post(t.Arrival(txn, product.product_index, plan, account, units, allow_ns, spread))
+        timeout_ns = max(_NS_PER_MS, expires_in_ns)
+        self.driver.post(t.Arrival(txn, product.product_index, plan, account, units, timeout_ns, spread))
         if exchange.client is client and expires_in_ns < self._short_expiry_ns:
             self.driver.timers.after(max(0, expires_in_ns), self._decline_unsent, exchange)
 
@@ -251,7 +251,7 @@
         exchange.fingerprint = fingerprint
         units_taken, retry_after_ns = storm.arrived(fingerprint, exchange.product, request.is_retry, now_ns)
         client = exchange.client
-        if retry_after_ns is None and client is not None and client.damped:
+        if retry_after_ns is None and client is not None and client.throttled:
             retry_after_ns = storm.advice(0, now_ns)
         return retry_after_ns, units_taken
 
--- a/rampfront/net/transaction_listener.py
+++ b/rampfront/net/transaction_listener.py
@@ -104,7 +104,7 @@
         self.phase_since_ns = self.listener.clock()
         if self.closing:
             return
-        self._last_response = self._ends_behind_response()
+        self._last_response = self._closes_after_response()
         self.stream_source = source
         length = source.length
         self._stream_chunked = length is None
@@ -186,7 +186,9 @@
             self._answer_page(connection)
             return
         self.counts["taken"] += 1
-        if connection.over_limit and not connection.damped:  # a damped one is declined by the gateway, with advice
+        if (
+            connection.over_limit and not connection.throttled
+        ):  # a throttled one is declined by the gateway, with advice
             self.counts["turned_away"] += 1
             self._gateway.count_declined(connection.fields.get(b"x-class"))
             connection.write_response(_SERVICE_UNAVAILABLE, b"")
--- a/rampfront/proxy/server_connections.py
+++ b/rampfront/proxy/server_connections.py
@@ -73,8 +73,8 @@
         self.idle_ns: int | None = None
         self.observation = 0
 
-    def begin(self, exchange: ProxiedRequest | None, attempt: int, allow_ns: int) -> None:
-        """Starts an attempt, or a health check (`exchange` None), that may take `allow_ns`."""
+    def begin(self, exchange: ProxiedRequest | None, attempt: int, timeout_ns: int) -> None:
+        """Starts an attempt, or a health check (`exchange` None), that may take `timeout_ns`."""
         pool = self.pool
         now_ns = pool.clock()
         self.idle_ns = now_ns - self.idle_since_ns if self.state is IDLE else None
@@ -82,12 +82,12 @@
         if exchange:
             mean_ns = pool.driver.node.lines[exchange.product].mean
             self.observation = pool.observer.request_started(self.server.uid, mean_ns, now_ns)
-        super().begin(exchange, attempt, allow_ns)
+        super().begin(exchange, attempt, timeout_ns)
 
-    def write_request(self, exchange: ProxiedRequest, left_ns: int) -> None:
-        """Writes the request; `left_ns` until the attempt has to be answered."""
+    def write_request(self, exchange: ProxiedRequest, remaining_ns: int) -> None:
+        """Writes the request; `remaining_ns` until the attempt has to be answered."""
         assert self.transport is not None
-        fields = b"Time-Left-Ms: %d\r\nWanted-Server: %s\r\n\r\n" % (left_ns // MS, self.server.uid.encode())
+        fields = b"Time-Left-Ms: %d\r\nWanted-Server: %s\r\n\r\n" % (remaining_ns // MS, self.server.uid.encode())
         self.transport.writelines((exchange.head, fields, exchange.body))
 
     def connection_lost(self, error: Exception | None) -> None:
@@ -126,30 +126,30 @@
             failed = status >= FIRST_SERVER_ERROR or status in NOT_RUN_STATUSES
             self.finish(t.ERROR if failed else t.DONE, intact and reader.keep_alive)
 
-    def finish(self, how: int, keep: bool = False) -> None:
-        """The attempt has ended as `how` of `terms` says; `keep`: the connection may be used again."""
+    def finish(self, outcome: int, keep: bool = False) -> None:
+        """The attempt has ended as `outcome` of `terms` says; `keep`: the connection may be used again."""
         now_ns = self.pool.clock()
         keep_alive = self.reader.fields.get(b"keep-alive") if keep else None
         self.reusable_until_ns = reusable_until(keep_alive, now_ns) if keep_alive else NEVER
         if self.exchange:
             lasted_ns = now_ns - self.sent_at_ns
-            self.pool.observer.attempt_ended(self.observation, self.server.uid, how, lasted_ns, now_ns)
-        super().finish(how, keep)
+            self.pool.observer.attempt_ended(self.observation, self.server.uid, outcome, lasted_ns, now_ns)
+        super().finish(outcome, keep)
 
-    def submission_end(self, exchange: ProxiedRequest, how: int, took_ns: int) -> SubmissionEnd[ProxiedRequest]:
-        """What the driver gets of an attempt that ended as `how` after `took_ns`: its response, and nothing of costs
-        or quotas."""
-        if how not in _NOT_EXECUTED:
+    def submission_end(self, exchange: ProxiedRequest, outcome: int, duration_ns: int) -> SubmissionEnd[ProxiedRequest]:
+        """What the driver gets of an attempt that ended as `outcome` after `duration_ns`: its response, and nothing of
+        costs or quotas."""
+        if outcome not in _NOT_EXECUTED:
             exchange.apply(_ATTEMPT_UNCERTAIN)
-        if how not in _ANSWERED:
-            return SubmissionEnd(exchange, self.attempt, self.server.index, how, took_ns)
-        self.pool.observer.response_durations.record(took_ns)
+        if outcome not in _ANSWERED:
+            return SubmissionEnd(exchange, self.attempt, self.server.index, outcome, duration_ns)
+        self.pool.observer.response_durations.record(duration_ns)
         reader = self.reader
         response = ServerResponse(reader.status, reader.header_lines, b"".join(reader.body_parts))
         reader.header_lines = []  # an idle connection holds nothing of its last response
-        if how == t.ERROR and response.status not in NOT_RUN_STATUSES:
+        if outcome == t.ERROR and response.status not in NOT_RUN_STATUSES:
             exchange.retain_failure(response)
-        return SubmissionEnd(exchange, self.attempt, self.server.index, how, took_ns, 0, None, response)
+        return SubmissionEnd(exchange, self.attempt, self.server.index, outcome, duration_ns, 0, None, response)
 
     def health_report(self) -> bytes | None:
         """None: the responses to requests report the load here, those to health checks do not."""
@@ -176,12 +176,12 @@
         self.idle_trust = IdleTrust(environment.limits.server_idle_timeout_ns)
         self.health_check_request = b"GET %s HTTP/1.1\r\nHost: health\r\n\r\n" % health_path
 
-    def submit(self, exchange: ProxiedRequest, attempt: int, index: int, allow_ns: int) -> None:
-        """Makes an attempt at a server, that may take `allow_ns`."""
+    def submit(self, exchange: ProxiedRequest, attempt: int, index: int, timeout_ns: int) -> None:
+        """Makes an attempt at a server, that may take `timeout_ns`."""
         if exchange.once_only and (server := self.servers.get(index)):
             # Guards it against a connection that its server has forgotten: it could not be sent again.
             self._close_distrusted(server)
-        super().submit(exchange, attempt, index, allow_ns)
+        super().submit(exchange, attempt, index, timeout_ns)
 
     def connection_to(self, index: int) -> ServerConnection[ProxiedRequest] | None:
         """A connection to a server: the idle one used last, or a new one. None: there can be none."""
--- a/tests/net/test_decision_driver.py
+++ b/tests/net/test_decision_driver.py
@@ -56,5 +56,5 @@
 def test_inputs_and_effects_are_complete():
     """Each effect of `terms.py` is carried out, and each input taken: the closed sets leave none out."""
     driver = Stage().driver
-    assert set(driver._carriers) == set(get_args(Effect))
+    assert set(driver._effect_handlers) == set(get_args(Effect))
     assert set(choice.INPUTS) == {*get_args(Input), type(None)}
