--- a/rampfront/net/server_connection.py
+++ b/rampfront/net/server_connection.py
@@ -1,14 +1,14 @@
-"""One connection to one server: a submission or a health check at a time.
+"""One connection to one server, which carries one submission or health check at a time.
 
 States:
 
     CONNECTING --connected--> AWAITING_RESPONSE --complete--> IDLE --next submission--> AWAITING_RESPONSE
                                   |
-                                  +--too large to keep--> STREAMING --complete--> IDLE
+                                  +--too large to buffer--> STREAMING --complete--> IDLE
 
-and from each of them CLOSED; STREAMING is the matter of `streaming_connection.py`. Every submission ends once, in
-`finish`, with how it ended: CONNECT_FAILED and NOT_ACCEPTED say that the server has not run it, DONE and ERROR that it
-has; for all others it may have run. What was handed to the kernel or waits in a buffer of ours counts as sent.
+Each state may change to CLOSED; `streaming_connection.py` implements STREAMING. Every submission ends exactly once, in
+`finish`, with an outcome: CONNECT_FAILED and NOT_ACCEPTED mean that the server has not run it, DONE and ERROR that it
+has; with all others it may have run. Bytes in the kernel's or the transport's buffer count as sent.
 """
 
 import asyncio
@@ -29,8 +29,8 @@
 from .timers import Timer
 
 _NS_PER_MS = 10**6
-_MAY_BE_UNRUN = (503, 504)  # statuses with which a server may say that it has not run a submission
-_ENDS = {OK: t.DONE, INTERNAL_SERVER_ERROR: t.ERROR}  # how a submission ended, by the status of its response
+_NOT_RUN_STATUSES = (503, 504)  # status codes with which a server may state that it has not run a submission
+_OUTCOMES = {OK: t.DONE, INTERNAL_SERVER_ERROR: t.ERROR}  # outcomes by the status code of the response
 _COUNTERS = {
     t.DONE: "done",
     t.ERROR: "error",
@@ -43,7 +43,7 @@
 
 
 class ConnectionState(Enum):
-    """Where a connection stands."""
+    """The state of a connection; see the description of the module."""
 
     CONNECTING = "connecting"
     IDLE = "idle"
@@ -52,7 +52,7 @@
     CLOSED = "closed"
 
 
-# Looked up once: a member of an `Enum` costs a search each time (Python 3.11), and these are compared for every read.
+# Module constants, since access to a member of an `Enum` is slow (Python 3.11) and each read compares them.
 CONNECTING = ConnectionState.CONNECTING
 IDLE = ConnectionState.IDLE
 AWAITING_RESPONSE = ConnectionState.AWAITING_RESPONSE
@@ -61,7 +61,7 @@
 
 
 class ConnectionPool(Protocol[ExchangeT]):
-    """The pool of a connection, as far as the connection needs it."""
+    """The interface of the pool that a connection uses."""
 
     clock: Callable[[], int]
     counts: dict[str, int]
@@ -75,7 +75,7 @@
     def health_check_ended(
         self, connection: "ServerConnection[ExchangeT]", outcome: int, duration_ns: int, report: bytes | None
     ) -> None:
-        """A health check has ended."""
+        """Called when a health check has ended."""
         raise NotImplementedError
 
 
@@ -87,9 +87,9 @@
         server: its server.
         transport: the transport; None until it is connected.
         reader: reads the responses.
-        state: where it stands.
-        exchange: the exchange of the submission that is out; None for a health check.
-        attempt: the number of the submission among those of its exchange.
+        state: its state.
+        exchange: the exchange of the submission in flight; None for a health check.
+        attempt: the number of the submission within its exchange.
         sent_at_ns: when the submission or health check began.
         idle_since_ns: when it became idle.
     """
@@ -122,24 +122,24 @@
         self.sent_at_ns = 0
         self.idle_since_ns = 0
         self._connect_task: asyncio.Task[Any] | None = None
-        self._due_ns = 0  # when the submission or health check times out
+        self._due_ns = 0  # the time at which the submission or health check times out
         self._timer: Timer | None = None
 
     @property
     def usable(self) -> bool:
-        """Whether an idle connection can take a submission: nothing came on it that was not asked for."""
+        """Whether an idle connection can take a submission: it is open and has no unexpected input."""
         transport = self.transport
         return transport is not None and not transport.is_closing() and not has_unread_input(transport)
 
     # ---- a submission or health check
 
     def set_connect_task(self, task: "asyncio.Task[Any]") -> None:
-        """The task that connects it; its failure ends the submission."""
+        """Sets the task that connects it; if the task fails, the submission ends."""
         self._connect_task = task
         task.add_done_callback(self._connect_ended)
 
     def begin(self, exchange: ExchangeT | None, attempt: int, timeout_ns: int) -> None:
-        """Begins a submission, or a health check (`exchange` None), which may take `allow_ns`."""
+        """Begins a submission, or a health check (`exchange` None), with a timeout of `timeout_ns`."""
         now_ns = self.pool.clock()
         self.exchange = exchange
         self.attempt = attempt
@@ -154,16 +154,16 @@
             self._timer = self.pool.driver.timers.at(now_ns + connect_timeout_ns, self._time_out)
 
     def write_request(self, exchange: ExchangeT, remaining_ns: int) -> None:
-        """Writes a submission; `left_ns`: the time that the server has for it."""
+        """Writes a submission. `remaining_ns`: the time that the server has for it."""
         assert self.transport is not None
-        left_ms = remaining_ns // _NS_PER_MS
-        self.transport.write(b"%sX-Deadline-Ms: %d\r\n\r\n%s" % (exchange.head, left_ms, exchange.body))
+        remaining_ms = remaining_ns // _NS_PER_MS
+        self.transport.write(b"%sX-Deadline-Ms: %d\r\n\r\n%s" % (exchange.head, remaining_ms, exchange.body))
 
     def finish(self, outcome: int, keep: bool = False) -> None:
-        """Ends the submission or health check: the one way in which it does.
+        """Ends the submission or health check. Every end of one is handled here.
 
         Args:
-            how: DONE, ERROR, ... of `terms.py`.
+            outcome: DONE, ERROR, ... of `terms.py`.
             keep: whether the connection may be used again.
         """
         pool = self.pool
@@ -176,7 +176,7 @@
         end = self.submission_end(exchange, outcome, duration_ns) if exchange else None
         report = self.health_report() if end is None and outcome == t.DONE else None
         self.exchange = None
-        self.reader.body_parts = []  # an idle connection holds nothing of its last response
+        self.reader.body_parts = []  # an idle connection must not keep its last response in memory
         if keep and self.server.up:
             self._become_idle(now_ns)
         else:
@@ -188,7 +188,7 @@
             pool.health_check_ended(self, outcome, duration_ns, report)
 
     def submission_end(self, exchange: ExchangeT, outcome: int, duration_ns: int) -> SubmissionEnd[ExchangeT]:
-        """What the driver is told of a submission that ended as `how` after `took_ns`."""
+        """Returns the report to the driver on a submission that ended with `outcome` after `duration_ns`."""
         reader = self.reader
         index = self.server.index
         if outcome == t.DONE:
@@ -198,22 +198,22 @@
         return SubmissionEnd(exchange, self.attempt, index, outcome, duration_ns, 0, usage)
 
     def health_report(self) -> bytes | None:
-        """The report of load in the response to a health check: its body, or else a header field."""
+        """Returns the load report in the response to a health check: its body, or else a header field."""
         return b"".join(self.reader.body_parts) or self.reader.load_report
 
-    def conclude(self, intact: bool) -> None:
-        """Ends the submission with its complete response. `intact`: nothing that breaks the protocol came behind it."""
+    def finish_with_response(self, intact: bool) -> None:
+        """Ends the submission with its complete response. `intact`: no protocol error follows the response."""
         self.reader.complete = False
         status = self.reader.status
-        outcome = _ENDS.get(status)
+        outcome = _OUTCOMES.get(status)
         if outcome is None:
-            outcome = t.NOT_ACCEPTED if self.reader.not_run and status in _MAY_BE_UNRUN else t.ERROR
-            if status not in _MAY_BE_UNRUN:
+            outcome = t.NOT_ACCEPTED if self.reader.not_run and status in _NOT_RUN_STATUSES else t.ERROR
+            if status not in _NOT_RUN_STATUSES:
                 self.pool.log.record_limited("odd status", self.server.uid, status=status)
         self.finish(outcome, intact and self.reader.keep_alive)
 
     def protocol_broken(self, reason: str) -> None:
-        """The server broke the protocol: its submission may have run, and the connection is of no further use."""
+        """Handles a protocol error of the server: the submission may have run, and the connection is closed."""
         if self.state is CLOSED:
             return
         self.pool.counts["odd_answers"] += 1
@@ -226,8 +226,8 @@
     def close(self) -> None:
         """Closes the connection now.
 
-        The server must see its end before another copy of the submission can reach any server, so the socket is shut
-        down here; the event loop would do it a turn later.
+        The server must see the end of the connection before another copy of the submission can reach any server. The
+        socket is therefore shut down here, since the event loop would do it one iteration later.
         """
         if self.state is CLOSED:
             return
@@ -245,17 +245,17 @@
     # ---- called by the event loop
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is up."""
+        """Sends the submission or health check once the connection is established."""
         self.transport = cast(asyncio.Transport, transport)
         if self.state is not CONNECTING:
             self.transport.abort()
-        elif not self.server.up:  # it began to drain while we connected, and gets nothing any more
+        elif not self.server.up:  # it began to drain during the connect, and may get no more submissions
             self.finish(t.NOT_ACCEPTED)
         else:
             self._send(self._due_ns - self.pool.clock())
 
     def connection_lost(self, error: Exception | None) -> None:
-        """The connection has ended."""
+        """Ends the submission in flight, if there is one, as its outcome is unknown."""
         if self.state is AWAITING_RESPONSE:
             self.finish(t.CONNECTION_LOST)
         elif self.state is not CLOSED and self.state is not CONNECTING:
@@ -263,21 +263,21 @@
         self.reader.close()
 
     def eof_received(self) -> bool:
-        """The server sends nothing more, which completes a body without framing. Returns False: the loop closes.
+        """Completes a body that is delimited by the end of the connection. Returns False, so that the loop closes.
 
-        A connection that is reset completes nothing: `connection_lost` comes alone then.
+        A reset connection does not complete a body: the event loop then calls `connection_lost` only.
         """
         if self.state is AWAITING_RESPONSE and self.reader.ends_with_connection:
             self.reader.keep_alive = False
-            self.conclude(True)
+            self.finish_with_response(True)
         return False
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        """Where to read to: one buffer for all connections, as each read is used up before the next."""
+        """Returns the buffer to read into. All connections share one, as each read is consumed before the next."""
         return self.pool.read_buffer
 
     def buffer_updated(self, nbytes: int) -> None:
-        """Bytes were read into the buffer."""
+        """Parses the bytes that were read into the buffer."""
         if self.state is CLOSED:
             return
         if self.state is IDLE:
@@ -288,10 +288,10 @@
         error = reader.feed(self.pool.read_buffer[:nbytes])
         if reader.is_large and self.stream_response(error):
             return
-        if reader.complete:  # not within the parser's callbacks: they turn every exception into a parser error
-            self.conclude(error is None)
+        if reader.complete:  # not in the parser's callbacks, which turn every exception into a parser error
+            self.finish_with_response(error is None)
         elif is_first and error is None:
-            # A response that has begun does not wait for its transaction's time: its length may not fit.
+            # A response that has begun gets a shorter timeout, as it never ends if its declared length is wrong.
             read_by_ns = self.pool.clock() + self.pool.limits.response_read_timeout_ns
             self._set_timer(min(self._due_ns, read_by_ns))
         if error is not None:
@@ -300,7 +300,7 @@
     # ---- for subclasses
 
     def stream_response(self, error: str | None) -> bool:
-        """Streams what came of a large response. `error`: how it breaks the protocol. Returns False if it does not."""
+        """Streams what was received of a large response. Returns whether it did. `error`: a protocol error in it."""
         return False
 
     def _may_stream(self) -> bool:
@@ -310,7 +310,7 @@
     # ---- private
 
     def _connect_ended(self, task: "asyncio.Task[Any]") -> None:
-        """The connect has ended; only its failure is of interest here."""
+        """Ends the submission if the connect has failed."""
         self._connect_task = None
         if task.cancelled() or task.exception() is None or self.state is not CONNECTING:
             return
@@ -318,7 +318,7 @@
         self.finish(t.CONNECT_FAILED)
 
     def _send(self, remaining_ns: int) -> None:
-        """Writes the submission or health check, for which `left_ns` are left."""
+        """Writes the submission or health check, which times out in `remaining_ns`."""
         if remaining_ns <= 0:
             self.finish(t.NOT_ACCEPTED)
             return
@@ -333,13 +333,13 @@
         self._set_timer(self._due_ns)
 
     def _become_idle(self, now_ns: int) -> None:
-        """Waits for the next submission."""
+        """Adds the connection to the idle connections of its server."""
         self.state = IDLE
         self.idle_since_ns = now_ns
         self.server.idle.append(self)
 
     def _set_timer(self, due_ns: int) -> None:
-        """Sets the time at which the submission times out."""
+        """Sets the time at which the submission or health check times out."""
         timers = self.pool.driver.timers
         if self._timer:
             timers.cancel(self._timer)
@@ -352,11 +352,11 @@
             self._timer = None
 
     def _time_out(self) -> None:
-        """The submission was out for too long, or the connect, or the response does not go on."""
+        """Handles the timeout of the connect, of the submission, or of a response that has begun."""
         self._timer = None
         if self.state is not AWAITING_RESPONSE:
             self.finish(t.CONNECT_FAILED)
         elif self.reader.received_bytes:
-            self.protocol_broken("the answer does not go on")
+            self.protocol_broken("the response stalled")
         else:
             self.finish(t.TIMED_OUT)
--- a/rampfront/proxy/server_connections.py
+++ b/rampfront/proxy/server_connections.py
@@ -97,7 +97,7 @@
             self.pool.idle_trust.connection_ended(self.idle_ns, now_ns - self.sent_at_ns, now_ns)
         super().connection_lost(error)
 
-    def conclude(self, intact: bool) -> None:
+    def finish_with_response(self, intact: bool) -> None:
         """A complete response has come; `intact`: nothing that breaks the protocol came behind it."""
         reader = self.reader
         reader.complete = False
