--- a/rampfront/net/clock.py
+++ b/rampfront/net/clock.py
@@ -1,16 +1,16 @@
-"""The clock of a process: the wall clock at start, counted on monotonically."""
+"""The clock of a process: the wall clock at start, advanced by the monotonic clock."""
 
 import time
 
 
 class Clock:
-    """Gives the time in ns since the epoch.
+    """Returns the time in ns since the Unix epoch.
 
-    All machines share the wall clock, but it may be set back. This one is the wall clock when it is made and never goes
-    back afterwards.
+    The wall clock is comparable between machines, but it may be set back. This clock equals the wall clock when it is
+    created and never runs backwards afterwards.
 
     Attributes:
-        offset_ns: the wall clock less the monotonic one.
+        offset_ns: the wall clock minus the monotonic clock.
     """
 
     def __init__(self) -> None:
@@ -18,5 +18,5 @@
         self.offset_ns = time.time_ns() - time.monotonic_ns()
 
     def __call__(self) -> int:
-        """The time now, in ns."""
+        """Returns the current time in ns."""
         return self.offset_ns + time.monotonic_ns()
--- a/rampfront/net/event_log.py
+++ b/rampfront/net/event_log.py
@@ -1,16 +1,16 @@
-"""What the logs of both programs share: event counters, and rate limiting of repeated log lines.
+"""The base class of the logs of both programs: event counters, and rate limiting of repeated log lines.
 
-How a line is formatted and where it goes is up to the subclass (`edge/log.py`, `node/log.py`). Rate limiting keeps
-one faulty peer from filling the log: of an event about one subject a single line is written in each quiet period, and
-behind it one more line that says how many were suppressed.
+The subclass (`edge/log.py`, `node/log.py`) formats and writes the lines. Rate limiting prevents one faulty peer from
+filling the log: for each event and subject one line is written per quiet period, followed by one line with the number
+of suppressed lines.
 """
 
 import time
 from abc import ABC, abstractmethod
 from collections.abc import Iterable
 
-# Counters of the modules of `net/`, in the order in which they are printed. Dashboards and the tests' traces refer to
-# these names, so they stay as they are.
+# Counters of the modules of `net/`, in the order in which they are printed. Dashboards and the tests' traces use these
+# names, so they must not change.
 SHARED_COUNTERS = (
     "clients",
     "clients_shed",
@@ -41,16 +41,16 @@
     "probes",
     "probes_failed",
 )
-_MAX_TRACKED_SUBJECTS = 1000  # past it, further events are written without a limit rather than tracked
+_MAX_TRACKED_SUBJECTS = 1000  # beyond this, events of new subjects are written without rate limiting
 
 
 class _RecentLine:
-    """A line written within the quiet period, and how many like it were suppressed since."""
+    """A line written within the quiet period, and the number of lines like it that were suppressed since."""
 
     __slots__ = ("written_at_ns", "suppressed")
 
     def __init__(self, written_at_ns: int) -> None:
-        """Nothing was suppressed yet."""
+        """Starts with no suppressed lines."""
         self.written_at_ns = written_at_ns
         self.suppressed = 0
 
@@ -59,8 +59,8 @@
     """Event counters, and a log whose repeated lines are suppressed for a while.
 
     Attributes:
-        name: the node's name, which each line carries.
-        counts: counter name to count; the names are fixed from the start.
+        name: the node's name, which is part of each line.
+        counts: counts by counter name; the set of names is fixed at creation.
     """
 
     def __init__(self, name: str, quiet_ns: int, counter_names: Iterable[str]) -> None:
@@ -68,13 +68,13 @@
 
         Args:
             name: the node's name.
-            quiet_ns: the least time between two lines of one event about one subject.
+            quiet_ns: the minimum time between two lines of the same event and subject.
             counter_names: all counters, in the order in which they are printed.
         """
         self.name = name
         self.counts = dict.fromkeys(counter_names, 0)
         self._quiet_ns = quiet_ns
-        self._recent_lines: dict[tuple[str, object], _RecentLine] = {}  # by event and subject; emptied by `sweep`
+        self._recent_lines: dict[tuple[str, object], _RecentLine] = {}  # by event and subject; expired by `sweep`
 
     @abstractmethod
     def record(self, event: str, **fields: object) -> None:
@@ -85,7 +85,7 @@
 
         Args:
             event: what happened.
-            subject: the peer or part that it is about; the line carries it as `party`.
+            subject: the peer or component concerned; written as the field `party`.
             fields: further fields of the line.
         """
         now = time.monotonic_ns()
@@ -98,7 +98,7 @@
         self.record(event, party=subject, **fields)
 
     def sweep(self) -> None:
-        """Forgets lines whose quiet period is over, and reports how many like each were suppressed (as `more`)."""
+        """Drops lines whose quiet period is over, and writes the number of suppressed lines of each (as `more`)."""
         now = time.monotonic_ns()
         expired = [key for key, line in self._recent_lines.items() if now - line.written_at_ns >= self._quiet_ns]
         for event, subject in expired:
@@ -107,5 +107,5 @@
                 self.record(event, party=subject, more=suppressed)
 
     def record_counters(self, reason: str) -> None:
-        """Writes one line with all counters. `reason`: why they are printed now."""
+        """Writes one line with all counters. `reason`: why they are written now."""
         self.record("totals", why=reason, **self.counts)
--- a/rampfront/net/latency_histogram.py
+++ b/rampfront/net/latency_histogram.py
@@ -1,7 +1,7 @@
-"""Durations counted in fixed buckets, from which a scraper computes percentiles.
+"""Histograms of durations with fixed buckets, from which a scraper computes percentiles.
 
-Fixed buckets keep the memory of a histogram constant and let a scraper add up the histograms of many processes, which
-it could not do with percentiles. No I/O and no clock: callers measure, this module counts.
+With fixed buckets, the memory of a histogram is constant and a scraper can add up the histograms of many processes,
+which is not possible with percentiles. This module does no I/O and reads no clock; callers measure the durations.
 """
 
 from bisect import bisect_left
@@ -24,11 +24,11 @@
     5000 * _MS,
     10_000 * _MS,
 )
-"""Upper bounds of the buckets, each inclusive; one more bucket behind them takes what is longer."""
+"""Inclusive upper bounds of the buckets; a last bucket counts longer durations."""
 
 
 class LatencyHistogram:
-    """Counts of durations by bucket, and their sum.
+    """The counts of durations by bucket, and the sum of all durations.
 
     Attributes:
         counts: one count for each of `BUCKET_BOUNDS_NS` and one for longer durations. Not cumulative.
--- a/rampfront/net/limits.py
+++ b/rampfront/net/limits.py
@@ -1,8 +1,8 @@
-"""Every limit of the network code: sizes, counts and times, set once at start and handed down.
+"""All limits of the network code: sizes, counts and times, set once at start.
 
-`NetworkLimits` are those of clients and servers, `HttpServerLimits` those of the calls of nodes and operators.
-The limits keep the process inside its memory and its file descriptors. Figures that decide about a transaction do not
-belong here: those stand in `choice.py`.
+`NetworkLimits` applies to clients and servers, `HttpServerLimits` to the calls of nodes and operators. The limits keep
+the process within its memory and its file descriptors. Constants that affect decisions about transactions are not
+defined here but in `choice.py`.
 """
 
 from typing import NamedTuple
@@ -19,17 +19,17 @@
     # ---- connections
 
     max_clients: int
-    """Client connections; past it idle ones are closed, and with none idle transactions are declined."""
+    """Client connections; past it idle ones are closed, and if none is idle, transactions are declined."""
     overflow_clients: int
-    """Client connections past `max_clients` that are still answered."""
+    """Client connections beyond `max_clients` that still get a response."""
     max_active_clients: int
-    """Client connections that brought a transaction; past it the one idle longest is closed."""
+    """Client connections that have sent a request; past it the one idle longest is closed."""
     max_server_connections: int
     """Connections to servers; past it idle ones are closed."""
     connect_timeout_ns: int
-    """A connection to a server that is not up by then could not be made."""
+    """The timeout of a connect to a server."""
     server_idle_timeout_ns: int
-    """An idle connection to a server is closed by then, well before the server closes it."""
+    """An idle connection to a server is closed after this time, well before the server closes it."""
     listen_backlog: int = 1024
 
     # ---- messages
@@ -37,100 +37,100 @@
     max_head_bytes: int = 16 * _KIB
     max_body_bytes: int = 64 * _KIB
     max_response_bytes: int = 256 * _KIB
-    """Of a server's response as it comes, with chunk framing and the 1xx responses in front of it."""
+    """Of a server's raw response, including chunk framing and preceding 1xx responses."""
     max_streamed_bytes: int = 64 * _MIB
-    """Of a response that is streamed to its client; larger ones are refused."""
+    """Of the body of a response that is streamed to its client; larger ones are refused."""
     max_list_line_bytes: int = 4 * _MIB
     """Of one line of the server list."""
     read_buffer_bytes: int = 64 * _KIB
-    """Of the one buffer that all connections are read into."""
+    """Of the one buffer that all connections read into."""
     max_cached_call_terms: int = 1024
-    """Texts of X-Call-Terms whose parsed form is kept."""
+    """Values of X-Call-Terms whose parsed form is cached."""
 
     # ---- clients
 
     answer_margin_ns: int = 5 * _MS
-    """An answer is written this long before its client gives up."""
+    """An answer is written this long before its client's deadline."""
     client_idle_timeout_ns: int = 2 * _S
-    """A client connection idle behind an answer is closed. The load balancer in front of us has a bounded number of
-    connections, and clients that send once and stay would use them up."""
+    """A client connection that is idle for this long after an answer is closed. The load balancer in front has a
+    limited number of connections, which clients that send one request and stay connected would use up."""
     first_request_timeout_ns: int = 2 * _S
-    """A client connection that has brought no complete transaction since it was made is closed."""
+    """A client connection without a complete request for this long after the connect is closed."""
     draining_first_request_timeout_ns: int = _S
-    """The same while the node drains."""
+    """Replaces `first_request_timeout_ns` while the node drains."""
     new_client_grace_ns: int = 100 * _MS
-    """Past `max_clients`, a connection that has brought nothing for so long makes room."""
+    """Past `max_clients`, a new connection may be closed once it has sent nothing for this long."""
     request_read_timeout_ns: int = 2 * _S
-    """A transaction that has begun and is not complete by then is given up."""
+    """A request that has begun and is not complete after this time is refused."""
     write_timeout_ns: int = 5 * _S
-    """An answer that its client does not take is given up."""
+    """The connection of a client that does not read its answer for this long is aborted."""
     max_expiry_ns: int = 600 * _S
-    """No client waits longer."""
+    """The maximum time that a client may ask to wait for its answer."""
 
     # ---- servers
 
     health_check_timeout_ns: int = 250 * _MS
     response_read_timeout_ns: int = 150 * _MS
-    """A response that has begun is complete by then, or broken."""
+    """A response that has begun and is not complete after this time counts as a lost connection."""
     stream_stall_timeout_ns: int = _S
-    """A streamed response that makes no progress for so long is cut, with its client."""
+    """A streamed response without progress for this long is aborted, together with its client's connection."""
 
     # ---- decisions
 
     reminder_slack_ns: int = 20 * _MS
-    """A reminder of the decision module waits at most so long for another wake-up to share,"""
+    """A reminder of the decision module is delayed by at most this time, to share a wake-up with another input."""
     reminder_slack_divisor: int = 50
-    """and no longer than its own delay divided by this."""
+    """The delay is also at most the reminder's own delay divided by this number."""
 
     # ---- the counter and discovery
 
     counter_response_timeout_ns: int = _S
-    """A counter's connection that owes a response for so long is replaced,"""
+    """A counter connection on which a response is pending for this long is replaced."""
     counter_partial_timeout_ns: int = 100 * _MS
-    """and one whose response has begun and does not go on."""
+    """A counter connection whose response has begun and makes no progress for this long is replaced."""
     counter_ping_interval_ns: int = 2 * _S
-    """An idle counter connection is used this often, so that it is not closed."""
+    """An idle counter connection sends a ping this often, so that the counter does not close it."""
     max_pending_counter_calls: int = 4096
-    """Calls that may wait on one counter connection."""
+    """Pending calls on one counter connection."""
     discovery_silence_timeout_ns: int = 4500 * _MS
-    """Discovery sends a heartbeat every 2 s, and regards its updates as delivered after 6 s."""
+    """Discovery sends a heartbeat every 2 s, and assumes that its updates are delivered after 6 s."""
     min_reconnect_delay_ns: int = 50 * _MS
-    """Before another connection to discovery; the delay is drawn between this and the next."""
+    """The delay before a reconnect to discovery is random between this and `max_reconnect_delay_ns`."""
     max_reconnect_delay_ns: int = 500 * _MS
     reconnect_delay_cap_ns: int = 4 * _S
-    """Both double with each failure in a row, up to here."""
+    """Both bounds double with each consecutive failure, up to this limit."""
 
     # ---- the process
 
     shutdown_delay_ns: int = 500 * _MS
-    """After SIGTERM: serve on as before."""
+    """After SIGTERM the process continues to serve for this long."""
     shutdown_timeout_ns: int = 12 * _S
-    """After SIGTERM: end whatever is left."""
+    """After this time from SIGTERM the process ends, even if connections are still open."""
     sweep_interval_ns: int = 250 * _MS
-    """How often idle and stuck connections are looked for."""
+    """The interval at which the timeouts of connections are checked."""
     log_quiet_ns: int = 10 * _S
-    """One log line for each event and subject in this time."""
+    """The log has at most one line per event and subject in this time."""
     admin_timeout_ns: int = _S
-    """An operator's call that is not complete by then is cut off: answers are due within a second."""
+    """An operator's call that is not complete after this time is aborted, as answers are due within a second."""
     max_admin_connections: int = 16
-    """Operators' connections held at once; the oldest makes room."""
+    """Open connections of operators; past it the oldest is closed."""
 
 
-_RESERVED_DESCRIPTORS = 32  # for the listener, the loop, standard streams, counter and discovery
+_RESERVED_DESCRIPTORS = 32  # for the listener, the event loop, standard streams, counter and discovery
 _OVERFLOW_DESCRIPTORS = 16
 
 
 def compute_limits(descriptors: int, connect_timeout_ns: int, server_keepalive_ns: int) -> NetworkLimits:
     """Divides the file descriptors of an edge node among its connections.
 
-    Servers get a third of the descriptors, as clients hold a third at most for transactions, and a few more for health
-    checks. Client connections get the rest, since most of them are idle or bring nothing valid. At most a quarter may
-    be active at once, which leaves some of the clients' third for newcomers.
+    Server connections get a third of the descriptors, since transactions of clients use a third at most, and a few more
+    for health checks. Client connections get the rest, since most of them are idle or send no valid request. At most a
+    quarter may be active at once, which leaves some of the clients' third for new connections.
 
     Args:
-        descriptors: how many the process may have open.
-        connect_timeout_ns: as in `NetworkLimits`.
-        server_keepalive_ns: after how long a server closes an idle connection.
+        descriptors: the maximum number of open descriptors of the process.
+        connect_timeout_ns: see `NetworkLimits`.
+        server_keepalive_ns: the time after which a server closes an idle connection.
     """
     server_connections = descriptors // 3 + _OVERFLOW_DESCRIPTORS
     return NetworkLimits(
@@ -147,16 +147,16 @@
     """The limits of an `HttpServer`. Times are ns, sizes bytes."""
 
     max_head_bytes: int = 16 * _KIB
-    max_body_bytes: int = 8 * _MIB  # of an endpoint that declares no limit of its own
-    max_buffered_body_bytes: int = 64 * _MIB  # of all bodies together, until their requests are responded to
-    max_connections: int = 256  # past it the connection idle longest makes room
-    head_timeout_ns: int = 3 * _S  # a head that has begun and is not complete by then is refused with 408
-    body_timeout_ns: int = 10 * _S  # a request that is not complete by then is refused with 408
-    idle_timeout_ns: int = 15 * _S  # a connection on which nothing is requested is closed
-    response_timeout_ns: int = 30 * _S  # a request without a response for so long is cut off: its sender has left
-    write_timeout_ns: int = 10 * _S  # a response of which its receiver takes nothing for so long is given up
-    linger_timeout_ns: int = _S  # what comes behind a refusal is read and discarded for so long
-    sweep_interval_ns: int = _S // 2  # how often the timeouts are checked; 0: the owner calls `sweep`
+    max_body_bytes: int = 8 * _MIB  # of an endpoint that declares no limit
+    max_buffered_body_bytes: int = 64 * _MIB  # of all bodies together, until their requests have a response
+    max_connections: int = 256  # past it the connection idle longest is closed
+    head_timeout_ns: int = 3 * _S  # a head that is not complete after this time is refused with 408
+    body_timeout_ns: int = 10 * _S  # a request that is not complete after this time is refused with 408
+    idle_timeout_ns: int = 15 * _S  # a connection without a request for this long is closed
+    response_timeout_ns: int = 30 * _S  # a request pending for this long is aborted, as its sender has given up
+    write_timeout_ns: int = 10 * _S  # a connection whose peer reads nothing of its response for this long is aborted
+    linger_timeout_ns: int = _S  # input after a refusal is read and discarded for this long
+    sweep_interval_ns: int = _S // 2  # the interval of timeout checks; 0: the owner calls `sweep`
     listen_backlog: int = 256
-    keep_alive: bool = True  # False: one request a connection
-    plain_text_errors: bool = False  # the server's own error responses are plain text, else JSON
+    keep_alive: bool = True  # False: one request per connection
+    plain_text_errors: bool = False  # whether the server's own error responses are plain text instead of JSON
--- a/rampfront/net/timers.py
+++ b/rampfront/net/timers.py
@@ -1,7 +1,8 @@
-"""Timers: one heap of all due times, and one timer of the event loop for the earliest of them.
+"""Timers: a heap of all due times, and one timer of the event loop for the earliest of them.
 
-Nearly every request sets a timeout and cancels it again. A timer of the loop for each would be set and cancelled as
-often; here a cancelled timer only stays in the heap until it is due, or until cancelled ones are the greater part.
+Nearly every request sets a timeout and cancels it again. With one event loop timer per timeout, each of them would be
+scheduled and cancelled in the loop. Here a cancelled timer stays in the heap until it is due, or until more than half
+of the heap are cancelled timers.
 """
 
 from asyncio import AbstractEventLoop, TimerHandle
@@ -14,25 +15,25 @@
 
 
 class Timer:
-    """A callback at a time. `TimerQueue` makes and cancels it."""
+    """A scheduled callback. `TimerQueue` creates and cancels it."""
 
     __slots__ = ("callback", "arguments")
 
     def __init__(self, callback: Callable[..., object], arguments: tuple[object, ...]) -> None:
         """`callback` is called with `arguments`."""
-        self.callback: Callable[..., object] | None = callback  # None: cancelled, or called already
+        self.callback: Callable[..., object] | None = callback  # None if cancelled or already called
         self.arguments = arguments
 
 
 class TimerQueue:
-    """All timers of one part of the process, in order of their due times; equal ones in the order they were set.
+    """All timers of one part of the process, ordered by due time; timers with equal due times run in creation order.
 
     Attributes:
-        clock: gives the time in ns.
+        clock: returns the time in ns.
     """
 
     def __init__(self, loop: AbstractEventLoop, clock: Callable[[], int]) -> None:
-        """Starts empty. `loop` is the event loop, `clock` gives the time in ns."""
+        """Starts empty. `loop` is the event loop, `clock` returns the time in ns."""
         self.clock = clock
         self._loop = loop
         self._heap: list[tuple[int, int, Timer]] = []  # (due in ns, serial number, timer)
@@ -41,15 +42,15 @@
         self._handle: TimerHandle | None = None
 
     def __len__(self) -> int:
-        """Timers in the heap, cancelled ones that were not dropped yet included."""
+        """The number of timers in the heap, including cancelled ones that are not dropped yet."""
         return len(self._heap)
 
     def after(self, delay_ns: int, callback: Callable[..., object], *arguments: object) -> Timer:
-        """Calls `callback` with `arguments` in `delay_ns`. Returns the timer, to cancel it."""
+        """Calls `callback` with `arguments` after `delay_ns`. Returns the timer, to cancel it."""
         return self.at(self.clock() + delay_ns, callback, *arguments)
 
     def at(self, due_ns: int, callback: Callable[..., object], *arguments: object) -> Timer:
-        """Calls `callback` with `arguments` at `due_ns` of the clock. Returns the timer, to cancel it."""
+        """Calls `callback` with `arguments` at the time `due_ns`. Returns the timer, to cancel it."""
         self._serial_number += 1
         timer = Timer(callback, arguments)
         heappush(self._heap, (due_ns, self._serial_number, timer))
@@ -58,7 +59,7 @@
         return timer
 
     def cancel(self, timer: Timer) -> None:
-        """Cancels a timer; one that was called or cancelled already is left as it is."""
+        """Cancels a timer. Does nothing if it was already called or cancelled."""
         if timer.callback is None:
             return
         timer.callback = None
@@ -76,13 +77,13 @@
         self._disarm()
 
     def _compact(self) -> None:
-        """Drops cancelled timers: timeouts of requests long answered would else pile up until they are due."""
+        """Drops cancelled timers: the timeouts of answered requests would otherwise accumulate until they are due."""
         self._heap = [entry for entry in self._heap if entry[2].callback is not None]
         heapify(self._heap)
         self._cancelled = 0
 
     def _arm(self) -> None:
-        """Sets the loop's timer to the earliest timer that is pending, as waking for a cancelled one is expensive."""
+        """Sets the loop's timer to the earliest pending timer; waking up for a cancelled one is expensive."""
         heap = self._heap
         while heap and heap[0][2].callback is None:
             heappop(heap)
@@ -90,7 +91,7 @@
         self._disarm()
         if heap:
             delay_ns = max(0, heap[0][0] - self.clock())
-            delay_ms = (delay_ns + _NS_PER_MS - 1) // _NS_PER_MS  # rounded up: the loop must not wake too early
+            delay_ms = (delay_ns + _NS_PER_MS - 1) // _NS_PER_MS  # rounded up, so that the loop does not wake too early
             self._handle = self._loop.call_later(delay_ms / _MS_PER_S, self._run_due)
 
     def _disarm(self) -> None:
@@ -100,7 +101,7 @@
             self._handle = None
 
     def _run_due(self) -> None:
-        """Calls what is due."""
+        """Calls the callbacks that are due."""
         self._handle = None
         now_ns = self.clock()
         try:
@@ -112,6 +113,6 @@
                 else:
                     timer.callback = None  # it cannot be cancelled any more
                     callback(*timer.arguments)
-        finally:  # a defect in one callback must not stop all timers
+        finally:  # an exception in one callback must not stop the other timers
             if self._handle is None:
                 self._arm()
