--- a/rampfront/net/client_connection.py
+++ b/rampfront/net/client_connection.py
@@ -1,6 +1,6 @@
-"""One client's connection: HTTP/1.1 requests read completely, one at a time, and responses written.
+"""One client's connection: reads complete HTTP/1.1 requests, one at a time, and writes responses.
 
-This is what both programs share. A subclass reads the header fields of its protocol and words its answers:
+This base class is shared by both programs. A subclass reads the header fields of its protocol and encodes its answers:
 `TransactionConnection` for the edge node, `proxy/client_front.py` for the system.
 """
 
@@ -23,12 +23,12 @@
 from .limits import NetworkLimits
 
 _MAX_LENGTH_DIGITS = 9
-_NO_FIELDS: dict[bytes, bytes] = {}  # shared, and never written to
+_NO_FIELDS: dict[bytes, bytes] = {}  # shared by all connections, never modified
 _NO_PARTS: list[bytes] = []
 
 
 class ConnectionListener(Protocol):
-    """The listener of a connection, as far as the connection needs it."""
+    """The interface of the listener that a connection uses."""
 
     clock: Callable[[], int]
     counts: dict[str, int]
@@ -39,27 +39,27 @@
     closes_connections: bool
 
     def connection_opened(self, connection: "ClientConnection") -> None:
-        """A connection is up."""
+        """Called when a connection is established."""
         raise NotImplementedError
 
     def connection_closed(self, connection: "ClientConnection") -> None:
-        """A connection has ended."""
+        """Called when a connection has ended."""
         raise NotImplementedError
 
     def connection_activated(self) -> None:
-        """The first complete request of a connection has come."""
+        """Called when the first complete request of a connection was received."""
         raise NotImplementedError
 
     def request_received(self, connection: "ClientConnection") -> None:
-        """A request is complete."""
+        """Called when a request is complete."""
         raise NotImplementedError
 
     def request_refused(self, connection: "ClientConnection", error: HttpStatusError) -> None:
-        """What came cannot be followed."""
+        """Called when the received bytes are not a valid request."""
         raise NotImplementedError
 
     def client_left(self, exchange: AnyExchange) -> None:
-        """The client of an exchange has gone."""
+        """Called when the client of an exchange has disconnected."""
         raise NotImplementedError
 
 
@@ -71,18 +71,18 @@
         transport: the transport, once it is connected.
         parser: the parser of requests; None once the connection has ended.
         target: the request target.
-        fields: the header fields that were kept, by lower-case name.
-        body_parts: the body, as it came.
+        fields: the header fields that the protocol uses, by lower-case name.
+        body_parts: the parts of the body, as received.
         section_bytes: bytes of the head so far, then of the body.
-        exchange: the exchange that is owed an answer.
-        phase_since_ns: when the present phase began (`connection_timeouts`).
-        message_begun: a request has begun and is not complete.
-        ignores_input: nothing more is read.
-        closing: the last response is written, and nothing more will be.
-        write_paused: the client takes its response too slowly.
-        over_limit: it came when there were too many, and ends behind its first response.
-        throttled: it came faster than connections are accepted, and what it brings is declined.
-        fresh: it has brought nothing complete yet.
+        exchange: the exchange whose answer is pending.
+        phase_since_ns: when the current phase began (`connection_timeouts`).
+        message_begun: whether a request has begun and is not complete.
+        ignores_input: whether further input is discarded.
+        closing: whether the last response has been written.
+        write_paused: whether writing is paused because the client reads its response too slowly.
+        over_limit: whether it was opened past the limit of connections; it is closed after its first response.
+        throttled: whether it was opened faster than connections are accepted; its requests are declined.
+        fresh: whether no complete request has been received on it yet.
     """
 
     __slots__ = (
@@ -126,12 +126,12 @@
         self.throttled = False
         self.fresh = True
         self._message_complete = False
-        self._received_bytes = 0  # of the present request, with all framing
+        self._received_bytes = 0  # of the current request, with all framing
         self._keep_alive = True
 
     @property
     def busy(self) -> bool:
-        """Whether it is owed an answer, or the rest of one."""
+        """Whether an answer, or the rest of one, is pending."""
         return self.exchange is not None
 
     @property
@@ -141,11 +141,11 @@
 
     @property
     def phase(self) -> Phase:
-        """What the connection waits for."""
+        """The current phase, which determines the timeout."""
         if self.closing or self.write_paused:
             return Phase.WRITING
         if self.message_begun:
-            return Phase.READING_HEAD  # of head and body: they share one limit
+            return Phase.READING_HEAD  # head and body share one timeout
         if self.busy:
             return Phase.AWAITING_RESPONSE
         return Phase.FIRST_REQUEST if self.fresh else Phase.IDLE
@@ -153,14 +153,14 @@
     # ---- called by the event loop
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is up."""
+        """Stores the transport and registers the connection with its listener."""
         self.transport = cast(asyncio.Transport, transport)
         self.parser = httptools.HttpRequestParser(self)
         self.phase_since_ns = self.listener.clock()
         self.listener.connection_opened(self)
 
     def connection_lost(self, error: Exception | None) -> None:
-        """The connection has ended. This is the one path on which a client that is gone cancels what it waits for."""
+        """Cancels the pending exchange. Every disconnect of a client is handled here and nowhere else."""
         exchange = self.exchange
         self.exchange = None
         self.ignores_input = True
@@ -170,42 +170,42 @@
             exchange.detach_client()
             self.listener.counts["left"] += 1
             self.listener.client_left(exchange)
-        self.parser = None  # it refers back to this connection
+        self.parser = None  # breaks the reference cycle
 
     def eof_received(self) -> bool:
-        """The client sends nothing more, which counts as gone. Returns False, so that the loop closes."""
+        """Treats the end of the input as a disconnect: returns False, so that the event loop closes the transport."""
         return False
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        """Where to read to: one buffer for all connections, as each read is used up before the next."""
+        """Returns the buffer to read into. All connections share one, as each read is consumed before the next."""
         return self.listener.read_buffer
 
     def buffer_updated(self, nbytes: int) -> None:
-        """Bytes were read into the buffer."""
+        """Parses the bytes that were read into the buffer."""
         if self.ignores_input:
             return
         self._received_bytes += nbytes
         assert self.parser is not None
         error = feed_request(self.parser, self.listener.read_buffer[:nbytes])
         if self.message_begun and error is None and self._received_bytes > self.listener.max_request_bytes:
-            # A field without an end reaches no callback, so the raw bytes are limited as well.
+            # The parser reports a header field only once it is complete, so the raw bytes are limited as well.
             error = HttpStatusError(HEADER_FIELDS_TOO_LARGE, "the head is too large")
         complete = self._message_complete
         self._message_complete = False
-        if error is not None:  # a request that is complete in front of it is refused too: its length may be the lie
+        if error is not None:  # a complete request before the error is refused too, as its length may be wrong
             self.refuse(error)
-        elif complete:  # not within the parser's callbacks: they turn every exception into a parser error
+        elif complete:  # not in the parser's callbacks, which turn every exception into a parser error
             self.listener.request_received(self)
 
     def pause_writing(self) -> None:
-        """The client takes its response too slowly: no further request is read until it has."""
+        """The client reads its response too slowly: stops reading requests until it has caught up."""
         self.write_paused = True
         self.phase_since_ns = self.listener.swept_ns
         if not self.closing:
             self.transport.pause_reading()
 
     def resume_writing(self) -> None:
-        """The client has taken its response."""
+        """The client has read its response: reads requests again."""
         self.write_paused = False
         self.phase_since_ns = self.listener.swept_ns
         if not self.closing:
@@ -214,12 +214,12 @@
     # ---- called by the parser
 
     def on_message_begin(self) -> None:
-        """A request begins."""
+        """Resets the state for a new request."""
         if self.busy or self._message_complete or self.ignores_input:
             self.listener.counts["pipelined"] += 1
             raise HttpStatusError(BAD_REQUEST, "one txn at a time")
         self.message_begun = True
-        if not self.fresh:  # else its time runs from the connect: a bad client is refused soon
+        if not self.fresh:  # the timeout of the first request runs from the connect, to refuse bad clients early
             self.phase_since_ns = self.listener.swept_ns
         self.target = b""
         self.fields = {}
@@ -227,28 +227,28 @@
         self.section_bytes = 0
 
     def on_url(self, part: bytes) -> None:
-        """A part of the request target."""
+        """Appends a part of the request target."""
         self.target += part
         self.section_bytes += len(part)
 
     def on_headers_complete(self) -> None:
-        """The head is complete."""
+        """Checks the declared length of the body, and sends 100 Continue if the client expects it."""
         self.section_bytes = 0
-        length = self.fields.get(b"content-length", b"0")  # the parser refuses all but digits
+        length = self.fields.get(b"content-length", b"0")  # the parser accepts digits only
         if len(length) > _MAX_LENGTH_DIGITS or int(length) > self.listener.limits.max_body_bytes:
             raise HttpStatusError(CONTENT_TOO_LARGE, "the body is too large")
         if b"expect" in self.fields:
             self.transport.write(CONTINUE_RESPONSE)
 
     def on_body(self, part: bytes) -> None:
-        """A part of the body."""
+        """Appends a part of the body."""
         self.section_bytes += len(part)
         if self.section_bytes > self.listener.limits.max_body_bytes:
             raise HttpStatusError(CONTENT_TOO_LARGE, "the body is too large")
         self.body_parts.append(part)
 
     def on_message_complete(self) -> None:
-        """The request is complete."""
+        """Marks the request as complete."""
         assert self.parser is not None
         self.message_begun = False
         self._message_complete = True
@@ -261,10 +261,10 @@
     # ---- called by the sweep
 
     def note_progress(self, now_ns: int) -> None:
-        """A slow write has no progress of its own: its limit holds for the whole response."""
+        """Does nothing: the write timeout applies to the whole response, whatever its progress."""
 
     def time_out(self, phase: Phase) -> None:
-        """Ends the connection, which was too long in `phase`."""
+        """Ends the connection after the timeout of `phase`."""
         match phase:
             case Phase.READING_HEAD | Phase.READING_BODY:
                 self.listener.counts["slow"] += 1
@@ -280,13 +280,13 @@
     # ---- answers
 
     def accepted(self, exchange: AnyExchange) -> None:
-        """The request was accepted: this connection is owed its answer."""
+        """Notes the accepted request as the one to answer on this connection."""
         self.exchange = exchange
-        self.fields = _NO_FIELDS  # an idle connection holds nothing of its last request
+        self.fields = _NO_FIELDS  # an idle connection must not keep its last request in memory
         self.body_parts = _NO_PARTS
 
     def write_response(self, head: bytes, body: bytes) -> None:
-        """Writes a complete response at once. `head`: the status line and fields, without those of the framing."""
+        """Writes a complete response in one call. `head`: the status line and fields, without the framing fields."""
         self.exchange = None
         self.phase_since_ns = self.listener.clock()
         if self.closing:
@@ -298,9 +298,9 @@
             self.close()
 
     def refuse(self, error: HttpStatusError) -> None:
-        """Responds with an error at once and reads no more.
+        """Responds with an error immediately and stops reading.
 
-        An exchange that is open for this client was followed by bytes that belong to nothing: it is cancelled.
+        If an exchange is pending, unexpected bytes followed its request, and the exchange is cancelled.
         """
         if not self.closing:
             self.ignores_input = True
@@ -308,21 +308,21 @@
             self.listener.request_refused(self, error)
 
     def close(self) -> None:
-        """Closes the connection once what was written is out; the sweep aborts it if that takes too long."""
+        """Closes the connection once the write buffer is flushed; the sweep aborts it if that takes too long."""
         if not self.closing:
             self.closing = True
             self.ignores_input = True
             self.transport.close()
 
     def abort(self) -> None:
-        """Ends the connection at once."""
+        """Closes the connection immediately and discards unsent data."""
         self.closing = True
         self.ignores_input = True
         self.transport.abort()
 
     def _closes_after_response(self) -> bool:
-        """Whether the response that is written next is the last one."""
+        """Whether the connection closes after the next response."""
         return not self._keep_alive or self.ignores_input or self.over_limit or self.listener.closes_connections
 
     def _drop_stream(self) -> None:
-        """Ends a stream to the client, which has gone. Nothing to do here; see `TransactionConnection`."""
+        """Ends a response stream to the disconnected client. `TransactionConnection` overrides this."""
--- a/rampfront/net/client_listener.py
+++ b/rampfront/net/client_listener.py
@@ -1,7 +1,8 @@
 """The listening socket of clients and all their connections: admission, shedding, timeouts, draining, shutdown.
 
-Clients outnumber descriptors. Connections that are silent or idle make room for those that bring something; with none
-of them left, newcomers are told to come back, and past a margin their connections are cut.
+There may be more clients than file descriptors. At the limit, connections that are idle or have sent nothing are closed
+in favour of new ones. If there are none, new clients are told to retry later, and past a margin their connections are
+aborted.
 """
 
 import asyncio
@@ -17,7 +18,7 @@
 from .http_status import REASON_PHRASES, REQUEST_TIMEOUT, HttpStatusError
 from .limits import NetworkLimits
 
-_AT_ONCE_NS = -1  # a time limit that every connection exceeds
+_IMMEDIATELY_NS = -1  # a timeout that every connection exceeds
 
 
 class ClientListener(ABC):
@@ -25,20 +26,20 @@
 
     Attributes:
         loop: the event loop.
-        clock: gives the time in ns.
+        clock: returns the time in ns.
         limits: the limits of the process.
         log: the event log.
         counts: the log's counters.
-        storm: damps reconnects; set by the program where the configuration has it.
+        storm: throttles reconnects; set by the program if the configuration enables it.
         server: the listening socket, once it listens.
-        closing: nothing new is taken; the process ends.
-        draining: clients are sent elsewhere, by the operators' wish; the process stays.
-        ends_connections: each response ends its connection, as in both of these.
-        swept_ns: when connections were last looked at, which is near enough for their ages.
-        read_buffer: what all connections read into.
-        max_request_bytes: the largest request, head and body.
+        closing: whether the process shuts down; no new connections are accepted.
+        draining: whether an operator has drained the node: clients are sent elsewhere, and the process keeps running.
+        closes_connections: whether each response closes its connection, which is so while closing or draining.
+        swept_ns: the time of the last sweep, which is precise enough for the ages of connections.
+        read_buffer: the buffer that all connections read into.
+        max_request_bytes: the maximum size of a request, head and body.
         clients: the open connections, oldest first.
-        active_clients: those of them that have brought something complete.
+        active_clients: the number of them that have sent a complete request.
     """
 
     connection_type: type[ClientConnection]
@@ -50,7 +51,7 @@
 
         Args:
             loop: the event loop.
-            clock: gives the time in ns.
+            clock: returns the time in ns.
             limits: the limits of the process.
             log: the event log.
         """
@@ -71,19 +72,19 @@
         self.active_clients = 0
         self._retired: Callable[[], None] | None = None
 
-    # ---- what a subclass adds
+    # ---- implemented by subclasses
 
     @abstractmethod
     def ready(self) -> bool:
-        """Whether new clients are welcome."""
+        """Whether new clients are accepted."""
 
     @abstractmethod
     def request_received(self, connection: ClientConnection) -> None:
-        """A request is complete: it is accepted or answered."""
+        """Accepts or answers a complete request."""
 
     @abstractmethod
     def client_left(self, exchange: AnyExchange) -> None:
-        """The client of an exchange has gone: what is out for it is cancelled."""
+        """Cancels the submissions of an exchange whose client has disconnected."""
 
     # ---- the listening socket
 
@@ -93,9 +94,9 @@
         Args:
             host: the address to bind.
             port: the port to bind.
-            inherited: the descriptor of a listening socket that was handed down, which is used in place of the address.
-                The old and the new process of an upgrade then accept from one queue, and what waits in it is not lost
-                when the old one closes its copy.
+            inherited: the descriptor of a listening socket that was passed to this process, which is used instead of
+                the address. During an upgrade the old and the new process then accept from one queue, and connections
+                that wait in it are not lost when the old process closes its copy.
         """
         backlog = self.limits.listen_backlog
         if inherited is None:
@@ -106,13 +107,13 @@
         self.server = await self.loop.create_server(self.make_connection, sock=listening, backlog=backlog)
 
     def make_connection(self) -> ClientConnection:
-        """The protocol of one more connection."""
+        """Returns the protocol object of a new connection."""
         return self.connection_type(self)
 
     def drain(self) -> None:
-        """Sends clients elsewhere: each response ends its connection, and idle ones are closed now.
+        """Sends clients elsewhere: closes idle connections now, and busy ones after their response.
 
-        The listening socket stays: what the load balancer in front of us still sends is served.
+        The listening socket stays open, because the load balancer in front may still send requests.
         """
         self.draining = True
         self.closes_connections = True
@@ -121,12 +122,12 @@
                 connection.close()
 
     def activate(self) -> None:
-        """Welcomes clients again."""
+        """Ends draining: connections are kept open again."""
         self.draining = False
         self.closes_connections = self.closing
 
     def retire(self, done: Callable[[], None]) -> None:
-        """Takes nothing new, and calls `done` once every client has its answer and is gone."""
+        """Stops accepting connections, and calls `done` once every client was answered and its connection is closed."""
         self.closing = True
         self.closes_connections = True
         self._retired = done
@@ -141,11 +142,11 @@
     # ---- called by connections
 
     def connection_opened(self, connection: ClientConnection) -> None:
-        """Admits a connection; past the limits another one makes room, or it is told to come back, or cut."""
+        """Admits a connection. Past the limits another one is closed, or the new one is rejected or aborted."""
         self.counts["clients"] += 1
         self.clients[connection] = None
         if self.storm and not self.storm.connected(self.clock()):
-            # A wave of reconnects: what they bring is declined at once, with advice that spreads them over time.
+            # During a reconnect storm requests are declined immediately, with Retry-After times that spread them out.
             connection.over_limit = True
             connection.throttled = True
         limits = self.limits
@@ -155,7 +156,7 @@
                 connection.abort()
 
     def connection_closed(self, connection: ClientConnection) -> None:
-        """Forgets a connection that has ended."""
+        """Removes a connection that has ended."""
         self.clients.pop(connection, None)
         if not connection.fresh:
             self.active_clients -= 1
@@ -163,12 +164,12 @@
             self._retired()
 
     def connection_activated(self) -> None:
-        """The first complete request of a connection has come."""
+        """Counts a connection whose first complete request was received."""
         self.active_clients += 1
 
     def request_refused(self, connection: ClientConnection, error: HttpStatusError) -> None:
-        """Responds to what cannot be followed, and cancels what is out for the client."""
-        if error.status != REQUEST_TIMEOUT:  # a client that is too slow is not a malformed one
+        """Responds to an invalid request, and cancels the pending exchange of the client."""
+        if error.status != REQUEST_TIMEOUT:  # a slow request is not a malformed one
             self.counts["malformed"] += 1
         exchange = connection.exchange
         if exchange:
@@ -181,9 +182,10 @@
     # ---- limits
 
     def shed_idle_client(self, newest: ClientConnection) -> None:
-        """Too many connections are active: closes the one idle longest; `newest` is the one that has a request now.
+        """Closes the active connection that has been idle longest, as too many are active.
 
-        Clients that send one request and stay would use up the descriptors, and requests of others would not reach us.
+        Clients that send one request and stay connected would otherwise use up the descriptors, and requests of other
+        clients could not be received. `newest` is the connection that has a request now; it is never closed here.
         """
         idle = [
             connection
@@ -195,13 +197,13 @@
             min(idle, key=lambda connection: connection.phase_since_ns).close()
 
     def sweep(self) -> None:
-        """Ends connections that were too long in their phase. Called by the program in each sweep interval."""
+        """Ends connections that exceeded the timeout of their phase. Called by the program in each sweep interval."""
         limits = self.limits
         first_request_ns = limits.first_request_timeout_ns
         idle_ns = limits.client_idle_timeout_ns
         if self.draining:
             first_request_ns = min(first_request_ns, limits.draining_first_request_timeout_ns)
-            idle_ns = _AT_ONCE_NS
+            idle_ns = _IMMEDIATELY_NS
         self.swept_ns = self.clock()
         limits_ns = {
             Phase.WRITING: limits.write_timeout_ns,
@@ -212,10 +214,10 @@
         sweep(self.clients, self.swept_ns, limits_ns)
 
     def _shed(self) -> bool:
-        """Closes the connection that has been silent or else idle longest. Returns False if there is none.
+        """Closes the connection that has sent nothing for longest, or else the one idle longest.
 
-        Hundreds may connect and say nothing: these make room first. One that has just come is spared, as its first
-        request may be on its way, and would fail.
+        Hundreds of clients may connect and send nothing, so these are closed first. A connection that was just opened
+        is spared, because its first request may be in transit and would fail. Returns False if there is no candidate.
         """
         now_ns = self.clock()
         grace_ns = self.limits.new_client_grace_ns
@@ -232,7 +234,7 @@
 
 
 def _may_be_shed(connection: ClientConnection) -> bool:
-    """Whether a connection may make room: an idle one, or one that has brought no complete request yet."""
+    """Whether a connection may be shed: it is idle, or has not sent a complete request yet."""
     if connection.fresh:
         return not (connection.busy or connection.closing or connection.write_paused)
     return connection.idle
--- a/rampfront/net/transaction_listener.py
+++ b/rampfront/net/transaction_listener.py
@@ -1,7 +1,7 @@
-"""The edge node's HTTP clients: transactions read from header fields, and answers worded as HTTP.
+"""The listener of the edge node's HTTP clients: reads transactions from header fields, and encodes answers as HTTP.
 
-Answers are the gateway's; by itself the listener answers only what no decision could be taken on: what is malformed or
-past the limits, and its own pages (`/-/ready`).
+The gateway provides the answers to transactions. The listener itself answers only malformed requests, requests past
+its limits, and requests for its own pages (`/-/ready`).
 """
 
 import asyncio
@@ -21,10 +21,10 @@
 _NS_PER_S = 10**9
 _MAX_EXPIRY_DIGITS = 9
 _KEY_PREFIX = b"key="
-_KEY_COOKIE_LENGTH = 20  # of a cookie that is only `key=` and the key
+_KEY_COOKIE_LENGTH = 20  # of a cookie that consists only of `key=` and the key
 _KEY_COOKIE = re.compile(rb"(?:^|;)\s*key=([0-9a-fA-F]{16})\s*(?:;|$)")
-_NO_KEY = b"none"  # no hex digits, so it is refused as one that is missing
-_PAGES = b"/-/"  # the paths of pages of this process
+_NO_KEY = b"none"  # not hexadecimal, so it is refused as missing
+_PAGES = b"/-/"  # path prefix of the pages of this process
 _READY_PAGE = b"/-/ready"
 _OK = b"HTTP/1.1 200 OK\r\n"
 _NOT_FOUND = b"HTTP/1.1 404 Not Found\r\n"
@@ -49,10 +49,10 @@
 
 
 class TransactionConnection(ClientConnection):
-    """One client's connection: the receiver of its transactions' answers.
+    """One client's connection, which receives the answers to its transactions.
 
     Attributes:
-        stream_source: the server's connection whose response is being streamed to this one.
+        stream_source: the server connection whose response is being streamed to this connection.
     """
 
     __slots__ = ("stream_source", "_last_response", "_stream_chunked")
@@ -62,16 +62,16 @@
         """Starts unconnected."""
         super().__init__(listener)
         self.stream_source: StreamSource | None = None
-        self._last_response = False  # the connection ends behind the stream
+        self._last_response = False  # whether the connection closes after the stream
         self._stream_chunked = False
 
     @property
     def busy(self) -> bool:
-        """Whether it is owed an answer, or the rest of one."""
+        """Whether an answer, or the rest of one, is pending."""
         return self.exchange is not None or self.stream_source is not None
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Called by the parser: one header field."""
+        """Stores one header field, if the protocol uses it. Called by the parser."""
         name = name.lower()
         if name in _KEPT_FIELDS:
             if name in self.fields:
@@ -88,7 +88,7 @@
         self.write_response(_OK, body)
 
     def declined(self, retry_after_ns: int) -> None:
-        """Answers that the transaction has not run. `retry_after_ns`: when to come back; 0 for no advice."""
+        """Answers that the transaction has not run. `retry_after_ns`: when to retry; 0 for no advice."""
         advice = b"Retry-After: %.3f\r\n" % (retry_after_ns / _NS_PER_S) if retry_after_ns else b""
         self.write_response(_TOO_MANY_REQUESTS + advice, b"")
 
@@ -99,7 +99,7 @@
     # ---- streams
 
     def stream(self, source: StreamSource) -> None:
-        """Writes the head of a response whose body comes as `source` gives it, unless the client has gone."""
+        """Writes the head of a response whose body `source` streams, unless the connection is closing."""
         self.exchange = None
         self.phase_since_ns = self.listener.clock()
         if self.closing:
@@ -120,7 +120,7 @@
             self.transport.write(data)
 
     def stream_complete(self) -> None:
-        """The body is written completely."""
+        """Ends the response after its complete body."""
         if self._stream_chunked:
             self.transport.write(b"0\r\n\r\n")
         self.stream_source = None
@@ -129,24 +129,24 @@
             self.close()
 
     def abort_stream(self) -> None:
-        """The body broke off: the connection is cut, so that half a response is not taken for a complete one."""
+        """Aborts the connection, so that a truncated response is not mistaken for a complete one."""
         self.stream_source = None
         self.abort()
 
     def pause_writing(self) -> None:
-        """The client takes its response too slowly: the server is read no faster."""
+        """The client reads its response too slowly: pauses the source of the stream as well."""
         super().pause_writing()
         if self.stream_source:
             self.stream_source.pause()
 
     def resume_writing(self) -> None:
-        """The client has taken what was written."""
+        """The client has caught up: resumes the source of the stream as well."""
         super().resume_writing()
         if self.stream_source:
             self.stream_source.resume()
 
     def _drop_stream(self) -> None:
-        """The client has gone: what the server still gives has nobody to go to."""
+        """Detaches the disconnected client from the source of the stream."""
         if self.stream_source:
             self.stream_source.detach_client()
 
@@ -159,36 +159,34 @@
     def __init__(
         self, loop: asyncio.AbstractEventLoop, gateway: TransactionGateway, limits: NetworkLimits, log: EventLog
     ) -> None:
-        """As `ClientListener`; `gateway` accepts the transactions."""
+        """For the parameters see `ClientListener`; `gateway` accepts the transactions."""
         super().__init__(loop, gateway.clock, limits, log)
         self._gateway = gateway
         self._driver = gateway.driver
 
     def ready(self) -> bool:
-        """Whether new clients are welcome."""
+        """Whether new clients are accepted."""
         return not self.closing and not self.draining and self._driver.servers.any_up()
 
     def client_left(self, exchange: AnyExchange) -> None:
-        """The client of a transaction has gone."""
+        """Cancels the transaction of a client that has disconnected."""
         self._driver.client_left(exchange)
 
     def request_refused(self, connection: ClientConnection, error: HttpStatusError) -> None:
-        """Responds to what cannot be followed, and counts it if it was a transaction of a known product."""
+        """Responds to an invalid request, and counts it if it was a transaction of a known product."""
         if connection.exchange is None:
             self._gateway.count_unknown(connection.fields.get(b"x-class"))
         super().request_refused(connection, error)
 
     def request_received(self, connection: ClientConnection) -> None:
-        """A request is complete: a transaction is accepted, and anything else answered."""
+        """Accepts the transaction of a complete request, or answers any other request."""
         if self.active_clients > self.limits.max_active_clients:
             self.shed_idle_client(connection)
         if connection.target.startswith(_PAGES):
             self._answer_page(connection)
             return
         self.counts["taken"] += 1
-        if (
-            connection.over_limit and not connection.throttled
-        ):  # a throttled one is declined by the gateway, with advice
+        if connection.over_limit and not connection.throttled:  # the gateway declines a throttled one with Retry-After
             self.counts["turned_away"] += 1
             self._gateway.count_declined(connection.fields.get(b"x-class"))
             connection.write_response(_SERVICE_UNAVAILABLE, b"")
@@ -200,7 +198,7 @@
             connection.refuse(error)
 
     def _answer_page(self, connection: ClientConnection) -> None:
-        """Answers for the pages of this process."""
+        """Answers a request for a page of this process."""
         if connection.target != _READY_PAGE:
             connection.write_response(_NOT_FOUND, b"")
         elif self.ready():
@@ -210,12 +208,12 @@
 
 
 def _read_transaction(connection: TransactionConnection) -> TransactionRequest:
-    """The transaction of a complete request, as its header fields have it."""
+    """Reads the transaction of a complete request from its header fields."""
     assert connection.parser is not None
     get = connection.fields.get
     expiry = get(b"x-deadline-ms", b"")
     has_expiry = expiry.isdigit() and len(expiry) <= _MAX_EXPIRY_DIGITS
-    return TransactionRequest(  # in the order of its fields: their names here would cost 1 % of a transaction
+    return TransactionRequest(  # positional: keyword arguments would cost 1 % of a transaction's time
         get(b"x-request-id", b""),
         get(b"x-class"),
         get(b"x-tier"),
@@ -232,8 +230,8 @@
 
 
 def _read_key(cookie: bytes) -> bytes:
-    """The account key of a Cookie field."""
-    if len(cookie) == _KEY_COOKIE_LENGTH and cookie.startswith(_KEY_PREFIX):  # the usual one needs no search
+    """Returns the account key of a Cookie field."""
+    if len(cookie) == _KEY_COOKIE_LENGTH and cookie.startswith(_KEY_PREFIX):  # the usual form needs no search
         return cookie[len(_KEY_PREFIX) :]
     found = _KEY_COOKIE.search(cookie)
     return found.group(1) if found else _NO_KEY
