--- a/rampfront/net/call_terms.py
+++ b/rampfront/net/call_terms.py
@@ -1,7 +1,7 @@
 """The X-Call-Terms field of a transaction: the units that it takes, and over how many nodes its account is spread.
 
-The field reads `units=<number>,spread=<count>,first=<index>`, in any order, each name once and
-nothing else.
+The syntax is `units=<number>,spread=<count>,first=<index>`. The parameters may be in any order; each appears exactly
+once, and no others are allowed.
 """
 
 import re
@@ -13,11 +13,11 @@
 
 
 class CallTerms(NamedTuple):
-    """What the field says.
+    """The parsed value of the field.
 
     Attributes:
-        units: what the transaction takes of its account's quota.
-        spread: over how many nodes the account's transactions are spread.
+        units: the units that the transaction takes from its account's quota.
+        spread: the number of nodes over which the account's transactions are spread.
     """
 
     units: float
@@ -25,15 +25,15 @@
 
 
 class CallTermsParser:
-    """Parses the field, and keeps what it parsed lately: clients send the same few texts again and again."""
+    """Parses the field and caches the results, because clients send the same few texts repeatedly."""
 
     def __init__(self, max_units: float, nodes: int, max_cached: int) -> None:
-        """Parses nothing yet.
+        """Starts with an empty cache.
 
         Args:
-            max_units: the most units that a transaction may take.
-            nodes: how many nodes there are.
-            max_cached: how many texts are kept.
+            max_units: the maximum number of units that a transaction may take.
+            nodes: the number of nodes.
+            max_cached: the maximum number of cached texts.
         """
         self._max_units = max_units
         self._nodes = nodes
@@ -41,7 +41,7 @@
         self._cache: dict[bytes, CallTerms] = {}
 
     def parse(self, text: bytes) -> CallTerms:
-        """Parses the field. Raises HttpStatusError if it is not as it should be."""
+        """Parses the field. Raises HttpStatusError if it is invalid."""
         terms = self._cache.get(text)
         if terms is None:
             terms = self._check(_split(text))
@@ -51,7 +51,7 @@
         return terms
 
     def _check(self, values: dict[bytes, bytes]) -> CallTerms:
-        """Checks the values against what there is."""
+        """Checks that the values are within their ranges. Raises HttpStatusError."""
         units = float(values.get(b"units", 0))
         spread = values.get(b"spread", b"")
         first = values.get(b"first", b"")
@@ -67,7 +67,7 @@
 
 
 def _split(text: bytes) -> dict[bytes, bytes]:
-    """The values by name."""
+    """Returns the values by parameter name. Raises HttpStatusError if the syntax is invalid."""
     values: dict[bytes, bytes] = {}
     for part in text.split(b","):
         match = _TERM.fullmatch(part)
--- a/rampfront/net/exchange.py
+++ b/rampfront/net/exchange.py
@@ -1,94 +1,94 @@
-"""One transaction on its way between its client and the servers, and who receives its answer."""
+"""The state of one transaction between its client and the servers, and the interfaces for its answer."""
 
 from typing import Any, Generic, Protocol, TypeVar
 
 ResponseBody = Any
-"""What a server connection makes of a complete response: bytes on the edge node, more in the system's proxy."""
+"""The result of a complete response: bytes on the edge node, a response object in the system's proxy."""
 
 
 class StreamSource(Protocol):
-    """A server's connection that gives the body of a response as it comes."""
+    """A server connection that streams the body of a response."""
 
     @property
     def length(self) -> int | None:
-        """Bytes of the body; None if the server does not tell it first."""
+        """The length of the body in bytes; None if the response does not declare it."""
         raise NotImplementedError
 
     def pause(self) -> None:
-        """Reads no more until `resume`: the client takes the body too slowly."""
+        """Stops reading until `resume`, because the client reads the body too slowly."""
         raise NotImplementedError
 
     def resume(self) -> None:
-        """Reads on."""
+        """Resumes reading."""
         raise NotImplementedError
 
     def detach_client(self) -> None:
-        """The client is gone: what the server still gives has nobody to go to."""
+        """Ends the stream, because the client has disconnected."""
         raise NotImplementedError
 
 
 class StreamSink(Protocol):
-    """A client's connection that a body is written to as it comes.
+    """A client connection to which a body is streamed.
 
     Attributes:
-        stream_source: where the body comes from; None if no stream is under way.
-        write_paused: whether the client takes what is written too slowly.
+        stream_source: the source of the body; None if no stream is in progress.
+        write_paused: whether writing is paused because the client reads too slowly.
     """
 
     stream_source: StreamSource | None
     write_paused: bool
 
     def write_stream(self, data: bytes) -> None:
-        """Writes bytes of the body, framed as the head announced it."""
+        """Writes bytes of the body, with the framing that the head declared."""
         raise NotImplementedError
 
     def stream_complete(self) -> None:
-        """The body is written completely."""
+        """Ends the response after its complete body."""
         raise NotImplementedError
 
     def abort_stream(self) -> None:
-        """The body broke off: the connection is cut, so that half a response is not taken for a complete one."""
+        """Aborts the connection, so that a truncated response is not mistaken for a complete one."""
         raise NotImplementedError
 
 
 class AnswerReceiver(Protocol):
-    """The client of a transaction, as its protocol has it: it words and writes the one answer.
+    """The client of a transaction: encodes and writes its single answer in the client's protocol.
 
     Attributes:
-        accepts_streams: whether `stream` may be called in place of `succeeded`.
-        throttled: whether its connection is past the rate at which connections are accepted, so that what it brings is
-            declined with advice when to come back.
+        accepts_streams: whether `stream` may be called instead of `succeeded`.
+        throttled: whether its connection exceeds the rate at which connections are accepted. Its transactions are
+            declined with a time to retry after.
     """
 
     accepts_streams: bool
     throttled: bool
 
     def accepted(self, exchange: "AnyExchange") -> None:
-        """The transaction is accepted: nothing but its one answer is owed from now on."""
+        """Notes that the transaction is accepted; exactly one answer follows."""
         raise NotImplementedError
 
     def succeeded(self, body: bytes) -> None:
-        """The answer is a server's response, complete."""
+        """Answers with a server's complete response."""
         raise NotImplementedError
 
     def stream(self, source: StreamSource) -> None:
-        """The answer is a server's response whose body comes as `source` gives it."""
+        """Answers with a server's response whose body `source` streams."""
         raise NotImplementedError
 
     def declined(self, retry_after_ns: int) -> None:
-        """The transaction has not run. `retry_after_ns`: when to come back; 0 for no advice."""
+        """Answers that the transaction has not run. `retry_after_ns`: when to retry; 0 for no advice."""
         raise NotImplementedError
 
     def outcome_unknown(self) -> None:
-        """The transaction may have run, or not."""
+        """Answers that the transaction may or may not have run."""
         raise NotImplementedError
 
 
 class Submission(Protocol):
-    """One submission of a transaction that is out: a server's connection, or an intent that waits for the journal."""
+    """One submission in flight: a server connection, or an intent that waits for the journal."""
 
     def finish(self, outcome: int) -> None:
-        """Ends it, for the reason `how` of `terms.py`. This is the one path of every cancellation."""
+        """Ends it with `outcome`, a constant of `terms.py`. Every cancellation calls this method."""
         raise NotImplementedError
 
 
@@ -96,22 +96,22 @@
 
 
 class Exchange(Generic[ClientT]):
-    """One transaction: what is passed on to servers, who waits for the answer, and where it is out.
+    """One transaction: its request as sent to servers, the client that waits for the answer, and its submissions.
 
-    Two exchanges are equal if their ids are: while one is open, no other may go out under the same id.
+    Two exchanges are equal if their ids are equal: while one is open, no other may be sent under the same id.
 
     Attributes:
-        client: who is owed the answer; None once it is answered or the client is gone.
-        id: its id, as the client gave it.
-        head: the encoded head of its submissions, without what differs between them.
+        client: the client to answer; None once it is answered or has disconnected.
+        id: its id, as given by the client.
+        head: the encoded head of its submissions, without the fields that differ between them.
         body: the body of its submissions.
         product: the index of its product.
         account: the customer.
-        txn: its index at the decision module; -1 until it has one.
-        submissions: those that are out, by their numbers.
-        server: the id of the server that its last submission went to.
-        fingerprint: by which repeats of it are recognised in a retry storm.
-        intent_number: of the journal's record of the submission that is out.
+        txn: its index in the decision module; -1 until it has one.
+        submissions: its submissions in flight, by number.
+        server: the id of the server that its last submission was sent to.
+        fingerprint: identifies retries of it during a retry storm.
+        intent_number: the number of the journal record of its submission in flight.
     """
 
     __slots__ = (
@@ -129,7 +129,7 @@
     )
 
     def __init__(self, client: ClientT, id: bytes, head: bytes, body: bytes, product: int) -> None:
-        """Nothing of it is out yet. Parameters as the attributes of their names; its owner sets `account`."""
+        """Starts without submissions. The parameters are the attributes of the same names; the owner sets `account`."""
         self.client: ClientT | None = client
         self.id = id
         self.head = head
@@ -143,17 +143,17 @@
         self.intent_number: int | None = None
 
     def detach_client(self) -> ClientT | None:
-        """Nothing is owed to its client any more. Returns the client, once; None if it is gone or answered."""
+        """Releases the client from the exchange. Returns it; None if it was answered or has disconnected before."""
         client = self.client
         self.client = None
         return client
 
     def __hash__(self) -> int:
-        """By id."""
+        """Hashes the id."""
         return hash(self.id)
 
     def __eq__(self, other: object) -> bool:
-        """By id."""
+        """Compares by id."""
         return isinstance(other, Exchange) and self.id == other.id
 
 
--- a/rampfront/net/transaction_gateway.py
+++ b/rampfront/net/transaction_gateway.py
@@ -1,9 +1,9 @@
-"""The way of transactions in and out of the edge node, shared by its listeners of all protocols.
+"""Accepts transactions on the edge node and returns their answers; shared by the listeners of all protocols.
 
 A listener reads its protocol and calls `accept` with a `TransactionRequest` and an `AnswerReceiver`. The gateway checks
-the transaction and hands it to the decision driver; the driver hands its one answer back, which the gateway counts and
-gives to the receiver. It chooses no answer, apart from two guards: a transaction that cannot be recorded is declined,
-and one whose client would give up before the counter answers is declined in time.
+the transaction and passes it to the decision driver. The driver returns its single answer, which the gateway counts and
+passes to the receiver. The gateway decides on an answer itself in two cases only: it declines a transaction that cannot
+be recorded, and one whose client would time out before the counter answers.
 """
 
 from collections.abc import Callable, Iterable, Mapping
@@ -20,20 +20,20 @@
 from .transaction_request import TransactionRequest, check_method, encode_head, parse_account
 
 _NS_PER_MS = 10**6
-_NO_UNITS = 1e-9  # of a retry whose units an earlier attempt has taken
-_JOURNAL_RETRY_NS = 1000 * _NS_PER_MS  # a client comes back once the journal has tried to write again
+_NO_UNITS = 1e-9  # for a retry whose units were taken by an earlier attempt
+_JOURNAL_RETRY_NS = 1000 * _NS_PER_MS  # clients retry after the journal has tried to write again
 _MAX_ID_BYTES = 256
 
 TransactionExchange = Exchange[AnswerReceiver]
 
 
 class OutcomeCounts:
-    """What clients were answered for transactions of one product.
+    """The numbers of answers to clients for transactions of one product.
 
     Attributes:
-        succeeded: with a server's response.
-        declined: that it has not run.
-        unknown: that it may have run, or that it cannot be followed.
+        succeeded: answered with a server's response.
+        declined: answered that the transaction has not run.
+        unknown: answered that it may have run, or refused as invalid.
     """
 
     __slots__ = ("succeeded", "declined", "unknown")
@@ -46,57 +46,57 @@
 
 
 class AnnouncedNames(Protocol):
-    """The indices of the names that the settings announce."""
+    """The indices of the names that the settings define."""
 
     products: Mapping[str, int]
     plans: Mapping[str, int]
 
 
 class Listener(Protocol):
-    """Takes clients of one protocol."""
+    """Accepts clients of one protocol."""
 
     def drain(self) -> None:
-        """Sends clients elsewhere; what comes is still served."""
+        """Sends clients elsewhere; requests that still arrive are served."""
         raise NotImplementedError
 
     def activate(self) -> None:
-        """Welcomes clients again."""
+        """Ends draining."""
         raise NotImplementedError
 
     def retire(self, done: Callable[[], None]) -> None:
-        """Takes nothing new, and calls `done` once every client has its answers and is gone."""
+        """Stops accepting connections, and calls `done` once all clients were answered and are disconnected."""
         raise NotImplementedError
 
 
 class _Product(NamedTuple):
-    """A product and its index at the decision module."""
+    """A product and its index in the decision module."""
 
     product_index: int
     terms: t.Product
 
 
 class TransactionGateway:
-    """Accepts transactions, and hands answers to their clients.
+    """Accepts transactions, and returns answers to their clients.
 
     Attributes:
-        driver: decides about them.
-        clock: gives the time in ns.
-        listeners: those that take clients; set by the program.
-        storm: damps retries and reconnects; set by the program where the configuration has it.
-        outcomes: what clients were answered, by product index. Counted where answers are handed back, so the operators'
-            figures are what clients saw.
+        driver: the decision driver.
+        clock: returns the time in ns.
+        listeners: the listeners of all protocols; set by the program.
+        storm: throttles retries and reconnects; set by the program if the configuration enables it.
+        outcomes: the numbers of answers by product index. They are counted when answers are returned to clients, so
+            that the operators' figures match what clients received.
     """
 
     def __init__(
         self, driver: DecisionDriver[TransactionExchange], limits: NetworkLimits, names: AnnouncedNames, terms: t.Terms
     ) -> None:
-        """Accepts from now on.
+        """Creates a gateway that accepts transactions immediately.
 
         Args:
-            driver: decides about transactions.
+            driver: the decision driver.
             limits: the limits of the process.
-            names: the announced names of products and plans.
-            terms: what the node starts under.
+            names: the defined names of products and plans.
+            terms: the terms that the node starts with.
         """
         self.driver = driver
         self.clock = driver.clock
@@ -115,21 +115,21 @@
     # ---- for the operators
 
     def drain(self) -> None:
-        """Sends clients of all listeners elsewhere."""
+        """Drains all listeners."""
         for listener in self.listeners:
             listener.drain()
 
     def activate(self) -> None:
-        """Welcomes clients of all listeners again."""
+        """Ends draining of all listeners."""
         for listener in self.listeners:
             listener.activate()
 
     def retire(self, done: Callable[[], None]) -> None:
-        """Takes nothing new, and calls `done` once the clients of all listeners have their answers and are gone."""
+        """Retires all listeners, and calls `done` once their clients were answered and are disconnected."""
         remaining = set(self.listeners)
 
         def retired(listener: Listener) -> None:
-            """The clients of one listener are gone."""
+            """Notes that one listener has no clients any more."""
             remaining.discard(listener)
             if not remaining:
                 done()
@@ -140,24 +140,24 @@
     # ---- for listeners
 
     def has_plan(self, name: bytes) -> bool:
-        """Whether the settings announce a plan of this name."""
+        """Whether the settings define a plan with this name."""
         return name in self._plans
 
     def count_declined(self, product: bytes | None) -> None:
-        """A listener declined a transaction by itself. A product that is not announced counts nowhere."""
+        """Counts a transaction that a listener declined itself. Unknown products are not counted."""
         if known := self._products.get(product or b""):
             self.outcomes[known.product_index].declined += 1
 
     def count_unknown(self, product: bytes | None) -> None:
-        """A listener answered by itself that a transaction may have run, or refused it."""
+        """Counts a transaction that a listener refused, or answered itself that it may have run."""
         if known := self._products.get(product or b""):
             self.outcomes[known.product_index].unknown += 1
 
     def accept(self, client: AnswerReceiver, request: TransactionRequest) -> None:
-        """Accepts a transaction: `client.accepted` is called, and its answer follows, at once or later.
+        """Accepts a transaction: calls `client.accepted`, and answers immediately or later.
 
         Raises:
-            HttpStatusError: it cannot be followed; then nothing was accepted.
+            HttpStatusError: the request is invalid and was not accepted.
         """
         product, plan = self._check_names(request)
         check_method(request, product.terms)
@@ -193,7 +193,7 @@
     # ---- for the driver
 
     def complete(self, exchange: TransactionExchange, body: ResponseBody, stream: StreamSource | None) -> None:
-        """Answers with a server's response: its body in bytes, or the connection that gives it as it comes."""
+        """Answers with a server's response: its body as bytes, or the connection that streams it."""
         self._counts["settled"] += 1
         if self.storm and exchange.fingerprint:
             self.storm.settled(exchange.fingerprint, self.clock())
@@ -207,7 +207,7 @@
             client.stream(stream)
 
     def decline(self, exchange: TransactionExchange, retry_after_ns: int) -> None:
-        """Answers that the transaction has not run. `retry_after_ns`: when to come back; 0 for no advice."""
+        """Answers that the transaction has not run. `retry_after_ns`: when to retry; 0 for no advice."""
         self._counts["declined"] += 1
         if client := exchange.detach_client():
             self.outcomes[exchange.product].declined += 1
@@ -223,7 +223,7 @@
     # ---- checks
 
     def _check_names(self, request: TransactionRequest) -> tuple[_Product, int]:
-        """The product and the plan's index. Raises HttpStatusError."""
+        """Returns the product and the index of the plan. Raises HttpStatusError."""
         if not 0 < len(request.id) <= _MAX_ID_BYTES:
             raise HttpStatusError(BAD_REQUEST, "X-Request-Id is missing or too long")
         product = self._products.get(request.product or b"")
@@ -233,7 +233,7 @@
         return product, plan
 
     def _check_not_open(self, exchange: TransactionExchange, once_only: bool) -> None:
-        """Refuses a second copy of a transaction, which must not run twice. Raises HttpStatusError."""
+        """Refuses a duplicate of an open transaction, which must not run twice. Raises HttpStatusError."""
         if exchange in self.driver.in_flight.transactions:
             raise HttpStatusError(CONFLICT, "its X-Request-Id is open")
         gate = self.driver.once_only_gate
@@ -243,7 +243,7 @@
     def _check_storm(
         self, storm: RetryStormControl, exchange: TransactionExchange, request: TransactionRequest
     ) -> tuple[int | None, bool]:
-        """When to come back, if the transaction is declined for a retry storm, and whether its units were taken."""
+        """Returns when to retry if the transaction is declined for a retry storm, and whether its units were taken."""
         now_ns = self.clock()
         fingerprint = storm.mark(
             exchange.account, exchange.product, request.idempotency_key, request.target, request.body
@@ -256,7 +256,7 @@
         return retry_after_ns, units_taken
 
     def _decline_unsent(self, exchange: TransactionExchange) -> None:
-        """Declines a transaction that still waits for the counter when its client is about to give up."""
+        """Declines a transaction that still waits for the counter when its client is about to time out."""
         if exchange.client and not exchange.submissions:
             self.driver.client_left(exchange)
             self.decline(exchange, 0)
--- a/rampfront/net/transaction_request.py
+++ b/rampfront/net/transaction_request.py
@@ -1,4 +1,4 @@
-"""A transaction as its listener read it, and what can be checked of it and encoded without the node's state."""
+"""A transaction as read by its listener, with the checks and the encoding that need no state of the node."""
 
 from binascii import unhexlify
 from typing import NamedTuple
@@ -6,11 +6,11 @@
 from .. import terms as t
 from .http_status import BAD_REQUEST, METHOD_NOT_ALLOWED, HttpStatusError
 
-_MAX_ACCOUNT_KEY = (1 << 33).to_bytes(8, "big")  # account keys are below it
+_MAX_ACCOUNT_KEY = (1 << 33).to_bytes(8, "big")  # exclusive upper bound of account keys
 
 
 class TransactionRequest(NamedTuple):
-    """A transaction as its listener read it.
+    """A transaction as read by its listener.
 
     Attributes:
         id: X-Request-Id.
@@ -18,13 +18,13 @@
         plan: X-Tier.
         idempotency_key: Idempotency-Key.
         account_key: 16 hex digits.
-        expires_in_ns: until its client gives up; 0 if it does not say.
+        expires_in_ns: the time until its client gives up; 0 if the client does not state it.
         call_terms: X-Call-Terms.
-        method: the method to use at the server.
-        target: the request target to use at the server.
-        content_type: of the body.
+        method: the method of the request to the server.
+        target: the target of the request to the server.
+        content_type: the media type of the body.
         body: the body.
-        is_retry: its client calls it a retry.
+        is_retry: whether its client marks it as a retry.
     """
 
     id: bytes
@@ -42,7 +42,7 @@
 
 
 def parse_account(key: bytes) -> str:
-    """The customer of an account key, spelt alike on all nodes. Raises HttpStatusError."""
+    """Returns the customer of an account key, in lower case as on all nodes. Raises HttpStatusError."""
     try:
         number = unhexlify(key)
     except ValueError:
@@ -53,7 +53,7 @@
 
 
 def check_method(request: TransactionRequest, product: t.Product) -> None:
-    """Checks the method and the key against the product. Raises HttpStatusError."""
+    """Checks the method and the idempotency key against the product. Raises HttpStatusError."""
     if request.method != (b"GET" if product.kind == t.READ_ONLY else b"POST"):
         raise HttpStatusError(METHOD_NOT_ALLOWED, "not the method of its X-Class")
     if product.kind == t.DEDUPLICATED and not request.idempotency_key:
@@ -61,7 +61,7 @@
 
 
 def encode_head(request: TransactionRequest) -> bytes:
-    """The head that servers get, without what differs between submissions. Raises HttpStatusError."""
+    """Encodes the head that servers get, without fields that differ between submissions. Raises HttpStatusError."""
     head = b"%s %s HTTP/1.1\r\nHost: app.svc\r\nX-Request-Id: %s\r\n" % (request.method, request.target, request.id)
     if request.idempotency_key:
         head += b"Idempotency-Key: %s\r\n" % request.idempotency_key
