--- a/rampfront/net/decision_driver.py
+++ b/rampfront/net/decision_driver.py
@@ -1,8 +1,8 @@
-"""Drives the decision module: feeds it inputs one at a time, and carries out the effects that it returns, in order.
+"""Drives the decision module: passes it one input at a time, and executes the effects that it returns, in order.
 
-`choice.Node` decides and does no I/O. The driver owns the node, the timers and the table of what is in flight; it
-decides nothing and sends nothing again. What ends while effects are carried out (a refused connection, say) is queued
-as the next input: the node is never entered twice at once.
+`choice.Node` makes the decisions and does no I/O. The driver owns the node, the timers and the table of transactions in
+flight; it makes no decisions and repeats no submissions. An input that arises while effects are executed, such as a
+refused connection, is queued as the next one, so the node is never entered recursively.
 """
 
 from collections import deque
@@ -33,13 +33,13 @@
 
 Input = t.Arrival | t.Ended | t.Left | t.Due | t.Probed | t.Counted | t.ServerList
 Effect = t.Submit | t.Cancel | t.Decline | t.Void | t.Remind | t.Probe | t.AddToCount | t.CounterNotice | t.Subscribe
-"""The closed sets of `terms.py`. `None` as an input starts the node."""
+"""All inputs and effects of `terms.py`. The input `None` starts the node."""
 
-_create_node: Callable[[t.Terms, int, int], Node] = Node  # `choice.py` has no types
+_create_node: Callable[[t.Terms, int, int], Node] = Node  # `choice.py` has no type annotations
 
 
 class _Reminder(NamedTuple):
-    """A reminder that the node asked for, ordered by the latest time at which it must be woken for it."""
+    """A reminder that the node requested, ordered by the latest time at which it must be delivered."""
 
     latest_ns: int
     due_ns: int
@@ -47,37 +47,37 @@
 
 
 class DecisionDriver(Generic[ExchangeT]):
-    """One decision module with what it needs to run.
+    """Runs one instance of the decision module.
 
-    The program sets `gateway` and `servers` once they are made, and `counter`, `once_only_gate`, `recorder` and `storm`
-    where the configuration has them.
+    The program sets `gateway` and `servers` once they are created, and `counter`, `once_only_gate`, `recorder` and
+    `storm` if the configuration enables them.
 
     Attributes:
         timers: the timers of the part of the process that it drives.
-        clock: gives the time in ns.
+        clock: returns the time in ns.
         log: the event log.
         counts: the log's counters.
-        node: the decision module. It is read by others only between inputs.
-        in_flight: what is out.
-        now_ns: the time of the present input.
-        gateway: hands answers to clients.
+        node: the decision module. Other modules may read it only between inputs.
+        in_flight: the transactions, submissions and health checks in flight.
+        now_ns: the time of the current input.
+        gateway: returns answers to clients.
         servers: sends submissions to servers.
         counter: the shared counter of quotas.
         once_only_gate: holds once-only submissions until they are recorded.
         recorder: reports decisions as syslog messages.
-        storm: damps retry storms.
+        storm: throttles retry storms.
     """
 
     gateway: Gateway[ExchangeT]
     servers: ServerPool[ExchangeT]
 
     def __init__(self, timers: TimerQueue, terms: t.Terms, seed: int, limits: NetworkLimits, log: EventLog) -> None:
-        """Makes the node; `start` starts it.
+        """Creates the node; `start` starts it.
 
         Args:
             timers: the timers to use.
-            terms: what the node starts under.
-            seed: of the node's random draws.
+            terms: the terms that the node starts with.
+            seed: seeds the node's random numbers.
             limits: the limits of the process.
             log: the event log.
         """
@@ -98,7 +98,7 @@
         self._inputs: deque[Input | None] = deque()
         self._reminders: list[_Reminder] = []  # a heap
         self._reminder_timer: Timer | None = None  # for the first reminder
-        self._reminder_timer_ns = 0  # when; 0 for never
+        self._reminder_timer_ns = 0  # due time of the timer; 0 for none
         self._effect_handlers: dict[type[Effect], Callable[[Any], None]] = {
             t.Submit: self._submit,
             t.Cancel: self._cancel,
@@ -113,7 +113,7 @@
 
     @property
     def waiting_inputs(self) -> int:
-        """Inputs that the node has not taken yet."""
+        """The number of queued inputs."""
         return len(self._inputs)
 
     # ---- inputs
@@ -123,9 +123,9 @@
         self.post(None)
 
     def post(self, message: Input | None) -> None:
-        """Gives the node an input, at once or after those that wait.
+        """Passes the node an input, immediately or after the queued ones.
 
-        A server list goes before what waits, so that nothing is sent by an older list.
+        A server list goes to the front of the queue, so that no submission is sent by an outdated list.
         """
         if type(message) is t.ServerList:
             self._inputs.appendleft(message)
@@ -135,19 +135,22 @@
             self._run()
 
     def open(self, exchange: ExchangeT) -> int:
-        """Gives a transaction its index, with which its `Arrival` is posted. Returns the index."""
+        """Assigns a transaction the index with which its `Arrival` is posted. Returns the index."""
         exchange.txn = self.in_flight.open(exchange)
         return exchange.txn
 
     def client_left(self, exchange: ExchangeT) -> None:
-        """The client of a transaction has gone: what is out for it is cancelled, and no answer is owed."""
+        """Cancels the submissions of a transaction whose client has disconnected; it needs no answer any more."""
         if not self.in_flight.is_unfinished(exchange.txn):
             return
         self.in_flight.finish(exchange.txn)
         self.post(t.Left(exchange.txn))
 
     def submission_ended(self, end: SubmissionEnd[ExchangeT]) -> None:
-        """A submission has ended. The first good response goes to the client at once, and ends the transaction."""
+        """Handles the end of a submission.
+
+        The first successful response is sent to the client immediately, and ends the transaction.
+        """
         exchange = end.exchange
         done = end.outcome == t.DONE
         final = self.in_flight.end_submission(exchange.txn, end.attempt, end.server, done)
@@ -164,16 +167,16 @@
         )
 
     def health_checked(self, server: int, outcome: int, duration_ns: int, report: dict[str, float]) -> None:
-        """A health check has ended."""
+        """Handles the end of a health check."""
         self.in_flight.end_health_check(server)
         self.post(t.Probed(server, outcome, duration_ns, report))
 
     def counted(self, name: int, total: float, outcome: int, duration_ns: int) -> None:
-        """A call to the counter has ended."""
+        """Handles the end of a call to the counter."""
         self.post(t.Counted(name, total, outcome, duration_ns))
 
     def update_servers(self, complete: bool, rows: Iterable[ServerRow]) -> None:
-        """The server list, or what changed of it. `complete`: servers that it leaves out are removed."""
+        """Applies the server list or a change of it. `complete`: servers that `rows` does not contain are removed."""
         listed = []
         for row in rows:
             index = self.in_flight.list_server(row.uid, row.state == t.REMOVED)
@@ -192,7 +195,7 @@
         self.post(t.ServerList(complete, False, listed))
 
     def add_line(self, product: t.Product) -> int:
-        """Adds a line for one more product while the node runs; its intents are not recorded. Returns its index."""
+        """Adds a product while the node runs; its submissions are not recorded in the journal. Returns its index."""
         add_line: Callable[[t.Product], Line] = Line
         self.node.lines.append(add_line(product))
         self._once_only.append(False)
@@ -201,10 +204,10 @@
     # ---- the loop of inputs and effects
 
     def _run(self) -> None:
-        """Gives the node all inputs that wait, and all reminders that are due.
+        """Passes the node all queued inputs and all due reminders.
 
-        Reminders share a wake-up with whatever woke the node, and wake it themselves only when nothing comes within a
-        small part of their delay: a wake-up costs several times what most inputs do.
+        A wake-up costs several times as much as most inputs. Reminders are therefore delivered along with other inputs,
+        and cause a wake-up of their own only if there is no other input within a small part of their delay.
         """
         current: Input | None = None
         inputs = self._inputs
@@ -236,16 +239,16 @@
             self._set_reminder_timer(latest_ns)
 
     def _set_reminder_timer(self, latest_ns: int) -> None:
-        """Sets the timer for the first reminder; 0 for none."""
+        """Sets the timer of the first reminder to `latest_ns`; 0 cancels it."""
         if self._reminder_timer:
             self.timers.cancel(self._reminder_timer)
         self._reminder_timer = self.timers.at(latest_ns, self._run) if latest_ns else None
         self._reminder_timer_ns = latest_ns
 
     def _contain_fault(self, current: Input | None, error: Exception) -> None:
-        """A defect of ours costs the transaction that it struck, and no other.
+        """Handles an exception raised by the node or by an effect, so that only the transaction concerned fails.
 
-        The transaction is voided, which promises nothing: its client is answered in time all the same.
+        The transaction is voided: its client is answered in time, and the answer does not claim an outcome.
         """
         self.counts["faults"] += 1
         self.log.record_limited("fault", type(current).__name__, trouble=repr(error), at=_origin(error.__traceback__))
@@ -261,7 +264,7 @@
     # ---- effects
 
     def _submit(self, effect: t.Submit) -> None:
-        """Sends a submission, once its intent is recorded where that is asked for."""
+        """Sends a submission; if the product is once-only and the journal is enabled, after its intent is recorded."""
         exchange = self.in_flight.transactions.key(effect.txn)
         attempt = self.in_flight.add_submission(effect.txn, effect.server)
         self.counts["submissions"] += 1
@@ -292,7 +295,7 @@
                 why="quota" if effect.over_quota else "room",
             )
         retry_after_ns = effect.retry_after
-        if self.storm and retry_after_ns and not effect.over_quota:  # for want of capacity: by the measured recovery
+        if self.storm and retry_after_ns and not effect.over_quota:  # lack of capacity: advise by the measured recovery
             retry_after_ns = self.storm.advice(retry_after_ns, self.now_ns)
         self.gateway.decline(exchange, retry_after_ns)
 
@@ -305,7 +308,7 @@
         self.gateway.void(exchange)
 
     def _remind(self, effect: t.Remind) -> None:
-        """Notes a reminder."""
+        """Schedules a reminder."""
         due_ns = self.now_ns + effect.delay
         limits = self._limits
         slack_ns = min(limits.reminder_slack_ns, effect.delay // limits.reminder_slack_divisor)
@@ -317,23 +320,23 @@
         self.servers.check_health(effect.server)
 
     def _add(self, effect: t.AddToCount) -> None:
-        """Adds to a count of the counter."""
-        assert self.counter is not None, "a node without a counter adds to none"
+        """Adds to a count of the shared counter."""
+        assert self.counter is not None, "effect AddToCount, but no counter is configured"
         self.counter.add(effect.name, effect.amount, effect.lifetime)
 
     def _notice(self, effect: t.CounterNotice) -> None:
-        """Tells the operators news of the counter."""
+        """Reports a change of the counter to the operators."""
         self.counts[f"counter_{effect.change}"] += 1
         self.log.record("counter", news=effect.change, heard=effect.heard_nodes)
         if self.recorder:
             self.recorder.record_counter_notice(effect.change, effect.heard_nodes)
 
     def _subscribe(self, effect: t.Subscribe) -> None:
-        """Nothing is to be done: the subscription to the server list runs from the start and repairs itself."""
+        """Does nothing: the subscription to the server list runs from the start and reconnects by itself."""
 
 
 def _origin(traceback: TracebackType | None) -> str:
-    """File and line at which an exception was raised."""
+    """Returns the file and line at which an exception was raised."""
     if traceback is None:
         return ""
     while traceback.tb_next:
--- a/rampfront/net/decision_ports.py
+++ b/rampfront/net/decision_ports.py
@@ -1,8 +1,8 @@
-"""What the decision driver exchanges with its neighbours: rows of the server list, ends of submissions, and the ports.
+"""The interfaces of the decision driver: rows of the server list, ends of submissions, and the ports.
 
-A port is the neighbour as far as the driver needs it. `TransactionGateway` and the system's `RequestProxy` are
-gateways, `ServerConnectionPool` is a server pool, `edge/counter_client.py` has the counter, `rampfront/storm.py` the
-control of retry storms, and `rampfront/syslog/` the recorder of decisions.
+A port is the protocol class of a component that the driver calls. `TransactionGateway` and the system's `RequestProxy`
+implement `Gateway`, `ServerConnectionPool` implements `ServerPool`, `edge/counter_client.py` has the counter,
+`rampfront/storm.py` the retry storm control, and `rampfront/syslog/` the recorder of decisions.
 """
 
 from typing import Generic, Literal, NamedTuple, Protocol, TypeVar
@@ -13,17 +13,17 @@
 
 
 class ServerRow(NamedTuple):
-    """One server as the server list names it.
+    """One row of the server list.
 
     Attributes:
-        uid: its id.
+        uid: the server's id.
         state: UP, DRAINING or REMOVED of `terms.py`.
         zone: the index of its zone.
         cell: the index of its group.
-        weight: its capacity beside the others'.
-        came_up_ns: when it came up; 0 for long ago.
-        address: host and port; None for one that is removed.
-        near: weight by the way there.
+        weight: its capacity relative to the other servers.
+        started_at_ns: when it started; 0 for long ago.
+        address: host and port; None for a removed server.
+        proximity: weight by the network distance.
     """
 
     uid: str
@@ -43,12 +43,12 @@
         exchange: the transaction.
         attempt: the number of the submission among those of the transaction.
         server: the index of the server.
-        how: DONE, ERROR, ... of `terms.py`.
-        took_ns: how long it was out.
-        units: what the server says that the transaction drew; 0 if it does not say.
-        use: what the server says that the account used of its quota; None if it does not say.
-        body: of a complete response, as the server connection made it.
-        stream: the connection that gives the body of a response as it comes.
+        outcome: DONE, ERROR, ... of `terms.py`.
+        duration_ns: the time from its start to its end.
+        units: the units that the transaction took, as the server reports them; 0 if it does not.
+        usage: the share of the quota that the account has used, as the server reports it; None if it does not.
+        body: the body of a complete response, as the server connection returns it.
+        stream: the connection that streams the body of a response; None if the response is complete.
     """
 
     exchange: ExchangeT
@@ -63,7 +63,7 @@
 
 
 class Gateway(Protocol[ExchangeT_contra]):
-    """Hands answers to clients."""
+    """Returns answers to clients."""
 
     def complete(self, exchange: ExchangeT_contra, body: ResponseBody, stream: StreamSource | None) -> None:
         """Answers with a server's response."""
@@ -82,7 +82,7 @@
     """Sends submissions and health checks to servers."""
 
     def uid(self, index: int) -> str | None:
-        """The id of a server."""
+        """Returns the id of a server; None if it is not on the list."""
         raise NotImplementedError
 
     def any_up(self) -> bool:
@@ -90,11 +90,11 @@
         raise NotImplementedError
 
     def list_server(self, index: int, row: ServerRow) -> None:
-        """The server list names a server."""
+        """Adds or updates a server of the server list."""
         raise NotImplementedError
 
     def remove_server(self, index: int) -> None:
-        """A server left the list."""
+        """Removes a server that is no longer on the list."""
         raise NotImplementedError
 
     def submit(self, exchange: ExchangeT_contra, attempt: int, index: int, timeout_ns: int) -> None:
@@ -102,7 +102,7 @@
         raise NotImplementedError
 
     def cancel(self, exchange: ExchangeT_contra, attempt: int) -> None:
-        """Cancels a submission that is out."""
+        """Cancels a submission in flight."""
         raise NotImplementedError
 
     def check_health(self, index: int) -> None:
@@ -119,32 +119,32 @@
 
 
 class RetryStormControl(Protocol):
-    """Recognises and damps retry storms."""
+    """Detects and throttles retry storms."""
 
     def sent(self, fingerprint: tuple[str, int, bytes]) -> None:
-        """A submission of a transaction was sent."""
+        """Notes that a submission of a transaction was sent."""
         raise NotImplementedError
 
     def settled(self, fingerprint: tuple[str, int, bytes], now_ns: int) -> None:
-        """A transaction was answered with a response."""
+        """Notes that a transaction was answered with a response."""
         raise NotImplementedError
 
     def mark(self, account: str, product: int, key: bytes | None, target: bytes, body: bytes) -> tuple[str, int, bytes]:
-        """The fingerprint of a transaction: its idempotency key, or a digest of what it asks for."""
+        """Returns the fingerprint of a transaction: its idempotency key, or a digest of its request."""
         raise NotImplementedError
 
     def arrived(
         self, fingerprint: tuple[str, int, bytes], product: int, is_retry: bool, now_ns: int
     ) -> tuple[bool, int | None]:
-        """A transaction came.
+        """Notes that a transaction arrived, and decides whether to decline it.
 
         Returns:
-            Whether an earlier attempt took its units, and, where it is to be declined, when to come back in ns.
+            Whether an earlier attempt took its units; and, if it is to be declined, the time until a retry in ns.
         """
         raise NotImplementedError
 
     def advice(self, least_ns: int, now_ns: int) -> int:
-        """When a declined client should come back, in ns; at least `least_ns`."""
+        """Returns the time after which a declined client should retry, in ns; at least `least_ns`."""
         raise NotImplementedError
 
     def connected(self, now_ns: int) -> bool:
@@ -153,22 +153,22 @@
 
 
 class DecisionRecorder(Protocol):
-    """Reports decisions to the operators' systems."""
+    """Reports decisions to the operators' monitoring systems."""
 
     def record_transaction(
         self, decision: Literal["settled", "declined", "voided"], exchange: AnyExchange, **parameters: object
     ) -> None:
-        """A transaction has ended. `parameters`: what more is reported of it."""
+        """Reports the end of a transaction. `parameters`: further reported values."""
         raise NotImplementedError
 
     def record_counter_notice(self, notice: str, nodes: int) -> None:
-        """News of the counter. `nodes`: how many nodes it hears of."""
+        """Reports a change of the counter. `nodes`: the number of nodes that it hears of."""
         raise NotImplementedError
 
     def record_server_state(self, uid: str, state: int) -> None:
-        """The server list gives the state of a server."""
+        """Reports the state of a server on the server list."""
         raise NotImplementedError
 
     def close(self) -> None:
-        """At the end of the process: sends or stores what waits."""
+        """Sends or stores pending reports at the end of the process."""
         raise NotImplementedError
--- a/rampfront/net/once_only.py
+++ b/rampfront/net/once_only.py
@@ -1,8 +1,8 @@
-"""Once-only submissions are recorded in the journal before they leave.
+"""Records once-only submissions in the journal before they are sent.
 
-A transaction that may run only once must not be sent again after a crash of this process. So its intent is durable
-before its submission leaves: until then a `PendingIntent` stands where its connection will stand, and is cancelled the
-same way.
+A transaction that may run only once must not be sent again after a crash of this process. Its intent must therefore be
+durable before the submission is sent. Until then a `PendingIntent` takes the place of the server connection in
+`Exchange.submissions`, and is cancelled in the same way.
 """
 
 from collections.abc import Callable
@@ -17,7 +17,7 @@
 
 
 class IntentJournal(Protocol):
-    """Records once-only submissions before they leave (`rampfront/journal`)."""
+    """Records once-only submissions before they are sent (`rampfront/journal`)."""
 
     def record_intent(
         self, exchange: AnyExchange, attempt: int, server: str | None, pending: "PendingIntent"
@@ -50,14 +50,14 @@
         exchange: its transaction.
         attempt: its number among the submissions of the transaction.
         server: the index of its server.
-        due_ns: by when it has to be answered.
-        number: of the journal's record; None until it has one.
+        due_ns: the time at which its submission times out.
+        number: the number of its journal record; None until it has one.
     """
 
     __slots__ = ("exchange", "attempt", "server", "due_ns", "number", "_gate", "_timer")
 
     def __init__(self, gate: "OnceOnlyGate", exchange: AnyExchange, attempt: int, effect: t.Submit) -> None:
-        """Sets its time limit: a disk that stands still must not hold up the client's answer."""
+        """Sets its timeout, so that a stalled disk does not delay the client's answer."""
         self.exchange = exchange
         self.attempt = attempt
         self.server = effect.server
@@ -67,12 +67,12 @@
         self._timer = gate.timers.at(self.due_ns, self.finish, t.NOT_SENT)
 
     def release(self) -> None:
-        """It waits no longer."""
+        """Cancels its timer and removes it from its exchange."""
         self._gate.timers.cancel(self._timer)
         self.exchange.submissions.pop(self.attempt, None)
 
     def finish(self, outcome: int) -> None:
-        """Withdraws it. If its record is being written it cannot be withdrawn, and the journal ends it."""
+        """Withdraws it. If its record is being written, it cannot be withdrawn, and the journal ends it later."""
         self._gate.withdraw(self, outcome)
 
 
@@ -91,13 +91,13 @@
         servers: ServerPool[Any],
         on_end: Callable[[SubmissionEnd[Any]], None],
     ) -> None:
-        """Holds nothing yet.
+        """Starts without pending intents.
 
         Args:
             journal: records the intents; it calls `send` and `refuse`.
             timers: the timers to use.
             servers: sends the submissions.
-            on_end: is called with the end of a submission that did not leave.
+            on_end: called with the end of a submission that was not sent.
         """
         self.journal = journal
         self.timers = timers
@@ -105,7 +105,7 @@
         self._on_end = on_end
 
     def may_have_run(self, exchange_id: bytes) -> bool:
-        """Whether a transaction of this id may have run before this process started."""
+        """Whether a transaction with this id may have run before this process started."""
         return exchange_id in self.journal.in_doubt_ids
 
     def accepts_intents(self) -> bool:
@@ -122,29 +122,29 @@
             exchange.submissions[attempt] = pending
 
     def send(self, number: int, pending: PendingIntent) -> None:
-        """An intent is durable: its submission leaves, in what is left of its time."""
+        """Sends the submission of a durable intent, with the remaining time as its timeout."""
         pending.release()
         pending.exchange.intent_number = number
         timeout_ns = max(_NS_PER_MS, pending.due_ns - self.timers.clock())
         self._servers.submit(pending.exchange, pending.attempt, pending.server, timeout_ns)
 
     def refuse(self, pending: PendingIntent) -> None:
-        """An intent cannot be recorded, so its submission does not leave."""
+        """Ends the submission of an intent that cannot be recorded, without sending it."""
         pending.release()
         self._end_unsent(pending, t.NOT_SENT)
 
     def withdraw(self, pending: PendingIntent, outcome: int) -> None:
-        """Ends an intent that waits, if the journal can still withdraw it."""
+        """Ends a pending intent, if the journal can still withdraw it."""
         if pending.number is not None and self.journal.withdraw(pending.number):
             pending.release()
             self._end_unsent(pending, outcome)
 
     def record_outcome(self, exchange: AnyExchange, outcome: int) -> None:
-        """Records how a submission ended, if it was recorded."""
+        """Records the outcome of a submission whose intent was recorded."""
         if exchange.intent_number is not None:
             self.journal.record_outcome(exchange.intent_number, outcome)
             exchange.intent_number = None
 
     def _end_unsent(self, pending: PendingIntent, outcome: int) -> None:
-        """The submission of an intent has ended without leaving."""
+        """Reports the end of a submission that was not sent."""
         self._on_end(SubmissionEnd(pending.exchange, pending.attempt, pending.server, outcome, duration_ns=0))
