--- a/rampfront/net/server.py
+++ b/rampfront/net/server.py
@@ -1,10 +1,10 @@
-"""One server of the list, and its idle connections."""
+"""One server of the server list, and its idle connections."""
 
 from typing import Generic, Protocol, TypeVar
 
 
 class IdleConnection(Protocol):
-    """A connection as far as its server needs it."""
+    """The interface of a connection that its server uses."""
 
     idle_since_ns: int
     """When it became idle."""
@@ -23,21 +23,21 @@
 
 
 class Server(Generic[ConnectionT]):
-    """One server as the list names it.
+    """One server of the server list.
 
     Attributes:
-        index: its index at the decision module.
+        index: its index in the decision module.
         uid: its id.
         address: host and port; None once it was removed.
-        up: whether submissions may go there.
-        idle: its idle connections, the one used last at the end.
-        connections: how many connections there are to it.
+        up: whether submissions may be sent to it.
+        idle: its idle connections, the most recently used last.
+        connections: the number of connections to it.
     """
 
     __slots__ = ("index", "uid", "address", "up", "idle", "connections")
 
     def __init__(self, index: int, uid: str, address: tuple[str, int] | None) -> None:
-        """Has no connection yet."""
+        """Starts without connections."""
         self.index = index
         self.uid = uid
         self.address = address
--- a/rampfront/net/server_connection_pool.py
+++ b/rampfront/net/server_connection_pool.py
@@ -1,7 +1,8 @@
-"""The connections to all servers: made, reused, limited, and the submissions and health checks that go over them.
+"""The pool of connections to all servers, which sends submissions and health checks.
 
-The pool sends nothing again and nothing to a server that the list does not name as up. It reports how each submission
-ended (`server_connection.py`); what follows from that is the decision module's matter.
+The pool creates, reuses and limits connections. It never retries, and sends nothing to a server that the server list
+does not give as up. It reports the outcome of each submission (`server_connection.py`); the decision module decides
+what follows from it.
 """
 
 import asyncio
@@ -27,15 +28,15 @@
 
     Attributes:
         loop: the event loop.
-        driver: is told how submissions end.
-        clock: gives the time in ns.
+        driver: receives the outcomes of submissions.
+        clock: returns the time in ns.
         limits: the limits of the process.
         log: the event log.
         counts: the log's counters.
-        read_buffer: what all connections read into.
-        health_check_request: what a health check sends.
-        servers: those on the list, by index.
-        connections: how many connections there are.
+        read_buffer: the buffer that all connections read into.
+        health_check_request: the request of a health check.
+        servers: the servers on the server list, by index.
+        connections: the number of connections.
     """
 
     connection_type: type[ServerConnection[ExchangeT]] = StreamingServerConnection
@@ -48,13 +49,13 @@
         reports_load: bool,
         log: EventLog,
     ) -> None:
-        """Has no server yet.
+        """Starts without servers.
 
         Args:
             loop: the event loop.
-            driver: is told how submissions end.
+            driver: receives the outcomes of submissions.
             limits: the limits of the process.
-            reports_load: whether servers report their load, which health checks then ask for.
+            reports_load: whether servers report their load; health checks then request the report.
             log: the event log.
         """
         self.loop = loop
@@ -72,7 +73,7 @@
     # ---- servers
 
     def uid(self, index: int) -> str | None:
-        """The id of a server; None if it is not on the list."""
+        """Returns the id of a server; None if it is not on the list."""
         server = self.servers.get(index)
         return server.uid if server else None
 
@@ -81,7 +82,7 @@
         return any(server.up for server in self.servers.values())
 
     def list_server(self, index: int, row: ServerRow) -> None:
-        """The list names a server: its connections are used, or closed once they are idle."""
+        """Adds or updates a server. If it is not up, its connections are closed once they are idle."""
         server = self.servers.get(index)
         if server is None:
             server = self.servers[index] = Server(index, row.uid, row.address)
@@ -94,7 +95,7 @@
             server.close_idle()
 
     def remove_server(self, index: int) -> None:
-        """A server left the list. What is out there still ends; only then its index is handed out again."""
+        """Removes a server from the list. Its submissions still end, and its index is not reused before that."""
         server = self.servers.pop(index, None)
         if server:
             server.up = False
@@ -103,7 +104,7 @@
     # ---- submissions and health checks
 
     def submit(self, exchange: ExchangeT, attempt: int, index: int, timeout_ns: int) -> None:
-        """Sends a submission, which may take `allow_ns`. Its end is reported to the driver in any case."""
+        """Sends a submission with a timeout of `timeout_ns`. Its end is always reported to the driver."""
         connection = self.connection_to(index)
         if connection is None:
             self.counts["unseen"] += 1
@@ -112,12 +113,12 @@
             connection.begin(exchange, attempt, timeout_ns)
 
     def cancel(self, exchange: ExchangeT, attempt: int) -> None:
-        """Cancels a submission, if it is still out."""
+        """Cancels a submission, if it is still in flight."""
         if submission := exchange.submissions.get(attempt):
             submission.finish(t.CANCELLED)
 
     def check_health(self, index: int) -> None:
-        """Sends a health check. Its end is reported to the driver in any case."""
+        """Sends a health check. Its end is always reported to the driver."""
         self.counts["probes"] += 1
         connection = self.connection_to(index)
         if connection is None:
@@ -129,14 +130,14 @@
     def health_check_ended(
         self, connection: ServerConnection[ExchangeT], outcome: int, duration_ns: int, report: bytes | None
     ) -> None:
-        """A health check has ended. `report`: the text of the server's report of load, if it gave one."""
+        """Reports the end of a health check. `report`: the text of the server's load report, if there is one."""
         if outcome != t.DONE:
             self.counts["probes_failed"] += 1
         load = self._read_report(connection.server, report) if report else {}
         self.driver.health_checked(connection.server.index, outcome, duration_ns, load)
 
     def _read_report(self, server: Server[ServerConnection[ExchangeT]], text: bytes) -> Report:
-        """The numbers of a report; none if it cannot be read."""
+        """Returns the numbers of a load report; none if it is invalid."""
         try:
             return parse_report(text)
         except ValueError:
@@ -147,10 +148,10 @@
     # ---- connections
 
     def connection_to(self, index: int) -> ServerConnection[ExchangeT] | None:
-        """The idle connection to a server that was used last, or a new one.
+        """Returns the most recently used idle connection to a server, or a new one.
 
         Returns:
-            None if the server is not up, or there are as many connections as there may be and none is idle.
+            None if the server is not up, or if the limit of connections is reached and none is idle.
         """
         server = self.servers.get(index)
         if server is None or not server.up:
@@ -167,15 +168,15 @@
         return self._connect(server)
 
     def sweep(self) -> None:
-        """Closes connections that were idle for too long. Called by the program in each sweep interval."""
+        """Closes connections that exceeded the idle timeout. Called by the program in each sweep interval."""
         oldest_ns = self.clock() - self.limits.server_idle_timeout_ns
         for server in self.servers.values():
             while server.idle and server.idle[0].idle_since_ns < oldest_ns:
                 server.idle[0].close()
 
     def _connect(self, server: Server[ServerConnection[ExchangeT]]) -> ServerConnection[ExchangeT]:
-        """Makes a connection, which connects on its own."""
-        assert server.address is not None, "a server has an address until it is removed"
+        """Creates a connection and starts its connect."""
+        assert server.address is not None, "a server on the list has an address"
         connection = self.connection_type(self, server)
         server.connections += 1
         self.connections += 1
@@ -185,7 +186,7 @@
         return connection
 
     def _shed(self) -> bool:
-        """Closes the connection idle longest, whichever server it leads to. Returns False if none is idle."""
+        """Closes the connection to any server that has been idle longest. Returns False if none is idle."""
         candidates = [server.idle[0] for server in self.servers.values() if server.idle]
         if not candidates:
             return False
--- a/rampfront/net/server_response.py
+++ b/rampfront/net/server_response.py
@@ -1,4 +1,4 @@
-"""What servers say in header fields and reports, apart from their responses. What cannot be read says nothing."""
+"""Parses extension header fields and load reports of servers. Invalid values count as absent."""
 
 from collections.abc import Mapping
 from math import isfinite
@@ -13,7 +13,7 @@
 
 
 def parse_units(text: bytes) -> float:
-    """X-Cost-Units: what the transaction drew; 0 if the server does not say, which is not the same as nothing."""
+    """X-Cost-Units: the units that the transaction took. Returns 0 if unknown, which does not mean zero units."""
     if len(text) > _MAX_UNITS_CHARACTERS or b"_" in text:
         return 0
     try:
@@ -24,9 +24,9 @@
 
 
 def parse_quota_use(text: bytes) -> float | None:
-    """X-Ratelimit-Used: what the account used of its quota, over all nodes; None if the server does not say.
+    """X-Ratelimit-Used: the share of its quota that the account has used over all nodes. Returns None for unknown.
 
-    The field holds 1 and the use in percent, so that 0 says nothing.
+    The value of the field is the usage in percent plus 1, so that 0 means unknown.
     """
     text = text.strip()
     if not text.isdigit() or len(text) > _MAX_USE_DIGITS or not int(text):
@@ -35,14 +35,14 @@
 
 
 def parse_report(text: bytes) -> Report:
-    """The numbers of a report of load in JSON.
+    """Parses a load report in JSON. Returns its numbers by name.
 
     Raises:
-        ValueError: it is no JSON, or no object.
+        ValueError: it is not JSON, or not an object.
     """
-    import orjson  # not every process reads reports, and it takes memory
+    import orjson  # imported on first use to save memory, as not every process reads reports
 
     report = orjson.loads(text)
     if not isinstance(report, Mapping):
-        raise ValueError("no object")
+        raise ValueError("load report is not a JSON object")
     return {name: value for name, value in report.items() if type(value) in (int, float) and 0 <= value < _MAX_REPORTED}
--- a/rampfront/net/server_response_reader.py
+++ b/rampfront/net/server_response_reader.py
@@ -1,7 +1,7 @@
-"""Reads the responses of one server connection, without I/O: bytes go in, responses and breaches of the protocol out.
+"""Reads the responses of one server connection, without I/O: returns responses and protocol errors.
 
-The syntax is `httptools`'s matter. This module keeps the limits, and reads the header fields of the platform's
-protocol; the system's proxy has its own (`proxy/server_response_reader.py`).
+`httptools` parses the syntax. This module enforces the limits and reads the header fields of the platform's protocol.
+The system's proxy has a subclass for its own protocol (`proxy/server_response_reader.py`).
 """
 
 from collections.abc import Callable
@@ -16,27 +16,27 @@
 
 
 class RemoteProtocolError(Exception):
-    """The server broke the protocol. The submission that is out may have run."""
+    """The server violated the protocol. The submission in flight may have run."""
 
 
 class ServerResponseReader:
     """Reads the responses of one connection. The methods `on_...` are the callbacks of `httptools`.
 
     Attributes:
-        status: the status code of the response whose head came last.
-        received_bytes: bytes of the present response, with all framing.
-        head_complete: the head of the final response is complete.
-        complete: the final response is complete.
-        keep_alive: the server keeps the connection behind it.
-        length: bytes of the body, as the head has it; None if it does not say.
-        chunked: the body comes in chunks.
-        body_parts: the body, as it came.
-        is_large: the response is to be streamed: it is too large to keep, or of unknown length.
-        stream: what passes the body on, once it is streamed.
-        not_run: the server says that it has not run the submission.
-        units: what the server says that the transaction drew; 0 if it does not say.
-        use: what the server says that the account used of its quota; None if it does not say.
-        load_report: the text of a report of load; None if there is none.
+        status: the status code of the response whose head was received last.
+        received_bytes: bytes of the current response, with all framing.
+        head_complete: whether the head of the final response is complete.
+        complete: whether the final response is complete.
+        keep_alive: whether the server keeps the connection open after it.
+        length: the length of the body declared in the head; None if there is none.
+        chunked: whether the body has chunk framing.
+        body_parts: the parts of the body, as received.
+        is_large: whether the response is to be streamed, because it is too large to buffer or of unknown length.
+        stream: forwards the body to the client, once streaming has begun.
+        not_run: whether the server states that it has not run the submission.
+        units: the units that the transaction took, as the server reports them; 0 if it does not.
+        use: the share of the quota that the account has used, as the server reports it; None if it does not.
+        load_report: the text of a load report; None if there is none.
     """
 
     __slots__ = (
@@ -65,7 +65,7 @@
 
         Args:
             limits: the limits of the process.
-            may_stream: whether the present response may be streamed; called once its head is complete.
+            may_stream: returns whether the current response may be streamed; called once its head is complete.
         """
         self.status = 0
         self.received_bytes = 0
@@ -87,54 +87,54 @@
         self._body_bytes = 0
 
     def expect_response(self) -> None:
-        """A request was sent."""
+        """Resets the state after a request was sent."""
         self.received_bytes = 0
         self.head_complete = False
 
     def feed(self, data: memoryview) -> str | None:
-        """Takes bytes as they came. Returns how they break the protocol, or None.
+        """Parses received bytes. Returns a description of the protocol error, or None.
 
-        The response may be `complete` all the same: it stands in front of what breaks the protocol.
+        Even with an error the response may be `complete`, if it precedes the invalid bytes.
         """
         assert self._parser is not None
         self.received_bytes += len(data)
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            return "wants to upgrade"
+            return "the response switches protocols"
         except httptools.HttpParserError as error:
             return str(error.__context__ or error)
         limits = self._limits
         max_bytes = limits.max_response_bytes if self.head_complete else limits.max_head_bytes
         if self.received_bytes > max_bytes and not self.is_large:
-            # The parser gathers a field until it is complete, so a head that never ends reaches no callback.
-            return "the answer never ends"
+            # The parser reports a header field only once it is complete, so the raw bytes are limited as well.
+            return "the response is too large"
         return None
 
     @property
     def ends_with_connection(self) -> bool:
-        """Whether the body of the present response has neither a length nor chunks (RFC 9112, section 6.3)."""
+        """Whether the body of the current response has neither a length nor chunks (RFC 9112, section 6.3)."""
         return self.head_complete and self.length is None and not self.chunked
 
     def should_keep_alive(self) -> bool:
-        """Whether the server keeps the connection, as the parser sees it now."""
+        """Whether the server keeps the connection open, according to the parser."""
         return self._parser is not None and self._parser.should_keep_alive()
 
     def take_body(self) -> list[bytes]:
-        """Hands over the body that came so far."""
+        """Returns and removes the part of the body received so far."""
         parts = self.body_parts
         self.body_parts = []
         return parts
 
     def close(self) -> None:
-        """Drops what refers back to this reader and its connection, which has ended."""
+        """Breaks the reference cycles with the parser and the connection, which has ended."""
         self._parser = None
         self._may_stream = _never
 
     def on_message_begin(self) -> None:
-        """A response begins."""
+        """Resets the state for a new response."""
         if self.complete:
-            raise RemoteProtocolError("an answer too many")
+            raise RemoteProtocolError("an unexpected further response")
         self.body_parts = []
         self.length = None
         self.chunked = False
@@ -145,18 +145,18 @@
         self._body_bytes = 0
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """One header field."""
+        """Reads one header field."""
         if name[:1] in b"xX":
             self._read_extension_field(name.lower(), value)
         elif name[:1] in b"cCtT":
             name = name.lower()
             if name == b"content-length":
-                self.length = int(value)  # the parser has checked it
+                self.length = int(value)  # checked by the parser
             elif name == b"transfer-encoding":
-                self.chunked = True  # the parser takes no other last coding
+                self.chunked = True  # the parser accepts no other final transfer coding
 
     def on_headers_complete(self) -> None:
-        """The head is complete."""
+        """Reads the status code, and decides whether the response is to be streamed."""
         assert self._parser is not None
         self.status = self._parser.get_status_code()
         self.head_complete = self.status >= FIRST_FINAL_STATUS
@@ -168,26 +168,26 @@
         )
 
     def on_body(self, part: bytes) -> None:
-        """A part of the body."""
+        """Forwards or appends a part of the body."""
         if self.stream:
             try:
                 self.stream.write(part)
             except StreamTooLargeError as error:
                 raise RemoteProtocolError(str(error)) from None
         elif self.is_large:
-            self.body_parts.append(bytes(part))  # what came with the head, until the stream begins
+            self.body_parts.append(bytes(part))  # received together with the head, before the stream begins
         else:
             self._body_bytes += len(part)
             if self._body_bytes > self._limits.max_body_bytes:
-                raise RemoteProtocolError("the answer is too large")
+                raise RemoteProtocolError("the response body is too large")
             self.body_parts.append(part)
 
     def on_message_complete(self) -> None:
-        """A response is complete."""
+        """Marks the response as complete."""
         assert self._parser is not None
-        if self.head_complete:  # else it was a 1xx, and the final response follows
+        if self.head_complete:  # after an interim response (1xx) the final one follows
             self.complete = True
-            self.keep_alive = self._parser.should_keep_alive()  # the parser tells it in this callback alone
+            self.keep_alive = self._parser.should_keep_alive()  # the parser knows it in this callback only
 
     def _read_extension_field(self, name: bytes, value: bytes) -> None:
         """Reads a header field of the platform's protocol; `name` is in lower case."""
@@ -202,5 +202,5 @@
 
 
 def _never() -> bool:
-    """No response is streamed any more."""
+    """Returns False: after the end of the connection no response is streamed."""
     return False
--- a/rampfront/net/streaming_connection.py
+++ b/rampfront/net/streaming_connection.py
@@ -1,6 +1,6 @@
-"""A server connection that streams responses that are too large to keep to their clients (`response_stream.py`).
+"""A server connection that streams responses that are too large to buffer to their clients (`response_stream.py`).
 
-The edge node uses it; the system's proxy keeps responses whole, up to its limit.
+The edge node uses it; the system's proxy buffers complete responses, up to its limit.
 """
 
 from .. import terms as t
@@ -11,31 +11,31 @@
 
 
 class StreamingServerConnection(ServerConnection[ExchangeT]):
-    """One connection to a server: the source of streams (`StreamSource`)."""
+    """One connection to a server, which can be the source of a stream (`StreamSource`)."""
 
     __slots__ = ()
 
     @property
     def length(self) -> int | None:
-        """Bytes of the body that is streamed; None if the server does not tell it first."""
+        """The length of the streamed body in bytes; None if the response does not declare it."""
         return self.reader.length
 
     # ---- the source of a stream
 
     def pause(self) -> None:
-        """The client takes the stream too slowly: nothing is read until `resume`."""
+        """Stops reading until `resume`, because the client reads the stream too slowly."""
         if self.transport:
             self.transport.pause_reading()
         self._note_progress()
 
     def resume(self) -> None:
-        """Reads on. While it was paused nothing could come, so it has not stalled."""
+        """Resumes reading. The pause does not count as a stall, as nothing could be received."""
         if self.transport:
             self.transport.resume_reading()
         self._note_progress()
 
     def detach_client(self) -> None:
-        """The client of the stream has gone."""
+        """Closes the connection, because the client of the stream has disconnected."""
         if self.reader.stream:
             self.reader.stream.sink = None
         self.close()
@@ -43,7 +43,7 @@
     # ---- the connection
 
     def close(self) -> None:
-        """Closes the connection now, and cuts the client of a stream that was under way."""
+        """Closes the connection now, and aborts the client's connection if a stream is in progress."""
         if self.state is CLOSED:
             return
         stream = self.reader.stream
@@ -53,13 +53,13 @@
         super().close()
 
     def eof_received(self) -> bool:
-        """The server sends nothing more, which completes a streamed body without framing too."""
+        """Completes a streamed body that is delimited by the end of the connection."""
         if self.state is STREAMING and self.reader.ends_with_connection:
             self._end_stream()
         return super().eof_received()
 
     def stream_response(self, error: str | None) -> bool:
-        """Streams what came of a large response. `error`: how it breaks the protocol. Returns False if it does not."""
+        """Streams what was received of a large response. Returns whether it did. `error`: a protocol error in it."""
         if self.state is AWAITING_RESPONSE and error is None:
             self._begin_stream()
         if self.state is not STREAMING:
@@ -74,12 +74,12 @@
         return client is not None and client.accepts_streams
 
     def _begin_stream(self) -> None:
-        """The transaction is done here: its client gets the head now and the body as it comes."""
+        """Completes the transaction: its client gets the head now, and the body as it is received."""
         pool = self.pool
         exchange = self.exchange
         assert exchange is not None
         client = exchange.client
-        assert client is not None, "a response is streamed only to a client that is there"
+        assert client is not None, "a response is streamed only to a connected client"
         self._cancel_timer()
         self.exchange = None
         self.state = STREAMING
@@ -95,7 +95,7 @@
         pool.driver.submission_ended(
             SubmissionEnd(exchange, self.attempt, index, t.DONE, duration_ns, reader.units, reader.usage, stream=self)
         )
-        if client.stream_source is not self:  # the client had gone, or was answered otherwise
+        if client.stream_source is not self:  # the client has disconnected or has got another answer
             reader.stream = None
             self.close()
             return
@@ -104,8 +104,8 @@
         self._timer = pool.driver.timers.after(pool.limits.stream_stall_timeout_ns, self._check_stall)
 
     def _continue_stream(self, error: str | None) -> None:
-        """Bytes of a stream came. `error`: how they break the protocol."""
-        if self.reader.complete:  # first: what follows a complete response spoils the connection, not the response
+        """Handles received bytes of a stream. `error`: a protocol error in them."""
+        if self.reader.complete:  # checked first, as invalid bytes after a complete response do not invalidate it
             self._end_stream()
         if error is None:
             return
@@ -115,7 +115,7 @@
             self.close()
 
     def _end_stream(self) -> None:
-        """The response has been passed on completely."""
+        """Ends a stream whose response was forwarded completely."""
         reader = self.reader
         reader.complete = False
         stream = reader.stream
@@ -130,7 +130,7 @@
             self.close()
 
     def _check_stall(self) -> None:
-        """Cuts a stream that has stopped, with its client."""
+        """Aborts a stalled stream and its client's connection."""
         self._timer = None
         stream = self.reader.stream
         if self.state is not STREAMING or stream is None:
@@ -140,10 +140,10 @@
         if remaining_ns:
             self._timer = self.pool.driver.timers.after(remaining_ns, self._check_stall)
             return
-        self.pool.log.record_limited("odd answer", self.server.uid, why="stops mid-answer")
+        self.pool.log.record_limited("odd answer", self.server.uid, why="the streamed response stalled")
         self.close()
 
     def _note_progress(self) -> None:
-        """The stream, if one is under way, has not stalled."""
+        """Restarts the stall timeout of the stream, if there is one."""
         if self.reader.stream:
             self.reader.stream.last_progress_ns = self.pool.clock()
