--- a/rampfront/net/http_messages.py
+++ b/rampfront/net/http_messages.py
@@ -1,4 +1,4 @@
-"""Requests and responses as handlers of the HTTP server see them."""
+"""Requests and responses of the HTTP server, as its handlers use them."""
 
 import json
 from collections.abc import Callable
@@ -24,53 +24,53 @@
 
 
 def json_response(content: object, status: int = 200, headers: Headers = ()) -> Response:
-    """A response whose body is `content` in JSON."""
+    """Returns a response whose body is `content` in JSON."""
     return Response(status, json.dumps(content, separators=(",", ":")).encode(), headers)
 
 
 def error_response(status: int, message: str, headers: Headers = ()) -> Response:
-    """A response that says in JSON what went wrong."""
+    """Returns an error response with `message` in a JSON body."""
     return json_response({"Message": message}, status, headers)
 
 
 class Delivery(Enum):
-    """What became of a response."""
+    """Whether a response reached the sender of its request."""
 
-    UNKNOWN = "unknown"  # its connection ended before that could be told
-    DELIVERED = "delivered"  # the sender of the request has all of it
-    LOST = "lost"  # the sender of the request has not got all of it
+    UNKNOWN = "unknown"  # the connection ended before delivery could be determined
+    DELIVERED = "delivered"  # the sender of the request has received all of it
+    LOST = "lost"  # the sender of the request has not received all of it
 
 
-DeliveryCallback: TypeAlias = Callable[[Delivery], None]  # called once
+DeliveryCallback: TypeAlias = Callable[[Delivery], None]  # called exactly once
 
 
 class RequestConnection(Protocol):
-    """The connection of a request, as far as the request needs it."""
+    """The interface of the connection that a request uses."""
 
     @property
     def request(self) -> "IncomingRequest | None":
-        """The request that is owed a response."""
+        """The request whose response is pending."""
         raise NotImplementedError
 
     @property
     def peer(self) -> tuple[str, int] | None:
-        """Host and port of the far end."""
+        """Host and port of the peer."""
         raise NotImplementedError
 
     def respond(self, response: Response, on_delivery: DeliveryCallback | None = None) -> None:
-        """Writes the response to `request`, and tells what became of it."""
+        """Writes the response to `request`, and calls `on_delivery` with its delivery."""
         raise NotImplementedError
 
 
 class IncomingRequest:
-    """One request. It is responded to once; where its connection has ended, the response goes nowhere.
+    """One request. It gets exactly one response, which is discarded if the connection has ended.
 
     Attributes:
         method: the method.
         path: the path, decoded as Latin-1.
-        query: the parameters of the query, percent-decoded.
+        query: the query parameters, percent-decoded.
         body: the body, without chunk framing.
-        idempotency_key: by which the sender names the request, on each repeat anew; empty if it does not.
+        idempotency_key: the Idempotency-Key, which the sender repeats on each retry; empty if there is none.
     """
 
     __slots__ = ("method", "path", "query", "body", "idempotency_key", "_connection")
@@ -83,7 +83,7 @@
         query: dict[str, str],
         body: bytes,
     ) -> None:
-        """`connection` is where the response goes."""
+        """`connection`: the connection that the response is written to."""
         self.method = method
         self.path = path
         self.query = query
@@ -93,12 +93,12 @@
 
     @property
     def peer(self) -> tuple[str, int] | None:
-        """Host and port of its sender, or None once it is responded to. Each look is a system call."""
+        """Host and port of its sender; None once it has a response. Each access is a system call."""
         return self._connection.peer if self._connection else None
 
     @property
     def finished(self) -> bool:
-        """Whether it needs no response: it has one, or nobody waits for it."""
+        """Whether it needs no response, because it has one or its connection has ended."""
         return self._connection is None or self._connection.request is not self
 
     def respond(
@@ -112,14 +112,14 @@
         """Sends the response.
 
         Args:
-            status: its status code.
-            body: its body.
-            headers: its header fields, without those that follow from the others.
-            content_type: of the body.
-            on_delivery: is told once what became of the response.
+            status: the status code.
+            body: the body.
+            headers: the header fields, except Content-Type, Content-Length and Connection.
+            content_type: the media type of the body.
+            on_delivery: called exactly once, with the delivery of the response.
 
         Returns:
-            True if this was the response that its sender gets; False if it had one, or its connection has ended.
+            True if the response was written; False if the request already had one, or its connection has ended.
         """
         connection = self._connection
         self._connection = None
@@ -132,10 +132,10 @@
 
 
 def parse_query(text: bytes) -> dict[str, str]:
-    """The parameters of a query string, percent-decoded.
+    """Parses a query string. Returns its parameters, percent-decoded.
 
     Raises:
-        HttpStatusError: it is not UTF-8, or a name comes twice, so that its values could not be told apart.
+        HttpStatusError: it is not UTF-8, or a name occurs twice, so that its value would be ambiguous.
     """
     query: dict[str, str] = {}
     for part in text.split(b"&"):
@@ -149,7 +149,7 @@
 
 
 def _parse_parameter(part: bytes) -> tuple[str, str]:
-    """Name and value of one parameter. Raises HttpStatusError."""
+    """Parses one parameter. Returns its name and value. Raises HttpStatusError."""
     separated = part.split(b"=", 1)
     raw_name = separated[0]
     raw_value = separated[1] if len(separated) > 1 else b""
@@ -157,7 +157,7 @@
         name = raw_name.decode("ascii")
         value = raw_value.decode("ascii")
         if b"%" in part or b"+" in part:
-            from urllib.parse import unquote_plus  # 170 KB that no other call needs: loaded at the first such query
+            from urllib.parse import unquote_plus  # takes 170 KB that nothing else needs, so imported on first use
 
             name = unquote_plus(name, errors="strict")
             value = unquote_plus(value, errors="strict")
--- a/rampfront/net/http_request_reader.py
+++ b/rampfront/net/http_request_reader.py
@@ -1,6 +1,6 @@
-"""Reads HTTP/1.1 requests from bytes, without I/O: bytes go in, complete requests or an error with a status come out.
+"""Reads HTTP/1.1 requests from bytes, without I/O: returns complete requests, or an error with a status code.
 
-The syntax is `httptools`'s matter. This module keeps the limits: of the head, of the body as its endpoint has it, of
+`httptools` parses the syntax. This module enforces the limits: of the head, of the body according to its endpoint, of
 the raw bytes of both, and of the bodies of all connections together (`BodyBudget`).
 """
 
@@ -22,14 +22,14 @@
 
 
 class BodyBudget:
-    """Memory for the request bodies of all connections together; those that came first are read.
+    """The memory limit for the request bodies of all connections together, granted in order of arrival.
 
     Attributes:
-        used_bytes: what is buffered now.
+        used_bytes: bytes that are buffered now.
     """
 
     def __init__(self, max_bytes: int) -> None:
-        """Starts unused. `max_bytes`: of all bodies together."""
+        """Starts unused. `max_bytes`: the limit of all bodies together."""
         self.used_bytes = 0
         self._max_bytes = max_bytes
 
@@ -39,37 +39,37 @@
             raise HttpStatusError(SERVICE_UNAVAILABLE, "too many large bodies at once")
 
     def reserve(self, size: int) -> None:
-        """Takes `size` bytes. Raises HttpStatusError (503) if that would exceed the budget."""
+        """Reserves `size` bytes. Raises HttpStatusError (503) if that would exceed the budget."""
         self.check(size)
         self.used_bytes += size
 
     def release(self, size: int) -> None:
-        """Gives `size` bytes back."""
+        """Returns `size` bytes to the budget."""
         self.used_bytes -= size
 
 
-IDEMPOTENCY_KEY = b"idempotency-key"  # by which a sender names a request, on each repeat anew (IETF draft)
+IDEMPOTENCY_KEY = b"idempotency-key"  # the same on each retry of a request (IETF draft)
 
 
 class RawRequest(NamedTuple):
-    """A complete request as it came."""
+    """A complete request as received."""
 
     method: bytes
     target: bytes
     body: bytes
-    idempotency_key: bytes = b""  # the value of that field
+    idempotency_key: bytes = b""  # empty if the field is absent
 
 
 class RequestReader:
     """Reads the requests of one connection, one at a time. The methods `on_...` are the callbacks of `httptools`.
 
     Attributes:
-        message_begun: a request has begun and is not complete.
-        head_complete: the head of the present request, or of the one before, is complete.
-        complete: a request is complete and waits for `take`.
-        awaiting_response: a request was taken and is not responded to; a further one is refused.
-        last: no request is read behind the present one.
-        continue_wanted: the sender waits for 100 Continue (RFC 9110, section 10.1.1).
+        message_begun: whether a request has begun and is not complete.
+        head_complete: whether the head of the current request, or else of the previous one, is complete.
+        complete: whether a request is complete and waits for `take`.
+        awaiting_response: whether the response to a taken request is pending; a further request is refused.
+        last: whether no further request is read after the current one.
+        continue_wanted: whether the sender waits for 100 Continue (RFC 9110, section 10.1.1).
     """
 
     __slots__ = (
@@ -99,9 +99,9 @@
         """Expects the first request.
 
         Args:
-            max_head_bytes: the largest head.
-            body_limit: gives the largest body in bytes for a request target.
-            budget: memory for the bodies of all connections.
+            max_head_bytes: the maximum size of a head.
+            body_limit: returns the maximum size of the body in bytes for a request target.
+            budget: the memory limit for the bodies of all connections.
         """
         self.message_begun = False
         self.head_complete = False
@@ -114,7 +114,7 @@
         self._budget = budget
         self._max_head_bytes = max_head_bytes
         self._max_body_bytes = 0
-        self._max_received_bytes = 0  # of a request as it comes, once its head is complete
+        self._max_received_bytes = 0  # of the raw request, set once its head is complete
         self._received_bytes = 0
         self._section_bytes = 0  # of the head, then of the body
         self._content_length = 0
@@ -122,20 +122,20 @@
         self._target = b""
         self._idempotency_key = b""
         self._body_parts: list[bytes] = []
-        self._reserved_bytes = 0  # of the budget
+        self._reserved_bytes = 0  # of the current body in the budget
 
     def feed(self, data: bytes) -> HttpStatusError | None:
-        """Takes bytes as they came.
+        """Parses received bytes.
 
         Returns:
-            Why they cannot be followed, or None. A request may be `complete` all the same: it stands in front of them.
+            The error, or None. Even with an error a request may be `complete`, if it precedes the invalid bytes.
         """
         assert self._parser is not None
         self._received_bytes += len(data)
         return feed_request(self._parser, data) or self._check_received()
 
     def take(self) -> RawRequest:
-        """Hands over the complete request. Its part of the budget stays reserved until `release_body`."""
+        """Returns the complete request. Its part of the budget stays reserved until `release_body`."""
         assert self._parser is not None
         parts = self._body_parts
         body = parts[0] if len(parts) == 1 else b"".join(parts)
@@ -145,18 +145,18 @@
         return request
 
     def release_body(self) -> None:
-        """Drops the body, and gives its part of the budget back."""
+        """Drops the body, and returns its part of the budget."""
         self._budget.release(self._reserved_bytes)
         self._reserved_bytes = 0
         self._body_parts = []
 
     def close(self) -> None:
-        """Drops the body and the parser, which refers back to this reader: the connection has ended."""
+        """Drops the body and the parser after the connection has ended. The parser refers back to this reader."""
         self.release_body()
         self._parser = None
 
     def on_message_begin(self) -> None:
-        """A request begins."""
+        """Resets the state for a new request."""
         if self.awaiting_response or self.complete:
             raise HttpStatusError(BAD_REQUEST, "one call at a time")
         if self.last and self.head_complete:
@@ -170,24 +170,24 @@
         self._content_length = 0
 
     def on_url(self, part: bytes) -> None:
-        """A part of the request target."""
+        """Appends a part of the request target."""
         self._target += part
         self._count_head(len(part))
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """One header field."""
+        """Reads one header field."""
         self._count_head(len(name) + len(value) + FIELD_OVERHEAD_BYTES)
         name = name.lower()
         if name == b"content-length":
             digits = value[:_MAX_LENGTH_DIGITS]
-            self._content_length = int(digits) if digits.isdigit() else 0  # the parser refuses all but numbers
+            self._content_length = int(digits) if digits.isdigit() else 0  # the parser accepts numbers only
         elif name == b"expect":
             self._expects_continue = True
         elif name == IDEMPOTENCY_KEY:
             self._idempotency_key = value
 
     def on_headers_complete(self) -> None:
-        """The head is complete."""
+        """Checks the declared length of the body against the limits."""
         self.head_complete = True
         self._section_bytes = 0
         self._max_body_bytes = self._body_limit(self._target)
@@ -199,7 +199,7 @@
         self.continue_wanted = self._expects_continue
 
     def on_body(self, part: bytes) -> None:
-        """A part of the body."""
+        """Appends a part of the body."""
         self._section_bytes += len(part)
         if self._section_bytes > self._max_body_bytes:
             raise HttpStatusError(CONTENT_TOO_LARGE, "the body is too large")
@@ -208,7 +208,7 @@
         self._body_parts.append(part)
 
     def on_message_complete(self) -> None:
-        """The request is complete."""
+        """Marks the request as complete."""
         assert self._parser is not None
         self.message_begun = False
         self.complete = True
@@ -223,7 +223,7 @@
             raise HttpStatusError(HEADER_FIELDS_TOO_LARGE, "the head is too large")
 
     def _check_received(self) -> HttpStatusError | None:
-        """Checks the raw bytes: a field or a chunk extension without an end reaches no callback."""
+        """Limits the raw bytes: the parser reports a header field or a chunk extension only once it is complete."""
         if not self.message_begun:
             return None
         if not self.head_complete:
--- a/rampfront/net/http_routing.py
+++ b/rampfront/net/http_routing.py
@@ -1,4 +1,4 @@
-"""Which handler a request goes to: endpoints are declared beside their handlers and collected into a routing table.
+"""Routing of requests: endpoints are declared with a decorator on their handlers and collected into a routing table.
 
     class Readiness:
         @endpoint("GET", "/api/ready")
@@ -7,7 +7,7 @@
         @endpoint("POST", "/api/rpc", operation="config.replace", max_body_bytes=1 << 20)
         def replace(self, request): ...
 
-A handler returns a `Response`, or a coroutine that does; one that returns None responds later (`request.respond`).
+A handler returns a `Response` or a coroutine that returns one. If it returns None, it calls `request.respond` later.
 """
 
 from collections.abc import Awaitable, Callable, Iterable
@@ -16,7 +16,7 @@
 from .http_messages import Headers, IncomingRequest, Response
 from .http_status import BAD_REQUEST, CONTENT_TOO_LARGE, METHOD_NOT_ALLOWED, NOT_FOUND, HttpStatusError
 
-OPERATION_PARAMETER = "call"  # of the query: tells operations of one path apart
+OPERATION_PARAMETER = "call"  # the query parameter that selects an operation of a path
 _MAX_QUOTED_CHARACTERS = 64
 _DECLARATIONS = "_declared_endpoints"
 
@@ -25,25 +25,25 @@
 
 
 class RoutingError(HttpStatusError):
-    """No handler takes the request. It was read completely, so its connection may be kept.
+    """No handler accepts the request. It was read completely, so its connection may be kept open.
 
     Attributes:
         headers: header fields of its response.
     """
 
     def __init__(self, status: int, message: str, headers: Headers = ()) -> None:
-        """As `HttpStatusError` has it."""
+        """For `status` and `message` see `HttpStatusError`."""
         super().__init__(status, message)
         self.headers = headers
 
 
 class _Declaration:
-    """What `endpoint` notes on a handler."""
+    """An endpoint declaration that `endpoint` attaches to a handler."""
 
     __slots__ = ("method", "path", "operation", "max_body_bytes")
 
     def __init__(self, method: str, path: str, operation: str | None, max_body_bytes: int | None) -> None:
-        """As `endpoint` has its parameters."""
+        """For the parameters see `endpoint`."""
         self.method = method
         self.path = path
         self.operation = operation
@@ -51,7 +51,7 @@
 
 
 class _Endpoint(NamedTuple):
-    """A handler, and the largest body that it takes; None for the server's own limit."""
+    """A handler, and the maximum size of its request body; None for the server's default."""
 
     handler: Handler
     max_body_bytes: int | None
@@ -69,12 +69,12 @@
     Args:
         method: the HTTP method.
         path: the path.
-        operation: the name in the query that tells operations of one path apart; None where the path has one only.
-        max_body_bytes: the largest body, where it differs from the server's own limit.
+        operation: the operation that the query selects; None if the path has only one.
+        max_body_bytes: the maximum size of the request body, if it differs from the server's default.
     """
 
     def declare(function: HandlerFunction) -> HandlerFunction:
-        """Notes one more endpoint on the handler."""
+        """Attaches the declaration to the handler, which may have several."""
         declared = getattr(function, _DECLARATIONS, ())
         setattr(function, _DECLARATIONS, (*declared, _Declaration(method, path, operation, max_body_bytes)))
         return function
@@ -90,7 +90,7 @@
 
         Args:
             owners: objects whose methods are handlers.
-            max_body_bytes: the largest body of an endpoint that declares none.
+            max_body_bytes: the maximum body size of endpoints that declare none.
 
         Raises:
             ValueError: an endpoint is declared twice, or a path both with and without operations.
@@ -101,10 +101,10 @@
             self._add(owner)
         for path, operations in self._paths.items():
             if None in operations and len(operations) > 1:
-                raise ValueError(f"{path} is declared both with and without a name")
+                raise ValueError(f"{path} is declared both with and without an operation")
 
     def max_body_bytes(self, target: bytes) -> int:
-        """The largest body that any endpoint of a request target's path takes: all that its head tells."""
+        """The maximum body size over all endpoints of the target's path, as the endpoint is not determined yet."""
         path = target.partition(b"?")[0].decode("latin-1")
         limits = [
             self._limit(endpoint) for methods in self._paths.get(path, {}).values() for endpoint in methods.values()
@@ -112,10 +112,10 @@
         return max(limits, default=self._max_body_bytes)
 
     def find(self, request: IncomingRequest) -> Handler:
-        """The handler of a complete request.
+        """Returns the handler of a complete request.
 
         Raises:
-            RoutingError: there is none, or the body is larger than it takes.
+            RoutingError: there is none, or the body exceeds its limit.
         """
         methods = self._methods(request)
         if request.method not in methods:
@@ -127,7 +127,7 @@
         return endpoint.handler
 
     def handler(self, method: str, path: str, operation: str | None = None) -> Handler:
-        """The handler of an endpoint that is known to be declared. Raises KeyError."""
+        """Returns the handler of a declared endpoint. Raises KeyError if it is not declared."""
         return self._paths[path][operation][method].handler
 
     def _add(self, owner: object) -> None:
@@ -137,7 +137,7 @@
                 self._add_endpoint(declaration, getattr(owner, name))
 
     def _add_endpoint(self, declaration: _Declaration, handler: Handler) -> None:
-        """Adds one endpoint. Raises ValueError if there is one for the same method, path and operation."""
+        """Adds one endpoint. Raises ValueError if its method, path and operation are already declared."""
         method, operation = declaration.method, declaration.operation
         methods = self._paths.setdefault(declaration.path, {}).setdefault(operation, {})
         if method in methods:
@@ -145,7 +145,7 @@
         methods[method] = _Endpoint(handler, declaration.max_body_bytes)
 
     def _methods(self, request: IncomingRequest) -> _Methods:
-        """The endpoints of a request's path and operation, by method. Raises RoutingError."""
+        """Returns the endpoints of a request's path and operation, by method. Raises RoutingError."""
         operations = self._paths.get(request.path)
         if operations is None:
             raise RoutingError(NOT_FOUND, "no such call")
@@ -159,5 +159,5 @@
         return operations[name]
 
     def _limit(self, endpoint: _Endpoint) -> int:
-        """The largest body that an endpoint takes."""
+        """The maximum body size of an endpoint."""
         return self._max_body_bytes if endpoint.max_body_bytes is None else endpoint.max_body_bytes
--- a/rampfront/net/http_server.py
+++ b/rampfront/net/http_server.py
@@ -1,8 +1,8 @@
-"""The HTTP/1.1 server for calls of nodes, operators and the platform; clients' requests have `client_listener.py`.
+"""The HTTP/1.1 server for calls of nodes, operators and the platform; `client_listener.py` serves clients' requests.
 
-A server listens on one address and hands each request to the handler that is declared for it (`http_routing`). It keeps
-the number of connections and their buffered bodies bounded, ends what is too slow (`connection_timeouts`), and turns a
-fault of a handler into one response with 500. It knows nothing of what a request means.
+A server listens on one address and passes each request to the handler that is declared for it (`http_routing`). It
+limits the number of connections and the size of their buffered bodies, ends slow connections (`connection_timeouts`),
+and responds with 500 if a handler raises an exception. It does not interpret requests.
 """
 
 import asyncio
@@ -19,22 +19,22 @@
 from .limits import HttpServerLimits
 
 _NS_PER_S = 10**9
-_MAX_SCHEME_BYTES = 9  # of a target in absolute form, "://" included
-_ENDING = Response(SERVICE_UNAVAILABLE, b'{"Message":"ending"}', ((b"Retry-After", RETRY_AFTER_S),))
-_FAULT = Response(INTERNAL_SERVER_ERROR, b'{"Message":"a fault of ours"}')
+_MAX_SCHEME_BYTES = 9  # of a request target in absolute form, including "://"
+_SHUTTING_DOWN = Response(SERVICE_UNAVAILABLE, b'{"Message":"ending"}', ((b"Retry-After", RETRY_AFTER_S),))
+_INTERNAL_ERROR = Response(INTERNAL_SERVER_ERROR, b'{"Message":"a fault of ours"}')
 
 
 class HttpServer:
     """The listener of one address.
 
     Attributes:
-        clock: gives the time in ns.
+        clock: returns the time in ns.
         limits: its limits.
-        counts: what happened, by name: `connections`, `requests`, `refused`, `shed`, `slow`, `unanswered` (owed a
-            response for too long), `abandoned` (by their senders), `faults` (of handlers).
-        body_budget: memory for request bodies.
-        draining: whether each response ends its connection.
-        address: where it listens, as host and port, once it does.
+        counts: event counts by name: `connections`, `requests`, `refused`, `shed`, `slow`, `unanswered` (requests that
+            exceeded the response timeout), `abandoned` (by their senders), `faults` (of handlers).
+        body_budget: the memory limit for request bodies.
+        draining: whether each response closes its connection.
+        address: the bound host and port, once it listens.
         connections: the open connections, oldest first.
     """
 
@@ -50,10 +50,10 @@
 
         Args:
             loop: the event loop.
-            clock: gives the time in ns.
+            clock: returns the time in ns.
             owners: objects whose methods are declared as endpoints.
-            limits: the limits, where they differ from the defaults.
-            on_fault: is called with each exception of a handler, whose sender gets 500.
+            limits: the limits; None for the defaults.
+            on_fault: called with each exception that a handler raises; the sender of the request gets a 500 response.
 
         Raises:
             ValueError: two declarations contradict each other.
@@ -68,18 +68,18 @@
         self._loop = loop
         self._on_fault = on_fault
         self._routes = RoutingTable(owners, self.limits.max_body_bytes)
-        self._tasks: set[asyncio.Future[Response | None]] = set()  # of handlers that are coroutines
+        self._tasks: set[asyncio.Future[Response | None]] = set()  # of coroutine handlers
         self._listener: asyncio.Server | None = None
         self._sweep_timer: asyncio.TimerHandle | None = None
         self._closed = False
 
     @property
     def pending_requests(self) -> int:
-        """Requests that are owed a response."""
+        """The number of requests whose response is pending."""
         return sum(connection.request is not None for connection in self.connections)
 
     async def listen(self, host: str, port: int) -> tuple[str, int]:
-        """Opens the listener. `port` 0 lets the system choose. Returns the bound host and port."""
+        """Opens the listener. With `port` 0 the system chooses one. Returns the bound host and port."""
         backlog = self.limits.listen_backlog
         self._listener = await self._loop.create_server(lambda: HttpServerConnection(self), host, port, backlog=backlog)
         bound_host, bound_port = self._listener.sockets[0].getsockname()[:2]
@@ -87,13 +87,13 @@
         return self.address
 
     def drain(self) -> None:
-        """Sends callers away: each response ends its connection, and idle ones close now. The listener stays."""
+        """Closes idle connections now and busy ones after their response. The listening socket stays open."""
         self.draining = True
         for connection in [connection for connection in self.connections if connection.idle]:
             connection.close()
 
     def close(self) -> None:
-        """Ends everything at once."""
+        """Closes the listener, aborts all connections and cancels the handlers in progress."""
         self._closed = True
         if self._listener:
             self._listener.close()
@@ -107,7 +107,7 @@
             task.cancel()
 
     def sweep(self) -> None:
-        """Ends connections that were too long in their phase. Called by a timer, or by the owner (`limits`)."""
+        """Ends connections that exceeded the timeout of their phase. Called by a timer, or by the owner (`limits`)."""
         limits = self.limits
         limits_ns = {
             Phase.IDLE: limits.idle_timeout_ns,
@@ -123,11 +123,11 @@
     # ---- called by connections
 
     def body_limit(self, target: bytes) -> int:
-        """The largest body in bytes that a request target takes."""
+        """Returns the maximum size in bytes of the body for a request target."""
         return self._routes.max_body_bytes(target)
 
     def connection_opened(self, connection: HttpServerConnection) -> None:
-        """Admits a connection; past the limit another one makes room."""
+        """Admits a connection; past the limit another one is closed."""
         self.counts["connections"] += 1
         self.connections[connection] = None
         if self._closed:
@@ -139,11 +139,11 @@
             self._start_sweep_timer()
 
     def connection_closed(self, connection: HttpServerConnection) -> None:
-        """Forgets a connection that has ended."""
+        """Removes a connection that has ended."""
         self.connections.pop(connection, None)
 
     def request_received(self, connection: HttpServerConnection) -> None:
-        """Hands the complete request of a connection to its handler."""
+        """Passes the complete request of a connection to its handler."""
         self.counts["requests"] += 1
         try:
             request = _read_request(connection)
@@ -161,10 +161,11 @@
     # ---- connections
 
     def _shed(self) -> None:
-        """Makes room for the newest connection.
+        """Closes a connection in favour of the newest one.
 
-        The one idle longest is ended, or else the one whose request has been coming for longest. Where all are owed a
-        response, the newest is told to come back: a response that is owed is never lost for a newcomer.
+        Closes the connection that has been idle longest, or else the one that has been reading its request for longest.
+        If responses are pending on all of them, the newest one is refused with 503: a pending response is never lost
+        for a new connection.
         """
         self.counts["shed"] += 1
         newest = next(reversed(self.connections))
@@ -181,11 +182,11 @@
         self._sweep_timer = self._loop.call_later(self.limits.sweep_interval_ns / _NS_PER_S, self._sweep_on_timer)
 
     def _sweep_on_timer(self) -> None:
-        """Sweeps, and sets the timer again as long as there are connections."""
+        """Sweeps, and restarts the timer while there are connections."""
         self._sweep_timer = None
         try:
             self.sweep()
-        finally:  # a defect in one sweep must not end all sweeps
+        finally:  # an exception in one sweep must not stop later sweeps
             if self.connections and not self._closed and self._sweep_timer is None:
                 self._start_sweep_timer()
 
@@ -204,16 +205,16 @@
             self._await_response(request, returned)
 
     def _await_response(self, request: IncomingRequest, awaitable: Awaitable[Response | None]) -> None:
-        """Sends the response of a handler that is a coroutine once it is done."""
+        """Runs a coroutine handler and sends its response."""
         task = asyncio.ensure_future(awaitable, loop=self._loop)
         self._tasks.add(task)
         task.add_done_callback(lambda done: self._task_done(request, done))
 
     def _task_done(self, request: IncomingRequest, task: "asyncio.Future[Response | None]") -> None:
-        """The handler of a request is done."""
+        """Sends the response of a coroutine handler that has finished."""
         self._tasks.discard(task)
         if task.cancelled():
-            _send(request, _ENDING)
+            _send(request, _SHUTTING_DOWN)
             return
         error = task.exception()
         if error is not None:
@@ -224,7 +225,7 @@
             _send(request, response)
 
     def _reject(self, request: IncomingRequest, error: RoutingError) -> None:
-        """Responds to a request that no handler takes; its connection is kept."""
+        """Responds to a request that no handler accepts; its connection is kept open."""
         self.counts["refused"] += 1
         message = str(error)
         if self.limits.plain_text_errors:
@@ -233,11 +234,11 @@
             request.respond(error.status, json.dumps({"Message": message}).encode(), error.headers, JSON)
 
     def _report_fault(self, request: IncomingRequest, error: BaseException) -> None:
-        """Responds with 500 to a request whose handler failed, and reports the exception."""
+        """Responds with 500 to a request whose handler raised an exception, and reports the exception."""
         self.counts["faults"] += 1
         if self._on_fault:
             self._on_fault(request, error)
-        _send(request, _FAULT)
+        _send(request, _INTERNAL_ERROR)
 
 
 def _send(request: IncomingRequest, response: Response) -> None:
@@ -246,12 +247,12 @@
 
 
 def _shed_order(connection: HttpServerConnection) -> tuple[bool, bool, int]:
-    """The connection to shed sorts first: one that is closing, then an idle one, then by the start of its phase."""
+    """Sort key; the connection to shed sorts first: closing before idle before reading, then by start of the phase."""
     return (not connection.closing, connection.reader.message_begun, connection.phase_since_ns)
 
 
 def _read_request(connection: HttpServerConnection) -> IncomingRequest:
-    """The complete request of a connection. Raises HttpStatusError if its query cannot be read."""
+    """Takes the complete request of a connection. Raises HttpStatusError if its query is invalid."""
     raw = connection.reader.take()
     target = raw.target.partition(b"#")[0]
     if target[:1] != b"/" and b"://" in target[:_MAX_SCHEME_BYTES]:  # absolute form (RFC 9112, section 3.2.2)
--- a/rampfront/net/http_server_connection.py
+++ b/rampfront/net/http_server_connection.py
@@ -1,12 +1,13 @@
-"""One connection of the HTTP server: bytes in and out, one request at a time.
+"""One connection of the HTTP server, with one request at a time.
 
 `RequestReader` reads the requests, the server (`ConnectionOwner`) handles them. A connection ends in one of three ways:
-`close` once its last response is out; `refuse` with an error response behind which input is read and discarded for a
-moment, since a socket closed with unread bytes is reset and its response lost (RFC 9112, section 9.6); `abort` at once.
+`close` closes it once its last response is sent; `refuse` sends an error response and then discards input for a short
+time, because closing a socket with unread bytes resets the connection and may lose the response (RFC 9112, section
+9.6); `abort` closes it immediately.
 
-Whoever responds may ask what became of the response (`Delivery`). It was delivered if a further request follows it, or
-the peer ends its stream and has acknowledged all bytes by then; it was lost if the peer ended its stream before, or
-reset the connection. So behind a last response of that kind the connection waits for the peer's end.
+A handler may ask whether its response was delivered (`Delivery`). It was delivered if a further request follows, or if
+the peer has acknowledged all bytes when it ends its stream. It was lost if the peer ended its stream earlier or reset
+the connection. After a last response whose delivery is asked for, the connection therefore waits until the peer closes.
 """
 
 import asyncio
@@ -25,14 +26,14 @@
 from .http_status import REASON_PHRASES, REQUEST_TIMEOUT, SERVICE_UNAVAILABLE, HttpStatusError
 from .limits import HttpServerLimits
 
-RETRY_AFTER_S = b"0.3"  # of a response with 503
-_UNNAMED_REASON = b"Said"  # the phrase of a status code that has none
-_FIN_BYTES = 1  # that the end of a stream takes in the count of what its peer has not acknowledged
+RETRY_AFTER_S = b"0.3"  # sent with each 503 response
+_UNNAMED_REASON = b"Said"  # the reason phrase of a status code that is not in the table
+_FIN_BYTES = 1  # a FIN counts as one byte among the unacknowledged bytes
 _INT = struct.Struct("i")
 
 
 class ConnectionOwner(Protocol):
-    """The server of a connection, as far as the connection needs it."""
+    """The interface of the server that a connection uses."""
 
     clock: Callable[[], int]
     limits: HttpServerLimits
@@ -41,19 +42,19 @@
     draining: bool
 
     def body_limit(self, target: bytes) -> int:
-        """The largest body in bytes that a request target takes."""
+        """Returns the maximum size in bytes of the body for a request target."""
         raise NotImplementedError
 
     def connection_opened(self, connection: "HttpServerConnection") -> None:
-        """A connection is up."""
+        """Called when a connection is established."""
         raise NotImplementedError
 
     def connection_closed(self, connection: "HttpServerConnection") -> None:
-        """A connection has ended."""
+        """Called when a connection has ended."""
         raise NotImplementedError
 
     def request_received(self, connection: "HttpServerConnection") -> None:
-        """A complete request waits in the connection's reader."""
+        """Called when the connection's reader has a complete request."""
         raise NotImplementedError
 
 
@@ -62,10 +63,10 @@
 
     Attributes:
         reader: reads the requests.
-        request: the request that is owed a response.
-        phase_since_ns: when the present phase began (`connection_timeouts`).
-        closing: the last response is written, and nothing more will be.
-        ignores_input: nothing more is read.
+        request: the request whose response is pending.
+        phase_since_ns: when the current phase began (`connection_timeouts`).
+        closing: whether the last response has been written.
+        ignores_input: whether further input is discarded.
         transport: the transport, once it is connected.
     """
 
@@ -91,12 +92,12 @@
         self.ignores_input = False
         self._owner = owner
         self.transport: asyncio.Transport
-        self._unsent_bytes = 0  # of a response that its receiver does not take, when last looked at
+        self._unsent_bytes = 0  # of a response that the peer reads slowly, at the last check
         self._on_delivery: DeliveryCallback | None = None  # of the last response
 
     @property
     def peer(self) -> tuple[str, int] | None:
-        """Host and port of the far end; a system call."""
+        """Host and port of the peer. Each access is a system call."""
         return cast("tuple[str, int] | None", self.transport.get_extra_info("peername"))
 
     @property
@@ -106,7 +107,7 @@
 
     @property
     def phase(self) -> Phase:
-        """What the connection waits for."""
+        """The current phase, which determines the timeout."""
         if self._unsent_bytes:
             return Phase.WRITING
         if self.closing:
@@ -120,13 +121,13 @@
     # ---- called by the event loop
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is up."""
+        """Stores the transport and registers the connection with the server."""
         self.transport = cast(asyncio.Transport, transport)
         self.phase_since_ns = self._owner.clock()
         self._owner.connection_opened(self)
 
     def connection_lost(self, error: Exception | None) -> None:
-        """The connection has ended. A request in progress learns of it from `IncomingRequest.finished`."""
+        """Cleans up after the connection has ended. A request in progress sees it in `IncomingRequest.finished`."""
         if self.request is not None:
             self._owner.counts["abandoned"] += 1
         self._report_delivery(Delivery.UNKNOWN if error is None else Delivery.LOST)
@@ -137,14 +138,14 @@
         self._owner.connection_closed(self)
 
     def eof_received(self) -> bool:
-        """The peer sends nothing more, which counts as gone. Returns False, so that the loop closes."""
+        """Treats the end of the input as a disconnect: returns False, so that the event loop closes the transport."""
         if self._on_delivery is not None:
             unacknowledged = self._unacknowledged_bytes()
             self._report_delivery(Delivery.LOST if unacknowledged > _FIN_BYTES else Delivery.DELIVERED)
         return False
 
     def data_received(self, data: bytes) -> None:
-        """Bytes of a request."""
+        """Parses received bytes, and passes a complete request to the server."""
         if self.ignores_input:
             return
         self._report_delivery(Delivery.DELIVERED)
@@ -162,22 +163,21 @@
             if not complete and self.request is None:
                 self.refuse(error)
                 return
-            # A request stands in front of the bytes that cannot be followed: it is still responded to, and nothing
-            # behind it is read.
+            # A valid request precedes the invalid bytes: it still gets its response, and nothing after it is read.
             self.ignores_input = True
             reader.last = True
-        if complete:  # not within the parser's callbacks: they turn every exception into a parser error
+        if complete:  # not in the parser's callbacks, which turn every exception into a parser error
             self._owner.request_received(self)
 
     def pause_writing(self) -> None:
-        """The peer takes its response too slowly: nothing is read from it until it has."""
+        """The peer reads its response too slowly: stops reading requests until it has caught up."""
         self._unsent_bytes = self.transport.get_write_buffer_size()
         self.phase_since_ns = self._owner.clock()
         if not self.closing:
             self.transport.pause_reading()
 
     def resume_writing(self) -> None:
-        """The peer has taken its response."""
+        """The peer has read its response: reads requests again."""
         self._unsent_bytes = 0
         self.phase_since_ns = self._owner.clock()
         if not self.closing:
@@ -186,7 +186,7 @@
     # ---- called by the sweep
 
     def note_progress(self, now_ns: int) -> None:
-        """Restarts the timeout of a slow write if some of it was taken."""
+        """Restarts the write timeout if the peer has read some of the response."""
         if not self._unsent_bytes:
             return
         unsent_bytes = self.transport.get_write_buffer_size()
@@ -195,7 +195,7 @@
             self.phase_since_ns = now_ns
 
     def time_out(self, phase: Phase) -> None:
-        """Ends the connection, which was too long in `phase`."""
+        """Ends the connection after the timeout of `phase`."""
         counts = self._owner.counts
         match phase:
             case Phase.READING_HEAD:
@@ -218,13 +218,13 @@
     # ---- called by the server and by requests
 
     def begin_request(self, request: IncomingRequest) -> None:
-        """From now on a response to `request` is owed."""
+        """Sets the request whose response is pending."""
         self.request = request
         self.reader.awaiting_response = True
         self.phase_since_ns = self._owner.clock()
 
     def respond(self, response: Response, on_delivery: DeliveryCallback | None = None) -> None:
-        """Writes the response to the present request, in one write. `on_delivery` is told what became of it."""
+        """Writes the response to the current request in one call. `on_delivery` is called with its delivery."""
         is_head = self.request is not None and self.request.method == "HEAD"
         self._finish_request()
         self.phase_since_ns = self._owner.clock()
@@ -242,7 +242,7 @@
             self.close()
 
     def refuse(self, error: HttpStatusError) -> None:
-        """Responds with an error at once; what still comes is read and discarded for a moment."""
+        """Responds with an error immediately, and discards further input for a short time before closing."""
         self._finish_request()
         self._owner.counts["refused"] += 1
         if self.closing:
@@ -255,20 +255,20 @@
         self._end_stream()
 
     def close(self) -> None:
-        """Closes the connection once what was written is out; the sweep aborts it if that takes too long."""
+        """Closes the connection once the write buffer is flushed; the sweep aborts it if that takes too long."""
         if not self.closing:
             self.closing = True
             self.ignores_input = True
             self.transport.close()
 
     def abort(self) -> None:
-        """Ends the connection at once."""
+        """Closes the connection immediately and discards unsent data."""
         self.closing = True
         self.ignores_input = True
         self.transport.abort()
 
     def _end_stream(self) -> None:
-        """Sends nothing more, and waits for the peer's end; the sweep aborts the connection if that takes too long."""
+        """Ends the output and waits for the peer to close; the sweep aborts the connection if that takes too long."""
         self.closing = True
         self.ignores_input = True
         self.phase_since_ns = self._owner.clock()
@@ -278,13 +278,13 @@
             self.transport.close()
 
     def _report_delivery(self, delivery: Delivery) -> None:
-        """Tells what became of the last response, once."""
+        """Reports the delivery of the last response, once."""
         on_delivery, self._on_delivery = self._on_delivery, None
         if on_delivery is not None:
             on_delivery(delivery)
 
     def _unacknowledged_bytes(self) -> int:
-        """Bytes that the peer's kernel has not acknowledged; 0 if the transport has no socket to ask."""
+        """The number of bytes that the peer's kernel has not acknowledged; 0 if the transport has no socket."""
         peer_socket = self.transport.get_extra_info("socket")
         if peer_socket is None:
             return 0
@@ -295,13 +295,13 @@
         return int(_INT.unpack(answer)[0])
 
     def _finish_request(self) -> None:
-        """No response is owed any more."""
+        """Clears the pending request."""
         self.request = None
         self.reader.awaiting_response = False
 
 
 def _encode_response(response: Response, close: bool, omit_body: bool) -> bytes:
-    """The bytes of a response. `close`: the connection ends behind it; `omit_body`: it answers a HEAD."""
+    """Encodes a response. `close`: the connection closes after it; `omit_body`: it answers a HEAD request."""
     fields = b""
     for name, value in response.headers:
         if b"\r" in value or b"\n" in value:
@@ -320,7 +320,7 @@
 
 
 def _encode_error(error: HttpStatusError, plain_text: bool) -> bytes:
-    """The bytes of an error response behind which the connection ends."""
+    """Encodes an error response after which the connection closes."""
     message = str(error)
     body = message.encode() if plain_text else json.dumps({"Message": message}).encode()
     retry_after = b"Retry-After: %s\r\n" % RETRY_AFTER_S if error.status == SERVICE_UNAVAILABLE else b""
--- a/rampfront/net/http_status.py
+++ b/rampfront/net/http_status.py
@@ -1,6 +1,6 @@
-"""HTTP status codes as both servers use them: reason phrases, and the error that refuses a request with a status.
+"""HTTP status codes and reason phrases of both servers, and the exception that refuses a request with a status code.
 
-`http.HTTPStatus` has the codes too, but it would have to be imported and built at every start.
+`http.HTTPStatus` has the codes too, but importing it would make every start slower.
 """
 
 OK = 200
@@ -36,17 +36,17 @@
     SERVICE_UNAVAILABLE: b"Service Unavailable",
     504: b"Gateway Timeout",
 }
-"""By status code; the phrases are those of RFC 9110, section 15."""
+"""Reason phrases by status code, from RFC 9110, section 15."""
 
 
 class HttpStatusError(Exception):
-    """A request that cannot be followed.
+    """Refuses a request with a status code.
 
     Attributes:
         status: the status code of its response.
     """
 
     def __init__(self, status: int, message: str) -> None:
-        """`message` says what is wrong with the request; its sender gets it as the body."""
+        """`message` describes the error in the request; it is the body of the response."""
         super().__init__(message)
         self.status = status
