--- a/rampfront/net/http_client.py
+++ b/rampfront/net/http_client.py
@@ -1,7 +1,7 @@
-"""The HTTP/1.1 client for calls of the node and of its tools: each response complete, or a typed error.
+"""The HTTP/1.1 client for calls of the node and of its tools: returns a complete response or a typed error.
 
-`HttpClient` keeps one connection and makes another when that one broke; `send_request` uses a connection of its own.
-The error says whether the request may have run: a caller must know that before it sends the request again.
+`HttpClient` keeps one connection open and reconnects when it fails; `send_request` uses a connection of its own. The
+error says whether the request may have run, which a caller must know before it retries the request.
 """
 
 import asyncio
@@ -12,7 +12,7 @@
 
 from .http_response_reader import HttpResponse, ResponseError, ResponseReader
 
-MAX_BODY_BYTES = 8 << 20  # of a response, where the caller names no limit
+MAX_BODY_BYTES = 8 << 20  # of a response, if the caller gives no limit
 _MAX_QUOTED_CHARACTERS = 80  # of a target, in an error message
 _TARGET_CHARACTERS = frozenset(b"!$&'()*+,-./:;=?@_~%0123456789abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ")
 
@@ -22,13 +22,13 @@
 
 
 class HttpRequest(NamedTuple):
-    """A request, apart from where it goes.
+    """A request, without its destination.
 
     Attributes:
         method: the method.
         target: path and query, percent-encoded.
         body: the body; empty for none.
-        headers: header fields beside `Host`, `Content-Length` and `Connection`.
+        headers: header fields other than `Host`, `Content-Length` and `Connection`.
     """
 
     method: str
@@ -41,15 +41,15 @@
     """Why there is no response.
 
     Attributes:
-        reason: the reason in words.
-        may_have_run: False only if no byte of the request has left.
+        reason: the reason, as text.
+        may_have_run: False only if no byte of the request was sent.
     """
 
     reason: str
     may_have_run: bool = False
 
     def __str__(self) -> str:
-        """The reason alone."""
+        """Returns the reason."""
         return self.reason
 
 
@@ -60,22 +60,22 @@
     """Encodes a request.
 
     Args:
-        address: where it goes, for the `Host` field.
+        address: its destination, for the `Host` field.
         request: the request.
-        keep_alive: whether the server is asked to keep the connection.
+        keep_alive: whether to ask the server to keep the connection open.
 
     Raises:
-        ValueError: it could not be sent without changing its meaning: a target with characters that end it or a header
-            value with a line break.
+        ValueError: the request would be parsed differently by the server: its target contains characters that end it,
+            or a header value contains a line break.
     """
     method = request.method.encode("ascii")
     target = request.target.encode("ascii")
     if not target.startswith(b"/") or not _TARGET_CHARACTERS.issuperset(target):
-        raise ValueError(f"no target: {target[:_MAX_QUOTED_CHARACTERS]!r}")
+        raise ValueError(f"invalid request target: {target[:_MAX_QUOTED_CHARACTERS]!r}")
     lines = b""
     for name, value in request.headers:
         if b"\r" in value or b"\n" in value:
-            raise ValueError(f"{name.decode()}: ends its line")
+            raise ValueError(f"header field {name.decode()} contains a line break")
         lines += b"%s: %s\r\n" % (name, value)
     if request.body or method != b"GET":
         lines += b"Content-Length: %d\r\n" % len(request.body)
@@ -90,8 +90,8 @@
     """One connection to a server, one request at a time.
 
     Attributes:
-        closed: no further request may be sent on it.
-        response_begun: bytes of a response to the last request have come.
+        closed: whether no further request may be sent on it.
+        response_begun: whether bytes of the response to the last request were received.
     """
 
     __slots__ = ("closed", "response_begun", "_transport", "_reader", "_pending")
@@ -113,11 +113,11 @@
         """Sends an encoded request.
 
         Args:
-            encoded: the bytes of the request, as `encode_request` gives them.
-            max_body_bytes: the largest response body that is accepted.
+            encoded: the bytes of the request, as returned by `encode_request`.
+            max_body_bytes: the maximum size of the response body.
 
         Returns:
-            A future of the result, which is always set: when the connection ends, at the latest.
+            A future of the result. It is always set, at the latest when the connection ends.
         """
         pending: asyncio.Future[RequestResult] = asyncio.get_running_loop().create_future()
         self._pending = pending
@@ -133,18 +133,18 @@
         self._transport.abort()
 
     def abandon(self) -> None:
-        """Aborts the connection and leaves the future of a request in flight unset: nobody waits for it any more."""
+        """Aborts the connection without setting the future of a request in flight, which is no longer awaited."""
         self._pending = None
         self.close("abandoned")
 
     def connection_made(self, transport: asyncio.Transport) -> None:  # type: ignore[override]  # of streams
-        """Called by the event loop: the connection is up."""
+        """Called by the event loop when the connection is established."""
         self._transport = transport
 
     def data_received(self, data: bytes) -> None:
-        """Called by the event loop: bytes of a response."""
+        """Called by the event loop with bytes of a response."""
         if self._pending is None:
-            self.close("bytes that belong to no call")
+            self.close("received bytes without a pending request")
             return
         self.response_begun = True
         try:
@@ -158,12 +158,12 @@
                 self.close("closed")
 
     def eof_received(self) -> bool:
-        """Called by the event loop: the server sends nothing more. Returns False, so that the loop closes."""
-        self.closed = True  # now, as a request could be sent before the loop has closed the connection
+        """Called by the event loop at the end of the input. Returns False, so that the loop closes the transport."""
+        self.closed = True  # set here, as a request could be sent before the loop closes the connection
         return False
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Called by the event loop: the connection has ended."""
+        """Called by the event loop when the connection has ended."""
         self.closed = True
         self._complete(Err(RequestError("the connection ended", may_have_run=True)))
 
@@ -177,19 +177,19 @@
 
 
 class HttpClient:
-    """Sends requests to one server, one at a time, on a connection that is kept between them.
+    """Sends requests to one server, one at a time, on a persistent connection.
 
     Attributes:
-        connects: how many connections were made so far.
+        connects: the number of connections made so far.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, address: Address, max_body_bytes: int = MAX_BODY_BYTES) -> None:
-        """Makes no connection yet.
+        """Creates a client without a connection.
 
         Args:
             loop: the event loop.
             address: the server's host and port.
-            max_body_bytes: the largest response body that is accepted.
+            max_body_bytes: the maximum size of a response body.
         """
         self.connects = 0
         self._loop = loop
@@ -197,12 +197,12 @@
         self._max_body_bytes = max_body_bytes
         self._connection: HttpClientConnection | None = None
         self._busy = False
-        self._sent = False  # whether bytes of the present request may have left
+        self._sent = False  # whether bytes of the current request may have been sent
         self._closed = False
 
     @property
     def connected(self) -> bool:
-        """Whether a connection is kept for the next request."""
+        """Whether there is a connection to reuse."""
         return self._connection is not None
 
     async def request(self, request: HttpRequest, timeout_s: float = 1.0, keep_alive: bool = True) -> RequestResult:
@@ -210,18 +210,18 @@
 
         Args:
             request: the request.
-            timeout_s: for the whole request, connecting included. A server that is silent for so long loses its
-                connection.
-            keep_alive: whether the connection is kept for the next request.
+            timeout_s: the timeout of the whole request, including the connect. A connection on which it expires is
+                closed.
+            keep_alive: whether to keep the connection for the next request.
 
         Returns:
-            The response, or why there is none.
+            The response, or the reason why there is none.
 
         Raises:
             ValueError: the request cannot be encoded (see `encode_request`).
         """
         if self._busy:
-            return Err(RequestError("a call is out already"))
+            return Err(RequestError("a request is already in flight"))
         if self._closed:
             return Err(RequestError("closed"))
         encoded = encode_request(self._address, request, keep_alive)
@@ -239,7 +239,7 @@
             self._drop_unusable(keep_alive)
 
     def close(self) -> None:
-        """Closes the client for good; a request in flight fails."""
+        """Closes the client permanently; a request in flight fails."""
         self._closed = True
         connection = self._connection
         self._connection = None
@@ -247,7 +247,7 @@
             connection.close("closed")
 
     async def _exchange(self, encoded: bytes, may_repeat: bool) -> RequestResult:
-        """Sends an encoded request on the kept connection, or on a new one. `may_repeat`: the method is safe."""
+        """Sends an encoded request on the existing or a new connection. `may_repeat`: whether the method is safe."""
         while True:
             connection = self._connection
             reused = connection is not None and not connection.closed
@@ -259,11 +259,11 @@
             result = await connection.send(encoded, self._max_body_bytes)
             if result.is_ok() or not may_repeat or not reused or connection.response_begun or self._closed:
                 return result
-            # The race of RFC 9112, section 9.3.1: the server closed a kept connection just as we wrote to it. A safe
-            # request is sent once more, on a new connection, which is not `reused`.
+            # RFC 9112, section 9.3.1: the server may close a persistent connection just as a request is sent on it. A
+            # safe request is retried once on a new connection, for which `reused` is False.
 
     async def _connect(self) -> HttpClientConnection | None:
-        """Makes a connection; None if the client was closed meanwhile."""
+        """Connects to the server. Returns None if the client was closed meanwhile."""
         self._connection = None
         self.connects += 1
         _, connection = await self._loop.create_connection(HttpClientConnection, *self._address)
@@ -274,7 +274,7 @@
         return connection
 
     def _drop_unusable(self, keep_alive: bool) -> None:
-        """Drops the kept connection if its request was given up, if it has ended, or if it is not to be kept."""
+        """Drops the connection if its request was abandoned, if it has ended, or if it is not to be reused."""
         connection = self._connection
         if connection is not None and (connection.in_flight or connection.closed or not keep_alive):
             self._connection = None
@@ -288,5 +288,5 @@
     timeout_s: float = 1.0,
     max_body_bytes: int = MAX_BODY_BYTES,
 ) -> RequestResult:
-    """Sends one request on a connection of its own; parameters and result as `HttpClient` has them."""
+    """Sends one request on a connection of its own. For the parameters and the result see `HttpClient`."""
     return await HttpClient(loop, address, max_body_bytes).request(request, timeout_s, keep_alive=False)
--- a/tests/net/test_http_client.py
+++ b/tests/net/test_http_client.py
@@ -1,4 +1,4 @@
-"""Requests of the HTTP client to a scripted server, on loopback and without sleeping."""
+"""Requests of the HTTP client to a scripted server, on loopback and without sleeps."""
 
 import asyncio
 import socket
@@ -11,7 +11,7 @@
 
 
 class ScriptedConnection(asyncio.Protocol):
-    """Writes the next entry of the server's script whenever data comes."""
+    """Writes the next entry of the server's script for each received chunk of data."""
 
     def __init__(self, server):
         self.server = server
@@ -27,7 +27,7 @@
 
 
 class ScriptedServer:
-    """`script` holds a list for each request: bytes to write, and `close` to end the connection; empty for silence."""
+    """`script` has one list per request: bytes to write, or `close` to end the connection; empty for no response."""
 
     def __init__(self, loop):
         self.script = []
@@ -71,13 +71,13 @@
     error = run(client.request(HttpRequest("GET", "/c"))).err_value
     assert error.reason == "bytes behind the answer" and error.may_have_run
     assert run(client.request(HttpRequest("GET", "/d"))).is_ok() and client.connects == 2
-    # A kept connection that the server closed as we wrote: a GET is sent once more, on a new one.
+    # The server closes the connection while a GET is sent on it: the GET is retried on a new connection.
     assert run(client.request(HttpRequest("GET", "/e"))).is_ok() and client.connects == 3
     closing = run(client.request(HttpRequest("GET", "/f"), keep_alive=False))
     assert closing.is_ok() and b"Connection: close" in server.received[-1]
     server.script = [[OK], ["close"]]
     assert run(client.request(HttpRequest("POST", "/g"))).is_ok()
-    error = run(client.request(HttpRequest("POST", "/h"))).err_value  # any other method may have run: not repeated
+    error = run(client.request(HttpRequest("POST", "/h"))).err_value  # a POST may have run, so it is not retried
     assert error.reason == "the connection ended" and error.may_have_run
     assert not server.script and sum(b"/h" in text for text in server.received) == 1
     client.close()
@@ -87,11 +87,11 @@
 @pytest.mark.parametrize(
     "answer, why",
     [
-        ([b"HTTP/1.1 200 OK\r\n\r\nsome", "close"], "an answer without a length"),
+        ([b"HTTP/1.1 200 OK\r\n\r\nsome", "close"], "the response has no length"),
         ([b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", "close"], "the connection ended"),
         ([b"garbage\r\n\r\n"], "no HTTP/1.1"),
-        ([b"HTTP/1.1 200 OK\r\nContent-Length: 5000\r\n\r\n" + b"x" * 5000], "an answer too large"),
-        ([b"HTTP/1.1 200 OK\r\nA: " + b"x" * 90000], "an answer too large"),
+        ([b"HTTP/1.1 200 OK\r\nContent-Length: 5000\r\n\r\n" + b"x" * 5000], "the response is too large"),
+        ([b"HTTP/1.1 200 OK\r\nA: " + b"x" * 90000], "the response is too large"),
         ([], "no answer in time"),
     ],
 )
