--- a/rampfront/net/limits.py
+++ b/rampfront/net/limits.py
@@ -19,13 +19,13 @@
     # ---- connections
 
     max_clients: int
-    """Client connections; past it idle ones are closed, and if none is idle, transactions are declined."""
+    """The maximum number of client connections. Past it idle ones are closed, or else transactions are declined."""
     overflow_clients: int
-    """Client connections beyond `max_clients` that still get a response."""
+    """The number of client connections beyond `max_clients` that still get a response."""
     max_active_clients: int
-    """Client connections that have sent a request; past it the one idle longest is closed."""
+    """The maximum number of client connections that have sent a request. Past it the one idle longest is closed."""
     max_server_connections: int
-    """Connections to servers; past it idle ones are closed."""
+    """The maximum number of connections to servers. Past it idle ones are closed."""
     connect_timeout_ns: int
     """The timeout of a connect to a server."""
     server_idle_timeout_ns: int
@@ -37,15 +37,15 @@
     max_head_bytes: int = 16 * _KIB
     max_body_bytes: int = 64 * _KIB
     max_response_bytes: int = 256 * _KIB
-    """Of a server's raw response, including chunk framing and preceding 1xx responses."""
+    """The maximum size of a server's raw response, including chunk framing and preceding 1xx responses."""
     max_streamed_bytes: int = 64 * _MIB
-    """Of the body of a response that is streamed to its client; larger ones are refused."""
+    """The maximum size of the body of a streamed response. Larger responses are refused."""
     max_list_line_bytes: int = 4 * _MIB
-    """Of one line of the server list."""
+    """The maximum size of one line of the server list."""
     read_buffer_bytes: int = 64 * _KIB
-    """Of the one buffer that all connections read into."""
+    """The size of the buffer that all connections read into."""
     max_cached_call_terms: int = 1024
-    """Values of X-Call-Terms whose parsed form is cached."""
+    """The number of X-Call-Terms values whose parsed form is cached."""
 
     # ---- clients
 
@@ -55,9 +55,9 @@
     """A client connection that is idle for this long after an answer is closed. The load balancer in front has a
     limited number of connections, which clients that send one request and stay connected would use up."""
     first_request_timeout_ns: int = 2 * _S
-    """A client connection without a complete request for this long after the connect is closed."""
+    """A client connection that has sent no complete request this long after the connect is closed."""
     draining_first_request_timeout_ns: int = _S
-    """Replaces `first_request_timeout_ns` while the node drains."""
+    """Limits `first_request_timeout_ns` while the node drains."""
     new_client_grace_ns: int = 100 * _MS
     """Past `max_clients`, a new connection may be closed once it has sent nothing for this long."""
     request_read_timeout_ns: int = 2 * _S
@@ -91,7 +91,7 @@
     counter_ping_interval_ns: int = 2 * _S
     """An idle counter connection sends a ping this often, so that the counter does not close it."""
     max_pending_counter_calls: int = 4096
-    """Pending calls on one counter connection."""
+    """The maximum number of pending calls on one counter connection."""
     discovery_silence_timeout_ns: int = 4500 * _MS
     """Discovery sends a heartbeat every 2 s, and assumes that its updates are delivered after 6 s."""
     min_reconnect_delay_ns: int = 50 * _MS
@@ -113,7 +113,7 @@
     admin_timeout_ns: int = _S
     """An operator's call that is not complete after this time is aborted, as answers are due within a second."""
     max_admin_connections: int = 16
-    """Open connections of operators; past it the oldest is closed."""
+    """The maximum number of open connections of operators. Past it the oldest is closed."""
 
 
 _RESERVED_DESCRIPTORS = 32  # for the listener, the event loop, standard streams, counter and discovery
--- a/rampfront/net/socket_calls.py
+++ b/rampfront/net/socket_calls.py
@@ -24,9 +24,7 @@
     handle = transport.get_extra_info("socket")
     if handle is None or handle.fileno() < 0:
         return None
-    duplicate = socket.socket(
-        handle.family, socket.SOCK_STREAM, 0, handle.fileno()
-    )  # uvloop's socket object lacks these methods
+    duplicate = socket.socket(handle.family, socket.SOCK_STREAM, 0, handle.fileno())  # uvloop's lacks these methods
     try:
         return call(duplicate)
     except OSError:
