--- a/tests/http_server_fixtures.py
+++ b/tests/http_server_fixtures.py
@@ -1,4 +1,4 @@
-"""The HTTP server without sockets: callers whose transport keeps what is written, and a handler that answers later."""
+"""The HTTP server without sockets: connections with a fake transport, and a handler that responds later."""
 
 from rampfront.net.http_routing import endpoint
 from rampfront.net.http_server import HttpServer
@@ -9,7 +9,7 @@
 
 
 class FakeTransport:
-    """The transport of one caller: keeps what was written to it."""
+    """The transport of one connection: records the written bytes."""
 
     def __init__(self):
         self.written, self.closed = b"", False
@@ -31,7 +31,10 @@
 
 
 class HttpCalls:
-    """Calls to the handlers given, or to `/later`, whose requests the test answers. `limits`: of the server."""
+    """A server with the given handlers, or else with `/later`, to whose requests the test responds.
+
+    `limits` are the limits of the server that differ from the defaults.
+    """
 
     def __init__(self, *handlers, **limits):
         self.now, self.pending = 0, []
@@ -51,7 +54,7 @@
 
     @staticmethod
     def responses(caller):
-        """(status, head, body) of each complete response written so far."""
+        """Returns (status, head, body) of each complete response written so far."""
         rest, found = caller.transport.written, []
         while rest:
             head, _, rest = rest.partition(b"\r\n\r\n")
--- a/tests/net/test_client_connections.py
+++ b/tests/net/test_client_connections.py
@@ -1,10 +1,10 @@
-"""Clients, good and bad: plays of the whole program against parties written from the protocol, without waiting."""
+"""Valid and invalid clients: runs of the whole program against simulated peers, with a simulated clock."""
 
 from helper import Stage, target
 
 
 def test_a_client_that_leaves_cancels_its_submissions():
-    """What is out for a client that went is called off, also while its connect waits."""
+    """The submissions of a disconnected client are cancelled, also while the connect to the server is pending."""
     s = Stage()
     s.ask(1)
     s.pipes["a"].cut()
@@ -18,10 +18,10 @@
 
 
 def test_malformed_requests_are_refused_alone():
-    """Each gets its 4xx and its connection closed; a txn on another connection is untouched."""
+    """A malformed request gets a 4xx response and its connection is closed; other connections are not affected."""
     s = Stage()
     s.ask(0, client="b")
-    odd = [
+    malformed = [
         dict(X_Class="none"),
         dict(X_Tier=None),
         dict(Cookie="key=12"),
@@ -41,18 +41,18 @@
         dict(more="X: " + "x" * 90000 + "\r\n"),
         dict(product="ledger", body="x" * 70000),
     ]
-    for txn, fields in enumerate(odd, 1):
+    for txn, fields in enumerate(malformed, 1):
         s.ask(txn, **fields)
     for raw in ("\x16\x03\x01", "PUT /api HTTP/1.1\r\nX-Request-Id: 9\r\n\r\n", "GET /-/other HTTP/1.1\r\n\r\n"):
         s.client().feed(raw)
     s.reply("s0")
-    assert s.log.counts["malformed"] == len(odd) + 2
+    assert s.log.counts["malformed"] == len(malformed) + 2
     s.check("malformed")
 
 
 def test_bad_clients_reach_no_server():
-    """The id of a txn that is open, an endless head, lengths that lie, both framings: each is turned away at
-    once, and nothing of it reaches an app server. Silent connections end, usual idle ones later."""
+    """Requests with the id of an open transaction, an endless head, a wrong length or both framings are refused
+    immediately, and nothing of them reaches a server. Connections that send nothing are closed, and idle ones later."""
     s = Stage()
     s.ask(1)
     s.ask(1, client="twin", product="publish")
@@ -79,8 +79,8 @@
 
 
 def test_pipelined_and_incomplete_requests_are_refused():
-    """Bytes behind a txn refuse it whole: called off where they come later, never sent on where they come with
-    it; half a txn is given up."""
+    """Bytes after a request cause its refusal: it is cancelled if they arrive later, and not sent to a server if they
+    arrive with it. An incomplete request is refused after its timeout."""
     s = Stage()
     s.ask(1)
     s.ask(2)
@@ -94,7 +94,7 @@
 
 
 def test_a_slow_reader_is_closed():
-    """No further txn is read from a client that does not take its answer, and in the end it is closed."""
+    """A client that does not read its answer cannot send another request, and is disconnected after the timeout."""
     s = Stage()
     s.ask(1)
     s.reply("s0")
@@ -104,7 +104,7 @@
 
 
 def test_idle_clients_make_room_before_newcomers_are_rejected():
-    """At the descriptors' limit idle ones go first; with none idle the newest are turned away."""
+    """At the limit of descriptors idle connections are closed first; if none is idle, the newest are rejected."""
     s = Stage(servers=22, limits={"sockets": 128})
     s.driver.servers.limits = s.driver.servers.limits._replace(max_server_connections=22)
     for k in range(22):
@@ -124,8 +124,9 @@
 
 
 def test_clients_that_stay_idle_make_room():
-    """Past a quarter of the descriptors the connection idle longest is closed, so that their front, which may
-    hold a third, has some left for the next txn; one with a txn out is never closed."""
+    """If more than a quarter of the descriptors are active clients, the connection idle longest is closed. The load
+    balancer in front may hold a third of them and needs some for the next request. A connection with a pending request
+    is never closed."""
     s = Stage(servers=9, limits={"sockets": 128})
     s.ask(0, client="first")
     first = s.pipes[s.out()]
@@ -140,7 +141,7 @@
 
 
 def test_ready_only_with_a_server_list():
-    """Ready only with a list of app servers."""
+    """The node is ready only once it has a server list."""
     s = Stage(servers=0)
     s.client().feed("GET /-/ready HTTP/1.1\r\n\r\n")
     s.told(target(0))
@@ -149,7 +150,7 @@
 
 
 def test_a_short_expiry_is_answered_before_the_counter():
-    """A client whose patience is shorter than the counter's is answered in time all the same."""
+    """A client whose deadline is shorter than the timeout of the counter is still answered in time."""
     s = Stage(
         Packages=[{"Name": "open"}, {"Name": "held", "PerSecond": 0.1, "StoreSize": 1.0}],
         Domain={"HasCounter": True, "CountWait": 400.0, "Largest": 4},
--- a/tests/net/test_decision_driver.py
+++ b/tests/net/test_decision_driver.py
@@ -1,4 +1,4 @@
-"""The decision driver: reminders, faults and tables, in plays of the whole program."""
+"""The decision driver in runs of the whole program: reminders, exceptions and the size of tables."""
 
 from typing import get_args
 
@@ -10,9 +10,11 @@
 
 
 def test_reminders_share_an_activation():
-    """A tick goes along with the next wake, and wakes the node by itself only when none comes soon; a first
-    reading is not kept waiting, for an account unread is held to its split of the quota."""
-    for wakes in (False, True):
+    """A reminder is delivered with the next input, and causes a wake-up only if there is none soon.
+
+    The first read of a count is not delayed, since an account is limited to its split of the quota before it.
+    """
+    for other_inputs in (False, True):
         s = Stage()
         for txn in (0, 1):
             s.ask(txn, plan="held")
@@ -23,14 +25,14 @@
         s.reply("s0")
         for _ in range(140):
             s.wait(10)
-            if wakes:
+            if other_inputs:
                 s.driver.post(t.Probed(99, t.DONE, 0, {}))
         s.lines = [line for line in s.lines if "counter" in line]
-        s.check("ride_along" if wakes else "ride_alone")
+        s.check("ride_along" if other_inputs else "ride_alone")
 
 
 def test_a_fault_costs_the_transaction_that_it_struck():
-    """A defect costs the txn that it struck, with a void and a line in the log, and no other."""
+    """After an exception in the node one transaction is voided and a line is logged; others are not affected."""
     s = Stage()
     s.ask(1)
     take, s.driver.node.take = s.driver.node.take, lambda now, told: 1 // 0
@@ -44,7 +46,7 @@
 
 
 def test_tables_do_not_grow_with_transactions():
-    """Nothing grows with txns seen: time-outs called off, indices and names of what has ended are gone."""
+    """No table grows with the number of transactions: timers, indices and names of ended ones are removed."""
     s = Stage()
     for k in range(3000):
         s.ask(k, expiry=9000)
@@ -54,7 +56,7 @@
 
 
 def test_inputs_and_effects_are_complete():
-    """Each effect of `terms.py` is carried out, and each input taken: the closed sets leave none out."""
+    """The driver executes every effect of `terms.py`, and the node accepts every input."""
     driver = Stage().driver
     assert set(driver._effect_handlers) == set(get_args(Effect))
     assert set(choice.INPUTS) == {*get_args(Input), type(None)}
--- a/tests/net/test_http_server.py
+++ b/tests/net/test_http_server.py
@@ -1,4 +1,4 @@
-"""The HTTP server for calls of nodes and operators, on loopback: no sleeps, times by a clock that the test moves."""
+"""The HTTP server for calls of nodes and operators, on loopback, with a simulated clock and without sleeps."""
 
 import asyncio
 import json
@@ -18,7 +18,7 @@
 
 
 class Handlers:
-    """`pending`: requests without a response yet; `bodies`: of the requests to replace the configuration."""
+    """`pending`: requests without a response; `bodies`: the bodies of requests to replace the configuration."""
 
     def __init__(self):
         self.pending = []
@@ -49,7 +49,7 @@
 
 
 class Stage:
-    """One server, its handlers and a clock."""
+    """One server with its handlers and a simulated clock."""
 
     def __init__(self, loop):
         self.loop = loop
@@ -61,8 +61,8 @@
         )
         self.address = self.run(self.server.listen("127.0.0.1", 0))
 
-    def run(self, what):
-        return self.loop.run_until_complete(asyncio.wait_for(what, 5))
+    def run(self, awaitable):
+        return self.loop.run_until_complete(asyncio.wait_for(awaitable, 5))
 
     def connect(self, text=b""):
         read, write = self.run(asyncio.open_connection(*self.address))
@@ -70,7 +70,7 @@
         return read, write
 
     def response(self, read):
-        """(status, fields, body) of one response with a length."""
+        """Returns (status, fields, body) of one response with a Content-Length."""
 
         async def complete():
             head = await read.readuntil(b"\r\n\r\n")
@@ -80,19 +80,19 @@
 
         return self.run(complete())
 
-    def until(self, true):
+    def until(self, condition):
         async def turn():
-            while not true():
+            while not condition():
                 await asyncio.sleep(0)
 
         self.run(turn())
 
     def count(self, *phases):
-        """How many connections are in one of these phases."""
+        """Returns the number of connections in one of these phases."""
         return sum(connection.phase in phases for connection in self.server.connections)
 
     def advance(self, span_ns):
-        """Moves the clock and sweeps."""
+        """Advances the clock and sweeps."""
         self.now += span_ns
         self.server.sweep()
 
@@ -117,7 +117,7 @@
     (GET % b"/api/lookup?Name=a&Name=b", 400, "Name: comes twice"),
     (GET % b"/api/lookup?Name=a&Name=b" + b"and more", 400, "Name: comes twice"),
     (GET % b"/api/lookup?Name=%ff", 400, "query: not UTF-8"),
-    (b"GET /api/lookup HTTP/1.1\r\nLong: " + b"x" * 2100, 431, "head is too large"),  # no end of the field in sight
+    (b"GET /api/lookup HTTP/1.1\r\nLong: " + b"x" * 2100, 431, "head is too large"),  # a field without an end
     (b"GET /api/lookup HTTP/1.1\r\n" + b"A: bb\r\n" * 400, 431, "head is too large"),
     (RPC + b"Content-Length: 4001\r\n\r\n", 413, "body is too large"),
     (RPC + b"Content-Length: 99999999999999\r\n\r\n", 413, "body is too large"),
@@ -135,7 +135,7 @@
 
 
 def test_rejected_requests_are_explained_and_leave_nothing_buffered(stage):
-    """Each is named in JSON; whoever keeps sending behind it reads the response all the same."""
+    """Each response names the error in JSON. A client that continues to send can still read it."""
     for text, status, message in REJECTED:
         read, write = stage.connect(text)
         got, fields, body = stage.response(read)
@@ -158,13 +158,14 @@
         write.write(part)
         stage.run(asyncio.sleep(0))
     status, fields, body = stage.response(read)
-    assert (status, body, fields["Location"]) == (200, b"5", "/x Odd: 1")  # a value does not end its line
+    assert (status, body, fields["Location"]) == (200, b"5", "/x Odd: 1")  # a line break in a value is replaced
     assert stage.handlers.bodies == [b"abcde"]
     write.write(GET % b"http://h:1/api/task")
     assert stage.response(read)[0] == 204
-    write.write(b"HEAD /api/none HTTP/1.1\r\n\r\n" + GET % b"/api/fault")  # HEAD: a length, and no body
+    # The response to HEAD has a length and no body.
+    write.write(b"HEAD /api/none HTTP/1.1\r\n\r\n" + GET % b"/api/fault")
     assert stage.run(read.readuntil(b"\r\n\r\n")).endswith(b"Content-Length: 27\r\nConnection: close\r\n\r\n")
-    assert stage.run(read.read()) == b""  # what is sent before the response is there is not read
+    assert stage.run(read.read()) == b""  # a request sent before the previous response is not read
     read, write = stage.connect(GET % b"/api/fault")
     assert stage.response(read)[0] == 500 and isinstance(stage.faults[0], KeyError)
     write.write(b"GET /api/lookup HTTP/1.0\r\n\r\n")
@@ -175,7 +176,7 @@
     read, write = stage.connect(GET % b"/api/later")
     stage.until(lambda: stage.handlers.pending)
     request = stage.handlers.pending.pop()
-    write.write(b"odd\r\n\r\n")  # bytes behind a request do it no harm
+    write.write(b"odd\r\n\r\n")  # invalid bytes after a request do not affect it
     assert not request.finished and stage.server.pending_requests == 1 and request.peer[0] == "127.0.0.1"
     stage.until(lambda: next(iter(stage.server.connections)).ignores_input)
     assert request.respond(202, b"{}") and not request.respond(500, b"no") and request.finished
@@ -190,8 +191,8 @@
 
 
 def test_each_phase_of_a_connection_has_its_timeout(stage):
-    """Slow bodies and half heads are refused with 408 and idle connections cut off; a request that is owed a response
-    waits on; a peer that takes nothing of its response is given up."""
+    """Incomplete heads and bodies are refused with 408, and idle connections are closed. A pending request waits until
+    the response timeout. The connection of a peer that reads nothing of its response is aborted."""
     limits = stage.server.limits
     body, head, idle, pending = (
         stage.connect(text)
@@ -212,7 +213,7 @@
     stage.handlers.pending[1].respond(200, b"x" * (32 << 20))
     stage.until(lambda: stage.count(Phase.WRITING))
     stage.run(read.readexactly(8 << 20))
-    stage.advance(limits.write_timeout_ns + 1)  # it took some of it: it is slow, and not gone
+    stage.advance(limits.write_timeout_ns + 1)  # it has read a part of it, so it is slow but connected
     assert len(stage.server.connections) == 1
     stage.advance(limits.write_timeout_ns + 1)
     stage.until(lambda: not stage.server.connections)
@@ -220,8 +221,8 @@
 
 
 def test_newcomers_shed_idle_connections_and_no_pending_request(stage):
-    """Past the limit the one idle longest makes room, then one half way through its request; a request that is owed its
-    response is never cut for a connection that has requested nothing."""
+    """Past the limit the connection idle longest is closed, then one with an incomplete request. A connection with a
+    pending response is never closed for a new one without a request."""
     pending = [stage.connect(GET % b"/api/later") for _ in range(2)]
     stage.until(lambda: len(stage.handlers.pending) == 2)
     stage.now += 1
@@ -231,7 +232,7 @@
         stage.now += 1
         last = stage.connect()
     stage.until(lambda: stage.server.counts["connections"] == 23)
-    assert len(stage.server.connections) <= 4 + 1  # uvloop parts with one that was cut a turn later
+    assert len(stage.server.connections) <= 4 + 1  # uvloop reports the end of an aborted connection one iteration later
     half[1].write(b"kup HTTP/1.1\r\n\r\n")
     assert stage.response(half[0])[0] == 200
     last[1].write(GET % b"/api/lookup")
@@ -242,7 +243,7 @@
 
 
 def test_bodies_of_all_connections_share_a_budget(stage):
-    """Buffered bodies are limited over all connections, until their requests have a response or their senders left."""
+    """The limit of buffered bodies applies to all connections together; responses and disconnects free memory."""
     large = [stage.connect(RPC + b"Content-Length: 4000\r\n\r\n" + b"x" * 2000) for _ in range(2)]
     stage.until(lambda: stage.server.body_budget.used_bytes == 4000)
     for text in (b"Content-Length: 4000\r\n\r\n", b"Transfer-Encoding: chunked\r\n\r\n" + b"7d1\r\n" + b"x" * 2001):
--- a/tests/net/test_http_server_responses.py
+++ b/tests/net/test_http_server_responses.py
@@ -1,4 +1,4 @@
-"""Responses of the HTTP server: each goes to the request that it belongs to, once, and no request ends without one."""
+"""Responses of the HTTP server: each request gets exactly one response, which is its own."""
 
 from http_server_fixtures import LATER, HttpCalls
 
@@ -6,7 +6,7 @@
 
 
 def test_what_follows_a_pending_request_is_not_read():
-    """The one in front is answered, once, and says that the connection ends; what came behind it reaches nobody."""
+    """The first request gets one response, with Connection: close; input after it reaches no handler."""
     for text in (LATER + LATER, LATER + b"odd"):
         calls = HttpCalls()
         caller = calls.connect(text)
@@ -18,13 +18,13 @@
 
 
 def test_each_response_goes_to_its_own_request_once():
-    """In order on each connection; a second answer, and one for a caller that went, go nowhere."""
+    """Responses on a connection are in order. A second one, or one to a closed connection, is discarded."""
     calls = HttpCalls()
     one, other = calls.connect(LATER), calls.connect(LATER)
     first, others = calls.pending
     first.respond(200, b"1")
     one.data_received(LATER)
-    assert not first.respond(200, b"again") and len(calls.responses(one)) == 1  # the second call still waits
+    assert not first.respond(200, b"again") and len(calls.responses(one)) == 1  # the second request is still pending
     calls.pending[2].respond(200, b"2")
     assert [body for _, _, body in calls.responses(one)] == [b"1", b"2"]
     other.connection_lost(None)
@@ -32,7 +32,7 @@
 
 
 def test_a_full_server_rejects_the_newest_connection():
-    """Where all are pending an answer the newest caller is told to come back, and no answer that is pending is lost."""
+    """If all connections have a pending request, the newest one gets 503 and no pending response is lost."""
     calls = HttpCalls(max_connections=3)
     pending = [calls.connect(LATER) for _ in range(3)]
     newest = calls.connect()
@@ -44,7 +44,7 @@
 
 
 def test_an_incomplete_request_is_answered_408():
-    """Neither a head nor a body that never becomes whole ends without a word."""
+    """An incomplete head and an incomplete body both get a response after their timeout."""
     for text in (b"GET /la", b"GET /later HTTP/1.1\r\nContent-Length: 5\r\n\r\nab"):
         calls = HttpCalls()
         caller = calls.connect(text)
--- a/tests/net/test_response_delivery.py
+++ b/tests/net/test_response_delivery.py
@@ -1,4 +1,4 @@
-"""What became of a response, on loopback: whoever responds is told once."""
+"""Delivery of responses, on loopback: it is reported to the handler exactly once."""
 
 import asyncio
 import socket
@@ -13,17 +13,17 @@
 
 CALL = b"GET /later HTTP/1.1\r\nHost: h\r\n%s\r\n"
 CLOSE = b"Connection: close\r\n"
-RESET = struct.pack("ii", 1, 0)  # SO_LINGER: a close resets
-LARGE = b"x" * (256 << 10)  # more than the caller's kernel takes, and not more than ours
+RESET = struct.pack("ii", 1, 0)  # SO_LINGER of 0 s: close resets the connection
+LARGE_BODY = b"x" * (256 << 10)  # exceeds the client's receive buffer, fits into the server's send buffer
 
 
 class Stage:
-    """A server, one caller, and what the handler was told."""
+    """A server, one client and the reported deliveries."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop, self.now = loop, 10**9
         self.pending: list[IncomingRequest] = []
-        self.told: list[Delivery] = []
+        self.deliveries: list[Delivery] = []
         limits = HttpServerLimits(sweep_interval_ns=0)
         self.server = HttpServer(loop, lambda: self.now, [self], limits)
         address = self.run(self.server.listen("127.0.0.1", 0))
@@ -36,12 +36,12 @@
     def later(self, request: IncomingRequest) -> None:
         self.pending.append(request)
 
-    def run(self, what):
-        return self.loop.run_until_complete(asyncio.wait_for(what, 5))
+    def run(self, awaitable):
+        return self.loop.run_until_complete(asyncio.wait_for(awaitable, 5))
 
-    def until(self, true) -> None:
+    def until(self, condition) -> None:
         async def turn() -> None:
-            while not true():
+            while not condition():
                 await asyncio.sleep(0)
 
         self.run(turn())
@@ -52,7 +52,7 @@
         return self.pending.pop()
 
     def respond(self, request: IncomingRequest, body: bytes = b"yes") -> bool:
-        return request.respond(200, body, on_delivery=self.told.append)
+        return request.respond(200, body, on_delivery=self.deliveries.append)
 
 
 @pytest.fixture
@@ -66,12 +66,12 @@
 @pytest.mark.parametrize("fields", [b"", CLOSE], ids=["kept", "close"])
 def test_a_response_that_was_read_before_the_end_is_delivered(stage, fields) -> None:
     assert stage.respond(stage.call(fields))
-    assert stage.caller.recv(1000).endswith(b"yes") and not stage.told
+    assert stage.caller.recv(1000).endswith(b"yes") and not stage.deliveries
     if fields:
         stage.until(lambda: stage.caller.recv(1000) == b"")
     stage.caller.close()
-    stage.until(lambda: stage.told)
-    assert stage.told == [Delivery.DELIVERED]
+    stage.until(lambda: stage.deliveries)
+    assert stage.deliveries == [Delivery.DELIVERED]
     stage.until(lambda: not stage.server.connections)
 
 
@@ -79,7 +79,7 @@
     stage.respond(stage.call())
     assert stage.caller.recv(1000).endswith(b"yes")
     stage.call()
-    assert stage.told == [Delivery.DELIVERED]
+    assert stage.deliveries == [Delivery.DELIVERED]
 
 
 @pytest.mark.parametrize("fields", [b"", CLOSE], ids=["kept", "close"])
@@ -88,8 +88,8 @@
     stage.caller.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
     stage.respond(request)
     stage.caller.close()
-    stage.until(lambda: stage.told)
-    assert stage.told == [Delivery.LOST]
+    stage.until(lambda: stage.deliveries)
+    assert stage.deliveries == [Delivery.LOST]
 
 
 def test_a_response_behind_the_end_of_its_connection_is_lost(stage) -> None:
@@ -97,22 +97,22 @@
     stage.caller.close()
     stage.until(lambda: not stage.server.connections)
     assert not stage.respond(request)
-    assert stage.told == [Delivery.LOST]
+    assert stage.deliveries == [Delivery.LOST]
 
 
 def test_a_response_of_which_a_part_was_read_is_lost(stage) -> None:
-    stage.respond(stage.call(), LARGE)
+    stage.respond(stage.call(), LARGE_BODY)
     stage.caller.recv(1000)
-    stage.caller.shutdown(socket.SHUT_WR)  # its end comes in order, and the rest is not acknowledged
-    stage.until(lambda: stage.told)
-    assert stage.told == [Delivery.LOST]
+    stage.caller.shutdown(socket.SHUT_WR)  # an orderly end, with the rest of the response not acknowledged
+    stage.until(lambda: stage.deliveries)
+    assert stage.deliveries == [Delivery.LOST]
 
 
 def test_what_a_connection_that_we_end_took_along_is_not_known(stage) -> None:
     stage.respond(stage.call())
     stage.server.close()
-    stage.until(lambda: stage.told)
-    assert stage.told == [Delivery.UNKNOWN]
+    stage.until(lambda: stage.deliveries)
+    assert stage.deliveries == [Delivery.UNKNOWN]
 
 
 def test_a_caller_that_never_ends_its_stream_is_ended(stage) -> None:
@@ -120,4 +120,4 @@
     stage.now += 60 * 10**9
     stage.server.sweep()
     stage.until(lambda: not stage.server.connections)
-    assert stage.told == [Delivery.UNKNOWN]
+    assert stage.deliveries == [Delivery.UNKNOWN]
--- a/tests/net/test_response_stream.py
+++ b/tests/net/test_response_stream.py
@@ -1,4 +1,4 @@
-"""Responses that are too large to keep: streamed to their clients as they come."""
+"""Responses that are too large to buffer are streamed to their clients."""
 
 import asyncio
 import io
@@ -19,8 +19,8 @@
 from rampfront.net.transaction_listener import TransactionConnection
 
 
-class Taker:
-    """Keeps the parts of a body that a parser gives out."""
+class BodyCollector:
+    """Collects the parts of a body from a parser."""
 
     def __init__(self):
         self.parts = []
@@ -30,27 +30,27 @@
 
 
 def test_large_responses_are_streamed(loop):
-    """Large answers on real sockets: relayed as they come, with the app server's length or in chunks, and an
-    answer broken mid-way cuts the client's connection, so that half is never taken for whole."""
-    big = bytes(range(256)) * 4096  # 1 MiB, over the bound of a body read whole
+    """Large responses on real sockets are streamed with the server's Content-Length or in chunks. If a response is
+    truncated, the client's connection is aborted, so that it is not mistaken for a complete one."""
+    big = bytes(range(256)) * 4096  # 1 MiB, above the limit of a buffered body
 
     class AppServer(asyncio.Protocol):
         def connection_made(self, transport):
             self.transport = transport
 
         def data_received(self, data):
-            way = data.split(b"X-Request-Id: ")[1][:1]
-            if way == b"1":
+            case = data.split(b"X-Request-Id: ")[1][:1]
+            if case == b"1":
                 self.transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(big))
                 for k in range(0, len(big), 100000):
                     loop.call_later(k / 1e7, self.transport.write, big[k : k + 100000])
-            elif way == b"2":
+            elif case == b"2":
                 self.transport.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
                 for k in range(0, len(big), 300000):
                     part = big[k : k + 300000]
                     self.transport.write(b"%x\r\n%s\r\n" % (len(part), part))
                 self.transport.write(b"0\r\n\r\n")
-            elif way == b"4":  # its end is the connection's
+            elif case == b"4":  # delimited by the end of the connection
                 self.transport.write(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + big)
                 self.transport.close()
             else:
@@ -64,11 +64,11 @@
         configuration["listen"] = address_of(free)
     driver = start(loop, Clock(), read_configuration(configuration, {}), Log("n0", 0, io.BytesIO())).driver
 
-    async def send_request(way):
+    async def send_request(case):
         read, write = await asyncio.open_connection(*parse_address(configuration["listen"]))
         write.write(
             b"GET /a HTTP/1.1\r\nX-Request-Id: %d\r\nX-Class: fetch\r\nX-Tier: open\r\nCookie: key=0000000000000001"
-            b"\r\nX-Deadline-Ms: 900\r\nX-Call-Terms: units=1,spread=2,first=0\r\nConnection: close\r\n\r\n" % way
+            b"\r\nX-Deadline-Ms: 900\r\nX-Call-Terms: units=1,spread=2,first=0\r\nConnection: close\r\n\r\n" % case
         )
         response = await asyncio.wait_for(read.read(), 5)
         write.close()
@@ -76,13 +76,13 @@
 
     head, _, body = loop.run_until_complete(send_request(1))
     assert head == b"HTTP/1.1 200 OK\r\nContent-Length: 1048576\r\nConnection: close" and body == big
-    for way in (2, 4):
-        head, _, body = loop.run_until_complete(send_request(way))
+    for case in (2, 4):
+        head, _, body = loop.run_until_complete(send_request(case))
         assert head.endswith(b"Transfer-Encoding: chunked\r\nConnection: close")
-        taker = Taker()
-        parser = httptools.HttpResponseParser(taker)
+        collector = BodyCollector()
+        parser = httptools.HttpResponseParser(collector)
         parser.feed_data(head + b"\r\n\r\n" + body)
-        assert b"".join(taker.parts) == big and body.endswith(b"\r\n0\r\n\r\n")
+        assert b"".join(collector.parts) == big and body.endswith(b"\r\n0\r\n\r\n")
     head, _, body = loop.run_until_complete(send_request(3))
     assert head.startswith(b"HTTP/1.1 200 OK\r\nContent-Length: 1048576") and len(body) < len(big)
     assert driver.log.counts["relayed"] == 4 and not driver.gateway.listeners[0].clients
@@ -92,7 +92,7 @@
 
 
 def test_a_pause_is_no_stall():
-    """A stream that waited for its client is not stalled: its time without bytes runs from the resume."""
+    """A stream that was paused for a slow client has not stalled: the stall timeout restarts when it resumes."""
 
     class Transport:
         def __init__(self):
@@ -120,7 +120,7 @@
 
 
 def test_bytes_behind_a_stream_spoil_the_connection_alone():
-    """Bytes behind a relayed answer spoil the app server's connection, not the answer that came whole."""
+    """Invalid bytes after a streamed response close the server connection, and do not affect the response."""
     s = Stage()
     s.ask(1)
     where = s.out()
@@ -130,7 +130,7 @@
 
 
 def test_a_stream_without_a_length_is_complete_if_its_connection_ends_in_order():
-    """One that is reset on its way must not look complete."""
+    """A response that is cut off by a reset must not look complete."""
     for ends_in_order in (True, False):
         s = Stage()
         s.ask(1)
--- a/tests/net/test_submissions.py
+++ b/tests/net/test_submissions.py
@@ -1,4 +1,4 @@
-"""Submissions to app servers: plays of the whole program against parties written from the protocol, without waiting."""
+"""Submissions to servers: runs of the whole program against simulated peers, with a simulated clock."""
 
 import socket
 
@@ -8,7 +8,7 @@
 
 
 def test_idle_connections_are_reused_last_used_first():
-    """An answer passes unchanged; the connection used last is used next, a new one while all are busy."""
+    """A response is forwarded unchanged. The most recently used idle connection is used next, or else a new one."""
     s = Stage()
     s.ask(1)
     s.ask(2, client="b", product="publish", more="Content-Type: x\r\n")
@@ -20,7 +20,7 @@
 
 
 def test_what_may_have_run_ends_a_once_only_transaction():
-    """What surely never ran may go elsewhere; what may have run ends a once-only txn."""
+    """A once-only transaction is sent to another server only if it certainly has not run; else it ends."""
     s = Stage(servers=2)
     for txn, (status, more) in enumerate(
         [(503, "X-Not-Run: 1\r\n"), (504, "X-Not-Run: 1\r\n"), (503, ""), (500, "X-Not-Run: 1\r\n"), (404, "")]
@@ -34,7 +34,7 @@
 
 
 def test_a_break_before_sending_has_not_run():
-    """A break is 'never ran' only before anything was handed to the connection; half an answer is none."""
+    """A lost connection means "not run" only before anything was sent; a truncated response is no response."""
     s = Stage(servers=2)
     s.say("one refuses")
     s.ways["s0"] = s.ways["s1"] = "refuses"
@@ -59,7 +59,7 @@
 
 
 def test_a_connect_that_times_out_has_sent_nothing():
-    """The connect's time counts against the submission; nothing was sent, so another app server may do it."""
+    """The connect counts towards the timeout of its submission. Nothing was sent, so another server may run it."""
     s = Stage(servers=2)
     s.ways["s0"] = s.ways["s1"] = "silent"
     s.ask(1, product="ledger")
@@ -76,7 +76,7 @@
 
 
 def test_a_server_that_drains_while_connecting_gets_nothing():
-    """A connect that waits when its app server begins to drain sends nothing when it comes up."""
+    """If the server begins to drain during the connect, nothing is sent on the new connection."""
     s = Stage()
     s.ways["s0"] = "silent"
     s.ask(1, product="ledger")
@@ -87,15 +87,15 @@
 
 
 def test_the_first_good_response_wins_a_hedged_request():
-    """A copy goes out beside the first on another connection; the first good answer alone reaches the client, and
-    the connection of the other is shut. A once-only txn has one submission at a time."""
+    """A second copy is sent on another connection. Only the first successful response reaches the client, and the
+    connection of the other copy is closed. A once-only transaction has one submission at a time."""
     s = Stage(servers=2, Limits={"AttemptsCap": 3, "MayCancel": True, "MayDuplicate": True})
     for txn in range(3):
         s.ask(txn)
         s.wait(20)
         s.reply(s.out())
     s.lines.clear()
-    s.driver.node.silent = 0.9  # what was out for long lately never came
+    s.driver.node.silent = 0.9  # long-running submissions recently never got a response
     s.ask(7)
     first = s.out()
     s.wait(120)
@@ -111,7 +111,7 @@
 
 
 def test_a_submission_that_timed_out_is_shut_before_the_next():
-    """The first is shut before a second copy is sent; the last answer comes before the client gives up."""
+    """The first connection is closed before the second copy is sent. The client is answered before its deadline."""
     s = Stage(servers=2)
     s.ask(1, expiry=900)
     s.wait(1000)
@@ -121,8 +121,8 @@
 
 
 def test_broken_responses_fail_their_submission_alone():
-    """A spoilt answer is one failed submission that may have run, in time to try again; a good one is served,
-    whatever stands in front of, behind or beside it, and nothing left over answers another txn."""
+    """An invalid response fails its submission, which may have run, early enough for a retry. A valid response is
+    forwarded whatever precedes or follows it, and left-over bytes never answer another transaction."""
     s = Stage(servers=2)
     good = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n"
     ledger = {"product": "ledger", "client": "b"}
