--- a/rampfront/proxy/admission.py
+++ b/rampfront/proxy/admission.py
@@ -1,8 +1,8 @@
-"""The checks that a request passes before a server is looked for, by the request and the configuration alone.
+"""Admission checks that depend only on the request and the configuration; they run before a server is selected.
 
-In this order, and the first that fails decides the response: identifier, route, key, time left. What they refuse was
-seen by no server. The checks that need more than the configuration (a server that is up, the quota, an identifier
-that is in use) are `RequestProxy`'s own.
+The checks run in this order, and the first that fails determines the response: identifier, route, key, time left. A
+request that they reject has not been sent to any server. The checks that need more than the configuration (a server
+that is up, the quota, an identifier that is in use) are in `RequestProxy`.
 """
 
 from ..net.http_status import BAD_REQUEST, HttpStatusError
@@ -12,23 +12,23 @@
 from .request import Admission, ReceivedRequest
 
 _MAX_TRY_ID_BYTES = 256
-_BEARER = b"bearer "  # the scheme of RFC 6750, in any case of letters
-_MAX_TIME_DIGITS = 9  # of `Time-Left-Ms`
-_DEFAULT_TIME_LEFT_NS = 60 * SEC  # of a request that does not say
+_BEARER = b"bearer "  # the authentication scheme of RFC 6750, compared case-insensitively
+_MAX_TIME_DIGITS = 9  # longest accepted value of `Time-Left-Ms`
+_DEFAULT_TIME_LEFT_NS = 60 * SEC  # for a request without a valid `Time-Left-Ms`
 
 
 def admit(configuration: Configuration, received: ReceivedRequest, margin_ns: int, now_ns: int) -> Admission:
     """Checks a request against the configuration.
 
     Args:
-        configuration: the one in force.
-        received: the request.
-        margin_ns: kept of its time for the way back of the response.
-        now_ns: the time.
+        configuration: the current configuration.
+        received: the request as read from the client.
+        margin_ns: part of the request's time that is reserved for returning the response.
+        now_ns: the current time.
 
     Raises:
-        HttpStatusError: it has no identifier that can be used.
-        RequestRejectedError: there is no such route, or no such key.
+        HttpStatusError: the request has no usable identifier.
+        RequestRejectedError: no route matches, or the key is unknown.
     """
     header = received.header
     try_id = header.get(b"try-id")
--- a/rampfront/proxy/environment.py
+++ b/rampfront/proxy/environment.py
@@ -1,4 +1,4 @@
-"""What the proxy of one process stands on, handed down to its parts as one."""
+"""The dependencies of the proxy of one process, passed to its components as one object."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProxyEnvironment:
-    """Made once by the process."""
+    """Created once per process."""
 
     loop: AbstractEventLoop
     clock: Callable[[], int]  # ns
--- a/rampfront/proxy/outcomes.py
+++ b/rampfront/proxy/outcomes.py
@@ -1,13 +1,13 @@
-"""What this proxy answers by itself, and whether the request may have run when it does.
+"""The responses that this proxy generates itself, and whether the request may have been executed.
 
-A client may send a request again without harm only if no server ran it, so every response that is not a server's
-states its `Execution`. The forms are fixed: there is one constant for each reason, and nothing is built for a request
-that goes well. PROTOCOL.md, "Answers", has the status codes:
+A client can safely send a request again only if no server executed it, so every response that is not a server's
+states its `Execution`. The responses are fixed: there is one constant for each reason, and a successful request
+allocates none. PROTOCOL.md, "Answers", has the status codes:
 
-    401, 404        no such key, no such route                         not executed
-    429             beyond the customer's quota                        not executed
+    401, 404        unknown key, unknown route                         not executed
+    429             customer's quota exceeded                          not executed
     503             no configuration, server or capacity               not executed, with `Retry-After`
-    502, 504        every attempt failed, or none answered in time     possibly executed
+    502, 504        all attempts failed, or no response in time        possibly executed
 """
 
 from enum import Enum, auto
@@ -17,28 +17,28 @@
 
 
 class Execution(Enum):
-    """What is known of whether a server ran a request."""
+    """What is known about whether a server executed a request."""
 
-    NOT_EXECUTED = auto()  # certain: it may be sent again, whatever it changes
-    POSSIBLY_EXECUTED = auto()  # a server may have run it, or may yet run it
+    NOT_EXECUTED = auto()  # certain: the request may be sent again, even if it changes data
+    POSSIBLY_EXECUTED = auto()  # a server may have executed it, or may still execute it
 
 
 class LocalResponse(NamedTuple):
-    """A response that this proxy words itself."""
+    """A response that this proxy generates itself."""
 
-    status: int  # of HTTP
-    reason: bytes  # the body, for whoever reads it
+    status: int  # HTTP status code
+    reason: bytes  # the body, in plain text
     execution: Execution
-    retry_after_ns: int = 0  # advice when to send it again; 0: none
-    counter: str = ""  # the log's counter that counts it; "": counted elsewhere
+    retry_after_ns: int = 0  # delay after which the client may send the request again; 0: none given
+    counter: str = ""  # name of the log's counter to increment; "": counted elsewhere
 
 
 class RequestRejectedError(Exception):
-    """A request that was not admitted. It was not executed, and no server has seen it."""
+    """A request that was not admitted. It was not executed, and was sent to no server."""
 
     def __init__(self, response: LocalResponse) -> None:
-        """`response`: what the client gets."""
-        assert response.execution is Execution.NOT_EXECUTED, "a request that was not admitted has not run"
+        """`response`: the response for the client."""
+        assert response.execution is Execution.NOT_EXECUTED, "a request that was not admitted cannot have been executed"
         super().__init__(response.reason.decode())
         self.response = response
 
--- a/rampfront/proxy/priorities.py
+++ b/rampfront/proxy/priorities.py
@@ -1,4 +1,4 @@
-"""Who yields first where capacity is short: a request's rank by its customer's priority and its route's. No I/O."""
+"""Ranks requests by precedence when capacity is short, from the priorities of their customer and route. No I/O."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 class PriorityRanks:
     """The ranks of one configuration, computed once.
 
-    A customer's priority goes before the route's (PROTOCOL.md, "Requests"). A request without a customer goes by its
-    route alone, among the customers of the middle priority."""
+    A customer's priority takes precedence over the route's (PROTOCOL.md, "Requests"). A request without a customer is
+    ranked by its route alone, as if its customer had the middle priority."""
 
     def __init__(self, configuration: Configuration) -> None:
-        """Ranks every pair of priorities that the configuration has."""
+        """Computes the rank of every pair of priorities in the configuration."""
         customer_priorities = _in_order(customer.priority for customer in configuration.customers_by_name.values())
         route_priorities = _in_order(
             route.priority for rulebook in configuration.hosts.values() for route in rulebook.routes.values()
@@ -32,12 +32,13 @@
         }
 
     def rank(self, route_priority: int, customer_priority: int | None) -> float:
-        """0 for who goes first, 1 for who yields first; `customer_priority`: None without a customer. Priorities that
-        the configuration lacks go first."""
+        """The rank, from 0 (highest precedence) to 1 (yields first). `customer_priority`: None without a customer.
+
+        Priorities that the configuration does not have get rank 0."""
         customer = self._middle_priority if customer_priority is None else customer_priority
         return self._ranks.get((customer, route_priority), _HIGHEST_RANK)
 
 
 def _in_order(priorities: Iterable[int]) -> list[int]:
-    """Each once, the highest (smallest) first; 0 alone where there are none."""
+    """The distinct priorities, the highest (smallest) first; only 0 if there are none."""
     return sorted(set(priorities)) or [0]
--- a/rampfront/proxy/routing.py
+++ b/rampfront/proxy/routing.py
@@ -1,6 +1,6 @@
-"""Where a request may go: the service by the route's weights, the zones by home regions. No I/O.
+"""Routing of a request: selects the service by the route's weights, and the zones by home regions. No I/O.
 
-The server itself is picked by `choice.py`, among those of the service that stand in these zones.
+`choice.py` selects the server itself, among the service's servers in these zones.
 """
 
 from collections.abc import Mapping, Sequence
@@ -10,25 +10,25 @@
 
 
 def pick_service(service_weights: Sequence[tuple[str, float]], draw: Random) -> str:
-    """The service of one request, by weight. Draws once if there are several, otherwise not at all."""
+    """Selects a request's service by weight. Draws one random number if there are several services, else none."""
     if len(service_weights) == 1:
         return service_weights[0][0]
     return draw.choices([name for name, _ in service_weights], [weight for _, weight in service_weights])[0]
 
 
 class HomeZones:
-    """The zones whose servers may get a request, by the home regions of its route and its customer."""
+    """Determines the zones whose servers may get a request, from the home regions of its route and its customer."""
 
     def __init__(self, zones: Mapping[str, str]) -> None:
-        """`zones`: each zone's region. A zone is known by its index from here on: they are counted by name."""
+        """`zones`: region by zone. Zones are identified by an index; new ones are numbered in name order."""
         self.zone_index: dict[str, int] = {}
         self._zones_by_region: dict[str, set[int]] = {}
-        # Home regions of route and customer to the zones that they leave: a handful, emptied by each configuration.
-        self._found: dict[tuple[frozenset[str], frozenset[str]], frozenset[int]] = {}
+        # Cache: home regions of route and customer to the allowed zones. Small; cleared by each configuration.
+        self._allowed_by_homes: dict[tuple[frozenset[str], frozenset[str]], frozenset[int]] = {}
         self.add(zones)
 
     def add(self, zones: Mapping[str, str]) -> bool:
-        """Takes up zones that are new, each with its region. Returns whether there was one."""
+        """Adds the zones that are new, each with its region. Returns whether there was one."""
         new = sorted(zones.keys() - self.zone_index.keys())
         for zone in new:
             index = self.zone_index[zone] = len(self.zone_index)
@@ -37,21 +37,21 @@
         return bool(new)
 
     def clear(self) -> None:
-        """Forgets what was found under the former configuration."""
-        self._found = {}
+        """Clears the cache, which holds for one configuration."""
+        self._allowed_by_homes = {}
 
     def allowed(self, route: Route, customer: Customer | None) -> frozenset[int] | None:
-        """The zones' indices, or None for all. Where route and customer both have home regions, each binds."""
+        """The indices of the allowed zones; None for all. If route and customer both have home regions, both apply."""
         homes = route.home_regions, customer.home_regions if customer else frozenset()
         if not homes[0] and not homes[1]:
             return None
-        found = self._found.get(homes)
-        if found is None:
-            found = self._found[homes] = self._intersect(homes)
-        return found
+        allowed = self._allowed_by_homes.get(homes)
+        if allowed is None:
+            allowed = self._allowed_by_homes[homes] = self._intersect(homes)
+        return allowed
 
     def _intersect(self, homes: tuple[frozenset[str], frozenset[str]]) -> frozenset[int]:
-        """The zones in all of these sets of regions; an empty set stands for all regions."""
+        """The zones that are in all of these sets of regions; an empty set means all regions."""
         allowed = set(self.zone_index.values())
         for regions in homes:
             if regions:
