--- a/rampfront/proxy/attempt_policy.py
+++ b/rampfront/proxy/attempt_policy.py
@@ -1,9 +1,9 @@
-"""Under which terms `choice.py` makes attempts for one service: what may be repeated, hedged, cancelled. No I/O.
+"""The terms under which `choice.py` makes attempts for one service: what may be retried, hedged, cancelled. No I/O.
 
-One `choice.Node` decides for each service. It gets its terms here: a request of a route that changes something is
-sent to a second server only where the first certainly did not run it; one that only reads may be retried, and hedged
-once it is late (a second attempt beside the first; Dean and Barroso, "The Tail at Scale"); a client that leaves
-cancels all.
+Each service has its own `choice.Node`, whose terms are built here. A request of a route that changes data is sent to
+a second server only if the first one certainly did not execute it. A read-only request may be retried, and hedged
+once it is late (a second attempt runs concurrently with the first; Dean and Barroso, "The Tail at Scale"). All
+attempts are cancelled when the client disconnects.
 """
 
 from __future__ import annotations
@@ -18,18 +18,20 @@
 if TYPE_CHECKING:
     from ..settings.settings_file import Guarantees
 
-READ_ONLY = "read_only"  # a request type whose requests may run more than once
+READ_ONLY = "read_only"  # the request type whose requests may be executed more than once
 _KIND_BY_REQUEST_TYPE = {READ_ONLY: t.READ_ONLY, "changing": t.ONCE_ONLY, "upload": t.ONCE_ONLY}
-_OVERDUE_VALUE_PART = 0.3  # what a response past its target is taken to earn, of its value: the wire does not say
-_MAX_ATTEMPTS = 8  # whatever a route allows
+_OVERDUE_VALUE_PART = 0.3  # assumed value share of a response past its latency target: the protocol does not convey it
+_MAX_ATTEMPTS = 8  # upper bound, also if a route allows more
 _MAX_RETRY_AFTER_NS = 2 * SEC
-_MIN_STEP_NS = MS  # gap between two inputs of a `choice.Node`
+_MIN_STEP_NS = MS  # minimum gap between two inputs of a `choice.Node`
 _SLOW_START_PART = 0.2
-_NO_PLAN = t.Plan(0.0, 0.0, 0, 0.0, 0.0, 0.0, 0.0)  # quotas are the limiter's, not `choice.py`'s
+_NO_PLAN = t.Plan(0.0, 0.0, 0, 0.0, 0.0, 0.0, 0.0)  # the limiter enforces quotas, so `choice.py` needs no plan
 
 
 def product_of(request_type: str, latency_target_ns: int) -> t.Product:
-    """What requests of a route allow. `latency_target_ns`: the time within which a response has its full value."""
+    """The decision parameters of a route's requests.
+
+    `latency_target_ns`: the time within which a response has its full value."""
     return t.Product(
         kind=_KIND_BY_REQUEST_TYPE[request_type],
         group=t.ALL,
@@ -40,7 +42,7 @@
 
 
 def node_terms(guarantees: Guarantees, proxy_count: int) -> t.Terms:
-    """The terms of a service's `choice.Node`, without products: those come as routes are used."""
+    """The terms of a service's `choice.Node`, without products, which are added when a route first needs them."""
     return t.Terms(
         products=[],
         plans=[_NO_PLAN],
--- a/rampfront/proxy/budget_shares.py
+++ b/rampfront/proxy/budget_shares.py
@@ -1,8 +1,8 @@
-"""This proxy's part of the budgets that all proxies share: further attempts, and requests to servers in slow start.
+"""This proxy's shares of the fleet-wide budgets: retries and hedges, and requests to servers in slow start.
 
-No proxy asks another: a part is such that the sum over all proxies keeps the fleet's bound, whoever is cut off.
-`docs/system/budgets.md` has the reckoning. The parts are set as attributes of the service's `choice.Node`, which spends
-them; no other module sets them.
+The proxies do not coordinate: the shares are sized such that their sum over all proxies stays within the fleet's
+bound, even if some proxies are partitioned from the others. `docs/system/budgets.md` has the calculation. The shares
+are set as attributes of the service's `choice.Node`, which spends them; no other module sets them.
 """
 
 from __future__ import annotations
@@ -17,24 +17,25 @@
     from ..settings.configuration import Service
     from ..settings.settings_file import Guarantees
 
-# Parts of the fleet's budgets that are used; the rest is margin.
+# Fractions of the fleet's budgets that are distributed to the proxies; the rest is margin.
 _RETRY_RATIO_PART = 0.85
 _EXTRA_TRIES_PART = 0.8
 _SLOW_START_PART = 0.8
-_MIN_PROXIES = 8  # counted at least: the roster may not be complete yet, and some may be cut off
-_MAX_SAVED_AT_START = 1.0  # further attempts that a process may make at its start: it has earned next to none
+_MIN_PROXIES = 8  # lower bound on the divisor: the roster may be incomplete, and some proxies may be partitioned
+_MAX_SAVED_AT_START = 1.0  # attempts: a process that has just started has earned hardly any
 
 
 class RetryBudget(NamedTuple):
-    """Further attempts of one proxy."""
+    """The retry budget of one proxy: attempts beyond the first one of a request."""
 
     earned_per_request: float
     max_saved: float
 
 
 def retry_budget(guarantees: Guarantees, proxy_count: int) -> RetryBudget:
-    """This proxy's part of the fleet's retry budget (RULES, BUDGET): rates add up by themselves, savings are an even
-    part each."""
+    """This proxy's share of the fleet's retry budget (RULES, BUDGET).
+
+    The ratio applies to each proxy's own requests, so it needs no division; the savings are divided evenly."""
     return RetryBudget(
         _RETRY_RATIO_PART * guarantees.retry_ratio,
         _EXTRA_TRIES_PART * guarantees.extra_tries / max(proxy_count, _MIN_PROXIES),
@@ -42,19 +43,19 @@
 
 
 def slow_start_per_s(service: Service, proxy_count: int) -> float:
-    """Requests a second that this proxy may send to one server in slow start."""
+    """Requests per second that this proxy may send to one server in slow start."""
     if not service.cold_per_s:
         return inf
     return _SLOW_START_PART * service.cold_per_s / max(proxy_count, _MIN_PROXIES)
 
 
 def limit_initial_budget(node: Node) -> None:
-    """A process that has just started begins with next to no further attempts saved up."""
+    """Limits the saved retries of a process that has just started."""
     node.spare = min(_MAX_SAVED_AT_START, node.spare)
 
 
 def set_budgets(node: Node, guarantees: Guarantees, service: Service, proxy_count: int) -> None:
-    """The fleet has another number of proxies, or the service other bounds: sets this proxy's parts."""
+    """Sets this proxy's shares after a change of the number of proxies or of the service's bounds."""
     budget = retry_budget(guarantees, proxy_count)
     node.spare_rate = budget.earned_per_request
     node.spare_most = budget.max_saved
--- a/rampfront/proxy/endpoints.py
+++ b/rampfront/proxy/endpoints.py
@@ -1,6 +1,6 @@
-"""The servers that may be sent to: what the configuration, the server list and the evacuations amount to. No I/O.
+"""The servers that may get requests, derived from the configuration, the server list and the evacuations. No I/O.
 
-This is the one place that puts the three together; `ServicePool.update` hands what changed to the service's decisions.
+Only this module combines the three; `ServicePool.update` passes the changes on to the service's decisions.
 """
 
 from __future__ import annotations
@@ -20,16 +20,16 @@
     from ..settings.process_settings import ProcessSettings
 
 _STATES = {READY: t.UP, DRAINING: t.DRAINING}
-_ONE_CELL = 0  # servers of this system have no cells
+_ONE_CELL = 0  # servers of this system are not divided into cells
 _FULL_WEIGHT = 1.0
 
 
 class Zones(NamedTuple):
-    """What decides on servers by their zone."""
+    """The state of the zones that determines which servers may get requests."""
 
-    index_by_name: Mapping[str, int]  # servers of other zones get nothing
+    index_by_name: Mapping[str, int]  # servers of other zones get no requests
     evacuated: Collection[str]  # names
-    reopened_at_ns: Mapping[str, int]  # when the evacuation of a zone ended (ns), of those that were evacuated lately
+    reopened_at_ns: Mapping[str, int]  # when the evacuation of a zone ended (ns), for recently evacuated zones
 
 
 def endpoints_by_service(
--- a/rampfront/proxy/idle_reuse.py
+++ b/rampfront/proxy/idle_reuse.py
@@ -1,10 +1,11 @@
-"""Which idle connections a request may be sent on, so that it does not meet a server that closes them just then.
-
-A request that was written on a connection its server had forgotten may have run as far as anyone can tell, so one
-that may run only once is lost with it. Two things help: the server's own `Keep-Alive`, and what happened to others.
-Once one connection ended under a request at once, those that have been idle for a fraction of its time are not
-trusted for a while: servers forget at a bound of theirs that lies anywhere below, and each attempt to find it may
-lose a request.
+"""Selects idle connections that are safe to reuse, to avoid sending a request while the server closes the connection.
+
+If a request was written on a connection that its server had already dropped, the proxy cannot tell whether it was
+executed, so a once-only request cannot be retried and is lost. Two sources of information reduce this risk: the
+server's own `Keep-Alive` field, and what happened to other connections. Once a connection has ended immediately after
+a request was sent on it, connections that have been idle for more than a fraction of its idle time are distrusted for
+a while: the server's idle timeout may be anywhere below that idle time, and each attempt to find it may lose a
+request.
 """
 
 import re
@@ -13,15 +14,15 @@
 
 NEVER = 1 << 62  # ns: later than any time
 _KEEP_ALIVE = re.compile(rb"(?:^|timeout\s*=\s*)(\d{1,5})")
-_CLOSED_EARLY_NS = 300 * MS  # so long before its server closes it: the way there, and the next look at it
-_AT_ONCE_NS = 150 * MS  # a connection that ends so soon behind a request, without a byte, had been forgotten
-_ALWAYS_TRUSTED_NS = 250 * MS  # one that was idle no longer than this is always used again
-_DISTRUST_NS = 5 * SEC  # without another one found forgotten, connections are trusted again
-_DISTRUST_DIVISOR = 8  # the next bound is the forgotten one's idle time by this
+_CLOSED_EARLY_NS = 300 * MS  # safety margin before the announced timeout, for the network delay and the next check
+_AT_ONCE_NS = 150 * MS  # a connection that ends this soon after a request, without a byte, had been dropped
+_ALWAYS_TRUSTED_NS = 250 * MS  # a connection idle for no longer than this is always reused
+_DISTRUST_NS = 5 * SEC  # connections are trusted again if no other dropped one was found for this time
+_DISTRUST_DIVISOR = 8  # the new bound is the dropped connection's idle time divided by this
 
 
 def reusable_until(keep_alive: bytes, now_ns: int) -> int:
-    """Until when (ns) a connection may be reused, by the `Keep-Alive` field of its last response."""
+    """The time (ns) until which a connection may be reused, from the `Keep-Alive` field of its last response."""
     found = _KEEP_ALIVE.search(keep_alive)
     if found is None:
         return NEVER
@@ -29,25 +30,25 @@
 
 
 class IdleTrust:
-    """How long a connection may have been idle to carry a request that may run only once."""
+    """How long a connection may have been idle to carry a once-only request."""
 
     def __init__(self, max_idle_ns: int) -> None:
-        """`max_idle_ns`: with which every connection is trusted."""
+        """`max_idle_ns`: the bound while no dropped connection has been found."""
         self._max_idle_ns = max_idle_ns
         self._trusted_ns = max_idle_ns
         self._distrusted_at_ns = 0
 
     def trusted_ns(self, now_ns: int) -> int:
-        """The longest idle time that is trusted now."""
+        """The longest idle time that is currently trusted."""
         if now_ns - self._distrusted_at_ns > _DISTRUST_NS:
             self._trusted_ns = self._max_idle_ns
         return self._trusted_ns
 
     def connection_ended(self, idle_ns: int, lasted_ns: int, now_ns: int) -> None:
-        """A reused connection ended under a request, without a byte of a response.
+        """Records that a reused connection ended after a request was sent, without a byte of a response.
 
-        `idle_ns`: how long it had been idle; `lasted_ns`: from the request to its end. One that ended at once had been
-        forgotten by its server."""
+        `idle_ns`: how long it had been idle; `lasted_ns`: from the request to its end. A connection that ended
+        immediately had been dropped by its server."""
         if lasted_ns < _AT_ONCE_NS:
             self._trusted_ns = max(_ALWAYS_TRUSTED_NS, min(self._trusted_ns, idle_ns // _DISTRUST_DIVISOR))
             self._distrusted_at_ns = now_ns
--- a/rampfront/proxy/locality.py
+++ b/rampfront/proxy/locality.py
@@ -1,4 +1,4 @@
-"""What the network path to a server weighs: its zone, its region, and whether this proxy prefers it. No I/O."""
+"""The locality weight of a server: by its zone, its region, and whether this proxy prefers it. No I/O."""
 
 from __future__ import annotations
 
@@ -12,27 +12,28 @@
 
 
 class _Distance(NamedTuple):
-    """A class of servers by the path to them."""
+    """A class of servers by their network distance."""
 
     weight: float
-    preferred: int  # servers of a service that one proxy prefers
+    preferred: int  # how many servers of a service one proxy prefers
 
 
 _OWN_ZONE = _Distance(1.0, 8)
 _OWN_REGION = _Distance(0.4, 6)
 _ELSEWHERE = _Distance(0.02, 4)
-_NOT_PREFERRED_FACTOR = 0.1  # on the weight of the servers that are not among the preferred
+_NOT_PREFERRED_FACTOR = 0.1  # applied to the weight of servers that are not preferred
 
-_LARGE_BODY_BYTES = 8 << 10  # from here on the path weighs more: each byte between zones and regions is priced
+# From this body size on, locality counts more, because traffic between zones and regions is billed per byte.
+_LARGE_BODY_BYTES = 8 << 10
 _USUAL_EXPONENT = 1.0
 _LARGE_BODY_EXPONENT = 3.0
 
 
 def server_weights(endpoints: Iterable[Endpoint], process_settings: ProcessSettings) -> dict[str, float]:
-    """The weights of one service's servers by their ids.
+    """The weights of one service's servers, by server id.
 
-    Of many at one distance each proxy prefers a few of its own, by a digest of both names (rendezvous hashing): so
-    connections are used again, and all proxies together cover all servers evenly."""
+    Among many servers at the same distance each proxy prefers a few, selected by a digest of the names of proxy and
+    server (rendezvous hashing). Connections are thus reused, and all proxies together cover all servers evenly."""
     groups: dict[_Distance, list[tuple[bytes, str]]] = {_OWN_ZONE: [], _OWN_REGION: [], _ELSEWHERE: []}
     for endpoint in endpoints:
         digest = blake2b(f"{process_settings.name}|{endpoint.id}".encode(), digest_size=8).digest()
@@ -46,7 +47,7 @@
 
 
 def _distance(endpoint: Endpoint, process_settings: ProcessSettings) -> _Distance:
-    """How far a server is from this proxy."""
+    """The distance class of a server, seen from this proxy."""
     if endpoint.zone == process_settings.zone:
         return _OWN_ZONE
     if process_settings.zones.get(endpoint.zone) == process_settings.region:
@@ -55,5 +56,5 @@
 
 
 def distance_exponent(body_bytes: int) -> float:
-    """The power to which a server's weight is raised for a request with a body of this size."""
+    """The power to which a server's weight is raised for a request with a body of `body_bytes`."""
     return _USUAL_EXPONENT if body_bytes < _LARGE_BODY_BYTES else _LARGE_BODY_EXPONENT
