--- a/rampfront/proxy/client_front.py
+++ b/rampfront/proxy/client_front.py
@@ -1,8 +1,8 @@
-"""Clients of the system: requests read completely and checked, responses written, on the listener of `net`.
+"""Client connections of the system: reads and checks complete requests, writes responses, on the listener of `net`.
 
-It owns the client connections. It must never choose a response: it writes what it is given, a server's (`forward`) or
-this proxy's (`respond`). A request is handed on only once it is complete, so a client that is slow or leaves midway
-costs no server anything. Bounds are the configuration's `Caps`.
+This module owns the client connections. It must never choose a response: it writes the one it is given, a server's
+(`forward`) or this proxy's (`respond`). A request is passed on only once it is complete, so a client that is slow or
+disconnects midway costs no server anything. The limits are the configuration's `Caps`.
 """
 
 from __future__ import annotations
@@ -33,39 +33,39 @@
 
 _PHRASED_STATUSES = (200, 400, 401, 404, 405, 408, 409, 413, 429, 431, 502, 503, 504)
 _REASON_PHRASES = {status: REASON_PHRASES[status] for status in _PHRASED_STATUSES}
-_OTHER_REASON_PHRASE = b"-"  # of any other status of a server; clients ignore it (RFC 9112, section 4)
-# Fields that may come once: two of them could be read differently here and at the server.
+_OTHER_REASON_PHRASE = b"-"  # for every other status of a server; clients ignore the phrase (RFC 9112, section 4)
+# Fields that may occur only once: this proxy and the server could each pick a different one of two.
 _SINGLE_FIELDS = frozenset(
     (b"host", b"try-id", b"time-left-ms", b"authorization", b"connection", b"content-length", b"expect")
 )
-_MAX_FIELDS = 128  # header fields of a request
-_MAX_BUFFERED_BYTES = 96 << 20  # of bodies, of all clients together
+_MAX_FIELDS = 128  # maximum number of header fields of a request
+_MAX_BUFFERED_BYTES = 96 << 20  # of request bodies, over all clients
 
 
 class RequestConnection(ClientConnection):
-    """One client's connection: a request at a time, read completely. The methods `on_...` are called by the parser."""
+    """One client's connection, which reads one complete request at a time. The parser calls the methods `on_...`."""
 
     __slots__ = ("header_lines", "buffered_bytes", "is_head_complete", "expects_no_body")
     listener: ClientFront
 
     def __init__(self, listener: ConnectionListener) -> None:
-        """Nothing has been read yet."""
+        """Starts with nothing read."""
         super().__init__(listener)
-        self.buffered_bytes = 0  # of its request's body
-        self.expects_no_body = False  # its response has no body, as HEAD asks for
+        self.buffered_bytes = 0  # of the current request's body
+        self.expects_no_body = False  # the response must have no body, because the request's method is HEAD
 
     # ---- called by the parser
 
     def on_message_begin(self) -> None:
-        """A request begins."""
+        """Starts a new request."""
         super().on_message_begin()
         self.header_lines: list[HeaderLine] = []
         self.is_head_complete = False
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """A header field, as it came."""
+        """Records a header field as received."""
         if self.is_head_complete:
-            return  # guards the head against trailers: a key or a customer's name behind the body is none
+            return  # trailers are ignored: a key or a customer's name after the body must not take effect
         lowered = name.lower()
         if lowered in _SINGLE_FIELDS:
             if lowered in self.fields:
@@ -77,23 +77,23 @@
             raise HttpStatusError(HEADER_FIELDS_TOO_LARGE, "the head is too large")
 
     def on_headers_complete(self) -> None:
-        """The head is complete."""
+        """Checks the complete head."""
         super().on_headers_complete()
         self.is_head_complete = True
         if b"host" not in self.fields:
             raise HttpStatusError(BAD_REQUEST, "Host is missing")
 
     def on_body(self, part: bytes) -> None:
-        """A part of the body."""
+        """Buffers a part of the body."""
         super().on_body(part)
         self.buffered_bytes += len(part)
         self.listener.buffered_bytes += len(part)
         if self.listener.buffered_bytes > _MAX_BUFFERED_BYTES:
-            # Guards memory against many large bodies at once: nothing of this one was forwarded.
+            # Bounds the memory for many concurrent large bodies. Nothing of this request has been forwarded yet.
             raise HttpStatusError(SERVICE_UNAVAILABLE, "too much is held")
 
     def received_request(self) -> ReceivedRequest:
-        """The request, once it is complete."""
+        """Builds the request; call it once the request is complete."""
         assert self.parser is not None
         target = self.target
         path = target if target[:1] == b"/" else b"/" + target.partition(b"://")[2].partition(b"/")[2]
@@ -103,26 +103,26 @@
     # ---- the request's end
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Called by the event loop: the connection has ended."""
+        """Called by the event loop when the connection has ended."""
         super().connection_lost(error)
         self.release_body()
 
     def release_body(self) -> None:
-        """The body is not needed any more."""
+        """Stops counting the body as buffered, once it is no longer needed."""
         self.listener.buffered_bytes -= self.buffered_bytes
         self.buffered_bytes = 0
 
     def accepted(self, exchange: AnyExchange) -> None:
-        """The request was admitted; this connection is owed its response."""
+        """Records that the request was admitted: `exchange` will produce the response."""
         self.header_lines = []
         super().accepted(exchange)
 
     def write_response(self, head: bytes, body: bytes) -> None:
-        """Writes a complete response at once. `head`: the status line and fields, without those of the framing."""
+        """Writes a complete response. `head`: the status line and the fields, without the framing fields."""
         super().write_response(head, b"" if self.expects_no_body else body)
 
     def respond(self, response: LocalResponse) -> None:
-        """Writes a response of this proxy."""
+        """Writes a response that this proxy generated."""
         advice = b"Retry-After: %.3f\r\n" % (response.retry_after_ns / SEC) if response.retry_after_ns else b""
         status_line = b"HTTP/1.1 %d %s\r\n" % (response.status, _REASON_PHRASES[response.status])
         self.release_body()
@@ -142,14 +142,14 @@
     connection_type = RequestConnection
 
     def __init__(self, environment: ProxyEnvironment, request_proxy: RequestProxy) -> None:
-        """`request_proxy` takes the requests. The environment's limits hold until the configuration's are known."""
+        """`request_proxy` handles the requests. The environment's limits apply until the configuration's are known."""
         super().__init__(environment.loop, environment.clock, environment.limits, environment.log)
-        self.buffered_bytes = 0  # of bodies that came in and are still needed
-        self.max_head_bytes = self.limits.max_head_bytes  # looked at for each field of a request
+        self.buffered_bytes = 0  # of request bodies that have been received and are still needed
+        self.max_head_bytes = self.limits.max_head_bytes  # a copy, because it is read for each header field
         self._request_proxy = request_proxy
 
     def apply_caps(self, caps: Caps) -> None:
-        """Limits as the configuration has them, from now on."""
+        """Applies the limits of a new configuration."""
         self.limits = self.limits._replace(
             max_head_bytes=caps.header_bytes,
             max_body_bytes=caps.body_bytes,
@@ -160,16 +160,16 @@
         self.max_request_bytes = self.limits.max_head_bytes + self.limits.max_body_bytes
 
     def ready(self) -> bool:
-        """Whether new clients are welcome."""
+        """Whether new clients are accepted."""
         return not self.closing and not self.draining and self._request_proxy.ready()
 
     def client_left(self, exchange: AnyExchange) -> None:
-        """The client of a request is gone, or sent what cannot be followed: the request is cancelled."""
+        """Cancels the request of a client that disconnected or sent invalid data."""
         assert isinstance(exchange, ProxiedRequest)
         exchange.cancel()
 
     def request_received(self, connection: ClientConnection) -> None:
-        """A request is complete: it is handed on or refused."""
+        """Passes a complete request on, or refuses it."""
         assert isinstance(connection, RequestConnection)
         if self.active_clients > self.limits.max_active_clients:
             self.shed_idle_client(connection)
@@ -186,7 +186,7 @@
             connection.refuse(error)
 
     def request_refused(self, connection: ClientConnection, error: HttpStatusError) -> None:
-        """What came is no request that can be followed."""
+        """Refuses invalid input, and releases the body that was received with it."""
         assert isinstance(connection, RequestConnection)
         connection.release_body()
         super().request_refused(connection, error)
--- a/rampfront/proxy/request.py
+++ b/rampfront/proxy/request.py
@@ -1,16 +1,17 @@
-"""A request's forms: as a client sent it, as it was admitted, and as it is under way.
+"""The representations of a request: as received, as admitted, and as forwarded.
 
-`ReceivedRequest` is what the client's connection read, `Admission` what the checks found of it, both immutable. From
-then on `ProxiedRequest` stands for it until the client has its one response. What it may still be answered depends on
-what its attempts have left behind, so its life is one state and a table of transitions; nothing else may set the state:
+`ReceivedRequest` is the request as the client's connection read it, `Admission` the result of the checks; both are
+immutable. An admitted request is represented by a `ProxiedRequest` until the client has its one response. Which
+responses are still possible depends on how its attempts ended, so its lifecycle is a state machine: one state and a
+table of transitions. Nothing else may set the state:
 
     UNEXECUTED --attempt uncertain--> POSSIBLY_EXECUTED --failure response--> FAILURE_RETAINED
         |                                     |                                     |
         +--closed--> CLOSED_UNEXECUTED        +--closed--> CLOSED <--closed---------+
 
-An attempt that certainly did not run changes nothing. Attempts may end behind the close: a hedged request's second
-one, or those that were cancelled with it. A closed request keeps what is known of its execution, because a decision
-that was taken just before the close is still carried out and counted by it.
+An attempt that certainly was not executed leaves the state unchanged. Attempts may end after the request is closed:
+the second one of a hedged request, or those that were cancelled with the request. A closed request keeps the knowledge
+about its execution, because a decision that was made just before the close is still carried out and counted by it.
 """
 
 from enum import IntEnum
@@ -23,30 +24,30 @@
 from .outcomes import LocalResponse
 from .server_response import ServerResponse
 
-HeaderLine = tuple[bytes, bytes]  # a field's name in lower case, and the complete field as it came, with its line end
+HeaderLine = tuple[bytes, bytes]  # a field's name in lower case, and the complete field as received, with its line end
 
 
 class ReceivedRequest(NamedTuple):
-    """A client's complete request, its framing checked."""
+    """A client's complete request, with valid framing."""
 
     method: bytes
-    target: bytes  # as it came: a path, or an absolute URL
-    path: bytes  # of the target; begins with a slash
+    target: bytes  # as received: a path, or an absolute URL
+    path: bytes  # the target's path; begins with a slash
     header_lines: list[HeaderLine]  # all fields in their order
-    header: dict[bytes, bytes]  # the fields that a proxy goes by, by their names in lower case; `host` is one
+    header: dict[bytes, bytes]  # the fields that the proxy evaluates, by lower-case name; always includes `host`
     body: bytes
 
 
 class Admission(NamedTuple):
-    """What the checks found of a request that passed them.
+    """The result of the admission checks for a request that passed them.
 
     Attributes:
         try_id: the identifier of this try of the request.
-        route: the route by host and longest prefix.
-        customer: whose key the request shows; None where the configuration has no customers, or where the route is
-            public and the request shows no valid key.
-        received_at_ns: ns of the clock.
-        deadline_at_ns: when the response has to be out, ns of the clock.
+        route: the route matched by host and longest path prefix.
+        customer: the owner of the request's key; None if the configuration has no customers, or if the route is public
+            and the request has no valid key.
+        received_at_ns: the time of receipt, in ns of the clock.
+        deadline_at_ns: the time by which the response must be sent, in ns of the clock.
     """
 
     try_id: bytes
@@ -57,21 +58,21 @@
 
 
 class RequestState(IntEnum):
-    """Where a request stands. (Hashing a plain `Enum` is slow.)"""
+    """The state of a request. An `IntEnum`, because hashing a plain `Enum` is slow."""
 
-    UNEXECUTED = 0  # no server can have run it
-    POSSIBLY_EXECUTED = 1  # a server may have run it; no response is at hand
-    FAILURE_RETAINED = 2  # a server may have run it; its failure goes back if nothing better comes
-    CLOSED_UNEXECUTED = 3  # the client has its response, or is gone; no server can have run it
-    CLOSED = 4  # the client has its response, or is gone; a server may have run it
+    UNEXECUTED = 0  # no server can have executed it
+    POSSIBLY_EXECUTED = 1  # a server may have executed it; no response is available
+    FAILURE_RETAINED = 2  # a server may have executed it; its failure response is returned if no better one arrives
+    CLOSED_UNEXECUTED = 3  # the client has its response or has disconnected; no server can have executed it
+    CLOSED = 4  # the client has its response or has disconnected; a server may have executed it
 
 
 class RequestEvent(IntEnum):
-    """What changes a request's state."""
+    """The events that change a request's state."""
 
-    ATTEMPT_UNCERTAIN = 0  # an attempt ended, and its server may have run it
-    FAILURE_RESPONSE = 1  # likewise, and the server gave a response that reports a failure
-    CLOSE = 2  # the client got its response, or went away
+    ATTEMPT_UNCERTAIN = 0  # an attempt ended, and its server may have executed the request
+    FAILURE_RESPONSE = 1  # likewise, and the server's response reports a failure
+    CLOSE = 2  # the client got its response or disconnected
 
 
 _TRANSITIONS: dict[RequestState, dict[RequestEvent, RequestState]] = {
@@ -98,89 +99,90 @@
     RequestState.CLOSED: dict.fromkeys(RequestEvent, RequestState.CLOSED),
 }
 
-ACCOUNT = "all"  # `choice.py` counts no accounts here
-# Looked up once: they are needed for each request.
+ACCOUNT = "all"  # one account for all requests: `choice.py` does not distinguish customers here
+# Looked up once, because they are needed for each request.
 _UNEXECUTED = RequestState.UNEXECUTED
 _CLOSE = RequestEvent.CLOSE
 _NOT_EXECUTED = (RequestState.UNEXECUTED, RequestState.CLOSED_UNEXECUTED)
 
 
 class RequestingClient(Protocol):
-    """The client's side of a request: `client_front.RequestConnection`."""
+    """The client's side of a request, implemented by `client_front.RequestConnection`."""
 
     def accepted(self, exchange: "ProxiedRequest") -> None:
-        """The request was admitted; the client is owed its response."""
+        """Notifies that the request was admitted: `exchange` will produce the response."""
 
     def forward(self, response: ServerResponse) -> None:
         """Writes a server's response."""
 
     def respond(self, response: LocalResponse) -> None:
-        """Writes a response of this proxy."""
+        """Writes a response that this proxy generated."""
 
 
 class ProxiedRequest(Exchange[RequestingClient]):
-    """One admitted request: what is sent for it, who waits for it, and its state.
+    """One admitted request: the bytes sent to servers, the waiting client, and the state.
 
     Attributes:
-        admission: what it was admitted with.
-        driver: of its service, which has its attempts.
-        once_only: whether no second server may run it once one may have.
-        state: where it stands; `apply` changes it.
-        failure_response: the last failure that a server gave for it.
+        admission: the result of its admission checks.
+        driver: the decision driver of its service, which makes its attempts.
+        once_only: whether it must not be sent to a second server once one may have executed it.
+        state: its state; changed by `apply`.
+        failure_response: the last failure response of a server.
     """
 
     __slots__ = ("admission", "driver", "once_only", "state", "failure_response")
 
     def __init__(
-        self, client: RequestingClient, admission: Admission, line: "ServiceLine", head: bytes, body: bytes
+        self, client: RequestingClient, admission: Admission, handle: "ProductHandle", head: bytes, body: bytes
     ) -> None:
-        """`head` and `body`: what servers get."""
-        super().__init__(client, admission.try_id, head, body, line.product)
+        """`head` and `body` are sent to servers."""
+        super().__init__(client, admission.try_id, head, body, handle.product)
         self.account = ACCOUNT
         self.admission = admission
-        self.driver = line.driver
+        self.driver = handle.driver
         self.once_only = admission.route.request_type != READ_ONLY
         self.state = _UNEXECUTED
         self.failure_response: ServerResponse | None = None
 
     def apply(self, event: RequestEvent) -> None:
-        """Changes the state by the table."""
+        """Changes the state according to the table of transitions."""
         self.state = _TRANSITIONS[self.state][event]
 
     @property
     def may_have_run(self) -> bool:
-        """Whether a server may have run it, be it closed or not."""
+        """Whether a server may have executed it, whether or not it is closed."""
         return self.state not in _NOT_EXECUTED
 
     @property
     def retained_failure(self) -> ServerResponse | None:
-        """The failure that goes back if nothing better comes."""
+        """The failure response that is returned if no better one arrives."""
         return self.failure_response if self.state is RequestState.FAILURE_RETAINED else None
 
     def retain_failure(self, response: ServerResponse) -> None:
-        """Keeps a server's failure: the last one goes back if nothing better comes."""
+        """Keeps a server's failure response: the last one is returned if no better response arrives."""
         self.failure_response = response
         self.apply(RequestEvent.FAILURE_RESPONSE)
 
     def detach_client(self) -> RequestingClient | None:
-        """Nothing is owed any more: the request is closed. Returns who waits for the response, once; None where the
-        client is gone or has it."""
+        """Closes the request and returns the client that waits for the response.
+
+        Returns None if the client has disconnected or already has its response."""
         self.state = _TRANSITIONS[self.state][_CLOSE]
         client = self.client
         self.client = None
         return client
 
     def cancel(self) -> None:
-        """Ends every attempt of a request whose client is gone, by the one path there is for it."""
+        """Cancels every attempt, because the client has disconnected. There is no other path for cancellation."""
         self.driver.client_left(self)
 
 
-class ServiceLine(NamedTuple):
-    """Where a service takes the requests of a route. There are few, and they are kept.
+class ProductHandle(NamedTuple):
+    """The entry point of a service for the requests of a route. There are few of them, and they are kept.
 
     Attributes:
-        driver: of the service's decisions.
-        product: the index there of what these requests allow.
+        driver: the decision driver of the service.
+        product: the index of these requests' decision parameters at the driver.
     """
 
     driver: DecisionDriver[ProxiedRequest]
--- a/rampfront/proxy/request_head.py
+++ b/rampfront/proxy/request_head.py
@@ -1,7 +1,7 @@
-"""The head that a server gets in place of the client's. Source: PROTOCOL.md, "Servers".
+"""Builds the request head that is sent to servers from the client's. Source: PROTOCOL.md, "Servers".
 
-Left behind are hop-by-hop fields, those that the client's `Connection` names, and those that are this proxy's to set.
-`Wanted-Server` and `Time-Left-Ms` differ from attempt to attempt: the connection writes them behind this head.
+Hop-by-hop fields, the fields named by the client's `Connection`, and the fields that this proxy sets itself are not
+forwarded. `Wanted-Server` and `Time-Left-Ms` differ between attempts, so the connection appends them to this head.
 """
 
 from ..settings.configuration import Customer
@@ -16,12 +16,12 @@
     b"expect",
     b"content-length",
 }
-_ALWAYS_KEPT_FIELDS = frozenset((b"host", b"try-id"))  # whatever a client's `Connection` says
+_ALWAYS_KEPT_FIELDS = frozenset((b"host", b"try-id"))  # even if the client's `Connection` names them
 _METHODS_WITHOUT_BODY = (b"GET", b"HEAD")
 
 
 def build_request_head(received: ReceivedRequest, customer: Customer | None) -> bytes:
-    """The request line and the fields, each with its line end; the empty line is not in it."""
+    """Returns the request line and the fields, each with its line end, without the terminating empty line."""
     method = received.method
     body = received.body
     lines = [b"%s %s HTTP/1.1\r\n" % (method, received.target)]
@@ -35,6 +35,6 @@
 
 
 def _dropped_fields(header: dict[bytes, bytes]) -> frozenset[bytes]:
-    """Names of the fields that stay behind where the client's `Connection` names some, in lower case."""
+    """The lower-case names of the fields that are not forwarded, for a request with a `Connection` field."""
     named = {part.strip().lower() for part in header[b"connection"].split(b",")}
     return _DROPPED_FIELDS | (named - _ALWAYS_KEPT_FIELDS)
--- a/rampfront/proxy/request_proxy.py
+++ b/rampfront/proxy/request_proxy.py
@@ -1,11 +1,11 @@
-"""The proxy of one process: a request in, its one response out, by the snapshots that hold at that moment.
+"""The proxy of one process: handles each request by the current snapshots and gives it exactly one response.
 
-It owns the snapshots (configuration, server list, evacuations, number of proxies) and a `ServicePool` for each
-service. It must never choose a server (`choice.py` does) nor judge a quota by itself (the limiter does).
+This module owns the snapshots (configuration, server list, evacuations, number of proxies) and a `ServicePool` for each
+service. It must never choose a server (`choice.py` does) nor decide on a quota by itself (the limiter does).
 
-Two others call it. The listener of clients calls `handle_request`. The decision driver of each service calls
-`complete`, `decline` and `void`, exactly one of them for each request whose client is not gone; a client that goes
-cancels its request by `ProxiedRequest.cancel`.
+It has two kinds of callers. The client listener calls `handle_request`. The decision driver of each service calls
+exactly one of `complete`, `decline` and `void` for each request whose client is still connected; a client that
+disconnects cancels its request by `ProxiedRequest.cancel`.
 """
 
 from __future__ import annotations
@@ -41,18 +41,20 @@
     from .environment import ProxyEnvironment
     from .server_response import ServerResponse
 
-_ALMOST_DUE_NS = 3 * MS  # as near to the deadline as the margin of `choice.py` lets a request wait
-_NO_PLAN = 0  # the one plan of `attempt_policy.node_terms`
+_ALMOST_DUE_NS = 3 * MS  # a request waits until this close to its deadline, because of the margin of `choice.py`
+_PLAN_INDEX = 0  # index of the only plan of `attempt_policy.node_terms`
 _ONE_UNIT = 1
 _ONE_NODE = 1
 
 
 class RequestProxy:
-    """Takes requests and gives each its response."""
+    """Handles requests, and gives each its response."""
 
     def __init__(self, environment: ProxyEnvironment, limiter: Limiter, is_fresh: Callable[[int], bool]) -> None:
-        """`limiter`: judges the customers' quotas; `is_fresh(now_ns)`: whether the core confirmed the configuration
-        lately enough for requests to go by it."""
+        """Starts without snapshots, so that every request is rejected.
+
+        `limiter` enforces the customers' quotas; `is_fresh(now_ns)` tells whether the core confirmed the configuration
+        recently enough for requests to be handled by it."""
         self.environment = environment
         self.clock = environment.clock
         self.counts = environment.log.counts
@@ -64,32 +66,32 @@
         self.configuration: Configuration | None = None
         self.servers: EndpointList | None = None
         self.evacuated_zones: frozenset[str] = frozenset()
-        self.reopened_zones: dict[str, int] = {}  # when the last evacuation of a zone ended
+        self.reopened_zones: dict[str, int] = {}  # zone to the time (ns) at which its last evacuation ended
         self.proxy_count = 1
-        # What follows from them.
+        # State derived from the snapshots.
         self._priority_ranks: PriorityRanks | None = None
         self._home_zones = HomeZones(environment.process_settings.zones)
-        # Of the services of all configurations so far: a service that returns has its own.
+        # Pools of the services of all configurations so far: a service that is removed and added again keeps its pool.
         self.service_pools: dict[str, ServicePool] = {}
-        # What is observed.
+        # Observations.
         self._observer = ServerObserver()
         self.health_reporter: HealthReporter = self._observer
-        self.request_durations = LatencyHistogram()  # from a complete request to its response
+        self.request_durations = LatencyHistogram()  # from the receipt of the complete request to its response
         self.response_durations = self._observer.response_durations
 
     def call_on_quota_use(self, callback: Callable[[], None]) -> None:
-        """Calls back behind each use of a quota: the limiter may have a message to send."""
+        """Sets the callback after each use of a quota, when the limiter may have a message to send."""
         self._on_quota_used = callback
 
     def sweep(self) -> None:
-        """Closes connections to servers that are idle for too long."""
+        """Closes connections to servers that have been idle for too long."""
         for service_pool in self.service_pools.values():
             service_pool.connection_pool.sweep()
 
     # ---- snapshots
 
     def apply_configuration(self, configuration: Configuration) -> None:
-        """Every request from now on goes by this configuration."""
+        """Applies a new configuration to all subsequent requests."""
         self.configuration = configuration
         self._home_zones.clear()
         self._priority_ranks = PriorityRanks(configuration)
@@ -97,13 +99,14 @@
         self.update_endpoints()
 
     def apply_server_list(self, servers: EndpointList) -> None:
-        """The platform's list has changed."""
+        """Applies a new server list of the platform."""
         self.servers = servers
         self.update_endpoints()
 
     def apply_evacuations(self, evacuated_zones: frozenset[str]) -> None:
-        """`evacuated_zones`, by name: their servers get nothing new. Servers of one that is no longer evacuated may
-        have cooled down, so they begin a slow start."""
+        """Applies the set of evacuated zones, given by name: their servers get no new requests.
+
+        Servers of a zone that is no longer evacuated may have cooled down, so they begin a slow start."""
         now_ns = self.clock()
         for zone in self.evacuated_zones - evacuated_zones:
             self.reopened_zones[zone] = now_ns
@@ -111,25 +114,25 @@
         self.update_endpoints()
 
     def apply_zones(self, zones: Mapping[str, str]) -> None:
-        """The settings name these zones, each with its region: servers of new ones are sent to from now on."""
+        """Applies the zones of the settings, each with its region: servers in new zones get requests from now on."""
         if self._home_zones.add(zones):
             self.update_endpoints()
 
     def apply_proxy_count(self, proxy_count: int) -> None:
-        """So many proxies share the budgets and the quotas."""
+        """Applies the number of proxies that share the budgets and the quotas."""
         if proxy_count != self.proxy_count:
             self.proxy_count = proxy_count
             self.limiter.set_proxy_count(proxy_count)
             self._share_budgets()
 
     def apply_health_verdicts(self, verdicts: Iterable[ServerReport]) -> None:
-        """Servers that the fleet found unreachable, unhealthy, or healthy again."""
+        """Applies the fleet's verdicts: servers that are unreachable, unhealthy, or healthy again."""
         for server_id, state in self.health_reporter.accept_verdicts(verdicts, self.clock()):
             for service_pool in self.service_pools.values():
                 service_pool.health_reported(server_id, state == HEALTHY)
 
     def update_endpoints(self) -> None:
-        """Hands every service the servers that the snapshots together leave it."""
+        """Passes every service the servers that result from the current snapshots."""
         if self.configuration is None or self.servers is None:
             return
         endpoints = endpoints_by_service(
@@ -145,7 +148,7 @@
             service_pool.update(endpoints.get(name, {}))
 
     def _add_service_pools(self, configuration: Configuration) -> None:
-        """Makes the pools of services that are new, in the order of the configuration: each takes a random seed."""
+        """Creates the pools of new services, in configuration order, because each draws a random seed."""
         for name, service in configuration.services.items():
             if name not in self.service_pools:
                 self.service_pools[name] = ServicePool(
@@ -153,7 +156,7 @@
                 )
 
     def _share_budgets(self) -> None:
-        """Sets this proxy's parts of the fleet's budgets."""
+        """Sets this proxy's shares of the fleet's budgets."""
         if self.configuration is None:
             return
         guarantees = self.environment.process_settings.guarantees
@@ -172,15 +175,15 @@
     # ---- requests; called by the listener
 
     def handle_request(self, client: RequestingClient, received: ReceivedRequest) -> None:
-        """Admits a request and has a server looked for, or responds at once.
+        """Admits a request and starts its attempts, or responds immediately.
 
         Raises:
-            HttpStatusError: it cannot be followed; then nothing was begun.
+            HttpStatusError: the request is invalid, or its identifier is in use; no attempt was started.
         """
         now_ns = self.clock()
         try:
             if self.configuration is None or not self.is_fresh(now_ns):
-                # Guards revocations and routes: who does not know what is in force lets nothing run, and says so.
+                # Revoked keys and changed routes are unknown without a current configuration: reject every request.
                 raise RequestRejectedError(outcomes.NO_CONFIGURATION)
             admission = admit(self.configuration, received, self._margin_ns, now_ns)
             service_pool = self._pick_service_pool(admission)
@@ -192,13 +195,15 @@
             client.respond(rejection.response)
             return
         head = build_request_head(received, customer)
-        request = ProxiedRequest(client, admission, service_pool.line(admission.route), head, received.body)
+        request = ProxiedRequest(client, admission, service_pool.product_handle(admission.route), head, received.body)
         self._check_not_open(request)
         client.accepted(request)
         self._begin(request)
 
     def _pick_service_pool(self, admission: Admission) -> ServicePool:
-        """The pool of the request's service. Raises RequestRejectedError where it has no server, or it is too late."""
+        """The pool of the request's service.
+
+        Raises RequestRejectedError if the service has no server, or the deadline has passed."""
         service_pool = self.service_pools.get(pick_service(admission.route.service_weights, self.environment.draw))
         expired = admission.deadline_at_ns <= admission.received_at_ns
         if expired or service_pool is None or not service_pool.has_server_up():
@@ -206,28 +211,29 @@
         return service_pool
 
     def _use_quota(self, customer: Customer, now_ns: int) -> None:
-        """Counts a request to the customer's quota. Raises RequestRejectedError where it is used up."""
+        """Counts a request against the customer's quota. Raises RequestRejectedError if the quota is exhausted."""
         retry_after_ns = self.limiter.take(customer.name, now_ns)
         self._on_quota_used()
         if retry_after_ns is not None:
             raise RequestRejectedError(outcomes.OVER_QUOTA._replace(retry_after_ns=retry_after_ns))
 
     def _check_not_open(self, request: ProxiedRequest) -> None:
-        """Guards against a second run of a try whose first one is under way, be it at another service of a route in
-        shares. Raises HttpStatusError."""
+        """Raises HttpStatusError if a request with the same identifier is in progress, to prevent a second execution.
+
+        All services are checked, because a route with weights may have sent the first one to another service."""
         for service_pool in self.service_pools.values():
             open_requests = service_pool.open_requests
-            if open_requests and request in open_requests:  # most are empty, and hashing a request costs
+            if open_requests and request in open_requests:  # most are empty, and hashing a request is expensive
                 self._return_quota(request, request.admission.received_at_ns)
                 raise HttpStatusError(CONFLICT, "its Try-Id is open")
 
     def _return_quota(self, request: ProxiedRequest, now_ns: int) -> None:
-        """A request that was not executed does not use the quota."""
+        """Refunds the quota of a request that was not executed."""
         if customer := request.admission.customer:
             self.limiter.refund(customer.name, now_ns)
 
     def _begin(self, request: ProxiedRequest) -> None:
-        """Hands the request to the decisions of its service, which make its attempts."""
+        """Passes the request to the decision driver of its service, which makes its attempts."""
         admission = request.admission
         route = admission.route
         customer = admission.customer
@@ -235,10 +241,10 @@
         ranks = self._priority_ranks
         assert ranks is not None, "a request is admitted by a configuration"
         driver.post(
-            t.Arrival(  # in the order of its fields: their names here would cost each request
+            t.Arrival(  # positional, because keyword arguments would cost time for each request
                 driver.open(request),
                 request.product,
-                _NO_PLAN,
+                _PLAN_INDEX,
                 ACCOUNT,
                 _ONE_UNIT,
                 admission.deadline_at_ns - admission.received_at_ns,
@@ -253,14 +259,16 @@
     # ---- responses; called by the driver of a service
 
     def complete(self, request: ProxiedRequest, body: ServerResponse, stream: StreamSource | None) -> None:
-        """A server's response, `body`, is the request's; none is streamed."""
+        """Forwards a server's response, `body`, to the client. `stream` is unused: responses are never streamed."""
         self.counts["settled"] += 1
         if client := self._close(request):
             client.forward(body)
 
     def decline(self, request: ProxiedRequest, retry_after_ns: int) -> None:
-        """No server is to run it any more; `retry_after_ns`: when to come back, 0: not known. One that may have run
-        already is not promised to be unexecuted."""
+        """Responds to a request that is sent to no further server.
+
+        `retry_after_ns`: delay to advise, 0 if not known. A request that may have been executed is voided instead,
+        because the response would promise that it was not."""
         if request.may_have_run:
             self.void(request)
             return
@@ -272,7 +280,9 @@
             client.respond(response._replace(retry_after_ns=retry_after_ns) if retry_after_ns else response)
 
     def void(self, request: ProxiedRequest) -> None:
-        """It may have run, and no good response will come: a server's failure goes back, if there was one."""
+        """Responds to a request that may have been executed and will get no successful response.
+
+        A server's failure response is returned, if there was one."""
         self.counts["voided"] += 1
         failure = request.retained_failure
         client = self._close(request)
@@ -286,7 +296,7 @@
             client.respond(outcomes.FAILED)
 
     def _close(self, request: ProxiedRequest) -> RequestingClient | None:
-        """Who is owed the response; None if the client is gone."""
+        """Closes the request and returns the client that waits for the response; None if it has disconnected."""
         client = request.detach_client()
         if client:
             self.request_durations.record(self.clock() - request.admission.received_at_ns)
@@ -294,4 +304,4 @@
 
 
 def _do_nothing() -> None:
-    """Until the process sets what to do."""
+    """The callback until `call_on_quota_use` sets one."""
--- a/rampfront/proxy/server_connections.py
+++ b/rampfront/proxy/server_connections.py
@@ -1,11 +1,11 @@
-"""Connections to the servers of one service: the system's own protocol on the pool of `net`.
+"""Connections to the servers of one service: the system's own protocol on the connection pool of `net`.
 
-A request leaves with `Wanted-Server`, `Customer` and the time left. A response is believed only when it carries the
-request's `Try-Id` and, where it is a success, the server's seal; that a request has not run is believed only from a
-response with `Not-Run`. Source: PROTOCOL.md, "Servers".
+A request is sent with `Wanted-Server`, `Customer` and the time left. A response is accepted only if it has the
+request's `Try-Id` and, if it is a success, the server's seal. A request counts as not executed only if the response
+has `Not-Run`. Source: PROTOCOL.md, "Servers".
 
-It owns the connections. It must never choose a server or send a request again: it reports how each attempt ended, by
-which `choice.py` decides.
+This module owns the connections. It must never choose a server or retry a request: it reports how each attempt ended,
+and `choice.py` decides.
 """
 
 from __future__ import annotations
@@ -35,20 +35,22 @@
 from .server_response_reader import SystemResponseReader
 
 _OK = 200
-_NOT_EXECUTED = frozenset((t.NOT_ACCEPTED, t.NOT_SENT, t.CONNECT_FAILED))  # ends of attempts that no server has run
+_NOT_EXECUTED = frozenset(
+    (t.NOT_ACCEPTED, t.NOT_SENT, t.CONNECT_FAILED)
+)  # outcomes of attempts that no server has executed
 _ANSWERED = (t.DONE, t.ERROR)
 _ATTEMPT_UNCERTAIN = RequestEvent.ATTEMPT_UNCERTAIN
 
 
 class ServiceEvents(Protocol):
-    """Who is notified of what responses say of their servers: `service_pool.ServicePool`."""
+    """Notifications about the servers, taken from their responses; implemented by `service_pool.ServicePool`."""
 
     def server_load_reported(self, index: int, load: Report) -> None:
-        """A response says how busy its server is."""
+        """Notifies of the load that a server reported with a response."""
         raise NotImplementedError
 
     def address_reused(self, server_id: str) -> None:
-        """Another server has the address."""
+        """Notifies that the server's address now belongs to another server."""
         raise NotImplementedError
 
 
@@ -56,9 +58,9 @@
     """One connection to one server.
 
     Attributes:
-        reusable_until_ns: until when it may be used again, once it is idle.
-        idle_ns: how long it had been idle when the present attempt began; None for the first one on it.
-        observation: the reference of the present attempt at the observer.
+        reusable_until_ns: the time until which it may be reused while it is idle.
+        idle_ns: how long it had been idle when the current attempt began; None for its first attempt.
+        observation: the observer's reference of the current attempt.
     """
 
     __slots__ = ("reusable_until_ns", "idle_ns", "observation")
@@ -67,14 +69,14 @@
     reader_type = SystemResponseReader
 
     def __init__(self, pool: ConnectionPool, server: Server[ServerConnection[ProxiedRequest]]) -> None:
-        """Starts unconnected."""
+        """Starts without a connection."""
         super().__init__(pool, server)
         self.reusable_until_ns = NEVER
         self.idle_ns: int | None = None
         self.observation = 0
 
     def begin(self, exchange: ProxiedRequest | None, attempt: int, allow_ns: int) -> None:
-        """Starts an attempt, or a health check (`exchange` None), that may take `allow_ns`."""
+        """Starts an attempt, or a health check (`exchange` None), with a time limit of `allow_ns`."""
         pool = self.pool
         now_ns = pool.clock()
         self.idle_ns = now_ns - self.idle_since_ns if self.state is IDLE else None
@@ -85,20 +87,20 @@
         super().begin(exchange, attempt, allow_ns)
 
     def write_request(self, exchange: ProxiedRequest, left_ns: int) -> None:
-        """Writes the request; `left_ns` until the attempt has to be answered."""
+        """Writes the request; `left_ns`: the time left until the attempt's deadline."""
         assert self.transport is not None
         fields = b"Time-Left-Ms: %d\r\nWanted-Server: %s\r\n\r\n" % (left_ns // MS, self.server.uid.encode())
         self.transport.writelines((exchange.head, fields, exchange.body))
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Called by the event loop: the connection has ended."""
+        """Called by the event loop when the connection has ended."""
         if self.state is AWAITING_RESPONSE and not self.reader.received_bytes and self.idle_ns is not None:
             now_ns = self.pool.clock()
             self.pool.idle_trust.connection_ended(self.idle_ns, now_ns - self.sent_at_ns, now_ns)
         super().connection_lost(error)
 
     def conclude(self, intact: bool) -> None:
-        """A complete response has come; `intact`: nothing that breaks the protocol came behind it."""
+        """Handles a complete response; `intact`: no data that breaks the protocol followed it."""
         reader = self.reader
         reader.complete = False
         status = reader.status
@@ -112,22 +114,23 @@
         try_id = fields.get(b"try-id")
         rejected = reader.not_run or status == MISDIRECTED
         if try_id != request.id and not (rejected and try_id is None and self.idle_ns is None):
-            # Guards against a late response to an earlier request, above all one that says that nothing ran. A
-            # rejection without an identifier is believed only on a connection that carried no earlier request.
-            self.protocol_broken("another request's answer")
+            # This may be a late response to an earlier request, which is most harmful if it says that the request
+            # was not executed. A rejection without an identifier is accepted only on a connection that carried no
+            # earlier request.
+            self.protocol_broken("the response belongs to another request")
         elif rejected:
             if status == MISDIRECTED:
                 self.pool.address_reused(self.server)
             self.finish(t.NOT_ACCEPTED, intact and reader.keep_alive)
         elif b"content-encoding" in fields or status in SUCCESS_STATUSES and not fields.get(b"server-seal"):
-            # Guards against responses that are not the server's: none of it reaches a client.
-            self.protocol_broken("not the server's answer")
+            # The response was not generated by the server, so no part of it may reach a client.
+            self.protocol_broken("the response has a content encoding or no seal")
         else:
             failed = status >= FIRST_SERVER_ERROR or status in NOT_RUN_STATUSES
             self.finish(t.ERROR if failed else t.DONE, intact and reader.keep_alive)
 
     def finish(self, how: int, keep: bool = False) -> None:
-        """The attempt has ended as `how` of `terms` says; `keep`: the connection may be used again."""
+        """Ends the attempt; `how` is its outcome, a constant of `terms`; `keep`: the connection may be reused."""
         now_ns = self.pool.clock()
         keep_alive = self.reader.fields.get(b"keep-alive") if keep else None
         self.reusable_until_ns = reusable_until(keep_alive, now_ns) if keep_alive else NEVER
@@ -137,8 +140,9 @@
         super().finish(how, keep)
 
     def submission_end(self, exchange: ProxiedRequest, how: int, took_ns: int) -> SubmissionEnd[ProxiedRequest]:
-        """What the driver gets of an attempt that ended as `how` after `took_ns`: its response, and nothing of costs
-        or quotas."""
+        """Builds the driver's notification of an attempt that ended with the outcome `how` after `took_ns`.
+
+        It has the response, if there is one, and no costs or quotas."""
         if how not in _NOT_EXECUTED:
             exchange.apply(_ATTEMPT_UNCERTAIN)
         if how not in _ANSWERED:
@@ -146,13 +150,13 @@
         self.pool.observer.response_durations.record(took_ns)
         reader = self.reader
         response = ServerResponse(reader.status, reader.header_lines, b"".join(reader.body_parts))
-        reader.header_lines = []  # an idle connection holds nothing of its last response
+        reader.header_lines = []  # releases the memory of the last response while the connection is idle
         if how == t.ERROR and response.status not in NOT_RUN_STATUSES:
             exchange.retain_failure(response)
         return SubmissionEnd(exchange, self.attempt, self.server.index, how, took_ns, 0, None, response)
 
     def health_report(self) -> bytes | None:
-        """None: the responses to requests report the load here, those to health checks do not."""
+        """Returns None, because load is reported by responses to requests, not to health checks."""
         return None
 
 
@@ -169,7 +173,7 @@
         events: ServiceEvents,
         observer: ServerObserver,
     ) -> None:
-        """`events` is notified of what responses say of their servers, `observer` of every attempt."""
+        """`events` is notified of load and address changes that responses report, `observer` of every attempt."""
         super().__init__(environment.loop, driver, environment.limits, False, environment.log)
         self.events = events
         self.observer = observer
@@ -177,35 +181,35 @@
         self.health_check_request = b"GET %s HTTP/1.1\r\nHost: health\r\n\r\n" % health_path
 
     def submit(self, exchange: ProxiedRequest, attempt: int, index: int, allow_ns: int) -> None:
-        """Makes an attempt at a server, that may take `allow_ns`."""
+        """Makes an attempt at a server, with a time limit of `allow_ns`."""
         if exchange.once_only and (server := self.servers.get(index)):
-            # Guards it against a connection that its server has forgotten: it could not be sent again.
+            # On a connection that the server has dropped, the request would be lost, because it cannot be retried.
             self._close_distrusted(server)
         super().submit(exchange, attempt, index, allow_ns)
 
     def connection_to(self, index: int) -> ServerConnection[ProxiedRequest] | None:
-        """A connection to a server: the idle one used last, or a new one. None: there can be none."""
+        """A connection to a server: the most recently used idle one, or a new one; None if there can be none."""
         server = self.servers.get(index)
         if server and server.idle:
             newest = server.idle[-1]
             assert isinstance(newest, ForwardingConnection)
             if newest.reusable_until_ns <= self.clock():
-                server.close_idle()  # the newest is too old, so the others are
+                server.close_idle()  # the newest may not be reused, so the older ones may not either
         return super().connection_to(index)
 
     def load_reported(self, server: Server[ServerConnection[ProxiedRequest]], text: bytes) -> None:
-        """A response's `Server-Load`. What cannot be read is left alone."""
+        """Passes on the `Server-Load` of a response. An invalid one is ignored."""
         load = parse_server_load(text)
         if load is not None:
             self.events.server_load_reported(server.index, load)
 
     def address_reused(self, server: Server[ServerConnection[ProxiedRequest]]) -> None:
-        """Guards against sending to a server that is gone, whose address is another's, until the list says so too."""
+        """Stops requests to a server whose address was reassigned, until the server list reflects it."""
         self.counts["misdirected"] += 1
         self.events.address_reused(server.uid)
 
     def _close_distrusted(self, server: Server[ServerConnection[ProxiedRequest]]) -> None:
-        """Closes idle connections that may have been forgotten by their server."""
+        """Closes idle connections that their server may have dropped."""
         now_ns = self.clock()
         trusted_ns = self.idle_trust.trusted_ns(now_ns)
         while server.idle and now_ns - server.idle[-1].idle_since_ns > trusted_ns:
--- a/rampfront/proxy/server_response.py
+++ b/rampfront/proxy/server_response.py
@@ -1,7 +1,7 @@
-"""A server's complete response, as it goes back to the client, and the header fields that are looked at on the way.
+"""A server's complete response as it is returned to the client, and the header fields that the proxy evaluates.
 
-Source: PROTOCOL.md, "Servers". Fields that concern one connection alone (RFC 9110, 7.6.1) are left behind in both
-directions; all others are passed on as they came.
+Source: PROTOCOL.md, "Servers". Hop-by-hop fields (RFC 9110, 7.6.1) are not forwarded in either direction; all other
+fields are forwarded unchanged.
 """
 
 from typing import NamedTuple
@@ -21,31 +21,31 @@
         b"proxy-authenticate",
         b"proxy-authorization",
     )
-)  # `content-length` too: bodies are passed on complete, so their length is written anew
+)  # includes `content-length`, which is regenerated, because bodies are forwarded complete
 
 MISDIRECTED = 421  # another server has the address
-# A client takes these to say that the request has not run; without `Not-Run` it may have.
+# Clients conclude from these that the request was not executed; without `Not-Run` it may have been.
 NOT_RUN_STATUSES = frozenset((408, 429, 503))
 FIRST_SERVER_ERROR = 500
 SUCCESS_STATUSES = range(200, 300)
 
 
 class ServerResponse(NamedTuple):
-    """A response that was read to its end and belongs to its request."""
+    """A response that was read completely and belongs to its request."""
 
     status: int
-    header_lines: list[bytes]  # the fields as they came, with their line ends, without hop-by-hop fields
+    header_lines: list[bytes]  # the fields as received, with their line ends, without hop-by-hop fields
     body: bytes
 
 
-_LOAD_NAMES = ("running", "waiting", "slots")  # of the parts, as `choice.py` reads them
+_LOAD_NAMES = ("running", "waiting", "slots")  # names of the parts, as `choice.py` expects them
 _MAX_LOAD_DIGITS = 6
 
 
 def parse_server_load(text: bytes) -> Report | None:
-    """The figures of a `Server-Load` field: requests that run there, that wait there, and how many it runs at once.
+    """Parses a `Server-Load` field: requests running, requests waiting, and how many the server runs concurrently.
 
-    None where it is not three small integers."""
+    Returns None if it is not three small integers."""
     parts = text.split(b",")
     if len(parts) != len(_LOAD_NAMES):
         return None
--- a/rampfront/proxy/server_response_reader.py
+++ b/rampfront/proxy/server_response_reader.py
@@ -1,4 +1,4 @@
-"""Reads the responses of one server, without I/O: the header fields of the system's protocol on `net`'s reader.
+"""Reads a server's responses: extends `net`'s reader by the header fields of the system's protocol. No I/O.
 
 Source: PROTOCOL.md, "Servers".
 """
@@ -9,8 +9,8 @@
 from ..net.server_response_reader import ServerResponseReader
 from .server_response import HOP_BY_HOP_FIELDS
 
-# Fields that are looked at here, beside being passed on or not.
-_FIELDS = frozenset(
+# Fields that the proxy evaluates, whether or not they are also forwarded.
+_EVALUATED_FIELDS = frozenset(
     (
         b"try-id",
         b"server-seal",
@@ -22,50 +22,51 @@
         b"keep-alive",
     )
 )
-_FALSE = (b"", b"0")  # of `Not-Run`
+_FALSE = (b"", b"0")  # values of `Not-Run` that count as absent
 
 
 class SystemResponseReader(ServerResponseReader):
     """Reads the responses of one connection. The methods `on_...` are the callbacks of `httptools`.
 
     Attributes:
-        fields: the fields that are looked at here, by their names in lower case; of one that comes twice the last.
-        header_lines: the fields that go back to the client, as they came, with their line ends.
-        expects_no_body: the response is one to HEAD: it ends with its head, whatever length that announces.
+        fields: the evaluated fields, by lower-case name; the last value of a repeated field.
+        header_lines: the fields to forward to the client, as received, with their line ends.
+        expects_no_body: whether the request's method is HEAD: the response ends with its head, even if that
+            announces a length.
     """
 
     __slots__ = ("fields", "header_lines", "expects_no_body")
 
     def __init__(self, limits: NetworkLimits, may_stream: Callable[[], bool]) -> None:
-        """Expects the first response. Parameters as `ServerResponseReader` has them."""
+        """Expects the first response. The parameters are those of `ServerResponseReader`."""
         super().__init__(limits, may_stream)
         self.fields: dict[bytes, bytes] = {}
         self.header_lines: list[bytes] = []
         self.expects_no_body = False
 
     def on_message_begin(self) -> None:
-        """A response begins."""
+        """Starts a new response."""
         super().on_message_begin()
         self.fields = {}
         self.header_lines = []
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """One header field."""
+        """Records a header field."""
         if self.head_complete:
-            return  # guards the head against trailers
+            return  # trailers are ignored
         lowered = name.lower()
-        if lowered in _FIELDS:
+        if lowered in _EVALUATED_FIELDS:
             self.fields[lowered] = value
         if lowered not in HOP_BY_HOP_FIELDS:
             self.header_lines.append(b"%s: %s\r\n" % (name, value))
 
     def on_headers_complete(self) -> None:
-        """The head is complete."""
+        """Evaluates the complete head."""
         fields = self.fields
         self.not_run = b"not-run" in fields and fields[b"not-run"].strip() not in _FALSE
         self.chunked = b"transfer-encoding" in fields
         if b"content-length" in fields:
-            self.length = int(fields[b"content-length"])  # the parser has checked it
+            self.length = int(fields[b"content-length"])  # the parser has validated it
         super().on_headers_complete()
         if self.head_complete and self.expects_no_body:
             self.complete = True
--- a/rampfront/proxy/service_pool.py
+++ b/rampfront/proxy/service_pool.py
@@ -1,7 +1,7 @@
-"""One service as this proxy serves it: its decisions, its servers and the connections to them.
+"""One service in this proxy: its decisions, its servers and the connections to them.
 
-The decisions are those of a `choice.Node` of its own, which a `DecisionDriver` feeds and whose effects it carries out;
-the connections are a `ConnectionPool`. The service pool keeps the two of one mind about the servers.
+Each service has its own `choice.Node`; a `DecisionDriver` passes it its inputs and carries out its effects. The
+connections are in a `ConnectionPool`. The service pool keeps the servers of both consistent.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from .budget_shares import limit_initial_budget
 from .environment import ProxyEnvironment
 from .health_observation import ServerObserver
-from .request import ProxiedRequest, ServiceLine
+from .request import ProductHandle, ProxiedRequest
 from .server_connections import ConnectionPool
 
 _SEED_BITS = 63
@@ -33,44 +33,46 @@
         observer: ServerObserver,
         proxy_count: int,
     ) -> None:
-        """Has no servers yet.
+        """Starts without servers.
 
         Args:
-            environment: of the proxy; its `draw` seeds the decisions.
-            gateway: gives clients their responses.
-            health_path: asked by health checks.
-            observer: takes the begin and the end of every attempt.
-            proxy_count: proxies that share the budgets.
+            environment: the proxy's dependencies; its `draw` seeds the decisions.
+            gateway: sends clients their responses.
+            health_path: the path that health checks request.
+            observer: is notified of the start and the end of every attempt.
+            proxy_count: the number of proxies that share the budgets.
         """
         self.driver = _make_driver(environment, proxy_count)
         self.connection_pool = ConnectionPool(environment, self.driver, health_path, self, observer)
-        self.has_server_up = self.connection_pool.any_up  # asked for each request
+        self.has_server_up = self.connection_pool.any_up  # a direct reference, because it is called for each request
         self.driver.gateway = gateway
         self.driver.servers = self.connection_pool
         self.driver.start()
         limit_initial_budget(self.driver.node)
-        self.open_requests = self.driver.in_flight.transactions.keys()  # a view; equal by their identifiers
-        self._endpoints: dict[str, ServerRow] = {}  # what was handed on of each server last
-        self._lines: dict[tuple[str, int], ServiceLine] = {}  # by request type and latency target
+        self.open_requests = (
+            self.driver.in_flight.transactions.keys()
+        )  # a live view; requests compare equal by identifier
+        self._endpoints: dict[str, ServerRow] = {}  # each server's state as last passed to the driver
+        self._product_handles: dict[tuple[str, int], ProductHandle] = {}  # by request type and latency target
 
     @property
     def saved_attempts(self) -> float:
-        """Further attempts that this proxy has saved up for the service."""
+        """The retries and hedges that this proxy has saved up for the service."""
         saved: float = self.driver.node.spare
         return saved
 
-    def line(self, route: Route) -> ServiceLine:
-        """Where requests of the route are taken: one line for each request type and latency target."""
+    def product_handle(self, route: Route) -> ProductHandle:
+        """The handle for requests of the route: there is one for each request type and latency target."""
         key = route.request_type, route.latency_target_ns
-        line = self._lines.get(key)
-        if line is None:
-            line = self._lines[key] = ServiceLine(self.driver, self.driver.add_line(product_of(*key)))
-        return line
+        handle = self._product_handles.get(key)
+        if handle is None:
+            handle = self._product_handles[key] = ProductHandle(self.driver, self.driver.add_line(product_of(*key)))
+        return handle
 
-    # ---- of the servers
+    # ---- servers
 
     def update(self, endpoints: dict[str, ServerRow]) -> None:
-        """`endpoints`, by server id: what holds from now on. What differs is handed on."""
+        """Replaces the servers by `endpoints`, by server id, and passes the differences to the driver."""
         former = self._endpoints
         changes = [row._replace(state=t.REMOVED) for server_id, row in former.items() if server_id not in endpoints]
         changes += [row for server_id, row in endpoints.items() if former.get(server_id) != row]
@@ -79,23 +81,23 @@
             self.driver.update_servers(False, changes)
 
     def health_reported(self, server_id: str, healthy: bool) -> None:
-        """The fleet found a server healthy or not; of another service's, nothing is known here."""
+        """Applies the fleet's verdict on a server; servers of other services are ignored."""
         index = self.driver.in_flight.servers.find(server_id)
         if index is not None:
             self.driver.post(t.Probed(index, t.DONE if healthy else t.CONNECT_FAILED, 0, {}))
 
     def server_load_reported(self, index: int, load: Report) -> None:
-        """A response says how busy its server is."""
+        """Passes the load that a server reported to the decisions."""
         self.driver.post(t.Probed(index, t.DONE, 0, load))
 
     def address_reused(self, server_id: str) -> None:
-        """Another server has its address: it gets nothing more, until the list has something new of it."""
+        """Stops requests to a server whose address was reassigned, until the server list changes its entry."""
         if row := self._endpoints.get(server_id):
             self.driver.update_servers(False, [row._replace(state=t.DRAINING)])
 
 
 def _make_driver(environment: ProxyEnvironment, proxy_count: int) -> DecisionDriver[ProxiedRequest]:
-    """The driver of the service's `choice.Node`, whose draws are seeded by one of the process's."""
+    """Creates the driver of the service's `choice.Node`, whose random generator is seeded from the process's."""
     return DecisionDriver(
         TimerQueue(environment.loop, environment.clock),
         node_terms(environment.process_settings.guarantees, proxy_count),
