--- a/rampfront/edge/optional_parts.py
+++ b/rampfront/edge/optional_parts.py
@@ -79,11 +79,11 @@
 
 def create_mqtt_listener(context: NodeContext, settings: MqttSettings) -> SweptListener:
     """The listener of MQTT clients, which does not listen yet."""
-    from ..mqtt.front import Front
+    from ..mqtt.front import MqttListener
     from ..mqtt.topics import Routes
 
-    # The package has no types; the keys are those that `Front` reads.
-    create: Callable[..., SweptListener] = Front
+    # The package has no types; the keys are those that `MqttListener` reads.
+    create: Callable[..., SweptListener] = MqttListener
     create_routes: Callable[..., Routes] = Routes
     routes = create_routes(settings.routes)
     configuration = context.configuration
--- a/rampfront/lab/publishers.py
+++ b/rampfront/lab/publishers.py
@@ -9,7 +9,7 @@
 from .emulator import customer
 from .schedule import accounts
 
-OUTCOMES = {c.OK: 200, c.QUOTA: 429}  # reason code to the status that HTTP gives for the same
+OUTCOMES = {c.OK: 200, c.QUOTA_EXCEEDED: 429}  # reason code to the status that HTTP gives for the same
 
 
 class Agent(asyncio.Protocol):
@@ -25,7 +25,11 @@
         user = f"{self.pool.client.plan.load.streams[stream].plan}:{customer(name)}"
         client_id = f"w{self.pool.client.worker}-{name}"
         transport.write(
-            c.packet(c.CONNECT, 0, c.text("MQTT") + b"\x05\x82\x00\x3c\x00" + c.text(client_id) + c.text(user))
+            c.encode_packet(
+                c.CONNECT,
+                0,
+                c.encode_text("MQTT") + b"\x05\x82\x00\x3c\x00" + c.encode_text(client_id) + c.encode_text(user),
+            )
         )
 
     def data_received(self, data):
@@ -40,7 +44,7 @@
                 self.publish(txn)
             self.line.clear()
         for packet in self.decoder.feed(data):
-            if packet.kind == c.PUBACK and (held := self.out.pop(packet.pid, None)):
+            if packet.kind == c.PUBACK and (held := self.out.pop(packet.packet_id, None)):
                 txn, tries = held
                 if txn.timer is not None and txn.tries == tries:
                     told = dict(packet.properties.get("user", ()))
@@ -68,7 +72,7 @@
         more = {"user": [("idempotency-key", f"k{mark}")]} if product.effect == "referenced" else {}
         left = max(1, (txn.deadline - client.clock()) // 10**9)  # MQTT tells whole seconds
         self.transport.write(
-            c.publish(c.V5, f"{product.name}/{txn.account}/{mark}", b"", 1, self.pid, expiry=left, **more)
+            c.encode_publish(c.V5, f"{product.name}/{txn.account}/{mark}", b"", 1, self.pid, expiry=left, **more)
         )
 
 
--- a/rampfront/mqtt/codec.py
+++ b/rampfront/mqtt/codec.py
@@ -8,14 +8,42 @@
 
 CONNECT, CONNACK, PUBLISH, PUBACK, PUBREC, PUBREL, PUBCOMP = range(1, 8)
 SUBSCRIBE, SUBACK, UNSUBSCRIBE, UNSUBACK, PINGREQ, PINGRESP, DISCONNECT, AUTH = range(8, 16)
-V4, V5 = 4, 5
+V3_1_1, V5 = 4, 5
 # Reason codes that we use.
-OK, NO_SUBSCRIPTION, UNSPECIFIED, MALFORMED, PROTOCOL_ERROR = 0x00, 0x11, 0x80, 0x81, 0x82
-IMPLEMENTATION, BAD_VERSION, BAD_CLIENT_ID, BAD_USER, NOT_AUTHORIZED, UNAVAILABLE = 0x83, 0x84, 0x85, 0x86, 0x87, 0x88
-SHUTTING_DOWN, BAD_METHOD, KEEP_ALIVE, TAKEN_OVER, BAD_FILTER, BAD_TOPIC = 0x8B, 0x8C, 0x8D, 0x8E, 0x8F, 0x90
-ID_IN_USE, ID_UNKNOWN, BAD_ALIAS, TOO_LARGE, QUOTA, BAD_PAYLOAD = 0x91, 0x92, 0x94, 0x95, 0x97, 0x99
-NO_RETAIN, NO_SHARING = 0x9A, 0x9E
-CONNACK_V4 = {BAD_VERSION: 1, BAD_CLIENT_ID: 2, UNAVAILABLE: 3, QUOTA: 3, BAD_USER: 4, NOT_AUTHORIZED: 5}
+OK, NO_SUBSCRIPTION_EXISTED, UNSPECIFIED_ERROR, MALFORMED_PACKET, PROTOCOL_ERROR = 0x00, 0x11, 0x80, 0x81, 0x82
+(
+    IMPLEMENTATION_SPECIFIC_ERROR,
+    UNSUPPORTED_PROTOCOL_VERSION,
+    CLIENT_ID_NOT_VALID,
+    BAD_USER_NAME_OR_PASSWORD,
+    NOT_AUTHORIZED,
+    SERVER_UNAVAILABLE,
+) = 0x83, 0x84, 0x85, 0x86, 0x87, 0x88
+(
+    SERVER_SHUTTING_DOWN,
+    BAD_AUTHENTICATION_METHOD,
+    KEEP_ALIVE_TIMEOUT,
+    SESSION_TAKEN_OVER,
+    TOPIC_FILTER_INVALID,
+    TOPIC_NAME_INVALID,
+) = 0x8B, 0x8C, 0x8D, 0x8E, 0x8F, 0x90
+PACKET_ID_IN_USE, PACKET_ID_NOT_FOUND, TOPIC_ALIAS_INVALID, PACKET_TOO_LARGE, QUOTA_EXCEEDED, PAYLOAD_FORMAT_INVALID = (
+    0x91,
+    0x92,
+    0x94,
+    0x95,
+    0x97,
+    0x99,
+)
+RETAIN_NOT_SUPPORTED, SHARED_SUBSCRIPTIONS_NOT_SUPPORTED = 0x9A, 0x9E
+CONNACK_V4 = {
+    UNSUPPORTED_PROTOCOL_VERSION: 1,
+    CLIENT_ID_NOT_VALID: 2,
+    SERVER_UNAVAILABLE: 3,
+    QUOTA_EXCEEDED: 3,
+    BAD_USER_NAME_OR_PASSWORD: 4,
+    NOT_AUTHORIZED: 5,
+}
 
 # Properties: identifier to name and kind ("pair" may come more than once); [2.2.2.2]
 PROPERTIES = {
@@ -72,10 +100,10 @@
 FLAGS = {PUBREL: 2, SUBSCRIBE: 2, UNSUBSCRIBE: 2}  # of the first byte; all others 0, PUBLISH its own
 
 
-class Malformed(Exception):
+class MqttProtocolError(Exception):
     """What came cannot be followed; `code` is the reason as 5.0 has it."""
 
-    def __init__(self, why, code=MALFORMED):
+    def __init__(self, why, code=MALFORMED_PACKET):
         super().__init__(why)
         self.code = code
 
@@ -98,7 +126,7 @@
     topic: str
     payload: bytes
     qos: int = 0
-    pid: int = 0
+    packet_id: int = 0
     dup: bool = False
     retain: bool = False
     properties: dict = field(default_factory=dict)
@@ -110,7 +138,7 @@
     """PUBACK, PUBREC, PUBREL or PUBCOMP."""
 
     kind: int
-    pid: int
+    packet_id: int
     code: int = OK
     properties: dict = field(default_factory=dict)
 
@@ -120,7 +148,7 @@
     """SUBSCRIBE, or UNSUBSCRIBE with `asked` of filters alone."""
 
     kind: int
-    pid: int
+    packet_id: int
     asked: list  # (filter, QoS)
     properties: dict = field(default_factory=dict)
 
@@ -144,7 +172,7 @@
 
     def take(self, size):
         if self.at + size > len(self.data):
-            raise Malformed("the packet ends too early")
+            raise MqttProtocolError("the packet ends too early")
         part = self.data[self.at : self.at + size]
         self.at += size
         return part
@@ -159,9 +187,9 @@
         return int.from_bytes(self.take(4))
 
     def varint(self):
-        value, used = varint(self.data, self.at)
+        value, used = decode_varint(self.data, self.at)
         if used is None:
-            raise Malformed("the packet ends too early")
+            raise MqttProtocolError("the packet ends too early")
         self.at += used
         return value
 
@@ -172,9 +200,9 @@
         try:
             text = self.binary().decode()
         except UnicodeDecodeError:
-            raise Malformed("not UTF-8") from None
+            raise MqttProtocolError("not UTF-8") from None
         if "\0" in text:  # [1.5.4-2]
-            raise Malformed("a zero character in a text")
+            raise MqttProtocolError("a zero character in a text")
         return text
 
     def pair(self):
@@ -189,23 +217,23 @@
         while part.at < length:
             name, kind = PROPERTIES.get(part.varint(), ("none", None))
             if name not in ALLOWED[packet]:
-                raise Malformed("a property that this packet does not have")
+                raise MqttProtocolError("a property that this packet does not have")
             value = getattr(part, kind)()
             if kind == "pair":
                 found.setdefault(name, []).append(value)
             elif name in found:
-                raise Malformed(f"{name} twice", PROTOCOL_ERROR)
+                raise MqttProtocolError(f"{name} twice", PROTOCOL_ERROR)
             else:
                 found[name] = value
         for name in ("receive_maximum", "maximum_packet", "alias", "subscription_id"):
             if found.get(name) == 0:
-                raise Malformed(f"{name} is 0", BAD_ALIAS if name == "alias" else PROTOCOL_ERROR)
+                raise MqttProtocolError(f"{name} is 0", TOPIC_ALIAS_INVALID if name == "alias" else PROTOCOL_ERROR)
         if any(found.get(name, 0) > 1 for name in ("request_response", "request_problem", "payload_format")):
-            raise Malformed("a flag that is neither 0 nor 1", PROTOCOL_ERROR)
+            raise MqttProtocolError("a flag that is neither 0 nor 1", PROTOCOL_ERROR)
         return found
 
 
-def varint(data, at):
+def decode_varint(data, at):
     """A variable byte integer [1.5.5]: value and bytes used; (0, None) while it is not whole."""
     value = 0
     for k in range(4):
@@ -215,14 +243,14 @@
         value |= (byte & 127) << 7 * k
         if byte < 128:
             if k and not byte:
-                raise Malformed("a length in more bytes than it needs")
+                raise MqttProtocolError("a length in more bytes than it needs")
             return value, k + 1
-    raise Malformed("a length of more than four bytes")
+    raise MqttProtocolError("a length of more than four bytes")
 
 
 def topic_name(text):
     if not text or "+" in text or "#" in text:
-        raise Malformed("no topic name", BAD_TOPIC)
+        raise MqttProtocolError("no topic name", TOPIC_NAME_INVALID)
     return text
 
 
@@ -233,7 +261,7 @@
         or any("#" in level and (level != "#" or k < len(levels) - 1) for k, level in enumerate(levels))
         or any("+" in level and level != "+" for level in levels)
     ):
-        raise Malformed("no topic filter", BAD_FILTER)
+        raise MqttProtocolError("no topic filter", TOPIC_FILTER_INVALID)
     return text
 
 
@@ -265,7 +293,7 @@
             try:
                 while packet := self.one():
                     found.append(packet)
-            except Malformed as trouble:
+            except MqttProtocolError as trouble:
                 self.broken = trouble
                 self.rest.clear()
         return found
@@ -275,39 +303,39 @@
         if not rest:
             return None
         kind, flags = rest[0] >> 4, rest[0] & 15
-        if kind != PUBLISH and flags != FLAGS.get(kind, 0) or kind not in READERS:
-            raise Malformed("no packet of a client" if kind not in READERS else "reserved flags")
+        if kind != PUBLISH and flags != FLAGS.get(kind, 0) or kind not in PACKET_READERS:
+            raise MqttProtocolError("no packet of a client" if kind not in PACKET_READERS else "reserved flags")
         if self.version is None and kind != CONNECT:
-            raise Malformed("CONNECT comes first", PROTOCOL_ERROR)
-        length, used = varint(rest, 1)
+            raise MqttProtocolError("CONNECT comes first", PROTOCOL_ERROR)
+        length, used = decode_varint(rest, 1)
         if used is None:
             return None
         if 1 + used + length > self.most:
-            raise Malformed("the packet is too large", TOO_LARGE)
+            raise MqttProtocolError("the packet is too large", PACKET_TOO_LARGE)
         if len(rest) < 1 + used + length:
             return None
         body = Body(bytes(rest[1 + used : 1 + used + length]))
-        packet = READERS[kind](self, kind, flags, body)
+        packet = PACKET_READERS[kind](self, kind, flags, body)
         if body.at < len(body.data):
-            raise Malformed("bytes left over")
+            raise MqttProtocolError("bytes left over")
         del rest[: 1 + used + length]
         return packet
 
     def connect(self, kind, flags, body):
         if self.version is not None:
-            raise Malformed("CONNECT twice", PROTOCOL_ERROR)
+            raise MqttProtocolError("CONNECT twice", PROTOCOL_ERROR)
         if body.binary() != b"MQTT":
-            raise Malformed("not MQTT", BAD_VERSION)
+            raise MqttProtocolError("not MQTT", UNSUPPORTED_PROTOCOL_VERSION)
         level, flags = body.byte(), None
-        if level not in (V4, V5):
-            raise Malformed("neither 3.1.1 nor 5.0", BAD_VERSION)
+        if level not in (V3_1_1, V5):
+            raise MqttProtocolError("neither 3.1.1 nor 5.0", UNSUPPORTED_PROTOCOL_VERSION)
         self.version = level  # from here on errors are told in its words
         flags, keep_alive = body.byte(), body.two()
         will, will_qos, will_retain = flags & 4, flags >> 3 & 3, bool(flags & 32)
         if flags & 1 or will_qos == 3 or not will and (will_qos or will_retain):
-            raise Malformed("odd CONNECT flags")
-        if level == V4 and flags & 0x40 and not flags & 0x80:  # [3.1.1: MQTT-3.1.2-22]
-            raise Malformed("a password without a user")
+            raise MqttProtocolError("odd CONNECT flags")
+        if level == V3_1_1 and flags & 0x40 and not flags & 0x80:  # [3.1.1: MQTT-3.1.2-22]
+            raise MqttProtocolError("a password without a user")
         properties = body.properties(CONNECT) if level == V5 else {}
         packet = Connect(level, body.text(), bool(flags & 2), keep_alive, properties=properties)
         if will:
@@ -324,18 +352,18 @@
     def publish(self, kind, flags, body):
         qos, dup = flags >> 1 & 3, bool(flags & 8)
         if qos == 3 or dup and not qos:
-            raise Malformed("odd PUBLISH flags")
+            raise MqttProtocolError("odd PUBLISH flags")
         topic = body.text()
-        pid = self.pid(body) if qos else 0
+        packet_id = self.packet_id(body) if qos else 0
         properties = body.properties(PUBLISH) if self.version == V5 else {}
         if topic or "alias" not in properties:
             topic_name(topic)
         if "response_topic" in properties:
             topic_name(properties["response_topic"])
-        return Publish(topic, body.rest(), qos, pid, dup, bool(flags & 1), properties)
+        return Publish(topic, body.rest(), qos, packet_id, dup, bool(flags & 1), properties)
 
     def ack(self, kind, flags, body):
-        packet = Ack(kind, self.pid(body))
+        packet = Ack(kind, self.packet_id(body))
         if self.version == V5 and body.at < len(body.data):
             packet.code = body.byte()
             if body.at < len(body.data):
@@ -343,17 +371,17 @@
         return packet
 
     def subscribe(self, kind, flags, body):
-        pid = self.pid(body)
+        packet_id = self.packet_id(body)
         properties, asked = body.properties(kind) if self.version == V5 else {}, []
         while body.at < len(body.data):
             name = topic_filter(body.text())
             options = body.byte() if kind == SUBSCRIBE else 0
             if options & 3 == 3 or options & (0xC0 if self.version == V5 else 0xFC) or options >> 4 & 3 == 3:
-                raise Malformed("odd options of a subscription", PROTOCOL_ERROR)
+                raise MqttProtocolError("odd options of a subscription", PROTOCOL_ERROR)
             asked.append((name, options & 3))
         if not asked:
-            raise Malformed("no topic filter", PROTOCOL_ERROR)
-        return Subscribe(kind, pid, asked, properties)
+            raise MqttProtocolError("no topic filter", PROTOCOL_ERROR)
+        return Subscribe(kind, packet_id, asked, properties)
 
     def short(self, kind, flags, body):
         packet = Short(kind)
@@ -364,13 +392,13 @@
         return packet
 
     @staticmethod
-    def pid(body):
-        if not (pid := body.two()):
-            raise Malformed("packet identifier 0")
-        return pid
+    def packet_id(body):
+        if not (packet_id := body.two()):
+            raise MqttProtocolError("packet identifier 0")
+        return packet_id
 
 
-READERS = {
+PACKET_READERS = {
     CONNECT: Decoder.connect,
     PUBLISH: Decoder.publish,
     SUBSCRIBE: Decoder.subscribe,
@@ -385,7 +413,7 @@
 # ---- out
 
 
-def length(value):
+def encode_varint(value):
     out = bytearray()
     while True:
         value, low = value >> 7, value & 127
@@ -394,11 +422,11 @@
             return bytes(out)
 
 
-def text(value):
-    return binary(value.encode())
+def encode_text(value):
+    return encode_binary(value.encode())
 
 
-def binary(value):
+def encode_binary(value):
     return len(value).to_bytes(2) + value
 
 
@@ -406,52 +434,62 @@
     "byte": lambda v: v.to_bytes(1),
     "two": lambda v: v.to_bytes(2),
     "four": lambda v: v.to_bytes(4),
-    "varint": length,
-    "text": text,
-    "binary": binary,
-    "pair": lambda v: text(v[0]) + text(v[1]),
+    "varint": encode_varint,
+    "text": encode_text,
+    "binary": encode_binary,
+    "pair": lambda v: encode_text(v[0]) + encode_text(v[1]),
 }
 
 
-def properties(found):
+def encode_properties(found):
     out = b""
     for name, value in found.items():
         number, kind = NUMBERS[name]
         for each in value if kind == "pair" else (value,):
             out += number.to_bytes(1) + WRITERS[kind](each)
-    return length(len(out)) + out
+    return encode_varint(len(out)) + out
 
 
-def packet(kind, flags, body):
-    return (kind << 4 | flags).to_bytes(1) + length(len(body)) + body
+def encode_packet(kind, flags, body):
+    return (kind << 4 | flags).to_bytes(1) + encode_varint(len(body)) + body
 
 
-def connack(version, present, code, **found):
+def encode_connack(version, present, code, **found):
     """`code` as 5.0 has it; 3.1.1 gets the nearest of its five."""
     if version == V5:
-        return packet(CONNACK, 0, bytes((present, code)) + properties(found))
-    return packet(CONNACK, 0, bytes((present, CONNACK_V4.get(code, 5) if code else 0)))
+        return encode_packet(CONNACK, 0, bytes((present, code)) + encode_properties(found))
+    return encode_packet(CONNACK, 0, bytes((present, CONNACK_V4.get(code, 5) if code else 0)))
 
 
-def publish(version, topic, payload, qos=0, pid=0, dup=False, **found):
-    head = text(topic) + (pid.to_bytes(2) if qos else b"") + (properties(found) if version == V5 else b"")
-    return packet(PUBLISH, dup << 3 | qos << 1, head + payload)
+def encode_publish(version, topic, payload, qos=0, packet_id=0, dup=False, **found):
+    head = (
+        encode_text(topic)
+        + (packet_id.to_bytes(2) if qos else b"")
+        + (encode_properties(found) if version == V5 else b"")
+    )
+    return encode_packet(PUBLISH, dup << 3 | qos << 1, head + payload)
 
 
-def ack(version, kind, pid, code=OK, **found):
+def encode_ack(version, kind, packet_id, code=OK, **found):
     if version == V5 and (code or found):
-        return packet(kind, FLAGS.get(kind, 0), pid.to_bytes(2) + bytes((code,)) + properties(found))
-    return packet(kind, FLAGS.get(kind, 0), pid.to_bytes(2))
+        return encode_packet(
+            kind, FLAGS.get(kind, 0), packet_id.to_bytes(2) + bytes((code,)) + encode_properties(found)
+        )
+    return encode_packet(kind, FLAGS.get(kind, 0), packet_id.to_bytes(2))
 
 
-def suback(version, kind, pid, codes):
-    head = pid.to_bytes(2) + (b"\0" if version == V5 else b"")
-    return packet(kind, 0, head + (bytes(codes) if version == V5 or kind == SUBACK else b""))
+def encode_suback(version, kind, packet_id, codes):
+    head = packet_id.to_bytes(2) + (b"\0" if version == V5 else b"")
+    return encode_packet(kind, 0, head + (bytes(codes) if version == V5 or kind == SUBACK else b""))
 
 
-def disconnect(version, code, why=""):
+def encode_disconnect(version, code, why=""):
     """Nothing for 3.1.1, whose server just closes."""
-    return packet(DISCONNECT, 0, bytes((code,)) + properties({"reason": why} if why else {})) if version == V5 else b""
+    return (
+        encode_packet(DISCONNECT, 0, bytes((code,)) + encode_properties({"reason": why} if why else {}))
+        if version == V5
+        else b""
+    )
 
 
-PONG = packet(PINGRESP, 0, b"")
+PINGRESP_PACKET = encode_packet(PINGRESP, 0, b"")
--- a/rampfront/mqtt/front.py
+++ b/rampfront/mqtt/front.py
@@ -21,22 +21,32 @@
 CLIENT_ID = re.compile(r"[0-9A-Za-z._:@-]{1,128}")
 USER = re.compile(r"(?:([^:]{1,64}):)?([0-9a-fA-F]{16})")
 # What a client is told of a txn: the word in topic and property, and the reason code.
-SETTLED, DECLINED, VOIDED = ("settled", c.OK), ("declined", c.QUOTA), ("voided", c.IMPLEMENTATION)
+SETTLED, DECLINED, VOIDED = (
+    ("settled", c.OK),
+    ("declined", c.QUOTA_EXCEEDED),
+    ("voided", c.IMPLEMENTATION_SPECIFIC_ERROR),
+)
 REFUSED = "refused"  # with a code of its own for each reason
 IN_DOUBT = "it may have run"
-CODES = {400: c.BAD_PAYLOAD, 404: c.BAD_TOPIC, 405: c.BAD_PAYLOAD, 409: c.ID_IN_USE, 413: c.TOO_LARGE}
+CODES = {
+    400: c.PAYLOAD_FORMAT_INVALID,
+    404: c.TOPIC_NAME_INVALID,
+    405: c.PAYLOAD_FORMAT_INVALID,
+    409: c.PACKET_ID_IN_USE,
+    413: c.PACKET_TOO_LARGE,
+}
 
 
 class Asked:
     """One txn that a PUBLISH asked for: the receiver of its answer."""
 
-    __slots__ = ("front", "session", "pid", "qos", "response", "correlation", "exchange")
+    __slots__ = ("front", "session", "packet_id", "qos", "response", "correlation", "exchange")
     accepts_streams = False  # an MQTT packet tells its length first: what cannot be held is void
     damped = False  # a connection past the accept rate never gets past its CONNECT
 
     def __init__(self, front, session, packet):
         self.front, self.session = front, session
-        self.pid, self.qos, self.exchange = packet.pid, packet.qos, None
+        self.packet_id, self.qos, self.exchange = packet.packet_id, packet.qos, None
         self.response = packet.properties.get("response_topic")
         self.correlation = packet.properties.get("correlation")
 
@@ -101,7 +111,7 @@
         while packets and not self.over and not full(self):
             try:
                 self.front.read(self, packets.pop(0))
-            except c.Malformed as trouble:
+            except c.MqttProtocolError as trouble:
                 self.refuse(trouble)
         if self.over:
             return
@@ -133,8 +143,8 @@
         self.front.counts["mqtt_malformed"] += 1
         if self.session is None:
             # Guards against words in a protocol that the far end never spoke: only a CONNECT is answered.
-            if self.decoder.version or trouble.code == c.BAD_VERSION:
-                self.write(c.connack(self.decoder.version or c.V4, False, trouble.code))
+            if self.decoder.version or trouble.code == c.UNSUPPORTED_PROTOCOL_VERSION:
+                self.write(c.encode_connack(self.decoder.version or c.V3_1_1, False, trouble.code))
             self.end()
         else:
             self.end(trouble.code, str(trouble))
@@ -142,12 +152,12 @@
     def end(self, code=None, why=""):
         if not self.over:
             if code is not None:
-                self.write(c.disconnect(self.version, code, why))
+                self.write(c.encode_disconnect(self.version, code, why))
             self.over, self.heard = True, self.front.clock()
             self.transport.close()
 
 
-class Front:
+class MqttListener:
     """`routes`: topics to txns; `told`: what the configuration says of it, as `create_mqtt_listener` passes it."""
 
     def __init__(self, loop, gateway, bounds, log, name, routes, told):
@@ -206,9 +216,9 @@
                     self.counts["slow"] += 1
                     link.transport.abort()
             elif link.alive and silent > link.alive and not link.held:
-                link.end(c.KEEP_ALIVE if link.session else None, "nothing came")
+                link.end(c.KEEP_ALIVE_TIMEOUT if link.session else None, "nothing came")
             elif (self.draining or self.closing) and not (link.session and link.session.open):
-                link.end(c.SHUTTING_DOWN if link.session else None)
+                link.end(c.SERVER_SHUTTING_DOWN if link.session else None)
         for session in list(self.sessions.values()):
             if session.link is None and now - session.since > session.expiry:
                 self.drop(session)
@@ -245,35 +255,35 @@
         user = USER.fullmatch(packet.user or "")
         code = c.OK
         if self.draining or self.closing:
-            code = c.UNAVAILABLE
+            code = c.SERVER_UNAVAILABLE
         elif link.damped or len(self.links) > self.connections:
-            code = c.QUOTA
+            code = c.QUOTA_EXCEEDED
         elif "auth_method" in properties:
-            code = c.BAD_METHOD
+            code = c.BAD_AUTHENTICATION_METHOD
         elif not user:
-            code = c.BAD_USER
+            code = c.BAD_USER_NAME_OR_PASSWORD
         elif (
             not packet.client_id
             and not packet.clean
-            and packet.level == c.V4
+            and packet.level == c.V3_1_1
             or packet.client_id
             and not (CLIENT_ID.fullmatch(packet.client_id))
         ):
-            code = c.BAD_CLIENT_ID
+            code = c.CLIENT_ID_NOT_VALID
         else:
             plan = (user[1] or "").encode() or self.plan
             try:
                 account = parse_account(user[2].encode())
                 code = c.OK if self.gateway.has_plan(plan) else c.NOT_AUTHORIZED
             except HttpStatusError:
-                code = c.BAD_USER
+                code = c.BAD_USER_NAME_OR_PASSWORD
         if code:
             self.counts["mqtt_refused"] += 1
             more = {}
             if link.damped and self.gateway.storm:
                 back = self.gateway.storm.advice(0, self.clock()) // MS
                 more["user"] = [("retry-after-ms", str(back))]
-            link.write(c.connack(link.version, False, code, **more))
+            link.write(c.encode_connack(link.version, False, code, **more))
             return link.end()
         more = {}
         self.number += 1
@@ -283,7 +293,7 @@
         key = plan, account, client_id
         session, present = self.session(key, packet.clean)
         if session is None:
-            link.write(c.connack(link.version, False, c.QUOTA))
+            link.write(c.encode_connack(link.version, False, c.QUOTA_EXCEEDED))
             return link.end()
         link.session, session.link = session, link
         link.largest = properties.get("maximum_packet", link.largest)
@@ -305,16 +315,16 @@
         else:
             session.expiry, alive = 0 if packet.clean else self.session_most, packet.keep_alive
         link.alive = alive * 3 * SEC // 2
-        link.write(c.connack(link.version, present, c.OK, **more))
-        for pid, (topic, payload, found) in session.unacked.items():
-            link.write(c.publish(link.version, topic, payload, 1, pid, True, **found))
+        link.write(c.encode_connack(link.version, present, c.OK, **more))
+        for packet_id, (topic, payload, found) in session.unacked.items():
+            link.write(c.encode_publish(link.version, topic, payload, 1, packet_id, True, **found))
         self.deliver(session)
 
     def session(self, key, clean):
         """(the session that this client goes on with or a new one, whether it was there); None: no room for it."""
         session = self.sessions.get(key)
         if session and session.link:
-            session.link.end(c.TAKEN_OVER, "the client connected again")
+            session.link.end(c.SESSION_TAKEN_OVER, "the client connected again")
             session.link.session, session.link = None, None
         if session and clean:
             self.drop(session)
@@ -334,9 +344,9 @@
         session = link.session
         self.counts["mqtt_publishes"] += 1
         if "alias" in packet.properties:
-            raise c.Malformed("topic aliases are not taken", c.BAD_ALIAS)
+            raise c.MqttProtocolError("topic aliases are not taken", c.TOPIC_ALIAS_INVALID)
         if packet.retain and link.version == c.V5:
-            raise c.Malformed("nothing is retained", c.NO_RETAIN)
+            raise c.MqttProtocolError("nothing is retained", c.RETAIN_NOT_SUPPORTED)
         if not packet.qos:
             return self.ask(link, packet)
         row, effect = session.published(packet)
@@ -347,9 +357,9 @@
             self.ask(link, packet, doubt=True)
         elif effect == TELL:
             self.counts["mqtt_repeats"] += 1
-            self.tell(session, packet.pid, row)
+            self.tell(session, packet.packet_id, row)
         elif effect == REFUSE:
-            raise c.Malformed("its packet identifier is in use", c.ID_IN_USE)
+            raise c.MqttProtocolError("its packet identifier is in use", c.PACKET_ID_IN_USE)
         else:
             self.counts["mqtt_repeats"] += 1
 
@@ -360,7 +370,7 @@
         if found is None:
             return self.answered(
                 asked,
-                (REFUSED, c.BAD_TOPIC),
+                (REFUSED, c.TOPIC_NAME_INVALID),
                 orjson.dumps({"why": "no txn under this topic"}),
                 why="no txn under this topic",
             )
@@ -376,7 +386,9 @@
         if route.kind == t.DEDUPLICATED:
             key = next((value for name, value in properties.get("user", ()) if name.lower() == "idempotency-key"), None)
             # Without one: what delivers the same message again, to whichever node, gives the same key.
-            key = key or "m" + digest(f"{account}/{client_id}/{packet.pid}/{packet.topic}", packet.payload, 0).hex()
+            key = (
+                key or "m" + digest(f"{account}/{client_id}/{packet.packet_id}/{packet.topic}", packet.payload, 0).hex()
+            )
         expires_in = properties["expiry"] * SEC if "expiry" in properties else self.expiry
         kind = properties.get("content_type") if route.method == b"POST" else None
         try:
@@ -401,17 +413,17 @@
             self.counts["malformed"] += 1
             self.answered(
                 asked,
-                (REFUSED, CODES.get(trouble.status, c.IMPLEMENTATION)),
+                (REFUSED, CODES.get(trouble.status, c.IMPLEMENTATION_SPECIFIC_ERROR)),
                 orjson.dumps({"why": str(trouble)}),
                 why=str(trouble),
             )
 
     def released(self, link, packet):
-        code = link.session.released(packet.pid)
-        link.write(c.ack(link.version, c.PUBCOMP, packet.pid, code))
+        code = link.session.released(packet.packet_id)
+        link.write(c.encode_ack(link.version, c.PUBCOMP, packet.packet_id, code))
 
     def acked(self, link, packet):
-        if link.session.acked(packet.pid):
+        if link.session.acked(packet.packet_id):
             self.deliver(link.session)
 
     def subscribe(self, link, packet):
@@ -419,34 +431,35 @@
         session, codes = link.session, []
         for name, qos in packet.asked:
             if name.startswith("$share/"):
-                codes.append(c.NO_SHARING if link.version == c.V5 else c.UNSPECIFIED)
+                codes.append(c.SHARED_SUBSCRIPTIONS_NOT_SUPPORTED if link.version == c.V5 else c.UNSPECIFIED_ERROR)
             elif len(session.filters) >= 16 and name not in session.filters:
-                codes.append(c.QUOTA if link.version == c.V5 else c.UNSPECIFIED)
+                codes.append(c.QUOTA_EXCEEDED if link.version == c.V5 else c.UNSPECIFIED_ERROR)
             else:
                 session.filters[name] = min(1, qos)
                 codes.append(min(1, qos))
-        link.write(c.suback(link.version, c.SUBACK, packet.pid, codes))
+        link.write(c.encode_suback(link.version, c.SUBACK, packet.packet_id, codes))
 
     def unsubscribe(self, link, packet):
         codes = [
-            c.OK if link.session.filters.pop(name, None) is not None else c.NO_SUBSCRIPTION for name, _ in packet.asked
+            c.OK if link.session.filters.pop(name, None) is not None else c.NO_SUBSCRIPTION_EXISTED
+            for name, _ in packet.asked
         ]
-        link.write(c.suback(link.version, c.UNSUBACK, packet.pid, codes))
+        link.write(c.encode_suback(link.version, c.UNSUBACK, packet.packet_id, codes))
 
     def ping(self, link, packet):
-        link.write(c.PONG)
+        link.write(c.PINGRESP_PACKET)
 
     def leave(self, link, packet):
         session = link.session
         if "session_expiry" in packet.properties:
             wanted = packet.properties["session_expiry"] * SEC
             if wanted and not session.expiry:
-                raise c.Malformed("a session that was to end with its connection", c.PROTOCOL_ERROR)
+                raise c.MqttProtocolError("a session that was to end with its connection", c.PROTOCOL_ERROR)
             session.expiry = min(self.session_most, wanted)
         link.end()
 
     def odd(self, link, packet):
-        raise c.Malformed("not expected here", c.PROTOCOL_ERROR)
+        raise c.MqttProtocolError("not expected here", c.PROTOCOL_ERROR)
 
     # ---- answers
 
@@ -456,7 +469,7 @@
         session.open.pop(asked, None)
         told = {"reason": why} if why else {}
         told["user"] = [("outcome", word)] + ([("retry-after-ms", str(back_in // MS))] if back_in else [])
-        topic = asked.response or f"{self.answers}/{session.client_id}/{asked.pid}/{word}"
+        topic = asked.response or f"{self.answers}/{session.client_id}/{asked.packet_id}/{word}"
         if (qos := session.wants(topic)) is not None:
             more = {"user": told["user"]}
             if asked.correlation is not None:
@@ -465,40 +478,40 @@
                 session.put(topic, payload, more)
                 self.deliver(session)
             elif session.link:
-                session.link.write(c.publish(session.link.version, topic, payload, **more))
-        if asked.qos and (done := session.answered(asked.pid, code, told)):
-            self.tell(session, asked.pid, done[0])
+                session.link.write(c.encode_publish(session.link.version, topic, payload, **more))
+        if asked.qos and (done := session.answered(asked.packet_id, code, told)):
+            self.tell(session, asked.packet_id, done[0])
         if session.link and session.link.held:
             self.loop.call_soon(session.link.work)
 
-    def tell(self, session, pid, row):
+    def tell(self, session, packet_id, row):
         """The acknowledgement of a PUBLISH that was answered; 3.1.1 has none that says no."""
         if link := session.link:
             code, told = row.told
             kind = c.PUBACK if row.qos == 1 else c.PUBREC
             more = told if link.version == c.V5 and code else {}
-            link.write(c.ack(link.version, kind, pid, code, **more))
+            link.write(c.encode_ack(link.version, kind, packet_id, code, **more))
 
     def deliver(self, session):
         if session.dropped:
             self.counts["mqtt_answers_dropped"] += session.dropped
             session.dropped = 0
         if link := session.link:
-            for pid, topic, payload, more in session.due():
-                data = c.publish(link.version, topic, payload, 1, pid, **more)
+            for packet_id, topic, payload, more in session.due():
+                data = c.encode_publish(link.version, topic, payload, 1, packet_id, **more)
                 if len(data) > link.largest:  # the client told that it takes none so large, and would never confirm it
-                    session.acked(pid)
+                    session.acked(packet_id)
                     self.counts["mqtt_answers_dropped"] += 1
                 link.write(data)
 
 
 READ = {
-    c.PUBLISH: Front.publish,
-    c.PUBACK: Front.acked,
-    c.PUBREL: Front.released,
-    c.SUBSCRIBE: Front.subscribe,
-    c.UNSUBSCRIBE: Front.unsubscribe,
-    c.PINGREQ: Front.ping,
-    c.DISCONNECT: Front.leave,
-    **dict.fromkeys((c.CONNECT, c.PUBREC, c.PUBCOMP, c.AUTH), Front.odd),
+    c.PUBLISH: MqttListener.publish,
+    c.PUBACK: MqttListener.acked,
+    c.PUBREL: MqttListener.released,
+    c.SUBSCRIBE: MqttListener.subscribe,
+    c.UNSUBSCRIBE: MqttListener.unsubscribe,
+    c.PINGREQ: MqttListener.ping,
+    c.DISCONNECT: MqttListener.leave,
+    **dict.fromkeys((c.CONNECT, c.PUBREC, c.PUBCOMP, c.AUTH), MqttListener.odd),
 }
--- a/rampfront/mqtt/session.py
+++ b/rampfront/mqtt/session.py
@@ -15,7 +15,7 @@
 from collections import OrderedDict, deque
 from hashlib import blake2b
 
-from .codec import ID_UNKNOWN, OK, matches
+from .codec import OK, PACKET_ID_NOT_FOUND, matches
 
 NONE, OPEN, HELD, DONE = "none", "open", "held", "done"  # HELD: PUBREC is out, PUBREL is awaited
 FIRST, STRANGE, REPEAT, CLASH, RELEASE = "first", "strange", "repeat", "clash", "release"
@@ -72,15 +72,15 @@
 
     # ---- what the client publishes
 
-    def step(self, pid, seen):
-        row = self.rows.get(pid)
+    def step(self, packet_id, seen):
+        row = self.rows.get(packet_id)
         if row is None:
             row = Row()
         state, effect = INBOUND[row.state, seen]
         row.state = state
         if state != NONE:
-            self.rows[pid] = row
-            self.rows.move_to_end(pid)
+            self.rows[packet_id] = row
+            self.rows.move_to_end(packet_id)
             self.forget()
         return row, effect
 
@@ -88,35 +88,35 @@
         """Guards memory: answered flows past `remember` go, the oldest first, also those whose PUBREL never came. A
         repeat of one that went is STRANGE."""
         while len(self.rows) > self.remember:
-            pid = next((pid for pid, row in self.rows.items() if row.state != OPEN), None)
-            if pid is None:
+            packet_id = next((packet_id for packet_id, row in self.rows.items() if row.state != OPEN), None)
+            if packet_id is None:
                 return  # what is open is bounded by the window told to the client
-            del self.rows[pid]
+            del self.rows[packet_id]
 
     def published(self, packet):
         """(row, effect) of a PUBLISH at QoS 1 or 2."""
-        row, mark = self.rows.get(packet.pid), digest(packet.topic, packet.payload, packet.qos)
+        row, mark = self.rows.get(packet.packet_id), digest(packet.topic, packet.payload, packet.qos)
         if row is None or row.state == DONE and not (packet.dup and row.mark == mark):
             seen = STRANGE if packet.dup else FIRST
         else:
             seen = REPEAT if row.mark == mark else CLASH
-        row, effect = self.step(packet.pid, seen)
+        row, effect = self.step(packet.packet_id, seen)
         if effect in (TAKE, DOUBT):
             row.mark, row.qos, row.told = mark, packet.qos, None
         return row, effect
 
-    def answered(self, pid, code, properties):
+    def answered(self, packet_id, code, properties):
         """The final answer to an open one: (row, effect), or None where the identifier is no longer open."""
-        row = self.rows.get(pid)
+        row = self.rows.get(packet_id)
         if row is None or row.state != OPEN:
             return None
         row.told = code, properties
-        return self.step(pid, GOOD1 if row.qos == 1 else GOOD2 if code < 0x80 else BAD2)
+        return self.step(packet_id, GOOD1 if row.qos == 1 else GOOD2 if code < 0x80 else BAD2)
 
-    def released(self, pid):
+    def released(self, packet_id):
         """The code of the PUBCOMP for a PUBREL."""
-        row, effect = self.step(pid, RELEASE)
-        return OK if effect == COMPLETE else ID_UNKNOWN
+        row, effect = self.step(packet_id, RELEASE)
+        return OK if effect == COMPLETE else PACKET_ID_NOT_FOUND
 
     # ---- what it is told
 
@@ -141,5 +141,5 @@
             self.unacked[self.next_pid] = answer = self.waiting.popleft()
             yield self.next_pid, *answer
 
-    def acked(self, pid):
-        return self.unacked.pop(pid, None) is not None
+    def acked(self, packet_id):
+        return self.unacked.pop(packet_id, None) is not None
--- a/rampfront/tables.py
+++ b/rampfront/tables.py
@@ -115,11 +115,11 @@
     for k, topic in enumerate(mqtt.topics if mqtt else ()):
         if topic.product not in products:
             raise Odd(f"mqtt.topics[{k}].product", "no such product")
-        from .mqtt.codec import Malformed, topic_filter  # for those who use it
+        from .mqtt.codec import MqttProtocolError, topic_filter  # for those who use it
 
         try:
             topic_filter(topic.filter)
-        except Malformed as trouble:
+        except MqttProtocolError as trouble:
             raise Odd(f"mqtt.topics[{k}].filter", str(trouble)) from None
         wild = len([level for level in topic.filter.split("/") if level in ("+", "#")])
         if any(not 0 < int(number) <= wild for number in re.findall(r"{(\d+)}", topic.path)):
--- a/tests/test_mqtt.py
+++ b/tests/test_mqtt.py
@@ -38,21 +38,21 @@
 
 def hello(version=c.V5, client_id="a", clean=True, keep_alive=0, user=KEY, more=b"\0"):
     flags = clean << 1 | (0x80 if user else 0)
-    return c.packet(
+    return c.encode_packet(
         c.CONNECT,
         0,
-        c.text("MQTT")
+        c.encode_text("MQTT")
         + bytes((version, flags))
         + keep_alive.to_bytes(2)
         + (more if version == c.V5 else b"")
-        + c.text(client_id)
-        + (c.text(user) if user else b""),
+        + c.encode_text(client_id)
+        + (c.encode_text(user) if user else b""),
     )
 
 
-@pytest.mark.parametrize("version", (c.V4, c.V5))
+@pytest.mark.parametrize("version", (c.V3_1_1, c.V5))
 def test_packets_arrive_whole_in_whatever_pieces(version):
-    sent = hello(version) + c.publish(
+    sent = hello(version) + c.encode_publish(
         version,
         "a/b",
         b"xyz",
@@ -60,70 +60,78 @@
         7,
         **({"correlation": b"1", "user": [("k", "v"), ("k", "w")]} if version == c.V5 else {}),
     )
-    sent += c.packet(c.SUBSCRIBE, 2, b"\0\1" + (b"\0" if version == c.V5 else b"") + c.text("a/#") + b"\1")
-    sent += c.ack(version, c.PUBREL, 9) + c.packet(c.PINGREQ, 0, b"") + c.packet(c.DISCONNECT, 0, b"")
+    sent += c.encode_packet(
+        c.SUBSCRIBE, 2, b"\0\1" + (b"\0" if version == c.V5 else b"") + c.encode_text("a/#") + b"\1"
+    )
+    sent += (
+        c.encode_ack(version, c.PUBREL, 9) + c.encode_packet(c.PINGREQ, 0, b"") + c.encode_packet(c.DISCONNECT, 0, b"")
+    )
     for size in (1, 3, len(sent)):
         decoder, got = c.Decoder(1000), []
         for at in range(0, len(sent), size):
             got += decoder.feed(sent[at : at + size])
         assert [p.kind for p in got] == [c.CONNECT, c.PUBLISH, c.SUBSCRIBE, c.PUBREL, c.PINGREQ, c.DISCONNECT]
         assert decoder.broken is None and got[0].user == KEY and got[0].level == version
-        assert (got[1].topic, got[1].payload, got[1].pid) == ("a/b", b"xyz", 7) and got[2].asked == [("a/#", 1)]
-        assert version == c.V4 or got[1].properties["user"] == [("k", "v"), ("k", "w")]
+        assert (got[1].topic, got[1].payload, got[1].packet_id) == ("a/b", b"xyz", 7) and got[2].asked == [("a/#", 1)]
+        assert version == c.V3_1_1 or got[1].properties["user"] == [("k", "v"), ("k", "w")]
 
 
 @pytest.mark.parametrize(
     "raw, code",
     [
-        (b"\x30\xff\xff\xff\xff\x01", c.MALFORMED),
-        (b"\x30\xff\xff\xff\x7f", c.TOO_LARGE),
-        (b"\x30\x80\x00", c.MALFORMED),
-        (c.publish(c.V5, "a/+", b""), c.BAD_TOPIC),
-        (c.publish(c.V5, "", b""), c.BAD_TOPIC),
-        (b"\x36\x00", c.MALFORMED),
-        (c.publish(c.V5, "a", b"", 1, 0), c.MALFORMED),
-        (b"\x38\x05\0\1a\0x", c.MALFORMED),
-        (b"\xf1\x00", c.MALFORMED),
-        (c.packet(c.SUBSCRIBE, 0, b""), c.MALFORMED),
-        (c.packet(c.SUBSCRIBE, 2, b"\0\1\0"), c.PROTOCOL_ERROR),
-        (c.packet(c.SUBSCRIBE, 2, b"\0\1\0\0\3a#b\0"), c.BAD_FILTER),
+        (b"\x30\xff\xff\xff\xff\x01", c.MALFORMED_PACKET),
+        (b"\x30\xff\xff\xff\x7f", c.PACKET_TOO_LARGE),
+        (b"\x30\x80\x00", c.MALFORMED_PACKET),
+        (c.encode_publish(c.V5, "a/+", b""), c.TOPIC_NAME_INVALID),
+        (c.encode_publish(c.V5, "", b""), c.TOPIC_NAME_INVALID),
+        (b"\x36\x00", c.MALFORMED_PACKET),
+        (c.encode_publish(c.V5, "a", b"", 1, 0), c.MALFORMED_PACKET),
+        (b"\x38\x05\0\1a\0x", c.MALFORMED_PACKET),
+        (b"\xf1\x00", c.MALFORMED_PACKET),
+        (c.encode_packet(c.SUBSCRIBE, 0, b""), c.MALFORMED_PACKET),
+        (c.encode_packet(c.SUBSCRIBE, 2, b"\0\1\0"), c.PROTOCOL_ERROR),
+        (c.encode_packet(c.SUBSCRIBE, 2, b"\0\1\0\0\3a#b\0"), c.TOPIC_FILTER_INVALID),
         (hello(), c.PROTOCOL_ERROR),
-        (b"\x20\x02\0\0", c.MALFORMED),
-        (c.packet(c.PUBLISH, 0, c.text("a") + b"\x03\x23\0\0"), c.BAD_ALIAS),
-        (b"\x30\x06\0\x04\xff\xfe\0\0", c.MALFORMED),
-        (c.packet(c.PUBLISH, 0, c.text("a") + b"\x04\x01\0\x01\0"), c.PROTOCOL_ERROR),
+        (b"\x20\x02\0\0", c.MALFORMED_PACKET),
+        (c.encode_packet(c.PUBLISH, 0, c.encode_text("a") + b"\x03\x23\0\0"), c.TOPIC_ALIAS_INVALID),
+        (b"\x30\x06\0\x04\xff\xfe\0\0", c.MALFORMED_PACKET),
+        (c.encode_packet(c.PUBLISH, 0, c.encode_text("a") + b"\x04\x01\0\x01\0"), c.PROTOCOL_ERROR),
     ],
 )
 def test_malformed_packets_have_a_reason(raw, code):
     decoder = c.Decoder(1000)
-    assert len(decoder.feed(hello() + c.packet(c.PINGREQ, 0, b"") + raw)) == 2  # what was whole before it counts
-    assert decoder.broken.code == code and decoder.feed(c.packet(c.PINGREQ, 0, b"")) == []
+    assert len(decoder.feed(hello() + c.encode_packet(c.PINGREQ, 0, b"") + raw)) == 2  # what was whole before it counts
+    assert decoder.broken.code == code and decoder.feed(c.encode_packet(c.PINGREQ, 0, b"")) == []
 
 
 @settings(max_examples=400, deadline=None, derandomize=True)
 @given(
-    st.sampled_from((c.V4, c.V5)), st.binary(max_size=80), st.integers(0, 255), st.integers(0, 60), st.integers(1, 9)
+    st.sampled_from((c.V3_1_1, c.V5)),
+    st.binary(max_size=80),
+    st.integers(0, 255),
+    st.integers(0, 60),
+    st.integers(1, 9),
 )
 def test_the_codec_bears_whatever_comes(version, noise, byte, at, size):
-    good = bytearray(hello(version) + c.publish(version, "a/b", b"p", 1, 3) + c.ack(version, c.PUBREL, 3))
+    good = bytearray(hello(version) + c.encode_publish(version, "a/b", b"p", 1, 3) + c.encode_ack(version, c.PUBREL, 3))
     good[min(at, len(good) - 1)] = byte
     for raw in (
         bytes(noise),
         hello(version) + noise,
         bytes(good),
-        c.packet(noise[0] >> 4, noise[0] & 15, noise[1:]) if noise else b"",
+        c.encode_packet(noise[0] >> 4, noise[0] & 15, noise[1:]) if noise else b"",
     ):
         decoder = c.Decoder(1000)
         for k in range(0, len(raw), size):
             for packet in decoder.feed(raw[k : k + size]):
-                assert packet.kind in c.READERS
+                assert packet.kind in c.PACKET_READERS
         assert len(decoder.rest) <= 1005
 
 
 @settings(derandomize=True)
 @given(st.integers(0, 2**28 - 1))
 def test_lengths_come_back(value):
-    assert c.varint(c.length(value), 0) == (value, len(c.length(value)))
+    assert c.decode_varint(c.encode_varint(value), 0) == (value, len(c.encode_varint(value)))
 
 
 def test_topics_match_as_the_standard_has_it():
@@ -170,8 +178,8 @@
 # ---- sessions
 
 
-def p(pid=1, qos=1, dup=False, payload=b"x"):
-    return c.Publish("t", payload, qos, pid, dup)
+def p(packet_id=1, qos=1, dup=False, payload=b"x"):
+    return c.Publish("t", payload, qos, packet_id, dup)
 
 
 def test_a_repeat_runs_never_again_and_gets_the_first_answer():
@@ -180,21 +188,21 @@
         assert one.published(p(qos=qos))[1] == s.TAKE and one.published(p(qos=qos, dup=True))[1] == s.WAIT
         assert one.published(p(qos=qos, payload=b"y"))[1] == s.REFUSE  # another message under an open identifier
         row, effect = one.answered(1, c.OK, {})
-        assert (row.state, effect) == (state, s.TELL) and one.answered(1, c.QUOTA, {}) is None
+        assert (row.state, effect) == (state, s.TELL) and one.answered(1, c.QUOTA_EXCEEDED, {}) is None
         assert one.published(p(qos=qos, dup=True))[1] == s.TELL  # its acknowledgement was lost
         if qos == 2:
             assert one.released(1) == c.OK == one.released(1)
             assert one.published(p(qos=2, dup=True))[1] == s.TELL
         assert one.published(p(qos=qos, payload=b"new"))[1] == s.TAKE
-    assert one.released(9) == c.ID_UNKNOWN
+    assert one.released(9) == c.PACKET_ID_NOT_FOUND
     assert one.published(p(5, 1, True))[1] == s.DOUBT  # nothing is known of it here
 
 
 def test_sessions_are_bounded():
     one = s.Session(("plan", "acc", "id"), remember=20, most_waiting=10)
-    for pid in range(1, 500):
-        one.published(p(pid, 2))
-        one.answered(pid, c.OK, {})
+    for packet_id in range(1, 500):
+        one.published(p(packet_id, 2))
+        one.answered(packet_id, c.OK, {})
         one.put("t", b"", {})
     assert len(one.rows) <= 20 and len(one.waiting) == 10 and one.dropped == 489
     assert one.published(p(1, 2, True))[1] == s.DOUBT  # forgotten: it may have run
@@ -299,7 +307,7 @@
     until(lambda: len(client.got) == 13 and len(client.acks) == 13)
     said = [message.topic.rsplit("/", 1)[1] for message in client.got]
     assert said.count("settled") == 12 and said.count("refused") == 1
-    assert client.acks[mids[-1]][0] == (c.BAD_TOPIC if version == paho.MQTTv5 else 0)
+    assert client.acks[mids[-1]][0] == (c.TOPIC_NAME_INVALID if version == paho.MQTTv5 else 0)
     assert f.lab.state()["once_only"] == {"txns": 4, "runs": 4, "twice": {}}
     if version == paho.MQTTv5:  # a topic of the client's own choice
         properties = Properties(PacketTypes.PUBLISH)
@@ -406,23 +414,33 @@
                 heard += data
             return heard
 
-    assert say(c.packet(c.CONNECT, 0, c.text("MQTT") + b"\x03\x02\0\0" + c.text("a")))[3] == 1  # 3.1
-    assert say(c.packet(c.CONNECT, 0, c.text("MQIsdp") + b"\x03\x02\0\0" + c.text("a"))) == b"\x20\x02\0\1"
-    assert say(hello(user="nobody"))[3] == c.BAD_USER and say(hello(user="none:" + KEY))[3] == c.NOT_AUTHORIZED
-    assert say(hello(c.V4, user=None)) == b"\x20\x02\0\4" and say(hello(client_id="a/b"))[3] == c.BAD_CLIENT_ID
-    assert say(c.packet(c.PINGREQ, 0, b"")) == b"" and say(b"GET / HTTP/1.1\r\n\r\n") == b""
+    assert (
+        say(c.encode_packet(c.CONNECT, 0, c.encode_text("MQTT") + b"\x03\x02\0\0" + c.encode_text("a")))[3] == 1
+    )  # 3.1
+    assert (
+        say(c.encode_packet(c.CONNECT, 0, c.encode_text("MQIsdp") + b"\x03\x02\0\0" + c.encode_text("a")))
+        == b"\x20\x02\0\1"
+    )
+    assert (
+        say(hello(user="nobody"))[3] == c.BAD_USER_NAME_OR_PASSWORD
+        and say(hello(user="none:" + KEY))[3] == c.NOT_AUTHORIZED
+    )
+    assert (
+        say(hello(c.V3_1_1, user=None)) == b"\x20\x02\0\4" and say(hello(client_id="a/b"))[3] == c.CLIENT_ID_NOT_VALID
+    )
+    assert say(c.encode_packet(c.PINGREQ, 0, b"")) == b"" and say(b"GET / HTTP/1.1\r\n\r\n") == b""
     for raw, code in (
-        (c.publish(c.V5, "fetch/#", b""), c.BAD_TOPIC),
-        (b"\x30\xff\xff\xff\x7f", c.TOO_LARGE),
-        (b"\x30\x80\x80\x80\x80\x01", c.MALFORMED),
+        (c.encode_publish(c.V5, "fetch/#", b""), c.TOPIC_NAME_INVALID),
+        (b"\x30\xff\xff\xff\x7f", c.PACKET_TOO_LARGE),
+        (b"\x30\x80\x80\x80\x80\x01", c.MALFORMED_PACKET),
         (hello(), c.PROTOCOL_ERROR),
-        (c.packet(c.PUBLISH, 1, c.text("fetch/0/1") + b"\0"), c.NO_RETAIN),
+        (c.encode_packet(c.PUBLISH, 1, c.encode_text("fetch/0/1") + b"\0"), c.RETAIN_NOT_SUPPORTED),
     ):
         assert say(hello(), raw)[-40:].find(bytes((c.DISCONNECT << 4,))) >= 0
         heard = say(hello(), raw)
         at = 2 + heard[1]  # behind the CONNACK
         assert heard[at] == c.DISCONNECT << 4 and heard[at + 2] == code
-    assert say(hello(c.V4), c.publish(c.V4, "a/+", b""))[4:] == b""  # 3.1.1 just closes
+    assert say(hello(c.V3_1_1), c.encode_publish(c.V3_1_1, "a/+", b""))[4:] == b""  # 3.1.1 just closes
     client.publish("fetch/0/1", b"", qos=1).wait_for_publish(5)
     assert client.acks and not client.gone
 
@@ -457,7 +475,7 @@
     allowed = 30 + 20 * (time.monotonic() - begun)  # a window holds one and a half bursts
     over = [code for code, _ in client.acks.values() if code]
     settled = 150 - len(over) + sum(answer.status == 200 for answer in statuses)
-    assert set(over) == {c.QUOTA} and 20 <= settled <= 1.1 * allowed and len(mids) == 150
+    assert set(over) == {c.QUOTA_EXCEEDED} and 20 <= settled <= 1.1 * allowed and len(mids) == 150
     back = dict(next(found for code, found in client.acks.values() if code).UserProperty)
     assert back["outcome"] == "declined" and int(back["retry-after-ms"]) > 0
 
@@ -472,7 +490,7 @@
     f.nodes[0].end()
     assert f.nodes[0].process.returncode == 0
     until(lambda: client.gone)
-    assert client.gone[0] == c.SHUTTING_DOWN
+    assert client.gone[0] == c.SERVER_SHUTTING_DOWN
 
 
 def test_answers_wait_for_a_client_that_is_away_and_a_second_connection_takes_over(fleet):
@@ -489,5 +507,5 @@
     until(lambda: any(b"settled" in m.topic.encode() for m in again.got))
     assert again.ups == [(True, 0)]
     third = f.client(paho.MQTTv5, clean=True)
-    until(lambda: c.TAKEN_OVER in again.gone)
+    until(lambda: c.SESSION_TAKEN_OVER in again.gone)
     assert third.ups[0] == (False, 0) and f.lab.state()["once_only"]["runs"] == 1
