--- a/rampfront/mqtt/__init__.py
+++ b/rampfront/mqtt/__init__.py
@@ -1,1 +1,1 @@
-"""The MQTT front: 3.1.1 and 5.0. `codec` and `session` do no I/O; `front` owns the sockets."""
+"""The listener of MQTT clients, versions 3.1.1 and 5.0. Only `front` does I/O."""
--- a/rampfront/mqtt/codec.py
+++ b/rampfront/mqtt/codec.py
@@ -1,15 +1,16 @@
-"""MQTT packets as a server reads and writes them, versions 3.1.1 (level 4) and 5.0. No I/O.
+"""Decodes and encodes MQTT packets for a server, versions 3.1.1 (protocol level 4) and 5.0. No I/O.
 
-Source: OASIS MQTT 3.1.1 and 5.0; numbers in brackets are the standard's. What cannot be followed raises `Malformed`
-with the reason code of 5.0, at the first byte that shows it: an oversize packet before its body is there.
+Source: OASIS MQTT 3.1.1 and 5.0; numbers in brackets refer to the standard. Invalid input raises `MqttProtocolError`
+with the reason code of 5.0, at the first byte that shows the error. An oversize packet is detected before its body
+arrives.
 """
 
 from dataclasses import dataclass, field
 
 CONNECT, CONNACK, PUBLISH, PUBACK, PUBREC, PUBREL, PUBCOMP = range(1, 8)
 SUBSCRIBE, SUBACK, UNSUBSCRIBE, UNSUBACK, PINGREQ, PINGRESP, DISCONNECT, AUTH = range(8, 16)
-V3_1_1, V5 = 4, 5
-# Reason codes that we use.
+V3_1_1, V5 = 4, 5  # protocol levels
+# The reason codes of 5.0 that are used here.
 OK, NO_SUBSCRIPTION_EXISTED, UNSPECIFIED_ERROR, MALFORMED_PACKET, PROTOCOL_ERROR = 0x00, 0x11, 0x80, 0x81, 0x82
 (
     IMPLEMENTATION_SPECIFIC_ERROR,
@@ -36,7 +37,8 @@
     0x99,
 )
 RETAIN_NOT_SUPPORTED, SHARED_SUBSCRIPTIONS_NOT_SUPPORTED = 0x9A, 0x9E
-CONNACK_V4 = {
+# The return codes of a CONNACK of 3.1.1, by reason code of 5.0.
+CONNACK_RETURN_CODES = {
     UNSUPPORTED_PROTOCOL_VERSION: 1,
     CLIENT_ID_NOT_VALID: 2,
     SERVER_UNAVAILABLE: 3,
@@ -45,7 +47,7 @@
     NOT_AUTHORIZED: 5,
 }
 
-# Properties: identifier to name and kind ("pair" may come more than once); [2.2.2.2]
+# Properties: identifier to name and type [2.2.2.2]; only a property of type "pair" may occur more than once.
 PROPERTIES = {
     0x01: ("payload_format", "byte"),
     0x02: ("expiry", "four"),
@@ -75,9 +77,9 @@
     0x29: ("subscription_ids", "byte"),
     0x2A: ("shared_available", "byte"),
 }
-NUMBERS = {name: (number, kind) for number, (name, kind) in PROPERTIES.items()}
-# Those that a client may send, by packet; a will has its own.
-ALLOWED = {
+PROPERTY_IDENTIFIERS = {name: (identifier, kind) for identifier, (name, kind) in PROPERTIES.items()}
+# The properties that a client may send, by packet type; the will has its own.
+ALLOWED_PROPERTIES = {
     CONNECT: {
         "session_expiry",
         "receive_maximum",
@@ -97,32 +99,36 @@
     AUTH: {"auth_method", "auth_data", "reason", "user"},
     **dict.fromkeys((PUBACK, PUBREC, PUBREL, PUBCOMP), {"reason", "user"}),
 }
-FLAGS = {PUBREL: 2, SUBSCRIBE: 2, UNSUBSCRIBE: 2}  # of the first byte; all others 0, PUBLISH its own
+# Required flags of the first byte; 0 for all other packets, except PUBLISH, whose flags vary.
+RESERVED_FLAGS = {PUBREL: 2, SUBSCRIBE: 2, UNSUBSCRIBE: 2}
 
 
 class MqttProtocolError(Exception):
-    """What came cannot be followed; `code` is the reason as 5.0 has it."""
+    """The client's input is invalid; `code` is the reason code of 5.0."""
 
-    def __init__(self, why, code=MALFORMED_PACKET):
-        super().__init__(why)
+    def __init__(self, reason, code=MALFORMED_PACKET):
+        """`reason`: text for the client."""
+        super().__init__(reason)
         self.code = code
 
 
 @dataclass(slots=True)
 class Connect:
-    """A will and a password are read and let go: nobody waits for a will's answer, and no password is asked for."""
+    """CONNECT. Will and password are discarded: no client receives a will's answer, and no password is required."""
 
-    level: int
+    protocol_level: int
     client_id: str
-    clean: bool
-    keep_alive: int
-    user: str | None = None
+    clean_start: bool
+    keep_alive_s: int
+    user_name: str | None = None
     properties: dict = field(default_factory=dict)
     kind = CONNECT
 
 
 @dataclass(slots=True)
 class Publish:
+    """PUBLISH. The packet identifier is 0 at QoS 0."""
+
     topic: str
     payload: bytes
     qos: int = 0
@@ -145,16 +151,16 @@
 
 @dataclass(slots=True)
 class Subscribe:
-    """SUBSCRIBE, or UNSUBSCRIBE with `asked` of filters alone."""
+    """SUBSCRIBE or UNSUBSCRIBE; the QoS of the latter's filters is 0."""
 
     kind: int
     packet_id: int
-    asked: list  # (filter, QoS)
+    filters: list  # (filter, QoS)
     properties: dict = field(default_factory=dict)
 
 
 @dataclass(slots=True)
-class Short:
+class SimplePacket:
     """PINGREQ, DISCONNECT or AUTH."""
 
     kind: int
@@ -162,41 +168,52 @@
     properties: dict = field(default_factory=dict)
 
 
-class Body:
-    """A packet's bytes behind its fixed header, read from the front."""
+class PacketReader:
+    """Reads a packet's content, the bytes after its fixed header, from front to back.
+
+    The methods that read a property are named after its type in `PROPERTIES`.
+    """
 
-    __slots__ = ("data", "at")
+    __slots__ = ("data", "position")
 
     def __init__(self, data):
-        self.data, self.at = data, 0
+        """`data`: the content, or a part of it."""
+        self.data, self.position = data, 0
 
-    def take(self, size):
-        if self.at + size > len(self.data):
+    def read(self, size):
+        """Reads this number of bytes."""
+        if self.position + size > len(self.data):
             raise MqttProtocolError("the packet ends too early")
-        part = self.data[self.at : self.at + size]
-        self.at += size
+        part = self.data[self.position : self.position + size]
+        self.position += size
         return part
 
     def byte(self):
-        return self.take(1)[0]
+        """Reads a one-byte integer."""
+        return self.read(1)[0]
 
     def two(self):
-        return int.from_bytes(self.take(2))
+        """Reads a two-byte integer."""
+        return int.from_bytes(self.read(2))
 
     def four(self):
-        return int.from_bytes(self.take(4))
+        """Reads a four-byte integer."""
+        return int.from_bytes(self.read(4))
 
     def varint(self):
-        value, used = decode_varint(self.data, self.at)
+        """Reads a variable byte integer [1.5.5]."""
+        value, used = decode_varint(self.data, self.position)
         if used is None:
             raise MqttProtocolError("the packet ends too early")
-        self.at += used
+        self.position += used
         return value
 
     def binary(self):
-        return self.take(self.two())
+        """Reads binary data with a length prefix [1.5.6]."""
+        return self.read(self.two())
 
     def text(self):
+        """Reads a UTF-8 string with a length prefix [1.5.4]."""
         try:
             text = self.binary().decode()
         except UnicodeDecodeError:
@@ -206,19 +223,22 @@
         return text
 
     def pair(self):
+        """Reads a pair of UTF-8 strings [1.5.7]."""
         return self.text(), self.text()
 
-    def rest(self):
-        return self.take(len(self.data) - self.at)
+    def remaining(self):
+        """Reads the rest of the content."""
+        return self.read(len(self.data) - self.position)
 
     def properties(self, packet):
+        """Reads the properties of a packet as values by name. `packet`: a key of `ALLOWED_PROPERTIES`."""
         length = self.varint()
-        part, found = Body(self.take(length)), {}
-        while part.at < length:
-            name, kind = PROPERTIES.get(part.varint(), ("none", None))
-            if name not in ALLOWED[packet]:
+        reader, found = PacketReader(self.read(length)), {}
+        while reader.position < length:
+            name, kind = PROPERTIES.get(reader.varint(), ("none", None))
+            if name not in ALLOWED_PROPERTIES[packet]:
                 raise MqttProtocolError("a property that this packet does not have")
-            value = getattr(part, kind)()
+            value = getattr(reader, kind)()
             if kind == "pair":
                 found.setdefault(name, []).append(value)
             elif name in found:
@@ -233,32 +253,34 @@
         return found
 
 
-def decode_varint(data, at):
-    """A variable byte integer [1.5.5]: value and bytes used; (0, None) while it is not whole."""
+def decode_varint(data, position):
+    """Decodes a variable byte integer [1.5.5]. Returns its value and size, or (0, None) while it is incomplete."""
     value = 0
-    for k in range(4):
-        if at + k >= len(data):
+    for index in range(4):
+        if position + index >= len(data):
             return 0, None
-        byte = data[at + k]
-        value |= (byte & 127) << 7 * k
+        byte = data[position + index]
+        value |= (byte & 127) << 7 * index
         if byte < 128:
-            if k and not byte:
+            if index and not byte:
                 raise MqttProtocolError("a length in more bytes than it needs")
-            return value, k + 1
+            return value, index + 1
     raise MqttProtocolError("a length of more than four bytes")
 
 
-def topic_name(text):
+def check_topic_name(text):
+    """Returns the text if it is a valid topic name [4.7], which has no wildcards; else raises MqttProtocolError."""
     if not text or "+" in text or "#" in text:
         raise MqttProtocolError("no topic name", TOPIC_NAME_INVALID)
     return text
 
 
 def topic_filter(text):
+    """Returns the text if it is a valid topic filter [4.7]; else raises MqttProtocolError."""
     levels = text.split("/")
     if (
         not text
-        or any("#" in level and (level != "#" or k < len(levels) - 1) for k, level in enumerate(levels))
+        or any("#" in level and (level != "#" or index < len(levels) - 1) for index, level in enumerate(levels))
         or any("+" in level and level != "+" for level in levels)
     ):
         raise MqttProtocolError("no topic filter", TOPIC_FILTER_INVALID)
@@ -266,227 +288,246 @@
 
 
 def matches(filter, topic):
-    """Whether a topic name is under a filter [4.7]; names that begin with $ are under no leading wildcard."""
-    wanted, levels = filter.split("/"), topic.split("/")
-    if topic[:1] == "$" and wanted[0] in ("+", "#"):
+    """Whether a topic name matches a filter [4.7]. A leading wildcard does not match names that begin with $."""
+    filter_levels, levels = filter.split("/"), topic.split("/")
+    if topic[:1] == "$" and filter_levels[0] in ("+", "#"):
         return False
-    for k, level in enumerate(wanted):
+    for index, level in enumerate(filter_levels):
         if level == "#":
             return True
-        if k >= len(levels) or level != "+" and level != levels[k]:
+        if index >= len(levels) or level != "+" and level != levels[index]:
             return False
-    return len(wanted) == len(levels)
+    return len(filter_levels) == len(levels)
 
 
 class Decoder:
-    """Bytes of one connection in, packets out. `version` is set by the CONNECT that it read; `most`: bytes of a packet;
-    `broken`: what could not be followed, behind which nothing is read any more."""
+    """Decodes the byte stream of one connection into packets.
+
+    `version` is the protocol level of the client's CONNECT, None before it; `max_packet_bytes` bounds a packet's size;
+    `error` is the first protocol error, after which nothing more is decoded.
+    """
 
-    def __init__(self, most, version=None):
-        self.most, self.version, self.rest, self.broken = most, version, bytearray(), None
+    def __init__(self, max_packet_bytes, version=None):
+        """`version`: given if the CONNECT is not part of the stream."""
+        self.max_packet_bytes, self.version, self.buffer, self.error = max_packet_bytes, version, bytearray(), None
 
     def feed(self, data):
-        """The packets that are whole now, up to a malformed one."""
-        found = []
-        if self.broken is None:
-            self.rest += data
+        """Returns the packets that are complete now, up to the first protocol error."""
+        packets = []
+        if self.error is None:
+            self.buffer += data
             try:
-                while packet := self.one():
-                    found.append(packet)
-            except MqttProtocolError as trouble:
-                self.broken = trouble
-                self.rest.clear()
-        return found
-
-    def one(self):
-        rest = self.rest
-        if not rest:
+                while packet := self.next_packet():
+                    packets.append(packet)
+            except MqttProtocolError as error:
+                self.error = error
+                self.buffer.clear()
+        return packets
+
+    def next_packet(self):
+        """Decodes and removes the first packet of the buffer; None while it is incomplete."""
+        buffer = self.buffer
+        if not buffer:
             return None
-        kind, flags = rest[0] >> 4, rest[0] & 15
-        if kind != PUBLISH and flags != FLAGS.get(kind, 0) or kind not in PACKET_READERS:
+        kind, flags = buffer[0] >> 4, buffer[0] & 15
+        if kind != PUBLISH and flags != RESERVED_FLAGS.get(kind, 0) or kind not in PACKET_READERS:
             raise MqttProtocolError("no packet of a client" if kind not in PACKET_READERS else "reserved flags")
         if self.version is None and kind != CONNECT:
             raise MqttProtocolError("CONNECT comes first", PROTOCOL_ERROR)
-        length, used = decode_varint(rest, 1)
+        length, used = decode_varint(buffer, 1)
         if used is None:
             return None
-        if 1 + used + length > self.most:
+        if 1 + used + length > self.max_packet_bytes:
             raise MqttProtocolError("the packet is too large", PACKET_TOO_LARGE)
-        if len(rest) < 1 + used + length:
+        if len(buffer) < 1 + used + length:
             return None
-        body = Body(bytes(rest[1 + used : 1 + used + length]))
-        packet = PACKET_READERS[kind](self, kind, flags, body)
-        if body.at < len(body.data):
+        reader = PacketReader(bytes(buffer[1 + used : 1 + used + length]))
+        packet = PACKET_READERS[kind](self, kind, flags, reader)
+        if reader.position < len(reader.data):
             raise MqttProtocolError("bytes left over")
-        del rest[: 1 + used + length]
+        del buffer[: 1 + used + length]
         return packet
 
-    def connect(self, kind, flags, body):
+    def read_connect(self, kind, flags, reader):
+        """Reads a CONNECT, which determines the version."""
         if self.version is not None:
             raise MqttProtocolError("CONNECT twice", PROTOCOL_ERROR)
-        if body.binary() != b"MQTT":
+        if reader.binary() != b"MQTT":
             raise MqttProtocolError("not MQTT", UNSUPPORTED_PROTOCOL_VERSION)
-        level, flags = body.byte(), None
+        level, flags = reader.byte(), None
         if level not in (V3_1_1, V5):
             raise MqttProtocolError("neither 3.1.1 nor 5.0", UNSUPPORTED_PROTOCOL_VERSION)
-        self.version = level  # from here on errors are told in its words
-        flags, keep_alive = body.byte(), body.two()
+        self.version = level  # from here on errors are reported in this version's format
+        flags, keep_alive = reader.byte(), reader.two()
         will, will_qos, will_retain = flags & 4, flags >> 3 & 3, bool(flags & 32)
         if flags & 1 or will_qos == 3 or not will and (will_qos or will_retain):
             raise MqttProtocolError("odd CONNECT flags")
         if level == V3_1_1 and flags & 0x40 and not flags & 0x80:  # [3.1.1: MQTT-3.1.2-22]
             raise MqttProtocolError("a password without a user")
-        properties = body.properties(CONNECT) if level == V5 else {}
-        packet = Connect(level, body.text(), bool(flags & 2), keep_alive, properties=properties)
+        properties = reader.properties(CONNECT) if level == V5 else {}
+        packet = Connect(level, reader.text(), bool(flags & 2), keep_alive, properties=properties)
         if will:
             if level == V5:
-                body.properties("will")
-            topic_name(body.text())
-            body.binary()
+                reader.properties("will")
+            check_topic_name(reader.text())
+            reader.binary()
         if flags & 0x80:
-            packet.user = body.text()
+            packet.user_name = reader.text()
         if flags & 0x40:
-            body.binary()
+            reader.binary()
         return packet
 
-    def publish(self, kind, flags, body):
+    def read_publish(self, kind, flags, reader):
+        """Reads a PUBLISH."""
         qos, dup = flags >> 1 & 3, bool(flags & 8)
         if qos == 3 or dup and not qos:
             raise MqttProtocolError("odd PUBLISH flags")
-        topic = body.text()
-        packet_id = self.packet_id(body) if qos else 0
-        properties = body.properties(PUBLISH) if self.version == V5 else {}
+        topic = reader.text()
+        packet_id = self.read_packet_id(reader) if qos else 0
+        properties = reader.properties(PUBLISH) if self.version == V5 else {}
         if topic or "alias" not in properties:
-            topic_name(topic)
+            check_topic_name(topic)
         if "response_topic" in properties:
-            topic_name(properties["response_topic"])
-        return Publish(topic, body.rest(), qos, packet_id, dup, bool(flags & 1), properties)
-
-    def ack(self, kind, flags, body):
-        packet = Ack(kind, self.packet_id(body))
-        if self.version == V5 and body.at < len(body.data):
-            packet.code = body.byte()
-            if body.at < len(body.data):
-                packet.properties = body.properties(kind)
+            check_topic_name(properties["response_topic"])
+        return Publish(topic, reader.remaining(), qos, packet_id, dup, bool(flags & 1), properties)
+
+    def read_ack(self, kind, flags, reader):
+        """Reads a PUBACK, PUBREC, PUBREL or PUBCOMP."""
+        packet = Ack(kind, self.read_packet_id(reader))
+        if self.version == V5 and reader.position < len(reader.data):
+            packet.code = reader.byte()
+            if reader.position < len(reader.data):
+                packet.properties = reader.properties(kind)
         return packet
 
-    def subscribe(self, kind, flags, body):
-        packet_id = self.packet_id(body)
-        properties, asked = body.properties(kind) if self.version == V5 else {}, []
-        while body.at < len(body.data):
-            name = topic_filter(body.text())
-            options = body.byte() if kind == SUBSCRIBE else 0
+    def read_subscribe(self, kind, flags, reader):
+        """Reads a SUBSCRIBE or UNSUBSCRIBE."""
+        packet_id = self.read_packet_id(reader)
+        properties, filters = reader.properties(kind) if self.version == V5 else {}, []
+        while reader.position < len(reader.data):
+            name = topic_filter(reader.text())
+            options = reader.byte() if kind == SUBSCRIBE else 0
             if options & 3 == 3 or options & (0xC0 if self.version == V5 else 0xFC) or options >> 4 & 3 == 3:
                 raise MqttProtocolError("odd options of a subscription", PROTOCOL_ERROR)
-            asked.append((name, options & 3))
-        if not asked:
+            filters.append((name, options & 3))
+        if not filters:
             raise MqttProtocolError("no topic filter", PROTOCOL_ERROR)
-        return Subscribe(kind, packet_id, asked, properties)
-
-    def short(self, kind, flags, body):
-        packet = Short(kind)
-        if self.version == V5 and kind != PINGREQ and body.at < len(body.data):
-            packet.code = body.byte()
-            if body.at < len(body.data):
-                packet.properties = body.properties(kind)
+        return Subscribe(kind, packet_id, filters, properties)
+
+    def read_simple(self, kind, flags, reader):
+        """Reads a PINGREQ, DISCONNECT or AUTH."""
+        packet = SimplePacket(kind)
+        if self.version == V5 and kind != PINGREQ and reader.position < len(reader.data):
+            packet.code = reader.byte()
+            if reader.position < len(reader.data):
+                packet.properties = reader.properties(kind)
         return packet
 
     @staticmethod
-    def packet_id(body):
-        if not (packet_id := body.two()):
+    def read_packet_id(reader):
+        """Reads a packet identifier, which must not be 0 [2.2.1]."""
+        if not (packet_id := reader.two()):
             raise MqttProtocolError("packet identifier 0")
         return packet_id
 
 
 PACKET_READERS = {
-    CONNECT: Decoder.connect,
-    PUBLISH: Decoder.publish,
-    SUBSCRIBE: Decoder.subscribe,
-    UNSUBSCRIBE: Decoder.subscribe,
-    PINGREQ: Decoder.short,
-    DISCONNECT: Decoder.short,
-    AUTH: Decoder.short,
-    **dict.fromkeys((PUBACK, PUBREC, PUBREL, PUBCOMP), Decoder.ack),
+    CONNECT: Decoder.read_connect,
+    PUBLISH: Decoder.read_publish,
+    SUBSCRIBE: Decoder.read_subscribe,
+    UNSUBSCRIBE: Decoder.read_subscribe,
+    PINGREQ: Decoder.read_simple,
+    DISCONNECT: Decoder.read_simple,
+    AUTH: Decoder.read_simple,
+    **dict.fromkeys((PUBACK, PUBREC, PUBREL, PUBCOMP), Decoder.read_ack),
 }
 
 
-# ---- out
+# ---- encoding
 
 
 def encode_varint(value):
-    out = bytearray()
+    """Encodes a variable byte integer [1.5.5]."""
+    encoded = bytearray()
     while True:
-        value, low = value >> 7, value & 127
-        out.append(low | 128 if value else low)
+        value, low_bits = value >> 7, value & 127
+        encoded.append(low_bits | 128 if value else low_bits)
         if not value:
-            return bytes(out)
+            return bytes(encoded)
 
 
 def encode_text(value):
+    """Encodes a UTF-8 string with its length prefix [1.5.4]."""
     return encode_binary(value.encode())
 
 
 def encode_binary(value):
+    """Encodes binary data with its length prefix [1.5.6]."""
     return len(value).to_bytes(2) + value
 
 
-WRITERS = {
-    "byte": lambda v: v.to_bytes(1),
-    "two": lambda v: v.to_bytes(2),
-    "four": lambda v: v.to_bytes(4),
+PROPERTY_ENCODERS = {
+    "byte": lambda value: value.to_bytes(1),
+    "two": lambda value: value.to_bytes(2),
+    "four": lambda value: value.to_bytes(4),
     "varint": encode_varint,
     "text": encode_text,
     "binary": encode_binary,
-    "pair": lambda v: encode_text(v[0]) + encode_text(v[1]),
+    "pair": lambda pair: encode_text(pair[0]) + encode_text(pair[1]),
 }
 
 
-def encode_properties(found):
-    out = b""
-    for name, value in found.items():
-        number, kind = NUMBERS[name]
-        for each in value if kind == "pair" else (value,):
-            out += number.to_bytes(1) + WRITERS[kind](each)
-    return encode_varint(len(out)) + out
+def encode_properties(properties):
+    """Encodes properties, given by name, with their total length; a pair property has a list of values."""
+    encoded = b""
+    for name, value in properties.items():
+        identifier, kind = PROPERTY_IDENTIFIERS[name]
+        for item in value if kind == "pair" else (value,):
+            encoded += identifier.to_bytes(1) + PROPERTY_ENCODERS[kind](item)
+    return encode_varint(len(encoded)) + encoded
 
 
 def encode_packet(kind, flags, body):
+    """Encodes a packet with its fixed header."""
     return (kind << 4 | flags).to_bytes(1) + encode_varint(len(body)) + body
 
 
-def encode_connack(version, present, code, **found):
-    """`code` as 5.0 has it; 3.1.1 gets the nearest of its five."""
+def encode_connack(version, session_present, code, **properties):
+    """Encodes a CONNACK. `code`: a reason code of 5.0; 3.1.1 gets the nearest of its five return codes."""
     if version == V5:
-        return encode_packet(CONNACK, 0, bytes((present, code)) + encode_properties(found))
-    return encode_packet(CONNACK, 0, bytes((present, CONNACK_V4.get(code, 5) if code else 0)))
+        return encode_packet(CONNACK, 0, bytes((session_present, code)) + encode_properties(properties))
+    return encode_packet(CONNACK, 0, bytes((session_present, CONNACK_RETURN_CODES.get(code, 5) if code else 0)))
 
 
-def encode_publish(version, topic, payload, qos=0, packet_id=0, dup=False, **found):
-    head = (
+def encode_publish(version, topic, payload, qos=0, packet_id=0, dup=False, **properties):
+    """Encodes a PUBLISH. 3.1.1 has no `properties`."""
+    header = (
         encode_text(topic)
         + (packet_id.to_bytes(2) if qos else b"")
-        + (encode_properties(found) if version == V5 else b"")
+        + (encode_properties(properties) if version == V5 else b"")
     )
-    return encode_packet(PUBLISH, dup << 3 | qos << 1, head + payload)
+    return encode_packet(PUBLISH, dup << 3 | qos << 1, header + payload)
 
 
-def encode_ack(version, kind, packet_id, code=OK, **found):
-    if version == V5 and (code or found):
+def encode_ack(version, kind, packet_id, code=OK, **properties):
+    """Encodes a PUBACK, PUBREC, PUBREL or PUBCOMP. 3.1.1 has neither `code` nor `properties`."""
+    if version == V5 and (code or properties):
         return encode_packet(
-            kind, FLAGS.get(kind, 0), packet_id.to_bytes(2) + bytes((code,)) + encode_properties(found)
+            kind, RESERVED_FLAGS.get(kind, 0), packet_id.to_bytes(2) + bytes((code,)) + encode_properties(properties)
         )
-    return encode_packet(kind, FLAGS.get(kind, 0), packet_id.to_bytes(2))
+    return encode_packet(kind, RESERVED_FLAGS.get(kind, 0), packet_id.to_bytes(2))
 
 
 def encode_suback(version, kind, packet_id, codes):
-    head = packet_id.to_bytes(2) + (b"\0" if version == V5 else b"")
-    return encode_packet(kind, 0, head + (bytes(codes) if version == V5 or kind == SUBACK else b""))
+    """Encodes a SUBACK or UNSUBACK; the latter has no codes in 3.1.1."""
+    header = packet_id.to_bytes(2) + (b"\0" if version == V5 else b"")
+    return encode_packet(kind, 0, header + (bytes(codes) if version == V5 or kind == SUBACK else b""))
 
 
-def encode_disconnect(version, code, why=""):
-    """Nothing for 3.1.1, whose server just closes."""
+def encode_disconnect(version, code, reason=""):
+    """Encodes a DISCONNECT; empty for 3.1.1, whose server only closes the connection."""
     return (
-        encode_packet(DISCONNECT, 0, bytes((code,)) + encode_properties({"reason": why} if why else {}))
+        encode_packet(DISCONNECT, 0, bytes((code,)) + encode_properties({"reason": reason} if reason else {}))
         if version == V5
         else b""
     )
--- a/tests/test_mqtt.py
+++ b/tests/test_mqtt.py
@@ -71,8 +71,8 @@
         for at in range(0, len(sent), size):
             got += decoder.feed(sent[at : at + size])
         assert [p.kind for p in got] == [c.CONNECT, c.PUBLISH, c.SUBSCRIBE, c.PUBREL, c.PINGREQ, c.DISCONNECT]
-        assert decoder.broken is None and got[0].user == KEY and got[0].level == version
-        assert (got[1].topic, got[1].payload, got[1].packet_id) == ("a/b", b"xyz", 7) and got[2].asked == [("a/#", 1)]
+        assert decoder.error is None and got[0].user_name == KEY and got[0].protocol_level == version
+        assert (got[1].topic, got[1].payload, got[1].packet_id) == ("a/b", b"xyz", 7) and got[2].filters == [("a/#", 1)]
         assert version == c.V3_1_1 or got[1].properties["user"] == [("k", "v"), ("k", "w")]
 
 
@@ -101,7 +101,7 @@
 def test_malformed_packets_have_a_reason(raw, code):
     decoder = c.Decoder(1000)
     assert len(decoder.feed(hello() + c.encode_packet(c.PINGREQ, 0, b"") + raw)) == 2  # what was whole before it counts
-    assert decoder.broken.code == code and decoder.feed(c.encode_packet(c.PINGREQ, 0, b"")) == []
+    assert decoder.error.code == code and decoder.feed(c.encode_packet(c.PINGREQ, 0, b"")) == []
 
 
 @settings(max_examples=400, deadline=None, derandomize=True)
@@ -125,7 +125,7 @@
         for k in range(0, len(raw), size):
             for packet in decoder.feed(raw[k : k + size]):
                 assert packet.kind in c.PACKET_READERS
-        assert len(decoder.rest) <= 1005
+        assert len(decoder.buffer) <= 1005
 
 
 @settings(derandomize=True)
@@ -145,7 +145,7 @@
     assert routes.find("l/a b/../c?d=1&e")[1] == b"/api/a%20b?x=..%2Fc%3Fd%3D1%26e" and routes.find("m/a") is None
     for k in range(9):
         routes.find(f"l/{k}/x")
-    assert len(routes.known) <= 2
+    assert len(routes.cache) <= 2
 
 
 def test_faulty_tables_are_named():
@@ -183,33 +183,41 @@
 
 
 def test_a_repeat_runs_never_again_and_gets_the_first_answer():
-    for qos, state in ((1, s.DONE), (2, s.HELD)):
+    for qos, state in ((1, s.COMPLETED), (2, s.AWAITING_PUBREL)):
         one = s.Session(("plan", "acc", "id"))
-        assert one.published(p(qos=qos))[1] == s.TAKE and one.published(p(qos=qos, dup=True))[1] == s.WAIT
-        assert one.published(p(qos=qos, payload=b"y"))[1] == s.REFUSE  # another message under an open identifier
-        row, effect = one.answered(1, c.OK, {})
-        assert (row.state, effect) == (state, s.TELL) and one.answered(1, c.QUOTA_EXCEEDED, {}) is None
-        assert one.published(p(qos=qos, dup=True))[1] == s.TELL  # its acknowledgement was lost
+        assert (
+            one.receive_publish(p(qos=qos))[1] == s.EXECUTE
+            and one.receive_publish(p(qos=qos, dup=True))[1] == s.AWAIT_ANSWER
+        )
+        assert one.receive_publish(p(qos=qos, payload=b"y"))[1] == s.REJECT  # another message under an open identifier
+        row, effect = one.complete_publish(1, c.OK, {})
+        assert (row.state, effect) == (state, s.ACKNOWLEDGE) and one.complete_publish(1, c.QUOTA_EXCEEDED, {}) is None
+        assert one.receive_publish(p(qos=qos, dup=True))[1] == s.ACKNOWLEDGE  # its acknowledgement was lost
         if qos == 2:
-            assert one.released(1) == c.OK == one.released(1)
-            assert one.published(p(qos=2, dup=True))[1] == s.TELL
-        assert one.published(p(qos=qos, payload=b"new"))[1] == s.TAKE
-    assert one.released(9) == c.PACKET_ID_NOT_FOUND
-    assert one.published(p(5, 1, True))[1] == s.DOUBT  # nothing is known of it here
+            assert one.receive_pubrel(1) == c.OK == one.receive_pubrel(1)
+            assert one.receive_publish(p(qos=2, dup=True))[1] == s.ACKNOWLEDGE
+        assert one.receive_publish(p(qos=qos, payload=b"new"))[1] == s.EXECUTE
+    assert one.receive_pubrel(9) == c.PACKET_ID_NOT_FOUND
+    assert one.receive_publish(p(5, 1, True))[1] == s.CHECK_REDELIVERY  # nothing is known of it here
 
 
 def test_sessions_are_bounded():
-    one = s.Session(("plan", "acc", "id"), remember=20, most_waiting=10)
+    one = s.Session(("plan", "acc", "id"), max_flows=20, max_waiting=10)
     for packet_id in range(1, 500):
-        one.published(p(packet_id, 2))
-        one.answered(packet_id, c.OK, {})
-        one.put("t", b"", {})
-    assert len(one.rows) <= 20 and len(one.waiting) == 10 and one.dropped == 489
-    assert one.published(p(1, 2, True))[1] == s.DOUBT  # forgotten: it may have run
-    one.window = 4
-    sent = [row[0] for row in one.due()]
-    assert len(sent) == 4 and not list(one.due()) and one.acked(sent[0]) and not one.acked(sent[0])
-    assert len(list(one.due())) == 1
+        one.receive_publish(p(packet_id, 2))
+        one.complete_publish(packet_id, c.OK, {})
+        one.enqueue_answer("t", b"", {})
+    assert len(one.inbound_flows) <= 20 and len(one.waiting) == 10 and one.dropped_answers == 489
+    assert one.receive_publish(p(1, 2, True))[1] == s.CHECK_REDELIVERY  # forgotten: it may have run
+    one.receive_maximum = 4
+    sent = [row[0] for row in one.next_answers()]
+    assert (
+        len(sent) == 4
+        and not list(one.next_answers())
+        and one.receive_puback(sent[0])
+        and not one.receive_puback(sent[0])
+    )
+    assert len(list(one.next_answers())) == 1
 
 
 # ---- real clients
