--- a/rampfront/mqtt/codec.py
+++ b/rampfront/mqtt/codec.py
@@ -275,7 +275,7 @@
     return text
 
 
-def topic_filter(text):
+def check_topic_filter(text):
     """Returns the text if it is a valid topic filter [4.7]; else raises MqttProtocolError."""
     levels = text.split("/")
     if (
@@ -405,7 +405,7 @@
         packet_id = self.read_packet_id(reader)
         properties, filters = reader.properties(kind) if self.version == V5 else {}, []
         while reader.position < len(reader.data):
-            name = topic_filter(reader.text())
+            name = check_topic_filter(reader.text())
             options = reader.byte() if kind == SUBSCRIBE else 0
             if options & 3 == 3 or options & (0xC0 if self.version == V5 else 0xFC) or options >> 4 & 3 == 3:
                 raise MqttProtocolError("odd options of a subscription", PROTOCOL_ERROR)
--- a/rampfront/mqtt/topics.py
+++ b/rampfront/mqtt/topics.py
@@ -3,7 +3,7 @@
 from urllib.parse import quote
 
 from ..terms import READ_ONLY
-from .codec import matches, topic_filter
+from .codec import check_topic_filter, matches
 
 
 class Route:
@@ -16,7 +16,7 @@
 
     def __init__(self, filter, product, path, units, kind, node_count):
         """`kind`: of the product, as in `terms`; `node_count`: the nodes over which its calls are spread."""
-        self.filter, self.product, self.path = topic_filter(filter), product.encode(), path
+        self.filter, self.product, self.path = check_topic_filter(filter), product.encode(), path
         self.call_terms = b"units=%g,spread=%d,first=0" % (units, node_count)
         self.kind, self.method = kind, b"GET" if kind == READ_ONLY else b"POST"
         self.wildcard_levels = [index for index, level in enumerate(filter.split("/")) if level in ("+", "#")]
--- a/rampfront/tables.py
+++ b/rampfront/tables.py
@@ -115,10 +115,10 @@
     for k, topic in enumerate(mqtt.topics if mqtt else ()):
         if topic.product not in products:
             raise Odd(f"mqtt.topics[{k}].product", "no such product")
-        from .mqtt.codec import MqttProtocolError, topic_filter  # for those who use it
+        from .mqtt.codec import MqttProtocolError, check_topic_filter  # for those who use it
 
         try:
-            topic_filter(topic.filter)
+            check_topic_filter(topic.filter)
         except MqttProtocolError as trouble:
             raise Odd(f"mqtt.topics[{k}].filter", str(trouble)) from None
         wild = len([level for level in topic.filter.split("/") if level in ("+", "#")])
