--- a/tests/membership/test_state_deltas.py
+++ b/tests/membership/test_state_deltas.py
@@ -7,7 +7,7 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from proxy_fixtures import orders, rule
+from proxy_fixtures import configuration_bytes, rule
 
 from rampfront.consensus.body_history import apply_delta, make_delta
 from rampfront.consensus.state import State, digest
@@ -38,8 +38,8 @@
 def test_bodies_are_rebuilt_byte_for_byte():
     """Of one weight that changed little is sent; of an evacuation no body at all."""
     rules = [rule(f"/{random.Random(k).getrandbits(60)}/") for k in range(100)]
-    one = entry(5, orders(5, rules=rules))
-    two = entry(6, orders(6, rules=rules[:50] + [rule("/new/")] + rules[51:]))
+    one = entry(5, configuration_bytes(5, rules=rules))
+    two = entry(6, configuration_bytes(6, rules=rules[:50] + [rule("/new/")] + rules[51:]))
     three = replace(two, index=7, evacuated_zones=frozenset({"a1"}))
     packed = history_of(one, two).encode_since(5)
     assert len(str(packed[3])) < 600 < len(two.body)
@@ -54,7 +54,7 @@
 
 
 def test_a_delta_to_another_body_is_refused():
-    one, two, other = entry(5, orders(5)), entry(6, orders(6)), entry(5, b'{"k":"another"}')
+    one, two, other = entry(5, configuration_bytes(5)), entry(6, configuration_bytes(6)), entry(5, b'{"k":"another"}')
     packed = history_of(one, two).encode_since(5)
     for replica in (history_of(), history_of(other)):
         with pytest.raises(DeltaMismatchError) as mismatch:
--- a/tests/node/test_control_calls.py
+++ b/tests/node/test_control_calls.py
@@ -5,7 +5,7 @@
 import pytest
 from http_server_fixtures import HttpCalls
 from node_fixtures import LEADER, NodeHarness
-from proxy_fixtures import orders, rule
+from proxy_fixtures import configuration_bytes, rule
 
 from rampfront.node.endpoints import build_control_calls
 
@@ -24,8 +24,8 @@
         (rpc(b"call=empty.start&of=a1&of=a2"), "of:"),
         (rpc(b"call=config.replace", b"{"), ""),
         (rpc(b"call=config.replace", b'{"Revision":"r7"}'), "Groups: missing"),
-        (rpc(b"call=config.replace", orders(7).replace(b'"r7"', b'"7"')), "Revision:"),
-        (rpc(b"call=config.replace", orders(3, rules=[rule("/x/", service="none")])), "Service"),
+        (rpc(b"call=config.replace", configuration_bytes(7).replace(b'"r7"', b'"7"')), "Revision:"),
+        (rpc(b"call=config.replace", configuration_bytes(3, rules=[rule("/x/", service="none")])), "Service"),
     ],
 )
 def test_a_faulty_call_is_rejected_by_its_field(text, field):
@@ -42,7 +42,7 @@
     """503 with when to come back, once, inside the second that callers wait; at once where the table is full."""
     node = NodeHarness()
     calls = HttpCalls(build_control_calls(node.process))
-    text = rpc(name, orders(2) if b"replace" in name else b"")
+    text = rpc(name, configuration_bytes(2) if b"replace" in name else b"")
     caller = calls.connect(text)
     node.loop.wait(950)
     for _ in range(257):
--- a/tests/node/test_replicated_state.py
+++ b/tests/node/test_replicated_state.py
@@ -4,7 +4,7 @@
 
 import pytest
 from node_fixtures import LEADER, receive_update
-from proxy_fixtures import orders
+from proxy_fixtures import configuration_bytes
 
 from rampfront.consensus.state import State, digest
 
@@ -17,7 +17,7 @@
         5,
         revision=3,
         servers=(7, ["s1", "s2"]),
-        tenants=[{"Name": "ann", "ApiKeys": ["new"]}],
+        customers=[{"Name": "ann", "ApiKeys": ["new"]}],
         zones=["b1"],
     )
     for index in (4, 5):
@@ -31,7 +31,7 @@
     loop.send_request(key="new")
     assert loop.pending_server() != "s3"
     receive_update(node_process, 6, revision=3, zones=["a1"])  # the same configuration, another evacuation
-    loop.send_request(key="new", client="d", tag="t2")
+    loop.send_request(key="new", client="d", try_id="t2")
     assert loop.response("d").status == 503
 
 
@@ -39,7 +39,7 @@
     """A state whose body is not what its mark says, or a list that cannot be read: nothing of it comes into force."""
     loop = node_process.context.loop
     receive_update(node_process, 5, servers=(7, ["s1"]))
-    body = zlib.compress(orders(9))
+    body = zlib.compress(configuration_bytes(9))
     state = State(9, 1, 9, body, frozenset(), {"x": (LEADER, 1)}, None, digest(b"other")).encode()
     for more in ({"S": state}, {"S": state[:-1]}, {"S": 5}, {"V": 5}, {"V": [99, [["s1"]]]}, {"V": None}):
         with pytest.raises((ValueError, TypeError, KeyError, IndexError, AttributeError)):
--- a/tests/node/test_shutdown.py
+++ b/tests/node/test_shutdown.py
@@ -11,16 +11,16 @@
     loop = node_process.context.loop
     receive_update(node_process, 5, servers=(7, ["s1"]))
     assert node_process.disseminator.ready and node_process.client_front.ready()
-    loop.send_request(client="running", tag="t0")
+    loop.send_request(client="running", try_id="t0")
     loop.send_request(client="idle")
     node_process.context.wire.sent.clear()
     node_process.shutdown.begin()
     assert not node_process.client_front.ready()
     assert [m["r"] for ip, m in node_process.context.wire.sent if ip == LEADER and m["k"] == "hail"] == [False]
     began = loop.now
-    loop.send_request(client="late", tag="t2")
-    for name, tag in (("running", "t0"), ("idle", "t1"), ("late", "t2")):
-        loop.respond_to(tag)
+    loop.send_request(client="late", try_id="t2")
+    for name, try_id in (("running", "t0"), ("idle", "t1"), ("late", "t2")):
+        loop.respond_to(try_id)
         got = loop.response(name)
         assert got.status == 200 and got["connection"] == "close" and loop.pipes[name].closed
     node_process.shutdown.begin()  # a second one changes nothing
--- a/tests/node_fixtures.py
+++ b/tests/node_fixtures.py
@@ -4,7 +4,7 @@
 import zlib
 from dataclasses import replace
 
-from proxy_fixtures import ProxyHarness, SilentEventLog, orders, settings
+from proxy_fixtures import ProxyHarness, SilentEventLog, configuration_bytes, settings
 
 from rampfront.consensus import events
 from rampfront.consensus.events import OrderKind, Outcome
@@ -17,7 +17,7 @@
 from rampfront.settings import settings_reader
 
 OWN_IP, LEADER, CALLER, OTHER = "10.1.0.1", "10.1.0.9", "10.1.0.7", "10.1.0.8"
-BODY = zlib.compress(orders(1))
+BODY = zlib.compress(configuration_bytes(1))
 
 
 def committed_state(index=5, zones=()):
@@ -119,13 +119,13 @@
     loop = node_process.context.loop
     frame = {"k": "word", "l": LEADER, "e": 1, "t": node_process.context.clock(), "a": 0}
     if index:
-        body = zlib.compress(orders(revision, **configuration))
+        body = zlib.compress(configuration_bytes(revision, **configuration))
         state = State(index, 1, revision, body, frozenset(zones), {"x": (LEADER, 1)}, None, digest(body))
         frame["S"] = state.encode()
     if servers:
         rows = [
             Endpoint(uid, "one", f"10.9.0.{uid[1:]}", 9000 + int(uid[1:]), "a1", 4, "ready", 0) for uid in servers[1]
         ]
-        loop.places.update({(row.host, row.port): row.id for row in rows})
+        loop.server_by_address.update({(row.host, row.port): row.id for row in rows})
         frame["V"] = endpoint_codec.encode(EndpointList(servers[0], tuple(rows)), loop.clock())
     node_process.frame_dispatcher.dispatch(LEADER, frame)
--- a/tests/proxy/test_admission.py
+++ b/tests/proxy/test_admission.py
@@ -64,7 +64,7 @@
 
 def test_a_new_configuration_binds_at_once():
     proxy = ProxyHarness(TWO_SERVERS | {"s3": ("two", "a1")})
-    proxy.configure(2, rules=[rule("/read/", service="two")], tenants=[{"Name": "ann", "ApiKeys": ["new-key"]}])
+    proxy.configure(2, rules=[rule("/read/", service="two")], customers=[{"Name": "ann", "ApiKeys": ["new-key"]}])
     proxy.send_request(WRITE)
     assert proxy.response().status == 404
     proxy.send_request(key="ann-key")
@@ -85,13 +85,13 @@
     proxy.send_request(more="customer: eve\r\nCUSTOMER: bea\r\n")
     assert proxy.forwarded()[1]["Customer"] == "ann" and b"ann-key" not in proxy.pipes[proxy.pending_server()].data
     proxy.respond()
-    proxy.send_request("/free/x", tag="t2", key="wrong", more="Customer: eve\r\n")
+    proxy.send_request("/free/x", try_id="t2", key="wrong", more="Customer: eve\r\n")
     fields = proxy.forwarded()[1]
     assert not {"customer", "authorization"} & {name.lower() for name in fields}
-    proxy.respond(tag="t2")
-    proxy.configure(2, tenants=[])
+    proxy.respond(try_id="t2")
+    proxy.configure(2, customers=[])
     proxy.send_request(
-        tag="t3", key="whatever", more="Customer: eve\r\n"
+        try_id="t3", key="whatever", more="Customer: eve\r\n"
     )  # no tenants: no keys are asked for, and none passed on
     assert not {"customer", "authorization"} & {name.lower() for name in proxy.forwarded()[1]}
 
@@ -112,10 +112,10 @@
     proxy.send_request()
     proxy.respond()
     assert proxy.response().status == 200
-    proxy.send_request(tag="t2")
+    proxy.send_request(try_id="t2")
     got = proxy.response()
     assert got.status == 429 and got["retry-after"] == "0.700" and not proxy.pending()
-    proxy.send_request("/free/x", tag="t3", key=None)
+    proxy.send_request("/free/x", try_id="t3", key=None)
     assert proxy.pending()
 
 
--- a/tests/proxy/test_attempt_outcomes.py
+++ b/tests/proxy/test_attempt_outcomes.py
@@ -37,16 +37,16 @@
     "answer stops": (lambda proxy: (proxy.respond_raw(CUT), proxy.wait(3100)), 502),
     "a length that lies": (lambda proxy: proxy.respond_raw(CUT.replace(b": 9", b": x")), 502),
     "no seal": (lambda proxy: proxy.respond(seal=None), 502),
-    "wrong id": (lambda proxy: proxy.respond(tag="t0"), 502),
-    "no id": (lambda proxy: proxy.respond(tag=None), 502),
+    "wrong id": (lambda proxy: proxy.respond(try_id="t0"), 502),
+    "no id": (lambda proxy: proxy.respond(try_id=None), 502),
     "encoded": (lambda proxy: proxy.respond(more="Content-Encoding: gzip\r\n"), 502),
     "500 of its own": (lambda proxy: proxy.respond(status=500, seal=None), 500),
     "504 of its own": (lambda proxy: proxy.respond(status=504, seal=None), 504),
     "503 that does not say that it has not run": (lambda proxy: proxy.respond(status=503, seal=None), 502),
     "429 that does not say so": (lambda proxy: proxy.respond(status=429, seal=None), 502),
     "408 that does not say so": (lambda proxy: proxy.respond(status=408, seal=None), 502),
-    "Not-Run of another request": (lambda proxy: proxy.reject(tag="t0"), 502),
-    "421 of another request": (lambda proxy: proxy.respond(status=421, tag="t0", seal=None), 502),
+    "Not-Run of another request": (lambda proxy: proxy.reject(try_id="t0"), 502),
+    "421 of another request": (lambda proxy: proxy.respond(status=421, try_id="t0", seal=None), 502),
 }
 
 
@@ -97,7 +97,7 @@
     "Not-Run 429": lambda proxy: proxy.reject(status=429),
     "421": lambda proxy: proxy.respond(status=421, seal=None),
     "Not-Run 421": lambda proxy: proxy.reject(status=421),
-    "Not-Run without an id": lambda proxy: proxy.reject(tag=None),
+    "Not-Run without an id": lambda proxy: proxy.reject(try_id=None),
 }
 
 
@@ -130,16 +130,16 @@
     proxy = ProxyHarness(TWO_SERVERS)
     proxy.ways["s1"] = "refuses"
     for k in range(6):
-        proxy.send_request(WRITE, tag=f"t{k}")
+        proxy.send_request(WRITE, try_id=f"t{k}")
         assert proxy.pending_server() == "s2"
-        proxy.respond(tag=f"t{k}")
+        proxy.respond(try_id=f"t{k}")
         assert proxy.response().status == 200
     proxy.pipes["s2"].cut()
     proxy.ways["s2"] = "refuses"
     proxy.send_request(WRITE)
     assert proxy.response().status == 503
     proxy.ways["s1"] = proxy.ways["s2"] = "silent"
-    proxy.send_request(WRITE, tag="t9")
+    proxy.send_request(WRITE, try_id="t9")
     proxy.wait(5000)
     assert proxy.response().status == 503
     proxy.ways.clear()
--- a/tests/proxy/test_connection_reuse.py
+++ b/tests/proxy/test_connection_reuse.py
@@ -11,9 +11,9 @@
         old = proxy.pipes["s1"]
         proxy.respond(then=then)
         assert proxy.response().body == b"yes" and old.closed
-        proxy.send_request(tag="t2")
+        proxy.send_request(try_id="t2")
         assert proxy.pipes["s1"] is not old
-        proxy.respond(tag="t2", body=b"good")
+        proxy.respond(try_id="t2", body=b"good")
         assert proxy.response().body == b"good"
 
 
@@ -26,7 +26,7 @@
     old = proxy.pipes["s1"]
     old.feed(b"HTTP/1.1 200 OK\r\nTry-Id: t2\r\nServer-Seal: x\r\nContent-Length: 3\r\n\r\nbad")
     assert old.closed
-    proxy.send_request(tag="t2")
+    proxy.send_request(try_id="t2")
     assert proxy.pipes["s1"] is not old
 
 
@@ -34,8 +34,8 @@
     """One after the other on the same connection, but not behind `Connection: close`, nor past the idle bound."""
     proxy = ProxyHarness({"s1": ("one", "a1")})
     for k in range(3):
-        proxy.send_request(tag=f"t{k}")
-        proxy.respond(tag=f"t{k}", more="Connection: close\r\n" if k == 1 else "")
+        proxy.send_request(try_id=f"t{k}")
+        proxy.respond(try_id=f"t{k}", more="Connection: close\r\n" if k == 1 else "")
     assert proxy.log.counts["connects"] == 2
     proxy.wait(7500)
     for service_pool in proxy.request_proxy.service_pools.values():
@@ -58,8 +58,8 @@
         )
     ):
         proxy.wait(wait)
-        proxy.send_request(tag=f"t{k}")
-        proxy.respond(tag=f"t{k}", more=f"Keep-Alive: {more}\r\n" if more else "")
+        proxy.send_request(try_id=f"t{k}")
+        proxy.respond(try_id=f"t{k}", more=f"Keep-Alive: {more}\r\n" if more else "")
         assert proxy.response().status == 200 and proxy.log.counts["connects"] == connects, k
 
 
@@ -71,10 +71,10 @@
     proxy.respond()
     assert proxy.response().status == 200
     proxy.wait(3000)
-    proxy.send_request(WRITE, tag="t2")
+    proxy.send_request(WRITE, try_id="t2")
     reset(proxy)
     assert proxy.response().status == 502 and proxy.log.counts["connects"] == 1
-    for tag, rest, connects in (
+    for try_id, rest, connects in (
         ("t3", 0, 2),
         ("t4", 300, 2),
         ("t5", 500, 3),
@@ -82,6 +82,6 @@
         ("t7", 5500, 4),
     ):  # and is, later
         proxy.wait(rest)
-        proxy.send_request(WRITE, tag=tag)
-        proxy.respond(tag=tag)
-        assert proxy.response().status == 200 and proxy.log.counts["connects"] == connects, tag
+        proxy.send_request(WRITE, try_id=try_id)
+        proxy.respond(try_id=try_id)
+        assert proxy.response().status == 200 and proxy.log.counts["connects"] == connects, try_id
--- a/tests/proxy/test_departures_and_early_answers.py
+++ b/tests/proxy/test_departures_and_early_answers.py
@@ -50,7 +50,7 @@
     server.feed(HEAD + b"Content-Length: 2\r\n\r\nok")
     assert proxy.response().status == 200
     for number in range(4):
-        proxy.send_request(tag=f"n{number}", client=f"d{number}")
+        proxy.send_request(try_id=f"n{number}", client=f"d{number}")
     seen += server.take() if not server.closed else b""
     head, _, rest = seen.partition(b"\r\n\r\n")
     assert rest[: len(body)] == body and rest[len(body) :][:4] in (b"", b"GET ")
--- a/tests/proxy/test_hedged_requests.py
+++ b/tests/proxy/test_hedged_requests.py
@@ -8,14 +8,14 @@
     must run once never gets one."""
     proxy = ProxyHarness(TWO_SERVERS)
     for k in range(20):
-        proxy.send_request(READ, tag=f"r{k}", client="r")
-        proxy.send_request(WRITE, tag=f"w{k}", client="w")
+        proxy.send_request(READ, try_id=f"r{k}", client="r")
+        proxy.send_request(WRITE, try_id=f"w{k}", client="w")
         proxy.wait(50)
         proxy.respond_to(f"r{k}")
         proxy.respond_to(f"w{k}")
     proxy.response("r"), proxy.response("w")
-    proxy.send_request(READ, tag="r", client="r")
-    proxy.send_request(WRITE, tag="w", client="w")
+    proxy.send_request(READ, try_id="r", client="r")
+    proxy.send_request(WRITE, try_id="w", client="w")
     proxy.wait(1500)
     copies = [pipe for pipe in proxy.pending_connections() if b"Try-Id: r\r\n" in pipe.data]
     assert {pipe.name for pipe in copies} == {"s1", "s2"}
--- a/tests/proxy/test_once_only_requests.py
+++ b/tests/proxy/test_once_only_requests.py
@@ -15,10 +15,10 @@
 ONE = {"s1": ("one", "a1")}
 
 
-def whole(tag, status=200, seal="x", body=b"ok", more=""):
+def whole(try_id, status=200, seal="x", body=b"ok", more=""):
     """A server's answer."""
     head = f"HTTP/1.1 {status} Said\r\nContent-Length: {len(body)}\r\n{more}"
-    head += f"Try-Id: {tag}\r\n" if tag else ""
+    head += f"Try-Id: {try_id}\r\n" if try_id else ""
     head += f"Server-Seal: {seal}\r\n" if seal else ""
     return head.encode() + b"\r\n" + body
 
@@ -76,7 +76,7 @@
 def test_a_once_only_request_that_may_have_run_is_sent_once(end, path):
     """On a connection that was used before, and with other servers free: one dispatch, and no promise."""
     proxy = ProxyHarness(SERVERS)
-    proxy.send_request(path, tag="t0", body=b"0")
+    proxy.send_request(path, try_id="t0", body=b"0")
     first = proxy.pending_server()
     proxy.respond_to("t0")
     proxy.set_servers({first: SERVERS[first]})  # the next one takes the same connection
@@ -155,7 +155,7 @@
     """BUDGET: copies of what is late, repeats of what failed and of what was turned away all count."""
     proxy = ProxyHarness(SERVERS, rules=[rule("/read/", tries=tries, give_up="4s")])
     for k in range(30):  # its usual time is known, so what is late gets copies
-        proxy.send_request(tag=f"w{k}", client=f"w{k}")
+        proxy.send_request(try_id=f"w{k}", client=f"w{k}")
         proxy.wait(20)
         proxy.respond_to(f"w{k}")
     before = proxy.log.counts["dispatches"]
@@ -237,73 +237,75 @@
         self.sent, self.unrun = {}, {}  # id to the servers that it reached; id to how often it was turned away there
         self.seals = {}  # seal to the status that came with it
 
-    def may_have_run(self, tag):
+    def may_have_run(self, try_id):
         """At how many servers."""
-        return len(self.sent.get(tag, ())) - self.unrun.get(tag, 0)
+        return len(self.sent.get(try_id, ())) - self.unrun.get(try_id, 0)
 
     def look(self):
         """Notes requests as they arrive; returns those that wait: (pipe, id)."""
         waiting = []
         for pipe in self.proxy.pending_connections():
-            tag = pipe.data.partition(b"Try-Id: ")[2].split(b"\r\n")[0].decode()
-            if getattr(pipe, "noted", None) != tag:
-                pipe.noted = tag
-                self.sent.setdefault(tag, []).append(pipe.name)
-            waiting.append((pipe, tag))
+            try_id = pipe.data.partition(b"Try-Id: ")[2].split(b"\r\n")[0].decode()
+            if getattr(pipe, "noted", None) != try_id:
+                pipe.noted = try_id
+                self.sent.setdefault(try_id, []).append(pipe.name)
+            waiting.append((pipe, try_id))
         return waiting
 
-    def end(self, pipe, tag):
+    def end(self, pipe, try_id):
         """What a server does with a request."""
         way, draw = self.draw.choice(self.ways), self.draw
         if way == "hang":
             return
         pipe.take()
-        before, pipe.before, pipe.noted = getattr(pipe, "before", tag), tag, None
+        before, pipe.before, pipe.noted = getattr(pipe, "before", try_id), try_id, None
         if way == "reset":
             pipe.cut()
         elif way == "part":
-            pipe.feed(whole(tag)[: draw.randrange(1, len(whole(tag)))])
+            pipe.feed(whole(try_id)[: draw.randrange(1, len(whole(try_id)))])
             pipe.cut()
-        elif way == "late" and before != tag:  # a second answer to what was asked there before, and nothing else
+        elif way == "late" and before != try_id:  # a second answer to what was asked there before, and nothing else
             pipe.feed(draw.choice((whole(before), whole(before, 503, None, b"", NOT_RUN), whole(None, 421, None, b""))))
         elif way == "odd":
-            pipe.feed(draw.choice((b"junk\r\n\r\n", whole(tag, seal=None), whole(tag, 503))))
+            pipe.feed(draw.choice((b"junk\r\n\r\n", whole(try_id, seal=None), whole(try_id, 503))))
         else:
-            self.answer(pipe, tag, way)
+            self.answer(pipe, try_id, way)
 
-    def answer(self, pipe, tag, way):
+    def answer(self, pipe, try_id, way):
         """An answer to the very request."""
         if way in ("not run", "421"):
-            self.unrun[tag] = self.unrun.get(tag, 0) + 1
-            return pipe.feed(whole(tag, 421, None, b"") if way == "421" else whole(tag, 503, None, b"", NOT_RUN))
-        seal = f"{tag}/{pipe.name}"
+            self.unrun[try_id] = self.unrun.get(try_id, 0) + 1
+            return pipe.feed(whole(try_id, 421, None, b"") if way == "421" else whole(try_id, 503, None, b"", NOT_RUN))
+        seal = f"{try_id}/{pipe.name}"
         self.seals[seal] = 500 if way == "500" else 200
-        return pipe.feed(whole(tag, self.seals[seal], seal, tag.encode()) + (whole(tag) if way == "extra" else b""))
+        return pipe.feed(
+            whole(try_id, self.seals[seal], seal, try_id.encode()) + (whole(try_id) if way == "extra" else b"")
+        )
 
     def check(self, client):
         """Whether the client has its answer, which must be its own."""
-        tag, got = self.asked[client], self.proxy.response(client)
+        try_id, got = self.asked[client], self.proxy.response(client)
         if got is None:
             return self.proxy.pipes[client].closed
         seal = got["server-seal"]
         assert got.status >= 400 if seal is None else self.seals[seal] == got.status
         if seal is not None:
-            assert seal.startswith(f"{tag}/") and got.body == tag.encode()
-        if got.status in PROMISES and tag in self.once:
-            assert not self.may_have_run(tag), f"{tag} was promised not to have run"
+            assert seal.startswith(f"{try_id}/") and got.body == try_id.encode()
+        if got.status in PROMISES and try_id in self.once:
+            assert not self.may_have_run(try_id), f"{try_id} was promised not to have run"
         return True
 
-    def ask(self, client, tag):
+    def ask(self, client, try_id):
         path = self.draw.choice((READ, WRITE, PUT))
         if path != READ:
-            self.once.add(tag)
-        self.asked[client] = tag
+            self.once.add(try_id)
+        self.asked[client] = try_id
         body = b"" if path == READ else b"x" * self.draw.choice((1, 3000))
-        self.proxy.send_request(path, tag=tag, client=client, body=body)
+        self.proxy.send_request(path, try_id=try_id, client=client, body=body)
 
-    def step(self, client, tag):
+    def step(self, client, try_id):
         if client not in self.asked:
-            self.ask(client, tag)
+            self.ask(client, try_id)
         if self.draw.random() < 0.05:
             self.proxy.pipes[self.draw.choice(list(self.asked))].cut()
         for pipe, at in self.look():
@@ -315,7 +317,7 @@
     def pass_by(self, ms):
         self.proxy.wait(ms)
         self.look()
-        self.asked = {client: tag for client, tag in self.asked.items() if not self.check(client)}
+        self.asked = {client: try_id for client, try_id in self.asked.items() if not self.check(client)}
 
 
 @pytest.mark.parametrize("seed", range(24))
@@ -327,5 +329,5 @@
         scene.step(f"c{k % 12}", f"r{k}")
     scene.pass_by(8000)
     assert len(scene.once) > 20 and scene.proxy.log.counts["resent"] > 2 and not scene.asked
-    for tag in scene.once:
-        assert scene.may_have_run(tag) <= 1, f"{tag} may have run at {scene.sent[tag]}"
+    for try_id in scene.once:
+        assert scene.may_have_run(try_id) <= 1, f"{try_id} may have run at {scene.sent[try_id]}"
--- a/tests/proxy/test_request_forwarding.py
+++ b/tests/proxy/test_request_forwarding.py
@@ -34,10 +34,10 @@
     assert "X-T" not in fields
     proxy.respond()
     assert proxy.response().status == 200
-    proxy.send_request(WRITE, tag="t3", key=None, more="Transfer-Encoding: chunked\r\n")
+    proxy.send_request(WRITE, try_id="t3", key=None, more="Transfer-Encoding: chunked\r\n")
     proxy.client().feed(chunks + "Authorization: Bearer ann-key\r\n\r\n")
     assert proxy.response().status == 401
-    proxy.send_request(tag="t4", client="d")  # of the server's answer, too
+    proxy.send_request(try_id="t4", client="d")  # of the server's answer, too
     proxy.respond_raw(b"HTTP/1.1 200 OK\r\nTry-Id: t4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\nServer-Seal: x\r\n\r\n")
     assert proxy.pending_server() and proxy.response("d") is None  # not stamped: it goes elsewhere
 
@@ -70,11 +70,11 @@
     proxy.reject()
     assert proxy.pending_server() != first and 2200 < int(proxy.forwarded()[1]["Time-Left-Ms"]) < 2300
     proxy.respond()
-    proxy.send_request(tag="t2", more="Time-Left-Ms: 60000\r\n")
+    proxy.send_request(try_id="t2", more="Time-Left-Ms: 60000\r\n")
     assert 3900 < int(proxy.forwarded()[1]["Time-Left-Ms"]) <= 4000  # GiveUp
-    proxy.respond(tag="t2")
+    proxy.respond(try_id="t2")
     proxy.response()
-    proxy.send_request(tag="t3", more="Time-Left-Ms: 5\r\n")  # too late for any answer
+    proxy.send_request(try_id="t3", more="Time-Left-Ms: 5\r\n")  # too late for any answer
     assert proxy.response().status == 503 and not proxy.pending()
 
 
@@ -115,6 +115,6 @@
         "b",
     )
     assert got["content-length"] == "5" and not got["transfer-encoding"] and not got["keep-alive"]
-    proxy.send_request(tag="t2")
-    proxy.respond(status=404, body=b"none", tag="t2", seal=None)  # of the server, for the client to see
+    proxy.send_request(try_id="t2")
+    proxy.respond(status=404, body=b"none", try_id="t2", seal=None)  # of the server, for the client to see
     assert proxy.response().status == 404
--- a/tests/proxy/test_retry_budget.py
+++ b/tests/proxy/test_retry_budget.py
@@ -6,13 +6,13 @@
 def test_retries_stay_within_the_budget():
     """However many fail, repeats stay within what they earn and a part of what the fleet may save up."""
     proxy = ProxyHarness(TWO_SERVERS)
-    proxy.saved = False
+    proxy.refill_retry_budget = False
     for k in range(400):  # calm: what is saved up has an end
-        proxy.send_request(tag=f"c{k}")
-        proxy.respond(tag=f"c{k}")
+        proxy.send_request(try_id=f"c{k}")
+        proxy.respond(try_id=f"c{k}")
         proxy.wait(20)
     for k in range(100):
-        proxy.send_request(client=f"f{k}", tag=f"f{k}")
+        proxy.send_request(client=f"f{k}", try_id=f"f{k}")
         while proxy.pending():
             reset(proxy)
         proxy.wait(20)
--- a/tests/proxy/test_server_load_reports.py
+++ b/tests/proxy/test_server_load_reports.py
@@ -9,7 +9,7 @@
     """Odd figures are left alone: the answer stands, and the next request is served."""
     proxy = ProxyHarness({"s1": ("one", "a1")})
     for k in range(3):
-        proxy.send_request(tag=f"t{k}")
-        proxy.respond(tag=f"t{k}", more=f"Server-Load: {load}\r\n")
+        proxy.send_request(try_id=f"t{k}")
+        proxy.respond(try_id=f"t{k}", more=f"Server-Load: {load}\r\n")
         assert proxy.response().status == 200
     assert not proxy.log.counts["faults"] and not proxy.log.counts["odd_answers"]
--- a/tests/proxy/test_service_endpoints.py
+++ b/tests/proxy/test_service_endpoints.py
@@ -10,11 +10,11 @@
     for path, key, allowed in (("/home/x", "ann-key", {"s1", "s2"}), (READ, "bea-key", {"s3", "s4"})):
         seen = set()
         for k in range(12):
-            proxy.send_request(path, key=key, client=f"c{k}", tag=f"{path}{k}")
+            proxy.send_request(path, key=key, client=f"c{k}", try_id=f"{path}{k}")
             seen |= set(proxy.pending())
         assert seen and seen <= allowed
         for name in seen:
-            proxy.respond(name, tag=None)  # fails: the next try stays at home too
+            proxy.respond(name, try_id=None)  # fails: the next try stays at home too
         assert set(proxy.pending()) <= allowed
         for k in range(12):
             proxy.client(f"c{k}").cut()
@@ -27,7 +27,7 @@
     proxy = ProxyHarness(TWO_SERVERS)
     proxy.set_servers({"s1": ("one", "a1", "emptying"), "s2": ("one", "a2")})
     for k in range(8):
-        proxy.send_request(client=f"c{k}", tag=f"t{k}")
+        proxy.send_request(client=f"c{k}", try_id=f"t{k}")
     assert set(proxy.pending()) == {"s2"}
     proxy = ProxyHarness(TWO_SERVERS)
     proxy.set_servers({"s1": ("one", "a1", "emptying"), "s2": ("one", "a2", "emptying")})
@@ -52,7 +52,7 @@
     """The connect was waiting when its server's use ended: it comes up and sends nothing, and what ran before ends
     well."""
     proxy = ProxyHarness({"s1": ("one", "a1")})
-    proxy.send_request(client="old", tag="t0")
+    proxy.send_request(client="old", try_id="t0")
     running = proxy.pipes["s1"]
     proxy.ways["s1"] = "silent"
     proxy.send_request(WRITE)
@@ -70,21 +70,21 @@
     proxy = ProxyHarness(TWO_SERVERS)
     proxy.request_proxy.apply_evacuations(frozenset(["a2"]))
     for k in range(8):
-        proxy.send_request(client=f"c{k}", tag=f"t{k}")
+        proxy.send_request(client=f"c{k}", try_id=f"t{k}")
     assert set(proxy.pending()) == {"s1"}
     proxy = ProxyHarness({"s1": ("one", "a1")})
     proxy.send_request()
     proxy.request_proxy.apply_evacuations(frozenset(["a1"]))
     proxy.respond()
     assert proxy.response().status == 200 and proxy.pipes["s1"].closed
-    proxy.send_request(tag="t2")
+    proxy.send_request(try_id="t2")
     assert proxy.response().status == 503
     proxy.set_servers({"s1": ("one", "a1"), "s2": ("one", "a1")})  # a new list does not undo it
-    proxy.send_request(tag="t2")
+    proxy.send_request(try_id="t2")
     assert proxy.response().status == 503
     proxy.request_proxy.apply_evacuations(frozenset())
     proxy.wait(3100)  # its servers may have become cold
-    proxy.send_request(tag="t3")
+    proxy.send_request(try_id="t3")
     assert proxy.pending()
 
 
@@ -98,12 +98,12 @@
     assert proxy.pending_server() != gone
     proxy.respond()
     for k in range(8):
-        proxy.send_request(client=f"c{k}", tag=f"t{k}")
+        proxy.send_request(client=f"c{k}", try_id=f"t{k}")
     assert len(proxy.pending()) == 1 and gone not in proxy.pending()
     assert proxy.log.counts["misdirected"] == 1 and proxy.log.counts["unseen"] == 1
     proxy.set_servers({"s1": ("one", "a1"), "s2": ("one", "a2")}, at={gone: 9100})
     for k in range(8):
-        proxy.send_request(client=f"d{k}", tag=f"u{k}")
+        proxy.send_request(client=f"d{k}", try_id=f"u{k}")
     assert gone in proxy.pending()
 
 
@@ -115,5 +115,5 @@
     old = proxy.pipes["s1"]
     proxy.set_servers({"s1": ("one", "a1")}, at={"s1": 9100})
     assert old.closed
-    proxy.send_request(tag="t2")
+    proxy.send_request(try_id="t2")
     assert proxy.pipes["s1"] is not old
--- a/tests/proxy/test_slow_start.py
+++ b/tests/proxy/test_slow_start.py
@@ -3,23 +3,23 @@
 from itertools import pairwise
 
 import pytest
-from proxy_fixtures import SEC, ProxyHarness, orders
+from proxy_fixtures import SEC, ProxyHarness, configuration_bytes
 
 from rampfront.settings import configuration_reader
 
 
 def test_slow_start_lasts_as_long_as_the_service_says():
     proxy = ProxyHarness()
-    configuration = configuration_reader.read(orders().replace(b'"3s"', b'"6s"')).ok_value
+    configuration = configuration_reader.read(configuration_bytes().replace(b'"3s"', b'"6s"')).ok_value
     proxy.client_front.apply_caps(configuration.caps)
     proxy.request_proxy.apply_configuration(configuration)
     proxy.set_servers({"s1": ("one", "a1")}, cold={"s1": 6000})
     node = proxy.request_proxy.service_pools["one"].driver.node
     (server,) = node.servers.values()
-    for tag, wait, cold in (("t1", 4000, True), ("t2", 2500, False)):
+    for try_id, wait, cold in (("t1", 4000, True), ("t2", 2500, False)):
         proxy.wait(wait)
-        proxy.send_request(tag=tag)
-        assert (node.ready(server) < 1.0) is cold, tag
+        proxy.send_request(try_id=try_id)
+        assert (node.ready(server) < 1.0) is cold, try_id
 
 
 @pytest.mark.parametrize("back", (False, True))
@@ -36,7 +36,7 @@
             proxy.request_proxy.apply_evacuations(frozenset()) if back else proxy.set_servers(
                 warm | {"s9": ("one", "a1")}, cold={"s9": 3000}
             )
-        proxy.send_request(tag=f"t{k}")
+        proxy.send_request(try_id=f"t{k}")
         if proxy.pending_server() == "s9":
             came.append(proxy.now / SEC)
         proxy.wait(10)
--- a/tests/proxy_fixtures.py
+++ b/tests/proxy_fixtures.py
@@ -18,7 +18,7 @@
 
 MS, SEC = 10**6, 10**9
 ZONES = {"a1": "a", "a2": "a", "b1": "b"}
-EPOCH = 10**18  # the fake clock's start
+CLOCK_START_NS = 10**18  # the fake clock's start
 TWO_SERVERS = {"s1": ("one", "a1"), "s2": ("one", "a2")}  # servers: id to service and zone
 READ, WRITE = "/read/x", "/write/x"
 
@@ -64,13 +64,13 @@
 CUSTOMERS = [{"Name": "ann", "ApiKeys": ["ann-key"]}, {"Name": "bea", "ApiKeys": ["bea-key"], "HomeRegions": ["b"]}]
 
 
-def orders(revision=1, rules=RULES, tenants=CUSTOMERS, **caps):
+def configuration_bytes(revision=1, rules=RULES, customers=CUSTOMERS, **caps):
     """A configuration as the operator puts it."""
     return json.dumps(
         {
             "Revision": f"r{revision}",
             "Caps": caps,
-            "Customers": tenants,
+            "Customers": customers,
             "Sockets": [{"Hostname": "host.example", "Rulebook": rules}],
             "Groups": [
                 {"Name": name, "HealthPath": "/health", "Warmup": "3s", "ColdPerS": 2} for name in ("one", "two")
@@ -145,33 +145,33 @@
     """`servers`: id to (service, zone) or to (service, zone, state). Each has an address of its own; `ways[id]` says
     whether a connect to it succeeds, is refused ("refuses") or hangs ("silent")."""
 
-    def __init__(self, servers=None, rules=RULES, tenants=CUSTOMERS, quota=None, fresh=True, **caps):
+    def __init__(self, servers=None, rules=RULES, customers=CUSTOMERS, quota=None, fresh=True, **caps):
         self.now, self.number, self.handles, self.lines = 0, 0, [], []
         self.opening, self.ends, self.ways, self.pipes, self.sockets = [], [], {}, {}, {}
-        self.saved = True  # the retry budget is full
+        self.refill_retry_budget = True  # the retry budget is full
         self.opened = []  # connections to servers, ever
         self.log, self.quota, self.fresh = SilentEventLog(), quota or FakeLimiter(), fresh
         self.process_settings = settings_reader.read(settings()).ok_value
-        self.places, self.numbers = {}, 0
+        self.server_by_address, self.list_version = {}, 0
         limits = network_limits(self.process_settings)
         environment = ProxyEnvironment(self, self.clock, self.process_settings, limits, random.Random(5), self.log)
         self.request_proxy = RequestProxy(environment, self.quota, lambda now: self.fresh)
         self.client_front = ClientFront(environment, self.request_proxy)
         self.make = lambda: self.client_front.make_connection()
         if servers is not None:
-            self.configure(rules=rules, tenants=tenants, **caps)
+            self.configure(rules=rules, customers=customers, **caps)
             self.set_servers(servers)
 
     def clock(self):
-        return EPOCH + self.now
+        return CLOCK_START_NS + self.now
 
     def create_connection(self, make, host, port):
-        pipe = FakeConnection(self, self.places[host, port], make)
+        pipe = FakeConnection(self, self.server_by_address[host, port], make)
         self.opened.append(pipe)
         return pipe
 
     def configure(self, revision=1, **other):
-        configuration = configuration_reader.read(orders(revision, **other)).ok_value
+        configuration = configuration_reader.read(configuration_bytes(revision, **other)).ok_value
         self.client_front.apply_caps(configuration.caps)
         self.request_proxy.apply_configuration(configuration)
         self.settle()
@@ -179,23 +179,23 @@
     def set_servers(self, servers, at=None, cold=None):
         """`at`: id to port, where it is not the id's own; `cold`: id to the ms that it stays so."""
         rows = []
-        for uid, (service, zone, *state) in servers.items():
-            port = (at or {}).get(uid, 9000 + int(uid[1:]))
-            self.places[f"10.9.0.{uid[1:]}", port] = uid
+        for server_id, (service, zone, *state) in servers.items():
+            port = (at or {}).get(server_id, 9000 + int(server_id[1:]))
+            self.server_by_address[f"10.9.0.{server_id[1:]}", port] = server_id
             rows.append(
                 Endpoint(
-                    uid,
+                    server_id,
                     service,
-                    f"10.9.0.{uid[1:]}",
+                    f"10.9.0.{server_id[1:]}",
                     port,
                     zone,
                     4,
                     state[0] if state else "ready",
-                    self.clock() + cold[uid] * MS if cold and uid in cold else 0,
+                    self.clock() + cold[server_id] * MS if cold and server_id in cold else 0,
                 )
             )
-        self.numbers += 1
-        self.request_proxy.apply_server_list(EndpointList(self.numbers, tuple(rows)))
+        self.list_version += 1
+        self.request_proxy.apply_server_list(EndpointList(self.list_version, tuple(rows)))
         self.settle()
 
     # ---- clients
@@ -209,16 +209,24 @@
         return pipe
 
     def send_request(
-        self, path="/read/x", tag="t1", client="c", key="ann-key", method=None, body=b"", host="host.example", more=""
+        self,
+        path="/read/x",
+        try_id="t1",
+        client="c",
+        key="ann-key",
+        method=None,
+        body=b"",
+        host="host.example",
+        more="",
     ):
         """One request; `more` are lines of the head."""
-        for service_pool in self.request_proxy.service_pools.values() if self.saved else ():
+        for service_pool in self.request_proxy.service_pools.values() if self.refill_retry_budget else ():
             # Retries are not what is tested, unless `saved` is cleared.
             service_pool.driver.node.spare = service_pool.driver.node.spare_most
         changing = path.startswith(("/write", "/put"))
         method = method or ("POST" if changing else "GET")
         head = f"{method} {path} HTTP/1.1\r\nHost: {host}\r\n"
-        head += f"Try-Id: {tag}\r\n" if tag else ""
+        head += f"Try-Id: {try_id}\r\n" if try_id else ""
         head += f"Authorization: Bearer {key}\r\n" if key else ""
         head += more + (f"Content-Length: {len(body)}\r\n" if body else "")
         self.client(client).feed(head.encode() + b"\r\n" + body)
@@ -251,10 +259,10 @@
         assert len(fields) == len(lines) - 1, "a field twice"
         return lines[0], fields, body
 
-    def respond(self, name=None, status=200, body=b"yes", tag="t1", seal="stamp", more="", then=b""):
+    def respond(self, name=None, status=200, body=b"yes", try_id="t1", seal="stamp", more="", then=b""):
         """A server's answer; `tag` and `seal` None leave their field out, `then` is what follows it."""
         head = f"HTTP/1.1 {status} Said\r\nContent-Length: {len(body)}\r\n{more}"
-        head += f"Try-Id: {tag}\r\n" if tag else ""
+        head += f"Try-Id: {try_id}\r\n" if try_id else ""
         head += f"Server-Seal: {seal}\r\n" if seal else ""
         self.respond_raw(head.encode() + b"\r\n" + body + then, name)
 
@@ -263,14 +271,14 @@
         pipe.take()
         pipe.feed(data)
 
-    def respond_to(self, tag):
+    def respond_to(self, try_id):
         """The server that holds the request of this id answers it."""
-        pipe = next(pipe for pipe in self.pending_connections() if b"Try-Id: %s\r\n" % tag.encode() in pipe.data)
+        pipe = next(pipe for pipe in self.pending_connections() if b"Try-Id: %s\r\n" % try_id.encode() in pipe.data)
         pipe.take()
-        pipe.feed(f"HTTP/1.1 200 OK\r\nTry-Id: {tag}\r\nServer-Seal: x\r\nContent-Length: 2\r\n\r\nok")
+        pipe.feed(f"HTTP/1.1 200 OK\r\nTry-Id: {try_id}\r\nServer-Seal: x\r\nContent-Length: 2\r\n\r\nok")
 
-    def reject(self, name=None, status=503, tag="t1"):
-        self.respond(name, status, b"", tag, None, "Not-Run: 1\r\n")
+    def reject(self, name=None, status=503, try_id="t1"):
+        self.respond(name, status, b"", try_id, None, "Not-Run: 1\r\n")
 
 
 def reset(proxy):
