--- a/tests/proxy/test_admission.py
+++ b/tests/proxy/test_admission.py
@@ -5,15 +5,15 @@
 
 
 def test_before_the_first_configuration_requests_are_told_to_come_back():
-    """Who knows no configuration yet cannot tell a wrong route or key: 503 and when to come back, never 401 or 404."""
+    """Without a configuration, unknown routes and keys cannot be recognised: 503 with Retry-After, never 401 or 404."""
     proxy = ProxyHarness()
     for path, key in ((READ, "ann-key"), ("/nowhere/", "ann-key"), (READ, "wrong"), (READ, None)):
         proxy.send_request(path, key=key)
-        got = proxy.response()
-        assert got.status == 503 and float(got["retry-after"]) > 0
+        response = proxy.response()
+        assert response.status == 503 and float(response["retry-after"]) > 0
     assert not proxy.client_front.ready()
     proxy.configure()
-    assert not proxy.client_front.ready()  # no server is known
+    assert not proxy.client_front.ready()  # the server list is still missing
     proxy.send_request()
     assert proxy.response().status == 503
     proxy.set_servers(TWO_SERVERS)
@@ -24,13 +24,13 @@
 
 
 def test_a_stale_configuration_serves_nothing():
-    """A key may have been taken away by now: without a fresh word nothing runs, and nothing is refused for good."""
+    """Keys may have been revoked since: no request is executed, and none is rejected permanently."""
     proxy = ProxyHarness(TWO_SERVERS)
     proxy.fresh = False
     for path, key in ((READ, "ann-key"), ("/free/x", None), ("/nowhere/", None), (READ, "wrong")):
         proxy.send_request(path, key=key)
-        got = proxy.response()
-        assert got.status == 503 and got["retry-after"]
+        response = proxy.response()
+        assert response.status == 503 and response["retry-after"]
     assert not proxy.pending() and not proxy.client_front.ready()
     proxy.fresh = True
     proxy.send_request()
@@ -38,7 +38,7 @@
 
 
 def test_the_route_is_found_by_host_and_longest_prefix():
-    """By host, in any case and with a port, and by the longest prefix; what no route begins is 404, for good."""
+    """By host, in any letter case and with a port, and by the longest path prefix; without a matching route 404."""
     proxy = ProxyHarness(TWO_SERVERS | {"s3": ("two", "a1")})
     for path, host, service in (
         (READ, "host.example", "one"),
@@ -74,7 +74,7 @@
 
 
 def test_the_key_selects_the_customer():
-    """401 without a key that is held; the tenant's name goes on in place of the key, whatever the client says it is."""
+    """401 without a valid key. The customer's name is forwarded instead of the key, even if the client sends a name."""
     proxy = ProxyHarness(TWO_SERVERS)
     for key in (None, "wrong", "ann-key2", "ANN-KEY"):
         proxy.send_request(key=key)
@@ -92,12 +92,12 @@
     proxy.configure(2, customers=[])
     proxy.send_request(
         try_id="t3", key="whatever", more="Customer: eve\r\n"
-    )  # no tenants: no keys are asked for, and none passed on
+    )  # without customers no keys are required, and none is forwarded
     assert not {"customer", "authorization"} & {name.lower() for name in proxy.forwarded()[1]}
 
 
 def test_an_identifier_in_use_is_refused():
-    """The same id while the first is at work: refused, and not counted to the quota."""
+    """A second request with the same id, while the first is in progress, is rejected and refunded to the quota."""
     proxy = ProxyHarness(TWO_SERVERS)
     proxy.send_request(WRITE)
     proxy.send_request(WRITE, client="d")
@@ -107,21 +107,21 @@
 
 
 def test_a_request_beyond_the_quota_is_rejected():
-    """Beyond it 429 and when to come back, nothing sent; routes without a tenant are not counted."""
+    """Beyond the quota: 429 with Retry-After, and nothing is sent. Requests without a customer are not counted."""
     proxy = ProxyHarness(TWO_SERVERS, quota=FakeLimiter(1))
     proxy.send_request()
     proxy.respond()
     assert proxy.response().status == 200
     proxy.send_request(try_id="t2")
-    got = proxy.response()
-    assert got.status == 429 and got["retry-after"] == "0.700" and not proxy.pending()
+    response = proxy.response()
+    assert response.status == 429 and response["retry-after"] == "0.700" and not proxy.pending()
     proxy.send_request("/free/x", try_id="t3", key=None)
     assert proxy.pending()
 
 
 @pytest.mark.parametrize("end,back", (("refused", 1), ("Not-Run", 1), ("ran", 0), ("unknown", 0), ("no server", 0)))
 def test_a_request_that_was_not_executed_returns_its_quota(end, back):
-    """What did not run anywhere does not use the quota up; what may have does."""
+    """A request that no server executed is refunded; one that may have been executed is not."""
     proxy = ProxyHarness(TWO_SERVERS)
     if end == "refused":
         proxy.ways["s1"] = proxy.ways["s2"] = "refuses"
--- a/tests/proxy/test_attempt_outcomes.py
+++ b/tests/proxy/test_attempt_outcomes.py
@@ -1,4 +1,4 @@
-"""How attempts at servers end: what may have run, what has not, and what the client is told of it."""
+"""Outcomes of attempts: which may have been executed, which were not, and the response to the client."""
 
 import pytest
 from proxy_fixtures import READ, TWO_SERVERS, WRITE, ProxyHarness, reset
@@ -27,7 +27,7 @@
     return end
 
 
-# ends of a submission that was written, and what a client gets for them where nothing may be repeated
+# Outcomes of an attempt whose request was written, and the client's status if the request must not be retried.
 ENDS = {
     "reset": (reset, 502),
     "silence": (silence, 504),
@@ -52,15 +52,15 @@
 
 @pytest.mark.parametrize("end", ENDS)
 def test_what_may_have_run_and_must_not_repeat_is_not_retried(end):
-    """What may have run is told as such, and what must not be repeated goes nowhere else."""
+    """The response does not promise that the request was not executed, and no other server gets it."""
     end, status = ENDS[end]
     proxy = ProxyHarness(TWO_SERVERS)
     proxy.send_request(WRITE, body=b"x")
     end(proxy)
     proxy.wait(5000)
-    got = proxy.response()
-    assert got.status == status and not proxy.pending() and proxy.log.counts["dispatches"] == 1
-    assert status == 500 or not got["retry-after"]
+    response = proxy.response()
+    assert response.status == status and not proxy.pending() and proxy.log.counts["dispatches"] == 1
+    assert status == 500 or not response["retry-after"]
 
 
 def test_an_upload_is_not_retried():
@@ -72,7 +72,7 @@
 
 @pytest.mark.parametrize("end", ENDS)
 def test_a_read_is_retried_at_another_server(end):
-    """A read goes to another server; when all fail it gets no promise that it has not run."""
+    """If all attempts fail, the response does not promise that the request was not executed."""
     end, status = ENDS[end]
     proxy = ProxyHarness(TWO_SERVERS)
     proxy.send_request()
@@ -83,16 +83,16 @@
     while proxy.pending():
         end(proxy)
     proxy.wait(6000)
-    got = proxy.response()
-    assert got.status in (status, 504) and not proxy.pending() and proxy.log.counts["dispatches"] <= 3
+    response = proxy.response()
+    assert response.status in (status, 504) and not proxy.pending() and proxy.log.counts["dispatches"] <= 3
 
 
 def not_run(proxy):
     proxy.reject()
 
 
-# what certainly did not run
-UNRUN = {
+# Outcomes after which the request certainly was not executed.
+NOT_EXECUTED_ENDS = {
     "Not-Run 503": not_run,
     "Not-Run 429": lambda proxy: proxy.reject(status=429),
     "421": lambda proxy: proxy.respond(status=421, seal=None),
@@ -102,13 +102,13 @@
 
 
 @pytest.mark.parametrize("path", (READ, WRITE))
-@pytest.mark.parametrize("end", UNRUN)
+@pytest.mark.parametrize("end", NOT_EXECUTED_ENDS)
 def test_what_has_not_run_is_retried_at_another_server(path, end):
-    """What says that it has not run may go to another server, and answers what it was asked there."""
+    """After a rejection that states so, another server gets the request, and its response is returned."""
     proxy = ProxyHarness(TWO_SERVERS)
     proxy.send_request(path)
     first = proxy.pending_server()
-    UNRUN[end](proxy)
+    NOT_EXECUTED_ENDS[end](proxy)
     assert proxy.pending_server() != first
     proxy.respond()
     assert proxy.response().status == 200
@@ -116,17 +116,17 @@
 
 @pytest.mark.parametrize("path", (READ, WRITE))
 def test_a_request_that_all_servers_reject_is_declined_at_once(path):
-    """Not run anywhere: 503 with Retry-After at once, not held, after no more servers than the route's tries."""
+    """503 with Retry-After at once, without queueing, after no more servers than the route's attempts."""
     proxy = ProxyHarness(TWO_SERVERS | {"s3": ("one", "a1"), "s4": ("one", "a1"), "s5": ("one", "a1")})
     proxy.send_request(path)
     for _ in range(3):
         proxy.reject()
-    got = proxy.response()
-    assert got.status == 503 and float(got["retry-after"]) > 0 and not proxy.pending()
+    response = proxy.response()
+    assert response.status == 503 and float(response["retry-after"]) > 0 and not proxy.pending()
 
 
 def test_failed_connects_are_retried_at_another_server():
-    """Refused or never up: nothing was sent, so it goes elsewhere, whatever it is; and is promised not to have run."""
+    """Nothing was sent, so any request is retried; if all connects fail, the response says that it was not executed."""
     proxy = ProxyHarness(TWO_SERVERS)
     proxy.ways["s1"] = "refuses"
     for k in range(6):
@@ -144,11 +144,11 @@
     assert proxy.response().status == 503
     proxy.ways.clear()
     proxy.settle()
-    assert not proxy.pending()  # what came up behind it sends nothing
+    assert not proxy.pending()  # connections that are established later carry no request
 
 
 def test_an_attempt_that_may_have_run_forbids_the_promise_that_none_has():
-    """Not run at one server, unknown at the first: no promise."""
+    """The first attempt is uncertain and the next is rejected: 502, which promises nothing."""
     proxy = ProxyHarness(TWO_SERVERS)
     proxy.send_request()
     reset(proxy)
@@ -164,5 +164,5 @@
     proxy.respond(status=500, body=b"first", seal=None)
     reset(proxy)
     proxy.wait(5000)
-    got = proxy.response()
-    assert (got.status, got.body) == (500, b"first")
+    response = proxy.response()
+    assert (response.status, response.body) == (500, b"first")
--- a/tests/proxy/test_client_front.py
+++ b/tests/proxy/test_client_front.py
@@ -1,11 +1,11 @@
-"""Connections of clients: those that disconnect, are malformed, slow or idle."""
+"""Client connections: disconnects, malformed requests, slow and idle clients."""
 
 import pytest
 from proxy_fixtures import TWO_SERVERS, WRITE, ProxyHarness
 
 
 def test_a_client_that_disconnects_cancels_its_request():
-    """What it asked for is called off at the server, at once; its body is no longer counted as held."""
+    """The attempt is cancelled at the server at once, and the body is no longer counted as buffered."""
     proxy = ProxyHarness(TWO_SERVERS)
     proxy.send_request(WRITE, body=b"x" * 1000)
     server = proxy.pipes[proxy.pending_server()]
@@ -56,7 +56,7 @@
 
 @pytest.mark.parametrize("what", MALFORMED)
 def test_a_malformed_request_reaches_no_server(what):
-    """What cannot be followed is answered, ends its connection and reaches no server: nothing is smuggled through."""
+    """Guards against request smuggling: the client gets an error, its connection is closed, no server gets anything."""
     data, status = MALFORMED[what]
     proxy = ProxyHarness(TWO_SERVERS, MaxHeaderBytes=2000, MaxBodyBytes=5000)
     proxy.client().feed(data)
@@ -69,7 +69,7 @@
 
 
 def test_incomplete_requests_and_idle_connections_time_out():
-    """408 in time, by the configuration's bound; an idle connection is closed by the other one."""
+    """An incomplete request gets 408 after the configured limit; idle connections are closed after `Idle`."""
     proxy = ProxyHarness(TWO_SERVERS, Idle="4s")
     proxy.client().feed(b"GET /read/x HTTP/1.1\r\nHost: host.exam")
     proxy.client("idle")
--- a/tests/proxy/test_connection_reuse.py
+++ b/tests/proxy/test_connection_reuse.py
@@ -1,10 +1,10 @@
-"""Connections to servers: which of them are used again."""
+"""Connections to servers: which of them are reused."""
 
 from proxy_fixtures import WRITE, ProxyHarness, reset
 
 
 def test_bytes_behind_a_complete_response_close_the_connection():
-    """They belong to no request: the answer stands, the connection goes, the next request finds a clean one."""
+    """They belong to no request: the response is returned, and the next request uses a new connection."""
     for then in (b"junk", b"HTTP/1.1 200 OK\r\nTry-Id: t2\r\nServer-Seal: x\r\nContent-Length: 3\r\n\r\nbad"):
         proxy = ProxyHarness({"s1": ("one", "a1")})
         proxy.send_request()
@@ -18,8 +18,7 @@
 
 
 def test_bytes_on_an_idle_connection_close_it():
-    """A late second answer, as what is unread there or as it comes: the connection goes before it can pass for
-    another's."""
+    """A late second response must not be taken for the response to the next request."""
     proxy = ProxyHarness({"s1": ("one", "a1")})
     proxy.send_request()
     proxy.respond()
@@ -31,7 +30,7 @@
 
 
 def test_connections_are_reused():
-    """One after the other on the same connection, but not behind `Connection: close`, nor past the idle bound."""
+    """Sequential requests share a connection, but not after `Connection: close` or the idle timeout."""
     proxy = ProxyHarness({"s1": ("one", "a1")})
     for k in range(3):
         proxy.send_request(try_id=f"t{k}")
@@ -44,7 +43,7 @@
 
 
 def test_the_keep_alive_of_a_server_is_followed():
-    """Guards requests against a server that closes an idle connection just as they are sent."""
+    """Guards against sending a request just as the server closes the idle connection."""
     proxy = ProxyHarness({"s1": ("one", "a1")})
     for k, (wait, more, connects) in enumerate(
         (
@@ -64,8 +63,7 @@
 
 
 def test_after_a_forgotten_connection_idle_ones_are_distrusted():
-    """A server that forgets idle connections without a word costs one request that may run once, not one for each of
-    them."""
+    """A server that drops idle connections without closing them costs one once-only request, not one per connection."""
     proxy = ProxyHarness({"s1": ("one", "a1")})
     proxy.send_request(WRITE)
     proxy.respond()
@@ -80,7 +78,7 @@
         ("t5", 500, 3),
         ("t6", 2000, 4),
         ("t7", 5500, 4),
-    ):  # and is, later
+    ):  # idle connections are trusted again later
         proxy.wait(rest)
         proxy.send_request(WRITE, try_id=try_id)
         proxy.respond(try_id=try_id)
--- a/tests/proxy/test_departures_and_early_answers.py
+++ b/tests/proxy/test_departures_and_early_answers.py
@@ -1,15 +1,15 @@
-"""Clients that leave, servers that answer before they have read a body, and responses without a length."""
+"""Clients that disconnect, servers that respond before they have read the body, and responses without a length."""
 
 import pytest
 from proxy_fixtures import READ, TWO_SERVERS, WRITE, ProxyHarness
 
-LARGE = b"x" * (256 << 10)  # a response that is streamed
+LARGE = b"x" * (256 << 10)  # the body of a large response
 HEAD = b"HTTP/1.1 200 OK\r\nTry-Id: t1\r\nServer-Seal: stamp\r\n"
 UNFRAMED = HEAD + b"Connection: close\r\n\r\n"
 
 
-def in_order(pipe) -> None:
-    """The server ends its connection in order."""
+def close_orderly(pipe) -> None:
+    """Ends the server's connection by an orderly close."""
     pipe.protocol.eof_received()
     if not pipe.closed:
         pipe.closed = True
@@ -41,7 +41,7 @@
 
 
 def test_a_server_that_answers_early_gets_the_rest_of_the_body_before_anything_else():
-    """It reads on later: what it finds where the body is due must be the body."""
+    """The server continues to read later, and must find the rest of the body there."""
     proxy = ProxyHarness(TWO_SERVERS)
     body = bytes(range(256)) * 12
     proxy.send_request(WRITE, body=body)
@@ -59,20 +59,20 @@
 @pytest.mark.parametrize("ends, complete", [("in order", True), ("reset", False)])
 def test_a_response_without_a_length_is_complete_if_its_connection_ends_in_order(ends, complete):
     proxy = ProxyHarness(TWO_SERVERS)
-    proxy.send_request(WRITE)  # once only, so that no other server answers
+    proxy.send_request(WRITE)  # once-only, so that it is not retried at another server
     server = proxy.pending()[proxy.pending_server()]
     server.take()
     server.feed(UNFRAMED + b"half and half")
     if ends == "in order":
-        in_order(server)
+        close_orderly(server)
     else:
         server.cut()
     proxy.wait(10)
-    told = proxy.response()
+    response = proxy.response()
     if complete:
-        assert told.status == 200 and told.body == b"half and half" and told["content-length"] == "13"
+        assert response.status == 200 and response.body == b"half and half" and response["content-length"] == "13"
     else:
-        assert told.status == 502
+        assert response.status == 502
 
 
 def test_a_long_response_without_a_length_that_is_reset_must_not_look_complete():
--- a/tests/proxy/test_hedged_requests.py
+++ b/tests/proxy/test_hedged_requests.py
@@ -1,11 +1,13 @@
-"""Hedged requests: a second attempt beside a late first one."""
+"""Hedged requests: a second attempt, concurrent with a late first one."""
 
 from proxy_fixtures import READ, TWO_SERVERS, WRITE, ProxyHarness
 
 
 def test_a_late_read_is_hedged_and_a_write_is_not():
-    """Once what is usual is known: elsewhere, beside the first; one answer goes back, and the other is called off. What
-    must run once never gets one."""
+    """Once the usual duration is known, a late read gets a second attempt at another server.
+
+    One response is returned and the other attempt is cancelled. A once-only request is never hedged.
+    """
     proxy = ProxyHarness(TWO_SERVERS)
     for k in range(20):
         proxy.send_request(READ, try_id=f"r{k}", client="r")
--- a/tests/proxy/test_retry_budget.py
+++ b/tests/proxy/test_retry_budget.py
@@ -1,13 +1,13 @@
-"""The budget of retries."""
+"""The retry budget."""
 
 from proxy_fixtures import TWO_SERVERS, ProxyHarness, reset
 
 
 def test_retries_stay_within_the_budget():
-    """However many fail, repeats stay within what they earn and a part of what the fleet may save up."""
+    """Retries stay within the ratio that requests earn, plus this proxy's share of the fleet's savings."""
     proxy = ProxyHarness(TWO_SERVERS)
     proxy.refill_retry_budget = False
-    for k in range(400):  # calm: what is saved up has an end
+    for k in range(400):  # without failures: the savings reach their bound
         proxy.send_request(try_id=f"c{k}")
         proxy.respond(try_id=f"c{k}")
         proxy.wait(20)
@@ -16,5 +16,5 @@
         while proxy.pending():
             reset(proxy)
         proxy.wait(20)
-    terms, again = proxy.process_settings.guarantees, proxy.log.counts["resent"] + proxy.log.counts["copies"]
-    assert 10 < again <= terms.retry_ratio * 100 + terms.extra_tries / 8
+    terms, extra_attempts = proxy.process_settings.guarantees, proxy.log.counts["resent"] + proxy.log.counts["copies"]
+    assert 10 < extra_attempts <= terms.retry_ratio * 100 + terms.extra_tries / 8
--- a/tests/proxy/test_server_load_reports.py
+++ b/tests/proxy/test_server_load_reports.py
@@ -1,4 +1,4 @@
-"""What responses say of the load of their servers."""
+"""The load that servers report with their responses."""
 
 import pytest
 from proxy_fixtures import ProxyHarness
@@ -6,7 +6,7 @@
 
 @pytest.mark.parametrize("load", ("3,0,8", "3,0", "3,0,0", "a,b,c", "-1,0,8", "1e9,0,8", "99999999,0,8", "", "3, 0, 8"))
 def test_an_invalid_load_report_is_ignored(load):
-    """Odd figures are left alone: the answer stands, and the next request is served."""
+    """The response is still returned, and later requests are served."""
     proxy = ProxyHarness({"s1": ("one", "a1")})
     for k in range(3):
         proxy.send_request(try_id=f"t{k}")
--- a/tests/proxy/test_service_endpoints.py
+++ b/tests/proxy/test_service_endpoints.py
@@ -1,11 +1,11 @@
-"""Which servers may be sent to: home regions, draining, evacuations, addresses."""
+"""Which servers may get requests: home regions, draining, evacuations, addresses."""
 
 import pytest
 from proxy_fixtures import READ, TWO_SERVERS, WRITE, ProxyHarness
 
 
 def test_home_regions_of_route_and_customer_both_bind():
-    """Route and tenant both bind, whatever stands free elsewhere."""
+    """Also if servers elsewhere are idle."""
     proxy = ProxyHarness({"s1": ("one", "a1"), "s2": ("one", "a2"), "s3": ("one", "b1"), "s4": ("one", "b1")})
     for path, key, allowed in (("/home/x", "ann-key", {"s1", "s2"}), (READ, "bea-key", {"s3", "s4"})):
         seen = set()
@@ -14,12 +14,12 @@
             seen |= set(proxy.pending())
         assert seen and seen <= allowed
         for name in seen:
-            proxy.respond(name, try_id=None)  # fails: the next try stays at home too
+            proxy.respond(name, try_id=None)  # the attempt fails; the retry stays in the home regions too
         assert set(proxy.pending()) <= allowed
         for k in range(12):
             proxy.client(f"c{k}").cut()
         proxy.wait(100)
-    proxy.send_request("/home/x", key="bea-key", client="d")  # no zone is a home of both
+    proxy.send_request("/home/x", key="bea-key", client="d")  # no zone is in home regions of both
     assert proxy.response("d").status == 503
 
 
@@ -49,8 +49,7 @@
 
 @pytest.mark.parametrize("ends", (empty, evacuate, gone))
 def test_a_connect_that_outlasts_the_use_of_its_server_sends_nothing(ends):
-    """The connect was waiting when its server's use ended: it comes up and sends nothing, and what ran before ends
-    well."""
+    """The connection is established after its server was withdrawn: nothing is sent, and running requests complete."""
     proxy = ProxyHarness({"s1": ("one", "a1")})
     proxy.send_request(client="old", try_id="t0")
     running = proxy.pipes["s1"]
@@ -65,8 +64,10 @@
 
 
 def test_an_evacuated_zone_gets_nothing_until_it_is_reopened():
-    """Nothing more to a zone that is emptied, what is idle there is closed; what runs there ends; taken back, it
-    serves."""
+    """An evacuated zone gets no new requests and its idle connections are closed; running requests complete.
+
+    After the evacuation it gets requests again.
+    """
     proxy = ProxyHarness(TWO_SERVERS)
     proxy.request_proxy.apply_evacuations(frozenset(["a2"]))
     for k in range(8):
@@ -79,18 +80,20 @@
     assert proxy.response().status == 200 and proxy.pipes["s1"].closed
     proxy.send_request(try_id="t2")
     assert proxy.response().status == 503
-    proxy.set_servers({"s1": ("one", "a1"), "s2": ("one", "a1")})  # a new list does not undo it
+    proxy.set_servers({"s1": ("one", "a1"), "s2": ("one", "a1")})  # a new server list does not end the evacuation
     proxy.send_request(try_id="t2")
     assert proxy.response().status == 503
     proxy.request_proxy.apply_evacuations(frozenset())
-    proxy.wait(3100)  # its servers may have become cold
+    proxy.wait(3100)  # its servers may be in slow start
     proxy.send_request(try_id="t3")
     assert proxy.pending()
 
 
 def test_a_server_whose_address_was_reused_gets_nothing():
-    """A 421 says that another server has the address: it goes elsewhere, that server is asked no more, and its idle
-    connections are closed, until the list says something new of it."""
+    """A 421 means that another server has the address: the request is retried elsewhere.
+
+    The server gets no more requests and its idle connections are closed, until the server list changes its entry.
+    """
     proxy = ProxyHarness(TWO_SERVERS)
     proxy.send_request()
     gone = proxy.pending_server()
@@ -108,7 +111,7 @@
 
 
 def test_connections_to_a_former_address_are_closed():
-    """Connections to where a server stood are not used for where it stands now."""
+    """Connections to a server's former address are not reused after its address has changed."""
     proxy = ProxyHarness({"s1": ("one", "a1")})
     proxy.send_request()
     proxy.respond()
--- a/tests/proxy/test_slow_start.py
+++ b/tests/proxy/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: servers that warm up."""
+"""Slow start of servers."""
 
 from itertools import pairwise
 
@@ -24,10 +24,13 @@
 
 @pytest.mark.parametrize("back", (False, True))
 def test_a_server_in_slow_start_gets_this_proxys_part(back):
-    """It gets this proxy's part of what it bears, in any second, and its full share once it is warm. So does one whose
-    zone is taken back: it may have become cold, and the list tells that late."""
+    """It gets at most this proxy's share of its rate in any second, and its full share of requests once it is warm.
+
+    The same holds for a server whose zone is no longer evacuated (`back`): it may have cooled down, and the server list
+    reports that only with a delay.
+    """
     warm = {f"s{k}": ("one", "a1") for k in range(1, 5)}
-    proxy, came = ProxyHarness(warm), []
+    proxy, sent_at_s = ProxyHarness(warm), []
     if back:
         proxy.request_proxy.apply_evacuations(frozenset(["a2"]))
         proxy.set_servers(warm | {"s9": ("one", "a2")})
@@ -38,10 +41,10 @@
             )
         proxy.send_request(try_id=f"t{k}")
         if proxy.pending_server() == "s9":
-            came.append(proxy.now / SEC)
+            sent_at_s.append(proxy.now / SEC)
         proxy.wait(10)
         proxy.respond_to(f"t{k}")
         proxy.wait(10)
-    early = [at for at in came if at < 5]
+    early = [at for at in sent_at_s if at < 5]
     assert len(early) <= 3 and all(b - a >= 1 for a, b in pairwise(early))
-    assert sum(at > 5.1 for at in came) > 15
+    assert sum(at > 5.1 for at in sent_at_s) > 15
--- a/tests/proxy_fixtures.py
+++ b/tests/proxy_fixtures.py
@@ -1,6 +1,6 @@
-"""`ProxyHarness`: one request proxy with its clients' front between scripted clients and servers, on a fake loop.
+"""`ProxyHarness`: a request proxy and its client listener, with scripted clients and servers, on a fake event loop.
 
-Nothing here sleeps."""
+The clock is simulated, so nothing here sleeps."""
 
 import json
 import random
@@ -18,8 +18,8 @@
 
 MS, SEC = 10**6, 10**9
 ZONES = {"a1": "a", "a2": "a", "b1": "b"}
-CLOCK_START_NS = 10**18  # the fake clock's start
-TWO_SERVERS = {"s1": ("one", "a1"), "s2": ("one", "a2")}  # servers: id to service and zone
+CLOCK_START_NS = 10**18  # start of the simulated clock
+TWO_SERVERS = {"s1": ("one", "a1"), "s2": ("one", "a2")}  # server id to service and zone
 READ, WRITE = "/read/x", "/write/x"
 
 
@@ -65,7 +65,7 @@
 
 
 def configuration_bytes(revision=1, rules=RULES, customers=CUSTOMERS, **caps):
-    """A configuration as the operator puts it."""
+    """A configuration as an operator submits it."""
     return json.dumps(
         {
             "Revision": f"r{revision}",
@@ -80,7 +80,7 @@
 
 
 class FakeLimiter:
-    """In place of the limiter: lets in `left` requests, of all customers together."""
+    """Replaces the limiter: admits `left` requests, over all customers."""
 
     def __init__(self, left=1000):
         self.left, self.refunded = left, []
@@ -97,7 +97,7 @@
 
 
 class SilentEventLog(EventLog):
-    """Counts, and writes no lines."""
+    """Counts events, but writes no log lines."""
 
     def __init__(self):
         super().__init__("n1", 10**10, COUNTERS)
@@ -107,7 +107,7 @@
 
 
 class FakeConnection(Pipe):
-    """One connection, of a client or to a server; keeps what was written to it."""
+    """One connection, from a client or to a server; records the bytes written to it."""
 
     def __init__(self, *args):
         super().__init__(*args)
@@ -126,7 +126,7 @@
 
 
 class ClientResponse:
-    """A response as a client got it."""
+    """A response as received by a client."""
 
     def __init__(self, data):
         head, _, self.body = data.partition(b"\r\n\r\n")
@@ -142,14 +142,18 @@
 
 
 class ProxyHarness(Stage):
-    """`servers`: id to (service, zone) or to (service, zone, state). Each has an address of its own; `ways[id]` says
-    whether a connect to it succeeds, is refused ("refuses") or hangs ("silent")."""
+    """A request proxy between scripted clients and servers.
+
+    `servers`: id to (service, zone) or to (service, zone, state). Each has its own address; `ways[id]` determines
+    whether a connect to it succeeds, is refused ("refuses") or hangs ("silent"). `fresh`: whether the core confirmed
+    the configuration recently.
+    """
 
     def __init__(self, servers=None, rules=RULES, customers=CUSTOMERS, quota=None, fresh=True, **caps):
         self.now, self.number, self.handles, self.lines = 0, 0, [], []
         self.opening, self.ends, self.ways, self.pipes, self.sockets = [], [], {}, {}, {}
-        self.refill_retry_budget = True  # the retry budget is full
-        self.opened = []  # connections to servers, ever
+        self.refill_retry_budget = True  # whether every request finds a full retry budget
+        self.opened = []  # all connections to servers so far
         self.log, self.quota, self.fresh = SilentEventLog(), quota or FakeLimiter(), fresh
         self.process_settings = settings_reader.read(settings()).ok_value
         self.server_by_address, self.list_version = {}, 0
@@ -177,7 +181,7 @@
         self.settle()
 
     def set_servers(self, servers, at=None, cold=None):
-        """`at`: id to port, where it is not the id's own; `cold`: id to the ms that it stays so."""
+        """`at`: id to port, if it is not the default port; `cold`: id to the rest of its slow start in ms."""
         rows = []
         for server_id, (service, zone, *state) in servers.items():
             port = (at or {}).get(server_id, 9000 + int(server_id[1:]))
@@ -219,9 +223,9 @@
         host="host.example",
         more="",
     ):
-        """One request; `more` are lines of the head."""
+        """Sends one request; `more`: further header lines."""
         for service_pool in self.request_proxy.service_pools.values() if self.refill_retry_budget else ():
-            # Retries are not what is tested, unless `saved` is cleared.
+            # Only a test that clears `refill_retry_budget` tests the retry budget.
             service_pool.driver.node.spare = service_pool.driver.node.spare_most
         changing = path.startswith(("/write", "/put"))
         method = method or ("POST" if changing else "GET")
@@ -232,35 +236,35 @@
         self.client(client).feed(head.encode() + b"\r\n" + body)
 
     def response(self, client="c"):
-        """What the client got since it was last looked at, or None."""
+        """The response that the client received since the last call, or None."""
         data = self.pipes[client].take()
         return ClientResponse(data) if data else None
 
     # ---- servers
 
     def pending(self):
-        """Ids of the servers at which something stands unanswered, with the newest such connection."""
+        """Server ids with an unanswered request, each with its newest such connection."""
         return {pipe.name: pipe for pipe in self.pending_connections()}
 
     def pending_connections(self):
         return [pipe for pipe in self.opened if pipe.protocol and not pipe.closed and pipe.data]
 
     def pending_server(self):
-        """The one server that holds the request."""
+        """The id of the only server with an unanswered request."""
         ((name, pipe),) = self.pending().items()
         return name
 
     def forwarded(self, name=None):
-        """What the server got: its head's lines as a dict, and the body."""
+        """The request that the server received: request line, header fields as a dict, and body."""
         request = self.pending()[name or self.pending_server()].data
         head, _, body = request.partition(b"\r\n\r\n")
         lines = head.decode().split("\r\n")
         fields = dict(line.split(": ", 1) for line in lines[1:])
-        assert len(fields) == len(lines) - 1, "a field twice"
+        assert len(fields) == len(lines) - 1, "a header field is repeated"
         return lines[0], fields, body
 
     def respond(self, name=None, status=200, body=b"yes", try_id="t1", seal="stamp", more="", then=b""):
-        """A server's answer; `tag` and `seal` None leave their field out, `then` is what follows it."""
+        """Sends a server's response. `try_id` or `seal` None omits the field; `then`: bytes after the response."""
         head = f"HTTP/1.1 {status} Said\r\nContent-Length: {len(body)}\r\n{more}"
         head += f"Try-Id: {try_id}\r\n" if try_id else ""
         head += f"Server-Seal: {seal}\r\n" if seal else ""
@@ -272,7 +276,7 @@
         pipe.feed(data)
 
     def respond_to(self, try_id):
-        """The server that holds the request of this id answers it."""
+        """Sends a response from the server that has the request with this id."""
         pipe = next(pipe for pipe in self.pending_connections() if b"Try-Id: %s\r\n" % try_id.encode() in pipe.data)
         pipe.take()
         pipe.feed(f"HTTP/1.1 200 OK\r\nTry-Id: {try_id}\r\nServer-Seal: x\r\nContent-Length: 2\r\n\r\nok")
@@ -282,5 +286,5 @@
 
 
 def reset(proxy):
-    """The connection on which the last request went is reset."""
+    """Resets the connection that the last request was sent on."""
     proxy.pipes[proxy.pending_server()].cut()
