--- a/rampfront/proxy/attempt_policy.py
+++ b/rampfront/proxy/attempt_policy.py
@@ -20,11 +20,13 @@
 
 READ_ONLY = "read_only"  # the request type whose requests may be executed more than once
 _KIND_BY_REQUEST_TYPE = {READ_ONLY: t.READ_ONLY, "changing": t.ONCE_ONLY, "upload": t.ONCE_ONLY}
-_OVERDUE_VALUE_PART = 0.3  # assumed value share of a response past its latency target: the protocol does not convey it
+_OVERDUE_VALUE_FRACTION = (
+    0.3  # assumed value of a response past its latency target, which the protocol does not convey
+)
 _MAX_ATTEMPTS = 8  # upper bound, also if a route allows more
 _MAX_RETRY_AFTER_NS = 2 * SEC
-_MIN_STEP_NS = MS  # minimum gap between two inputs of a `choice.Node`
-_SLOW_START_PART = 0.2
+_MIN_INPUT_GAP_NS = MS  # minimum gap between two inputs of a `choice.Node`
+_SLOW_START_FRACTION = 0.2
 _NO_PLAN = t.Plan(0.0, 0.0, 0, 0.0, 0.0, 0.0, 0.0)  # the limiter enforces quotas, so `choice.py` needs no plan
 
 
@@ -37,7 +39,7 @@
         group=t.ALL,
         latency_target=latency_target_ns,
         repeat_window=0,
-        late_value_share=_OVERDUE_VALUE_PART,
+        late_value_share=_OVERDUE_VALUE_FRACTION,
     )
 
 
@@ -55,8 +57,8 @@
         max_units=1.0,
         subscribes=False,
         max_retry_after=_MAX_RETRY_AFTER_NS,
-        min_input_gap=_MIN_STEP_NS,
-        cold_share=_SLOW_START_PART,
+        min_input_gap=_MIN_INPUT_GAP_NS,
+        cold_share=_SLOW_START_FRACTION,
         warm_up=DEFAULT_WARM_UP_NS,
         cold_overload_factor=2.0,
         cold_overload_after=SEC,
--- a/rampfront/proxy/budget_shares.py
+++ b/rampfront/proxy/budget_shares.py
@@ -18,9 +18,9 @@
     from ..settings.settings_file import Guarantees
 
 # Fractions of the fleet's budgets that are distributed to the proxies; the rest is margin.
-_RETRY_RATIO_PART = 0.85
-_EXTRA_TRIES_PART = 0.8
-_SLOW_START_PART = 0.8
+_RETRY_RATIO_FRACTION = 0.85
+_EXTRA_TRIES_FRACTION = 0.8
+_SLOW_START_FRACTION = 0.8
 _MIN_PROXIES = 8  # lower bound on the divisor: the roster may be incomplete, and some proxies may be partitioned
 _MAX_SAVED_AT_START = 1.0  # attempts: a process that has just started has earned hardly any
 
@@ -37,8 +37,8 @@
 
     The ratio applies to each proxy's own requests, so it needs no division; the savings are divided evenly."""
     return RetryBudget(
-        _RETRY_RATIO_PART * guarantees.retry_ratio,
-        _EXTRA_TRIES_PART * guarantees.extra_tries / max(proxy_count, _MIN_PROXIES),
+        _RETRY_RATIO_FRACTION * guarantees.retry_ratio,
+        _EXTRA_TRIES_FRACTION * guarantees.extra_tries / max(proxy_count, _MIN_PROXIES),
     )
 
 
@@ -46,7 +46,7 @@
     """Requests per second that this proxy may send to one server in slow start."""
     if not service.cold_per_s:
         return inf
-    return _SLOW_START_PART * service.cold_per_s / max(proxy_count, _MIN_PROXIES)
+    return _SLOW_START_FRACTION * service.cold_per_s / max(proxy_count, _MIN_PROXIES)
 
 
 def limit_initial_budget(node: Node) -> None:
--- a/rampfront/proxy/environment.py
+++ b/rampfront/proxy/environment.py
@@ -20,5 +20,5 @@
     clock: Callable[[], int]  # ns
     process_settings: ProcessSettings
     limits: NetworkLimits
-    draw: Random
+    rng: Random
     log: EventLog
--- a/rampfront/proxy/health_observation.py
+++ b/rampfront/proxy/health_observation.py
@@ -21,9 +21,9 @@
         super().__init__()
         self.response_durations = LatencyHistogram()  # from sending a request to a server to its complete response
 
-    def attempt_ended(self, reference: int, server_id: str, outcome: int, lasted_ns: int, now_ns: int) -> None:
-        """Records the end of an attempt: `outcome` is one of the constants of `terms`, `lasted_ns` its duration."""
-        connect_timed_out = outcome == t.CONNECT_FAILED and lasted_ns >= CONNECT_TIMEOUT_NS
+    def attempt_ended(self, reference: int, server_id: str, outcome: int, duration_ns: int, now_ns: int) -> None:
+        """Records the end of an attempt: `outcome` is one of the constants of `terms`, `duration_ns` its duration."""
+        connect_timed_out = outcome == t.CONNECT_FAILED and duration_ns >= CONNECT_TIMEOUT_NS
         self.request_ended(
             reference, server_id, now_ns, CONNECT_TIMED_OUT if connect_timed_out else _HEALTH_BY_OUTCOME.get(outcome)
         )
--- a/rampfront/proxy/idle_reuse.py
+++ b/rampfront/proxy/idle_reuse.py
@@ -14,10 +14,10 @@
 
 NEVER = 1 << 62  # ns: later than any time
 _KEEP_ALIVE = re.compile(rb"(?:^|timeout\s*=\s*)(\d{1,5})")
-_CLOSED_EARLY_NS = 300 * MS  # safety margin before the announced timeout, for the network delay and the next check
-_AT_ONCE_NS = 150 * MS  # a connection that ends this soon after a request, without a byte, had been dropped
+_KEEP_ALIVE_MARGIN_NS = 300 * MS  # safety margin before the announced timeout, for the network delay and the next check
+_IMMEDIATE_END_NS = 150 * MS  # a connection that ends this soon after a request, without a byte, had been dropped
 _ALWAYS_TRUSTED_NS = 250 * MS  # a connection idle for no longer than this is always reused
-_DISTRUST_NS = 5 * SEC  # connections are trusted again if no other dropped one was found for this time
+_DISTRUST_DURATION_NS = 5 * SEC  # connections are trusted again if no other dropped one was found for this time
 _DISTRUST_DIVISOR = 8  # the new bound is the dropped connection's idle time divided by this
 
 
@@ -26,7 +26,7 @@
     found = _KEEP_ALIVE.search(keep_alive)
     if found is None:
         return NEVER
-    return now_ns + int(found.group(1)) * SEC - _CLOSED_EARLY_NS
+    return now_ns + int(found.group(1)) * SEC - _KEEP_ALIVE_MARGIN_NS
 
 
 class IdleTrust:
@@ -40,15 +40,15 @@
 
     def trusted_ns(self, now_ns: int) -> int:
         """The longest idle time that is currently trusted."""
-        if now_ns - self._distrusted_at_ns > _DISTRUST_NS:
+        if now_ns - self._distrusted_at_ns > _DISTRUST_DURATION_NS:
             self._trusted_ns = self._max_idle_ns
         return self._trusted_ns
 
-    def connection_ended(self, idle_ns: int, lasted_ns: int, now_ns: int) -> None:
+    def connection_ended(self, idle_ns: int, duration_ns: int, now_ns: int) -> None:
         """Records that a reused connection ended after a request was sent, without a byte of a response.
 
-        `idle_ns`: how long it had been idle; `lasted_ns`: from the request to its end. A connection that ended
+        `idle_ns`: how long it had been idle; `duration_ns`: from the request to its end. A connection that ended
         immediately had been dropped by its server."""
-        if lasted_ns < _AT_ONCE_NS:
+        if duration_ns < _IMMEDIATE_END_NS:
             self._trusted_ns = max(_ALWAYS_TRUSTED_NS, min(self._trusted_ns, idle_ns // _DISTRUST_DIVISOR))
             self._distrusted_at_ns = now_ns
--- a/rampfront/proxy/locality.py
+++ b/rampfront/proxy/locality.py
@@ -20,7 +20,7 @@
 
 _OWN_ZONE = _Distance(1.0, 8)
 _OWN_REGION = _Distance(0.4, 6)
-_ELSEWHERE = _Distance(0.02, 4)
+_OTHER_REGION = _Distance(0.02, 4)
 _NOT_PREFERRED_FACTOR = 0.1  # applied to the weight of servers that are not preferred
 
 # From this body size on, locality counts more, because traffic between zones and regions is billed per byte.
@@ -34,7 +34,7 @@
 
     Among many servers at the same distance each proxy prefers a few, selected by a digest of the names of proxy and
     server (rendezvous hashing). Connections are thus reused, and all proxies together cover all servers evenly."""
-    groups: dict[_Distance, list[tuple[bytes, str]]] = {_OWN_ZONE: [], _OWN_REGION: [], _ELSEWHERE: []}
+    groups: dict[_Distance, list[tuple[bytes, str]]] = {_OWN_ZONE: [], _OWN_REGION: [], _OTHER_REGION: []}
     for endpoint in endpoints:
         digest = blake2b(f"{process_settings.name}|{endpoint.id}".encode(), digest_size=8).digest()
         groups[_distance(endpoint, process_settings)].append((digest, endpoint.id))
@@ -52,7 +52,7 @@
         return _OWN_ZONE
     if process_settings.zones.get(endpoint.zone) == process_settings.region:
         return _OWN_REGION
-    return _ELSEWHERE
+    return _OTHER_REGION
 
 
 def distance_exponent(body_bytes: int) -> float:
--- a/rampfront/proxy/request_proxy.py
+++ b/rampfront/proxy/request_proxy.py
@@ -41,7 +41,9 @@
     from .environment import ProxyEnvironment
     from .server_response import ServerResponse
 
-_ALMOST_DUE_NS = 3 * MS  # a request waits until this close to its deadline, because of the margin of `choice.py`
+_DEADLINE_TOLERANCE_NS = (
+    3 * MS
+)  # a request waits until this close to its deadline, because of the margin of `choice.py`
 _PLAN_INDEX = 0  # index of the only plan of `attempt_policy.node_terms`
 _ONE_UNIT = 1
 _ONE_NODE = 1
@@ -204,7 +206,7 @@
         """The pool of the request's service.
 
         Raises RequestRejectedError if the service has no server, or the deadline has passed."""
-        service_pool = self.service_pools.get(pick_service(admission.route.service_weights, self.environment.draw))
+        service_pool = self.service_pools.get(pick_service(admission.route.service_weights, self.environment.rng))
         expired = admission.deadline_at_ns <= admission.received_at_ns
         if expired or service_pool is None or not service_pool.has_server_up():
             raise RequestRejectedError(outcomes.NO_SERVER)
@@ -290,7 +292,7 @@
             return
         if failure:
             client.forward(failure)
-        elif self.clock() >= request.admission.deadline_at_ns - _ALMOST_DUE_NS:
+        elif self.clock() >= request.admission.deadline_at_ns - _DEADLINE_TOLERANCE_NS:
             client.respond(outcomes.TIMED_OUT)
         else:
             client.respond(outcomes.FAILED)
--- a/rampfront/proxy/routing.py
+++ b/rampfront/proxy/routing.py
@@ -9,11 +9,11 @@
 from ..settings.configuration import Customer, Route
 
 
-def pick_service(service_weights: Sequence[tuple[str, float]], draw: Random) -> str:
+def pick_service(service_weights: Sequence[tuple[str, float]], rng: Random) -> str:
     """Selects a request's service by weight. Draws one random number if there are several services, else none."""
     if len(service_weights) == 1:
         return service_weights[0][0]
-    return draw.choices([name for name, _ in service_weights], [weight for _, weight in service_weights])[0]
+    return rng.choices([name for name, _ in service_weights], [weight for _, weight in service_weights])[0]
 
 
 class HomeZones:
--- a/rampfront/proxy/server_connections.py
+++ b/rampfront/proxy/server_connections.py
@@ -135,8 +135,8 @@
         keep_alive = self.reader.fields.get(b"keep-alive") if keep else None
         self.reusable_until_ns = reusable_until(keep_alive, now_ns) if keep_alive else NEVER
         if self.exchange:
-            lasted_ns = now_ns - self.sent_at_ns
-            self.pool.observer.attempt_ended(self.observation, self.server.uid, how, lasted_ns, now_ns)
+            duration_ns = now_ns - self.sent_at_ns
+            self.pool.observer.attempt_ended(self.observation, self.server.uid, how, duration_ns, now_ns)
         super().finish(how, keep)
 
     def submission_end(self, exchange: ProxiedRequest, how: int, took_ns: int) -> SubmissionEnd[ProxiedRequest]:
--- a/rampfront/proxy/service_pool.py
+++ b/rampfront/proxy/service_pool.py
@@ -36,7 +36,7 @@
         """Starts without servers.
 
         Args:
-            environment: the proxy's dependencies; its `draw` seeds the decisions.
+            environment: the proxy's dependencies; its `rng` seeds the decisions.
             gateway: sends clients their responses.
             health_path: the path that health checks request.
             observer: is notified of the start and the end of every attempt.
@@ -101,7 +101,7 @@
     return DecisionDriver(
         TimerQueue(environment.loop, environment.clock),
         node_terms(environment.process_settings.guarantees, proxy_count),
-        environment.draw.getrandbits(_SEED_BITS),
+        environment.rng.getrandbits(_SEED_BITS),
         environment.limits,
         environment.log,
     )
--- a/tests/proxy/test_admission.py
+++ b/tests/proxy/test_admission.py
@@ -1,4 +1,4 @@
-"""Requests that are admitted, or rejected before any server is asked."""
+"""Admission of requests, and rejections before a server is selected."""
 
 import pytest
 from proxy_fixtures import READ, TWO_SERVERS, WRITE, FakeLimiter, ProxyHarness, reset, rule
