--- a/rampfront/proxy/attempt_policy.py
+++ b/rampfront/proxy/attempt_policy.py
@@ -20,9 +20,8 @@
 
 READ_ONLY = "read_only"  # the request type whose requests may be executed more than once
 _KIND_BY_REQUEST_TYPE = {READ_ONLY: t.READ_ONLY, "changing": t.ONCE_ONLY, "upload": t.ONCE_ONLY}
-_OVERDUE_VALUE_FRACTION = (
-    0.3  # assumed value of a response past its latency target, which the protocol does not convey
-)
+# Assumed value fraction of a response past its latency target, which the protocol does not convey.
+_OVERDUE_VALUE_FRACTION = 0.3
 _MAX_ATTEMPTS = 8  # upper bound, also if a route allows more
 _MAX_RETRY_AFTER_NS = 2 * SEC
 _MIN_INPUT_GAP_NS = MS  # minimum gap between two inputs of a `choice.Node`
--- a/rampfront/proxy/request_proxy.py
+++ b/rampfront/proxy/request_proxy.py
@@ -41,9 +41,8 @@
     from .environment import ProxyEnvironment
     from .server_response import ServerResponse
 
-_DEADLINE_TOLERANCE_NS = (
-    3 * MS
-)  # a request waits until this close to its deadline, because of the margin of `choice.py`
+# The margin of `choice.py` lets a request wait until this close to its deadline.
+_DEADLINE_TOLERANCE_NS = 3 * MS
 _PLAN_INDEX = 0  # index of the only plan of `attempt_policy.node_terms`
 _ONE_UNIT = 1
 _ONE_NODE = 1
--- a/rampfront/proxy/server_connections.py
+++ b/rampfront/proxy/server_connections.py
@@ -35,9 +35,8 @@
 from .server_response_reader import SystemResponseReader
 
 _OK = 200
-_NOT_EXECUTED = frozenset(
-    (t.NOT_ACCEPTED, t.NOT_SENT, t.CONNECT_FAILED)
-)  # outcomes of attempts that no server has executed
+# Outcomes of attempts that no server has executed.
+_NOT_EXECUTED = frozenset((t.NOT_ACCEPTED, t.NOT_SENT, t.CONNECT_FAILED))
 _ANSWERED = (t.DONE, t.ERROR)
 _ATTEMPT_UNCERTAIN = RequestEvent.ATTEMPT_UNCERTAIN
 
--- a/rampfront/proxy/service_pool.py
+++ b/rampfront/proxy/service_pool.py
@@ -49,9 +49,8 @@
         self.driver.servers = self.connection_pool
         self.driver.start()
         limit_initial_budget(self.driver.node)
-        self.open_requests = (
-            self.driver.in_flight.transactions.keys()
-        )  # a live view; requests compare equal by identifier
+        # A live view; requests compare equal by identifier.
+        self.open_requests = self.driver.in_flight.transactions.keys()
         self._endpoints: dict[str, ServerRow] = {}  # each server's state as last passed to the driver
         self._product_handles: dict[tuple[str, int], ProductHandle] = {}  # by request type and latency target
 
--- a/tests/proxy/test_admission.py
+++ b/tests/proxy/test_admission.py
@@ -90,9 +90,8 @@
     assert not {"customer", "authorization"} & {name.lower() for name in fields}
     proxy.respond(try_id="t2")
     proxy.configure(2, customers=[])
-    proxy.send_request(
-        try_id="t3", key="whatever", more="Customer: eve\r\n"
-    )  # without customers no keys are required, and none is forwarded
+    # Without customers no keys are required, and none is forwarded.
+    proxy.send_request(try_id="t3", key="whatever", more="Customer: eve\r\n")
     assert not {"customer", "authorization"} & {name.lower() for name in proxy.forwarded()[1]}
 
 
--- a/tests/proxy/test_request_forwarding.py
+++ b/tests/proxy/test_request_forwarding.py
@@ -116,7 +116,6 @@
     )
     assert response["content-length"] == "5" and not response["transfer-encoding"] and not response["keep-alive"]
     proxy.send_request(try_id="t2")
-    proxy.respond(
-        status=404, body=b"none", try_id="t2", seal=None
-    )  # the server's own failure is returned to the client
+    # The server's own failure is returned to the client.
+    proxy.respond(status=404, body=b"none", try_id="t2", seal=None)
     assert proxy.response().status == 404
