--- a/rampfront/edge/optional_parts.py
+++ b/rampfront/edge/optional_parts.py
@@ -79,11 +79,11 @@
 
 def create_mqtt_listener(context: NodeContext, settings: MqttSettings) -> SweptListener:
     """Creates the listener for MQTT clients, which is not open yet."""
-    from ..mqtt.front import Front
+    from ..mqtt.front import MqttListener
     from ..mqtt.topics import Routes
 
-    # The package is untyped; `Front` defines the keys of `options`.
-    create: Callable[..., SweptListener] = Front
+    # The package is untyped; `MqttListener` defines the keys of `options`.
+    create: Callable[..., SweptListener] = MqttListener
     create_routes: Callable[..., Routes] = Routes
     routes = create_routes(settings.routes)
     configuration = context.configuration
--- a/rampfront/tables.py
+++ b/rampfront/tables.py
@@ -131,11 +131,11 @@
     for k, topic in enumerate(mqtt.topics if mqtt else ()):
         if topic.product not in products:
             raise TableError(f"mqtt.topics[{k}].product", "no such product")
-        from .mqtt.codec import Malformed, topic_filter  # imported only by nodes that have MQTT topics
+        from .mqtt.codec import MqttProtocolError, check_topic_filter  # imported only by nodes that have MQTT topics
 
         try:
-            topic_filter(topic.filter)
-        except Malformed as error:
+            check_topic_filter(topic.filter)
+        except MqttProtocolError as error:
             raise TableError(f"mqtt.topics[{k}].filter", str(error)) from None
         wildcards = len([level for level in topic.filter.split("/") if level in ("+", "#")])
         if any(not 0 < int(number) <= wildcards for number in re.findall(r"{(\d+)}", topic.path)):
--- a/tests/proxy/test_connection_reuse.py
+++ b/tests/proxy/test_connection_reuse.py
@@ -1,41 +1,40 @@
-"""Connections to servers: which of them are used again."""
+"""Connections to servers: which of them are reused."""
 
 from proxy_fixtures import WRITE, ProxyHarness, reset
 
 
 def test_bytes_behind_a_complete_response_close_the_connection():
-    """They belong to no request: the answer stands, the connection goes, the next request finds a clean one."""
+    """They belong to no request: the response is returned, and the next request uses a new connection."""
     for then in (b"junk", b"HTTP/1.1 200 OK\r\nTry-Id: t2\r\nServer-Seal: x\r\nContent-Length: 3\r\n\r\nbad"):
         proxy = ProxyHarness({"s1": ("one", "a1")})
         proxy.send_request()
         old = proxy.pipes["s1"]
         proxy.respond(then=then)
         assert proxy.response().body == b"yes" and old.closed
-        proxy.send_request(tag="t2")
+        proxy.send_request(try_id="t2")
         assert proxy.pipes["s1"] is not old
-        proxy.respond(tag="t2", body=b"good")
+        proxy.respond(try_id="t2", body=b"good")
         assert proxy.response().body == b"good"
 
 
 def test_bytes_on_an_idle_connection_close_it():
-    """A late second answer, as what is unread there or as it comes: the connection goes before it can pass for
-    another's."""
+    """A late second response must not be taken for the response to the next request."""
     proxy = ProxyHarness({"s1": ("one", "a1")})
     proxy.send_request()
     proxy.respond()
     old = proxy.pipes["s1"]
     old.feed(b"HTTP/1.1 200 OK\r\nTry-Id: t2\r\nServer-Seal: x\r\nContent-Length: 3\r\n\r\nbad")
     assert old.closed
-    proxy.send_request(tag="t2")
+    proxy.send_request(try_id="t2")
     assert proxy.pipes["s1"] is not old
 
 
 def test_connections_are_reused():
-    """One after the other on the same connection, but not behind `Connection: close`, nor past the idle bound."""
+    """Sequential requests share a connection, but not after `Connection: close` or the idle timeout."""
     proxy = ProxyHarness({"s1": ("one", "a1")})
     for k in range(3):
-        proxy.send_request(tag=f"t{k}")
-        proxy.respond(tag=f"t{k}", more="Connection: close\r\n" if k == 1 else "")
+        proxy.send_request(try_id=f"t{k}")
+        proxy.respond(try_id=f"t{k}", more="Connection: close\r\n" if k == 1 else "")
     assert proxy.log.counts["connects"] == 2
     proxy.wait(7500)
     for service_pool in proxy.request_proxy.service_pools.values():
@@ -44,7 +43,7 @@
 
 
 def test_the_keep_alive_of_a_server_is_followed():
-    """Guards requests against a server that closes an idle connection just as they are sent."""
+    """Guards against sending a request just as the server closes the idle connection."""
     proxy = ProxyHarness({"s1": ("one", "a1")})
     for k, (wait, more, connects) in enumerate(
         (
@@ -58,30 +57,29 @@
         )
     ):
         proxy.wait(wait)
-        proxy.send_request(tag=f"t{k}")
-        proxy.respond(tag=f"t{k}", more=f"Keep-Alive: {more}\r\n" if more else "")
+        proxy.send_request(try_id=f"t{k}")
+        proxy.respond(try_id=f"t{k}", more=f"Keep-Alive: {more}\r\n" if more else "")
         assert proxy.response().status == 200 and proxy.log.counts["connects"] == connects, k
 
 
 def test_after_a_forgotten_connection_idle_ones_are_distrusted():
-    """A server that forgets idle connections without a word costs one request that may run once, not one for each of
-    them."""
+    """A server that drops idle connections without closing them costs one once-only request, not one per connection."""
     proxy = ProxyHarness({"s1": ("one", "a1")})
     proxy.send_request(WRITE)
     proxy.respond()
     assert proxy.response().status == 200
     proxy.wait(3000)
-    proxy.send_request(WRITE, tag="t2")
+    proxy.send_request(WRITE, try_id="t2")
     reset(proxy)
     assert proxy.response().status == 502 and proxy.log.counts["connects"] == 1
-    for tag, rest, connects in (
+    for try_id, rest, connects in (
         ("t3", 0, 2),
         ("t4", 300, 2),
         ("t5", 500, 3),
         ("t6", 2000, 4),
         ("t7", 5500, 4),
-    ):  # and is, later
+    ):  # idle connections are trusted again later
         proxy.wait(rest)
-        proxy.send_request(WRITE, tag=tag)
-        proxy.respond(tag=tag)
-        assert proxy.response().status == 200 and proxy.log.counts["connects"] == connects, tag
+        proxy.send_request(WRITE, try_id=try_id)
+        proxy.respond(try_id=try_id)
+        assert proxy.response().status == 200 and proxy.log.counts["connects"] == connects, try_id
--- a/tests/proxy_fixtures.py
+++ b/tests/proxy_fixtures.py
@@ -1,6 +1,6 @@
-"""`ProxyHarness`: one request proxy with its clients' front between scripted clients and servers, on a fake loop.
+"""`ProxyHarness`: a request proxy and its client listener, with scripted clients and servers, on a fake event loop.
 
-Nothing here sleeps."""
+The clock is simulated, so nothing here sleeps."""
 
 import json
 import random
@@ -18,8 +18,8 @@
 
 MS, SEC = 10**6, 10**9
 ZONES = {"a1": "a", "a2": "a", "b1": "b"}
-EPOCH = 10**18  # the fake clock's start
-TWO_SERVERS = {"s1": ("one", "a1"), "s2": ("one", "a2")}  # servers: id to service and zone
+CLOCK_START_NS = 10**18  # start of the simulated clock
+TWO_SERVERS = {"s1": ("one", "a1"), "s2": ("one", "a2")}  # server id to service and zone
 READ, WRITE = "/read/x", "/write/x"
 
 
@@ -64,13 +64,13 @@
 CUSTOMERS = [{"Name": "ann", "ApiKeys": ["ann-key"]}, {"Name": "bea", "ApiKeys": ["bea-key"], "HomeRegions": ["b"]}]
 
 
-def orders(revision=1, rules=RULES, tenants=CUSTOMERS, **caps):
-    """A configuration as the operator puts it."""
+def configuration_bytes(revision=1, rules=RULES, customers=CUSTOMERS, **caps):
+    """A configuration as an operator submits it."""
     return json.dumps(
         {
             "Revision": f"r{revision}",
             "Caps": caps,
-            "Customers": tenants,
+            "Customers": customers,
             "Sockets": [{"Hostname": "host.example", "Rulebook": rules}],
             "Groups": [
                 {"Name": name, "HealthPath": "/health", "Warmup": "3s", "ColdPerS": 2} for name in ("one", "two")
@@ -80,7 +80,7 @@
 
 
 class FakeLimiter:
-    """In place of the limiter: lets in `left` requests, of all customers together."""
+    """Replaces the limiter: admits `left` requests, over all customers."""
 
     def __init__(self, left=1000):
         self.left, self.refunded = left, []
@@ -97,7 +97,7 @@
 
 
 class SilentEventLog(EventLog):
-    """Counts, and writes no lines."""
+    """Counts events, but writes no log lines."""
 
     def __init__(self):
         super().__init__("n1", 10**10, COUNTERS)
@@ -107,7 +107,7 @@
 
 
 class FakeConnection(Pipe):
-    """One connection, of a client or to a server; keeps what was written to it."""
+    """One connection, from a client or to a server; records the bytes written to it."""
 
     def __init__(self, *args):
         super().__init__(*args)
@@ -126,7 +126,7 @@
 
 
 class ClientResponse:
-    """A response as a client got it."""
+    """A response as received by a client."""
 
     def __init__(self, data):
         head, _, self.body = data.partition(b"\r\n\r\n")
@@ -142,60 +142,64 @@
 
 
 class ProxyHarness(Stage):
-    """`servers`: id to (service, zone) or to (service, zone, state). Each has an address of its own; `ways[id]` says
-    whether a connect to it succeeds, is refused ("refuses") or hangs ("silent")."""
+    """A request proxy between scripted clients and servers.
 
-    def __init__(self, servers=None, rules=RULES, tenants=CUSTOMERS, quota=None, fresh=True, **caps):
+    `servers`: id to (service, zone) or to (service, zone, state). Each has its own address; `ways[id]` determines
+    whether a connect to it succeeds, is refused ("refuses") or hangs ("silent"). `fresh`: whether the core confirmed
+    the configuration recently.
+    """
+
+    def __init__(self, servers=None, rules=RULES, customers=CUSTOMERS, quota=None, fresh=True, **caps):
         self.now, self.number, self.handles, self.lines = 0, 0, [], []
         self.opening, self.ends, self.ways, self.pipes, self.sockets = [], [], {}, {}, {}
-        self.saved = True  # the retry budget is full
-        self.opened = []  # connections to servers, ever
+        self.refill_retry_budget = True  # whether every request finds a full retry budget
+        self.opened = []  # all connections to servers so far
         self.log, self.quota, self.fresh = SilentEventLog(), quota or FakeLimiter(), fresh
         self.process_settings = settings_reader.read(settings()).ok_value
-        self.places, self.numbers = {}, 0
+        self.server_by_address, self.list_version = {}, 0
         limits = network_limits(self.process_settings)
         environment = ProxyEnvironment(self, self.clock, self.process_settings, limits, random.Random(5), self.log)
         self.request_proxy = RequestProxy(environment, self.quota, lambda now: self.fresh)
         self.client_front = ClientFront(environment, self.request_proxy)
         self.make = lambda: self.client_front.make_connection()
         if servers is not None:
-            self.configure(rules=rules, tenants=tenants, **caps)
+            self.configure(rules=rules, customers=customers, **caps)
             self.set_servers(servers)
 
     def clock(self):
-        return EPOCH + self.now
+        return CLOCK_START_NS + self.now
 
     def create_connection(self, make, host, port):
-        pipe = FakeConnection(self, self.places[host, port], make)
+        pipe = FakeConnection(self, self.server_by_address[host, port], make)
         self.opened.append(pipe)
         return pipe
 
     def configure(self, revision=1, **other):
-        configuration = configuration_reader.read(orders(revision, **other)).ok_value
+        configuration = configuration_reader.read(configuration_bytes(revision, **other)).ok_value
         self.client_front.apply_caps(configuration.caps)
         self.request_proxy.apply_configuration(configuration)
         self.settle()
 
     def set_servers(self, servers, at=None, cold=None):
-        """`at`: id to port, where it is not the id's own; `cold`: id to the ms that it stays so."""
+        """`at`: id to port, if it is not the default port; `cold`: id to the rest of its slow start in ms."""
         rows = []
-        for uid, (service, zone, *state) in servers.items():
-            port = (at or {}).get(uid, 9000 + int(uid[1:]))
-            self.places[f"10.9.0.{uid[1:]}", port] = uid
+        for server_id, (service, zone, *state) in servers.items():
+            port = (at or {}).get(server_id, 9000 + int(server_id[1:]))
+            self.server_by_address[f"10.9.0.{server_id[1:]}", port] = server_id
             rows.append(
                 Endpoint(
-                    uid,
+                    server_id,
                     service,
-                    f"10.9.0.{uid[1:]}",
+                    f"10.9.0.{server_id[1:]}",
                     port,
                     zone,
                     4,
                     state[0] if state else "ready",
-                    self.clock() + cold[uid] * MS if cold and uid in cold else 0,
+                    self.clock() + cold[server_id] * MS if cold and server_id in cold else 0,
                 )
             )
-        self.numbers += 1
-        self.request_proxy.apply_server_list(EndpointList(self.numbers, tuple(rows)))
+        self.list_version += 1
+        self.request_proxy.apply_server_list(EndpointList(self.list_version, tuple(rows)))
         self.settle()
 
     # ---- clients
@@ -209,52 +213,60 @@
         return pipe
 
     def send_request(
-        self, path="/read/x", tag="t1", client="c", key="ann-key", method=None, body=b"", host="host.example", more=""
+        self,
+        path="/read/x",
+        try_id="t1",
+        client="c",
+        key="ann-key",
+        method=None,
+        body=b"",
+        host="host.example",
+        more="",
     ):
-        """One request; `more` are lines of the head."""
-        for service_pool in self.request_proxy.service_pools.values() if self.saved else ():
-            # Retries are not what is tested, unless `saved` is cleared.
+        """Sends one request; `more`: further header lines."""
+        for service_pool in self.request_proxy.service_pools.values() if self.refill_retry_budget else ():
+            # Only a test that clears `refill_retry_budget` tests the retry budget.
             service_pool.driver.node.saved_retries = service_pool.driver.node.max_saved_retries
         changing = path.startswith(("/write", "/put"))
         method = method or ("POST" if changing else "GET")
         head = f"{method} {path} HTTP/1.1\r\nHost: {host}\r\n"
-        head += f"Try-Id: {tag}\r\n" if tag else ""
+        head += f"Try-Id: {try_id}\r\n" if try_id else ""
         head += f"Authorization: Bearer {key}\r\n" if key else ""
         head += more + (f"Content-Length: {len(body)}\r\n" if body else "")
         self.client(client).feed(head.encode() + b"\r\n" + body)
 
     def response(self, client="c"):
-        """What the client got since it was last looked at, or None."""
+        """The response that the client received since the last call, or None."""
         data = self.pipes[client].take()
         return ClientResponse(data) if data else None
 
     # ---- servers
 
     def pending(self):
-        """Ids of the servers at which something stands unanswered, with the newest such connection."""
+        """Server ids with an unanswered request, each with its newest such connection."""
         return {pipe.name: pipe for pipe in self.pending_connections()}
 
     def pending_connections(self):
         return [pipe for pipe in self.opened if pipe.protocol and not pipe.closed and pipe.data]
 
     def pending_server(self):
-        """The one server that holds the request."""
+        """The id of the only server with an unanswered request."""
         ((name, pipe),) = self.pending().items()
         return name
 
     def forwarded(self, name=None):
-        """What the server got: its head's lines as a dict, and the body."""
+        """The request that the server received: request line, header fields as a dict, and body."""
         request = self.pending()[name or self.pending_server()].data
         head, _, body = request.partition(b"\r\n\r\n")
         lines = head.decode().split("\r\n")
         fields = dict(line.split(": ", 1) for line in lines[1:])
-        assert len(fields) == len(lines) - 1, "a field twice"
+        assert len(fields) == len(lines) - 1, "a header field is repeated"
         return lines[0], fields, body
 
-    def respond(self, name=None, status=200, body=b"yes", tag="t1", seal="stamp", more="", then=b""):
-        """A server's answer; `tag` and `seal` None leave their field out, `then` is what follows it."""
+    def respond(self, name=None, status=200, body=b"yes", try_id="t1", seal="stamp", more="", then=b""):
+        """Sends a server's response. `try_id` or `seal` None omits the field; `then`: bytes after the response."""
         head = f"HTTP/1.1 {status} Said\r\nContent-Length: {len(body)}\r\n{more}"
-        head += f"Try-Id: {tag}\r\n" if tag else ""
+        head += f"Try-Id: {try_id}\r\n" if try_id else ""
         head += f"Server-Seal: {seal}\r\n" if seal else ""
         self.respond_raw(head.encode() + b"\r\n" + body + then, name)
 
@@ -263,16 +275,16 @@
         pipe.take()
         pipe.feed(data)
 
-    def respond_to(self, tag):
-        """The server that holds the request of this id answers it."""
-        pipe = next(pipe for pipe in self.pending_connections() if b"Try-Id: %s\r\n" % tag.encode() in pipe.data)
+    def respond_to(self, try_id):
+        """Sends a response from the server that has the request with this id."""
+        pipe = next(pipe for pipe in self.pending_connections() if b"Try-Id: %s\r\n" % try_id.encode() in pipe.data)
         pipe.take()
-        pipe.feed(f"HTTP/1.1 200 OK\r\nTry-Id: {tag}\r\nServer-Seal: x\r\nContent-Length: 2\r\n\r\nok")
+        pipe.feed(f"HTTP/1.1 200 OK\r\nTry-Id: {try_id}\r\nServer-Seal: x\r\nContent-Length: 2\r\n\r\nok")
 
-    def reject(self, name=None, status=503, tag="t1"):
-        self.respond(name, status, b"", tag, None, "Not-Run: 1\r\n")
+    def reject(self, name=None, status=503, try_id="t1"):
+        self.respond(name, status, b"", try_id, None, "Not-Run: 1\r\n")
 
 
 def reset(proxy):
-    """The connection on which the last request went is reset."""
+    """Resets the connection that the last request was sent on."""
     proxy.pipes[proxy.pending_server()].cut()
