--- a/rampfront/simulation/clients.py
+++ b/rampfront/simulation/clients.py
@@ -2,7 +2,7 @@
 
 import json
 
-from .fleet import ZONES, Asked, Caller, Fleet, Machine
+from .fleet import ZONES, ApiCall, Caller, Fleet, Machine
 
 MS, SEC = 10**6, 10**9
 PROBE, PRESSED = 100 * MS, 8 * MS  # between requests that go straight to some front, or to one of which much is asked
@@ -22,9 +22,9 @@
         "group",
         "key",
         "machine",
-        "once",
+        "non_repeatable",
         "path_seen",
-        "proper",
+        "must_succeed",
         "removed",
         "revision",
         "runs",
@@ -33,16 +33,16 @@
         "status",
         "tag",
         "tenant",
-        "touch",
+        "was_in_touch",
     )
 
     def __init__(self, fleet: Fleet, tag: str, key: str, tenant: str | None, service: str) -> None:
         """`tenant`: who holds the key, if anybody."""
         self.fleet, self.tag, self.sent, self.key, self.tenant = fleet, tag, fleet.now, key, tenant
-        self.service, self.once, self.proper, self.removed = service, False, True, None
+        self.service, self.non_repeatable, self.must_succeed, self.removed = service, False, True, None
         self.status = self.machine = self.path_seen = None
         self.revision = self.arrivals = self.runs = 0
-        self.touch = False
+        self.was_in_touch = False
         self.group, self.address = None, ""
 
     def answered(self, data: bytes) -> None:
@@ -76,11 +76,11 @@
     def ask_on(self, tenant: str) -> None:
         """A request of a tenant, and when its next one comes."""
         self.ask(tenant)
-        self.fleet.at(self.fleet.now + int(self.chance.expovariate(self.rates[tenant]) * SEC), self.ask_on, tenant)
+        self.fleet.at(self.fleet.now + int(self.rng.expovariate(self.rates[tenant]) * SEC), self.ask_on, tenant)
 
     def probe(self) -> None:
         """Now and then one goes straight to a front, whatever the directory says, with a key of some version."""
-        self.ask("ann", self.chance.choice(self.fleet.machines))
+        self.ask("ann", self.rng.choice(self.fleet.machines))
         self.fleet.at(self.fleet.now + PROBE, self.probe)
 
     def press(self, who: int, ms: int) -> None:
@@ -95,29 +95,29 @@
 
     def ask(self, tenant: str, straight: Machine | None = None) -> None:
         """A request by way of the directory, or to a front that is given."""
-        fleet, chance = self.fleet, self.chance
-        group = chance.choice(self.groups)
+        fleet, rng = self.fleet, self.rng
+        group = rng.choice(self.groups)
         if fleet.now >= group.until and not group.asking:
             self.learn(group, TRIES)
         some = [a for a in group.addresses if group.failed.get(a, 0) <= fleet.now] or group.addresses
         if not some and not straight:
             return
-        key, removed, proper, dice = f"{tenant}-key", None, True, chance.random()
+        key, removed, proper, dice = f"{tenant}-key", None, True, rng.random()
         if tenant == "ann" and (dice < OF_A_VERSION or straight) and self.revs:
             # A key of a version, perhaps one of long ago.
-            at = max(0, len(self.revs) - 1 - chance.randrange(5))
-            if straight and straight.revision and chance.random() < WORST_KEY:
+            at = max(0, len(self.revs) - 1 - rng.randrange(5))
+            if straight and straight.revision and rng.random() < WORST_KEY:
                 at = self.revs.index(straight.revision)  # the worst one: what that front still knows
             key, proper = f"ann-{self.revs[at]}", False
             removed = self.revs[at + 2] if at + 2 < len(self.revs) else None
         elif dice > UNKNOWN_KEY:
             key, tenant, proper = "nobody", None, False
-        kind = chance.choice(("one", "one", "two", "put")) if tenant != "hot" else "one"
+        kind = rng.choice(("one", "one", "two", "put")) if tenant != "hot" else "one"
         self.tags += 1
         tag = f"t{self.tags}"
         request = fleet.requests[tag] = Request(fleet, tag, key, tenant, "two" if kind == "two" else "one")
-        request.once, request.proper, request.removed = kind == "put", proper, removed
-        request.group, request.address = group, f"{straight.ip}:80" if straight else chance.choice(some)
+        request.non_repeatable, request.must_succeed, request.removed = kind == "put", proper, removed
+        request.group, request.address = group, f"{straight.ip}:80" if straight else rng.choice(some)
         machine = fleet.by_ip[request.address.partition(":")[0]]
         body = b"x" * 20 if kind == "put" else b""
         data = (
@@ -135,7 +135,7 @@
         )
         self.watch.sent(request)
         caller = Caller(fleet, machine, f"c:{group.zone}", request)
-        fleet.flow(caller.pair, caller, caller.arrive, data)
+        fleet.transmit_bytes(caller.pair, caller, caller.arrive, data)
         fleet.at(fleet.now + 3 * SEC, self.give_up, caller)
 
     @staticmethod
@@ -146,28 +146,30 @@
 
     def learn(self, group: "Group", tries: int) -> None:
         """Asks the directory, near nodes first, each for a second at most."""
-        fleet, chance = self.fleet, self.chance
+        fleet, rng = self.fleet, self.rng
         group.asking = True
         if not tries:
             group.asking = False
             group.until = fleet.now + 200 * MS
             return
         near = [m for m in fleet.machines if m.zone == group.zone]
-        machine = chance.choice(near if tries == TRIES else fleet.machines)
+        machine = rng.choice(near if tries == TRIES else fleet.machines)
         pair = f"c:{group.zone}", machine.ip
         if fleet.cut(pair) or fleet.cut(pair[::-1]) or machine.frozen:
             fleet.at(fleet.now + SEC, self.learn, group, tries - 1)
         else:
-            fleet.at(fleet.now + 2 * fleet.way(*pair), self.directory_answered, group, tries, machine)
+            fleet.at(fleet.now + 2 * fleet.draw_latency(*pair), self.directory_answered, group, tries, machine)
 
     def directory_answered(self, group: "Group", tries: int, machine: Machine) -> None:
         """What a node says of the fronts that are ready."""
         is_there = machine.up and not machine.frozen
-        said = machine.directory.lookup(Asked({"Zone": group.zone, "Region": ZONES[group.zone]})) if is_there else None
-        if said is None or said.status != OK:
+        answer = (
+            machine.directory.lookup(ApiCall({"Zone": group.zone, "Region": ZONES[group.zone]})) if is_there else None
+        )
+        if answer is None or answer.status != OK:
             self.learn(group, tries - 1)
             return
-        told = json.loads(said.body)
+        told = json.loads(answer.body)
         group.addresses, group.asking = told["Addresses"], False
         group.until = self.fleet.now + 2 * SEC * group.patience
         group.failed = {a: until for a, until in group.failed.items() if until > self.fleet.now}
@@ -184,4 +186,4 @@
             self.rates[tenant] -= rate
             return
         self.ask(tenant)
-        self.fleet.at(self.fleet.now + int(self.chance.expovariate(rate) * SEC), self.ask_on_for, tenant, until, rate)
+        self.fleet.at(self.fleet.now + int(self.rng.expovariate(rate) * SEC), self.ask_on_for, tenant, until, rate)
--- a/rampfront/simulation/closing_loss.py
+++ b/rampfront/simulation/closing_loss.py
@@ -13,7 +13,7 @@
 
 from .checks import Broken
 from .fleet import ZONES, Machine
-from .plan import BEGIN, CATCH_UP, LEADER
+from .plan import CATCH_UP_MS, FAULTS_BEGIN_MS, LEADER
 from .system_run import SystemRun
 from .world import Call
 
@@ -33,7 +33,7 @@
     def __init__(self, seed: int, nodes: int = 11, disks: int | None = None) -> None:
         """`disks`: machines of the core."""
         super().__init__(seed, nodes, disks, length=0, plan=[])
-        self.ends = 1 << 62  # faults of a situation may come at any time
+        self.faults_end_at = 1 << 62  # faults of a situation may come at any time
         self.draw = Random(seed * 6133 + nodes)
         self.struck = False
 
@@ -41,7 +41,7 @@
         """Returns the counts of what happened; raises `Broken`."""
         self.start_all()
         fleet, draw = self.fleet, self.draw
-        fleet.run(BEGIN * MS)
+        fleet.run(FAULTS_BEGIN_MS * MS)
         zone = draw.choice(list(ZONES))
         kind = draw.choice(ORDERS)
         if kind == "fill":
@@ -99,7 +99,7 @@
     def replaced(self) -> None:
         """A machine of the core is gone for good, and its successor comes in meanwhile."""
         self.replace(self.draw.choice((LEADER, self.draw.randrange(self.disks))), self.draw.randrange(300, 1500))
-        self.pass_ms(0, CATCH_UP + 2500)
+        self.pass_ms(0, CATCH_UP_MS + 2500)
 
     def replaced_on_a_slow_disk(self) -> None:
         """The same, and the successor's disk is so slow that it is half caught up."""
@@ -162,7 +162,7 @@
     def strike(self) -> None:
         """As many disks are lost as may be; all other machines lose power at the same moment, and all come back."""
         fleet, draw = self.fleet, self.draw
-        self.struck, self.trap, self.answer_loss = True, None, 0.0
+        self.struck, self.armed_fault, self.answer_loss = True, None, 0.0
         lost = self.machines_to_wipe()
         fleet.note("strike", [machine.name for machine in lost])
         for machine in list(fleet.machines):
@@ -200,7 +200,7 @@
         """All that was acknowledged is there, at every node, in time; the fleet serves."""
         fleet = self.fleet
         floor, number = fleet.ledger.newest(), self.watch.acked[-1][1]
-        self.recovers(list(fleet.machines))
+        self.wait_for_recovery(list(fleet.machines))
         call = self.call("read", None, READ_WITHIN)
         fleet.run(fleet.now + READ_WITHIN)
         if call.verdict != "done" or int(json.loads(call.state)["Revision"][1:]) < number:
@@ -212,7 +212,7 @@
             lost = [zone for zone in self.evacuated_zones() if zone not in state.evacuated_zones]
             if lost:
                 raise Broken(f"LOST: the evacuation of {lost} at {machine.name}")
-        self.serves(3 * SEC)
+        self.check_requests_served(3 * SEC)
 
     def evacuated_zones(self) -> list[str]:
         """Those whose evacuation was acknowledged, and that nobody has begun to take back."""
--- a/rampfront/simulation/fleet.py
+++ b/rampfront/simulation/fleet.py
@@ -104,7 +104,7 @@
         self.request = None
         self.far = self.fleet.place_of.get(self.address, "s:?")
         self.pair, self.back = (self.machine.ip, self.far), (self.far, self.machine.ip)
-        self.fleet.flow(self.pair, self, self.knock)
+        self.fleet.transmit_bytes(self.pair, self, self.knock)
 
     # as a task
 
@@ -124,11 +124,11 @@
         fleet, server = self.fleet, self.fleet.at_address.get(self.address)
         if server is None or not server.up:
             if server is None or not server.dark:
-                fleet.flow(self.back, self, fleet.do, self.machine, self.loop.life, self.refused)
+                fleet.transmit_bytes(self.back, self, fleet.do, self.machine, self.loop.life, self.refused)
             return
         self.server = server
         fleet.links.setdefault(server, {})[self] = None
-        fleet.flow(self.back, self, fleet.do, self.machine, self.loop.life, self.opened)
+        fleet.transmit_bytes(self.back, self, fleet.do, self.machine, self.loop.life, self.opened)
 
     def refused(self):
         if not self.closed:
@@ -147,7 +147,7 @@
 
     def write(self, data):
         if not self.closed:
-            self.fleet.flow(self.pair, self, self.server.take, self, bytes(data))
+            self.fleet.transmit_bytes(self.pair, self, self.server.take, self, bytes(data))
 
     def writelines(self, parts):
         self.write(b"".join(parts))
@@ -163,14 +163,14 @@
             self.closed = True
             if self.server:
                 self.fleet.links.get(self.server, {}).pop(self, None)
-                self.fleet.at(self.fleet.now + self.fleet.way(*self.pair), self.server.dropped, self)
+                self.fleet.at(self.fleet.now + self.fleet.draw_latency(*self.pair), self.server.dropped, self)
 
     close = abort
 
     # the far side
 
     def reply(self, data):
-        self.fleet.flow(self.back, self, self.fleet.do, self.machine, self.loop.life, self.feed, data)
+        self.fleet.transmit_bytes(self.back, self, self.fleet.do, self.machine, self.loop.life, self.feed, data)
 
     def feed(self, data):
         feed(self, data)
@@ -178,7 +178,7 @@
     def lost(self):
         """The server's end is gone, or the network says so."""
         fleet = self.fleet
-        fleet.at(fleet.now + fleet.way(*self.pair), fleet.do, self.machine, self.loop.life, self.reset)
+        fleet.at(fleet.now + fleet.draw_latency(*self.pair), fleet.do, self.machine, self.loop.life, self.reset)
 
     def reset(self):
         if not self.closed:
@@ -213,7 +213,7 @@
     def arrive(self, data):
         machine = self.machine
         if not machine.up or machine.life != self.life:
-            return self.fleet.flow(self.back, self, self.request.failed, "refused")
+            return self.fleet.transmit_bytes(self.back, self, self.request.failed, "refused")
         self.fleet.callers.setdefault(machine, {})[self] = None
         self.fleet.do(machine, self.life, self.take, data)
 
@@ -222,14 +222,14 @@
         if self.closed:
             return
         if client_front.closing:
-            return self.fleet.flow(self.back, self, self.request.failed, "refused")
+            return self.fleet.transmit_bytes(self.back, self, self.request.failed, "refused")
         self.protocol = client_front.make_connection()
         self.protocol.connection_made(self)
         feed(self, data)
 
     def write(self, data):
         if not self.closed:
-            self.fleet.flow(self.back, self, self.request.answered, bytes(data))
+            self.fleet.transmit_bytes(self.back, self, self.request.answered, bytes(data))
 
     def get_extra_info(self, name):
         return None
@@ -248,7 +248,9 @@
             self.fleet.callers.get(self.machine, {}).pop(self, None)
             self.fleet.at(self.fleet.now, self.fleet.do, self.machine, self.life, self.parted)
             # behind whatever answer is on its way
-            self.fleet.at(self.fleet.now + self.fleet.way(*self.back) + 2 * AGAIN, self.request.failed, "closed")
+            self.fleet.at(
+                self.fleet.now + self.fleet.draw_latency(*self.back) + 2 * AGAIN, self.request.failed, "closed"
+            )
 
     close = abort
 
@@ -262,7 +264,7 @@
             self.closed = True
             self.fleet.callers.get(self.machine, {}).pop(self, None)
             fleet = self.fleet
-            fleet.at(fleet.now + fleet.way(*self.pair), fleet.do, self.machine, self.life, self.parted)
+            fleet.at(fleet.now + fleet.draw_latency(*self.pair), fleet.do, self.machine, self.life, self.parted)
 
 
 class Frames(Wire):
@@ -272,7 +274,7 @@
         if ip == self.ip:
             self.loop.call_soon(self.receive_frame, ip, data)
         elif self.loop.fleet.bandwidth is None:
-            self.loop.fleet.frame(self, ip, data)
+            self.loop.fleet.transmit_frame(self, ip, data)
         elif len(data) <= MAX_DATAGRAM_BYTES:
             self.loop.fleet.datagram(self, ip, data)
         else:
@@ -313,7 +315,7 @@
         return self.node_process.core.member
 
 
-class Asked:
+class ApiCall:
     """A call to the directory or of an operator."""
 
     __slots__ = "query", "body", "respond", "path", "idempotency_key"
@@ -327,7 +329,7 @@
 
     def __init__(self, seed, nodes=11, disks=4, survive=None, sync=MS):
         super().__init__()
-        self.chance = Random(seed)
+        self.rng = Random(seed)
         zones = list(ZONES)
         self.machines = [Machine(k + 1, zones[k % 4], k < disks, sync) for k in range(nodes)]
         self.core = self.machines[:disks]
@@ -338,10 +340,10 @@
         self.ledger, self.watch = Ledger(), None
         self.cuts, self.reset, self.loss, self.repeat, self.slow = {}, set(), 0.005, 0.002, 0
         self.core_troubles, self.core_calm_at = 0, 0
-        self.kept = {}  # (name, incarnation) to the stamp of the entry that it synced last, whether or not the disk is lost since
+        self.synced_positions = {}  # (name, incarnation) to the stamp of the entry that it synced last, whether or not the disk is lost since
         self.links, self.callers = {}, {}  # by server and by machine: connections that stand
         self.place_of, self.at_address, self.servers, self.requests, self.refuses = {}, {}, [], {}, {}
-        self.platform = Platform(self, self.chance.choice((200, 500, 1000)) * MS, 10 if nodes < 20 else 60)
+        self.platform = Platform(self, self.rng.choice((200, 500, 1000)) * MS, 10 if nodes < 20 else 60)
         self.uids = 0
         self.way_of = {}
         self.bandwidth = None  # links without a bound, unless one is set
@@ -361,7 +363,7 @@
         machine = self.by_ip.get(end)
         return machine.zone if machine else end[2:] if end[1:2] == ":" else "a1"
 
-    def way(self, src, dst):
+    def draw_latency(self, src, dst):
         """ns from one place to another."""
         base = self.way_of.get((src, dst))
         if base is None:
@@ -370,39 +372,37 @@
             base += 3 * MS if src[:2] == "c:" or dst[:2] == "c:" else 0
             self.way_of[src, dst] = base
         return (
-            base
-            + int(self.chance.random() * (base // 2 + 300_000))
-            + (self.chance.randrange(self.slow) if self.slow else 0)
+            base + int(self.rng.random() * (base // 2 + 300_000)) + (self.rng.randrange(self.slow) if self.slow else 0)
         )
 
     def cut(self, pair):
         return pair in self.cuts
 
-    def flow(self, pair, conn, what, *args):
+    def transmit_bytes(self, pair, conn, what, *args):
         """Bytes of a connection: they come, however late, unless it ends first."""
         if conn.closed:
             return
         if pair in self.cuts:
             if pair in self.reset and hasattr(conn, "reset"):
                 return conn.lost()
-            return self.at(self.now + AGAIN, self.flow, pair, conn, what, *args)
-        late = AGAIN if self.chance.random() < self.loss else 0
-        self.at(self.now + self.way(*pair) + late, what, *args)
+            return self.at(self.now + AGAIN, self.transmit_bytes, pair, conn, what, *args)
+        late = AGAIN if self.rng.random() < self.loss else 0
+        self.at(self.now + self.draw_latency(*pair) + late, what, *args)
 
-    def frame(self, wire, ip, data):
+    def transmit_frame(self, wire, ip, data):
         """A frame between two machines: it may be lost, come twice, or be passed by a later one."""
         peer, mine = self.by_ip.get(ip), wire.ip
-        if peer is None or (mine, ip) in self.cuts or self.chance.random() < self.loss:
+        if peer is None or (mine, ip) in self.cuts or self.rng.random() < self.loss:
             return
-        wait = self.way(mine, ip)
+        wait = self.draw_latency(mine, ip)
         self.at(self.now + wait, self.land, mine, peer, data)
-        if self.chance.random() < self.repeat:
-            self.at(self.now + wait + self.chance.randrange(300 * MS), self.land, mine, peer, data)
+        if self.rng.random() < self.repeat:
+            self.at(self.now + wait + self.rng.randrange(300 * MS), self.land, mine, peer, data)
 
     def datagram(self, wire, ip, data):
         """A small frame over links of a bounded bandwidth."""
         peer = self.by_ip.get(ip)
-        if peer is not None and (wire.ip, ip) not in self.cuts and self.chance.random() >= self.loss:
+        if peer is not None and (wire.ip, ip) not in self.cuts and self.rng.random() >= self.loss:
             self.bandwidth.datagram(wire.ip, ip, len(data), partial(self.land, wire.ip, peer, data))
 
     def transfer(self, wire, transfer):
@@ -459,7 +459,7 @@
         machine.life += 1
         machine.up, machine.frozen, machine.inbox, machine.ruled, machine.revision = True, False, [], 0, 0
         machine.leads = False
-        machine.offset = EPOCH + self.chance.randrange(SEC)
+        machine.offset = EPOCH + self.rng.randrange(SEC)
         machine.loop = loop = Loop(self, machine)
         ports = Ports(
             clock=lambda: (lambda: machine.offset + self.now),
@@ -469,7 +469,7 @@
             poller=Reader,
         )
         node_process = machine.node_process = build_node_process(
-            loop, self.process_settings(machine), Quiet(machine.name), self.chance.getrandbits(64), ports=ports
+            loop, self.process_settings(machine), Quiet(machine.name), self.rng.getrandbits(64), ports=ports
         )
         node_process.client_front.server = Listener
         machine.control, machine.directory = build_control_calls(node_process), build_directory(node_process)
@@ -493,7 +493,7 @@
         machine.up, machine.frozen, machine.inbox, machine.node_process = False, False, [], None
         self.rougher(machine)
         if (disk := machine.disk) is not None:
-            if disk.pending is not None and self.chance.random() < 0.3:
+            if disk.pending is not None and self.rng.random() < 0.3:
                 disk.record = disk.pending
                 self.keep(machine)
             disk.pending, disk.hangs = None, False
@@ -502,7 +502,7 @@
                 conn.abort()
         for conn in list(self.callers.pop(machine, ())):
             conn.closed = True
-            self.at(self.now + self.way(*conn.back), conn.request.failed, "reset")
+            self.at(self.now + self.draw_latency(*conn.back), conn.request.failed, "reset")
 
     def wipe(self, machine):
         self.stop(machine)
@@ -552,7 +552,7 @@
             machine.frozen = False
             self.calmer(machine)
             inbox, machine.inbox = machine.inbox, []
-            if self.chance.random() < 0.5:  # the loop's timers go before its sockets, or the other way round
+            if self.rng.random() < 0.5:  # the loop's timers go before its sockets, or the other way round
                 inbox.sort(key=lambda row: getattr(row[0], "__func__", None) is not Handle.run)
             for act, args in inbox:
                 self.do(machine, life, act, *args)
@@ -563,7 +563,7 @@
         if disk.pending is not None:
             raise Broken("two stores at once")
         disk.pending = record
-        wait = disk.wait // 2 + self.chance.randrange(disk.wait + MS)
+        wait = disk.wait // 2 + self.rng.randrange(disk.wait + MS)
         self.at(self.now + wait, self.stored, machine, loop.life, disk, future)
         return future
 
@@ -582,7 +582,7 @@
     def keep(self, machine):
         _, incarnation, _, _, _, entry, *_ = cbor2.loads(machine.disk.record)
         if entry:
-            self.kept[machine.name, incarnation] = entry[1], entry[0]
+            self.synced_positions[machine.name, incarnation] = entry[1], entry[0]
 
     # ---- who is in touch, as RULES has it, a little stricter
 
@@ -604,7 +604,7 @@
             return None
         return self.core_calm_at
 
-    def touch_since(self, machine):
+    def in_touch_since(self, machine):
         """Since when a machine is untroubled, the core too; None if it is not."""
         settled = self.settled_since()
         if settled is None or not machine.up or machine.troubles:
@@ -650,7 +650,7 @@
 
     # ---- servers
 
-    def serve(self, service, zone, cold, address=None):
+    def add_server(self, service, zone, cold, address=None):
         self.uids += 1
         uid = f"i{self.uids}"
         if address is None:
--- a/rampfront/simulation/fleet_growth.py
+++ b/rampfront/simulation/fleet_growth.py
@@ -31,29 +31,29 @@
 
 MS, SEC = 10**6, 10**9
 EPOCH = 10**15
-TICK, SOON = 100 * MS, 25 * MS  # as the station's
-IN_ZONE, IN_REGION, APART = MS // 10, 9 * MS // 10, 20 * MS
-SLOW, FAST = 2, 100  # Mbit/s of a link without and with a disk
+TICK, FAST_TICK = 100 * MS, 25 * MS  # as the station's
+IN_ZONE, IN_REGION, BETWEEN_REGIONS = MS // 10, 9 * MS // 10, 20 * MS
+DISKLESS_MBIT_S, CORE_MBIT_S = 2, 100  # Mbit/s of a link without and with a disk
 # Zones, tenants, servers.
-SITES = {11: (4, 8, 30), 69: (4, 74, 183), 82: (6, 81, 281), 300: (6, 200, 1000), 1000: (6, 400, 3400)}
-DISKS = {11: 4, 69: 8, 82: 6, 300: 8, 1000: 8}
+FLEETS = {11: (4, 8, 30), 69: (4, 74, 183), 82: (6, 81, 281), 300: (6, 200, 1000), 1000: (6, 400, 3400)}
+CORE_SIZES = {11: 4, 69: 8, 82: 6, 300: 8, 1000: 8}
 
 
-def letters(draw, count):
-    return "".join(draw.choice("abcdefghijkmnpqrstuvwxyz23456789") for _ in range(count))
+def random_name(rng, count):
+    return "".join(rng.choice("abcdefghijkmnpqrstuvwxyz23456789") for _ in range(count))
 
 
-def orders(draw, tenants, routes):
+def build_configuration(rng, tenants, routes):
     """A configuration in the words of the operator."""
 
-    def rule():
+    def new_rule():
         return {
-            "Name": "r-" + letters(draw, 7),
+            "Name": "r-" + random_name(rng, 7),
             "Type": "read_only",
             "Target": "1000ms",
             "Priority": 2,
             "Public": False,
-            "MatchesWhen": {"PathStart": f"/{letters(draw, 7)}/"},
+            "MatchesWhen": {"PathStart": f"/{random_name(rng, 7)}/"},
             "ThenDo": {
                 "Shares": [{"Service": "huvo11a", "Weight": 90}, {"Service": "wuno96b", "Weight": 10}],
                 "GiveUp": "4000ms",
@@ -67,16 +67,16 @@
         "Caps": {"MaxHeaderBytes": 16384, "MaxBodyBytes": 67108864, "HeaderWait": "3000ms", "Idle": "15000ms"},
         "Customers": [
             {
-                "Name": letters(draw, 7),
-                "ApiKeys": [letters(draw, 20), letters(draw, 20)],
+                "Name": random_name(rng, 7),
+                "ApiKeys": [random_name(rng, 20), random_name(rng, 20)],
                 "Priority": 1,
-                "PerS": draw.randrange(5, 50),
-                "Burst": draw.randrange(5, 50),
+                "PerS": rng.randrange(5, 50),
+                "Burst": rng.randrange(5, 50),
                 "HomeRegions": [],
             }
             for _ in range(tenants)
         ],
-        "Sockets": [{"Hostname": "ficu95.example", "Rulebook": [rule() for _ in range(routes)]}],
+        "Sockets": [{"Hostname": "ficu95.example", "Rulebook": [new_rule() for _ in range(routes)]}],
         "Groups": [
             {
                 "Name": name,
@@ -89,332 +89,361 @@
             }
             for name in ("huvo11a", "wuno96b")
         ],
-    }, rule
+    }, new_rule
 
 
-class Ship(Snapshots):
+class ModelNode(Snapshots):
     """A node: its disseminator, and the snapshots that it holds as the process does."""
 
-    def __init__(self, sea, k, life=0):
+    def __init__(self, model, number, life=0):
         super().__init__()
-        self.sea, self.k, self.ip, self.zone, self.region = sea, k, sea.ip(k), k % sea.zones, k % sea.zones % 2
-        self.disk, self.up, self.life = k <= sea.disks, True, life
-        self.offset = k * 7_777_777_777
-        own = RosterEntry(f"front-hall-{self.zone}-{k}", self.ip, f"north-hall-{self.zone}", f"{self.ip}:8388", False)
-        seeds = [sea.ip(j) for j in range(1, min(sea.disks, 4) + 1)]
-        self.look = Disseminator(own, seeds, sea.draw, self)
-        self.out_free = self.in_free = 0
-        self.out = []  # large frames under way, in the order they began
+        self.model, self.number, self.ip, self.zone, self.region = (
+            model,
+            number,
+            model.ip(number),
+            number % model.zones,
+            number % model.zones % 2,
+        )
+        self.has_disk, self.up, self.life = number <= model.core_size, True, life
+        self.offset = number * 7_777_777_777
+        own = RosterEntry(
+            f"front-hall-{self.zone}-{number}", self.ip, f"north-hall-{self.zone}", f"{self.ip}:8388", False
+        )
+        seeds = [model.ip(j) for j in range(1, min(model.core_size, 4) + 1)]
+        self.disseminator = Disseminator(own, seeds, model.rng, self)
+        self.uplink_free_at = self.downlink_free_at = 0
+        self.large_frames = []  # large frames under way, in the order they began
 
     def clock(self):
-        return self.sea.now + self.offset
+        return self.model.now + self.offset
 
     def send(self, ip, message):
-        self.sea.carry(self, ip, message)
+        self.model.send(self, ip, message)
 
     def send_all(self, ips, message):
-        self.sea.spread(self, ips, message)
+        self.model.send_all(self, ips, message)
 
     def on_state(self, plain, now):
-        state = self.decode_state(plain, self.look.state_index)
+        state = self.decode_state(plain, self.disseminator.state_index)
         if state is not None:
             self.apply(state)
 
     def apply(self, state):
         self.put_state(state)
-        self.look.state_changed(state.index)
-        self.look.ready = self.servers is not None
-        if self.look.is_leader:
-            self.look.push_updates(self.clock())
+        self.disseminator.state_changed(state.index)
+        self.disseminator.ready = self.servers is not None
+        if self.disseminator.is_leader:
+            self.disseminator.push_updates(self.clock())
 
     def on_endpoints(self, plain, now):
-        servers = self.decode_endpoints(plain, now, self.look.endpoints_version)
-        if not self.look.is_leader and servers is not None:
+        servers = self.decode_endpoints(plain, now, self.disseminator.endpoints_version)
+        if not self.disseminator.is_leader and servers is not None:
             self.serve(servers)
 
     def serve(self, servers):
         self.put_endpoints(servers)
-        self.look.endpoints_changed(servers.version)
-        self.look.ready = self.state is not None
+        self.disseminator.endpoints_changed(servers.version)
+        self.disseminator.ready = self.state is not None
 
     def on_roster(self):
         pass
 
 
-class Sea:
+class FleetModel:
     """`count` nodes in step from nothing; node 1 leads. `loss`: part of the datagrams that come to nothing."""
 
     def __init__(self, count, seed=1, loss=0.0):
-        self.zones, tenants, listed = SITES.get(count, (6, 81, 281))
-        self.disks, self.loss, self.draw = DISKS.get(count, 6), loss, Random(seed)
-        self.now, self.heap, self.order, self.cpu, self.cuts = EPOCH, [], 0, 0, set()
-        self.began = {}  # when a node was started
-        self.ships = {self.ip(k): Ship(self, k) for k in range(1, count + 1)}
-        self.said, self.rule = orders(self.draw, tenants, 12)
-        self.lead = self.ships[self.ip(1)]
-        self.lead.apply(self.entry(State(1, 1, 0, members={"n1": MemberAddress(self.ip(1), 1)})))
-        self.rows = [
+        self.zones, tenants, endpoint_count = FLEETS.get(count, (6, 81, 281))
+        self.core_size, self.loss, self.rng = CORE_SIZES.get(count, 6), loss, Random(seed)
+        self.now, self.heap, self.sequence, self.cpu, self.cuts = EPOCH, [], 0, 0, set()
+        self.started_at = {}  # when a node was started
+        self.nodes = {self.ip(number): ModelNode(self, number) for number in range(1, count + 1)}
+        self.configuration, self.new_rule = build_configuration(self.rng, tenants, 12)
+        self.leader = self.nodes[self.ip(1)]
+        self.leader.apply(self.entry(State(1, 1, 0, members={"n1": MemberAddress(self.ip(1), 1)})))
+        self.endpoints = [
             Endpoint(
-                f"i-{self.draw.getrandbits(40):010x}",
+                f"i-{self.rng.getrandbits(40):010x}",
                 "huvo11a" if n % 3 else "wuno96b",
                 f"10.{n % self.zones}.{64 + n // 250 % 100}.{n % 250}",
-                8000 + self.draw.randrange(999),
+                8000 + self.rng.randrange(999),
                 f"north-hall-{n % self.zones}",
                 3,
                 "ready",
                 0,
             )
-            for n in range(listed)
+            for n in range(endpoint_count)
         ]
-        self.clear()
-        for ship in self.ships.values():
-            self.start(ship)
+        self.reset_figures()
+        for node in self.nodes.values():
+            self.start(node)
 
-    def ip(self, k):
-        return f"10.1.{k // 250}.{k % 250 + 1}"
+    def ip(self, number):
+        return f"10.1.{number // 250}.{number % 250 + 1}"
 
     def entry(self, state):
-        raw = json.dumps(self.said, separators=(",", ":")).encode()
+        raw = json.dumps(self.configuration, separators=(",", ":")).encode()
         body = zlib.compress(raw)
         return replace(state, index=state.index + 1, revision=state.revision + 1, body=body, body_digest=digest(body))
 
     # ---- what is counted
 
-    def clear(self):
-        self.since, self.cpu = self.now, 0
-        self.sum = SimpleNamespace(all=0, zones=0, regions=0, messages=0, lost=0)
-        self.tx = dict.fromkeys(self.ships, 0)
-        self.rx, self.seen = dict(self.tx), dict(self.tx)
+    def reset_figures(self):
+        self.counted_since, self.cpu = self.now, 0
+        self.totals = SimpleNamespace(all=0, zones=0, regions=0, messages=0, lost=0)
+        self.tx = dict.fromkeys(self.nodes, 0)
+        self.rx, self.frames_received = dict(self.tx), dict(self.tx)
 
     def figures(self):
         """Bytes: of the leader (sent), of the other nodes (mean, both ways), all, between zones, between regions."""
-        others = [ip for ip in self.ships if ip != self.lead.ip]
+        others = [ip for ip in self.nodes if ip != self.leader.ip]
         return SimpleNamespace(
-            leader=self.tx[self.lead.ip],
+            leader=self.tx[self.leader.ip],
             others=sum(self.tx[ip] + self.rx[ip] for ip in others) / len(others),
             most=max(self.tx[ip] + self.rx[ip] for ip in others),
             cpu=self.cpu / 1e6,
-            busiest=max(self.seen.values()),
-            busy=max(self.seen[ip] for ip in others),
-            **vars(self.sum),
+            busiest=max(self.frames_received.values()),
+            busy=max(self.frames_received[ip] for ip in others),
+            **vars(self.totals),
         )
 
     # ---- the network
 
-    def at(self, when, act, *args):
-        self.order += 1
-        heappush(self.heap, (when, self.order, act, args))
+    def at(self, when, callback, *args):
+        self.sequence += 1
+        heappush(self.heap, (when, self.sequence, callback, args))
 
-    def carry(self, ship, ip, message):
-        self.spread(ship, (ip,), message)
+    def send(self, node, ip, message):
+        self.send_all(node, (ip,), message)
 
-    def spread(self, ship, ips, message):
+    def send_all(self, node, ips, message):
         data = encode_frame(message)
         for ip in ips:
-            self.post(ship, ip, data)
+            self.send_frame(node, ip, data)
 
-    def post(self, ship, ip, data):
-        peer = self.ships.get(ip)
+    def send_frame(self, node, ip, data):
+        peer = self.nodes.get(ip)
         if peer is None:
             return
-        if peer is ship:
-            return self.at(self.now, self.arrive, ship, peer, peer.life, data, None)
+        if peer is node:
+            return self.at(self.now, self.deliver, node, peer, peer.life, data, None)
         large = len(data) > MAX_DATAGRAM_BYTES
         size = link_bytes(len(data))
-        way = IN_ZONE if ship.zone == peer.zone else IN_REGION if ship.region == peer.region else APART
-        self.tx[ship.ip] += size
-        self.sum.all += size
-        self.sum.messages += 1
-        self.sum.zones += size * (ship.zone != peer.zone)
-        self.sum.regions += size * (ship.region != peer.region)
-        ship.out_free = left = max(ship.out_free, self.now) + size * 8000 // (FAST if ship.disk else SLOW)
-        if (ship.ip, ip) in self.cuts or not large and self.draw.random() < self.loss:
+        latency = IN_ZONE if node.zone == peer.zone else IN_REGION if node.region == peer.region else BETWEEN_REGIONS
+        self.tx[node.ip] += size
+        self.totals.all += size
+        self.totals.messages += 1
+        self.totals.zones += size * (node.zone != peer.zone)
+        self.totals.regions += size * (node.region != peer.region)
+        node.uplink_free_at = leaves_at = max(node.uplink_free_at, self.now) + size * 8000 // (
+            CORE_MBIT_S if node.has_disk else DISKLESS_MBIT_S
+        )
+        if (node.ip, ip) in self.cuts or not large and self.rng.random() < self.loss:
             return
-        ticket = [True] if large else None  # a large frame may be given up on the way
+        is_live = [True] if large else None  # a large frame may be given up on the way
         if large:
-            ship.out = [row for row in ship.out if row[0] > self.now and row[1][0]]
-            ship.out.append((left + 4 * way, ticket))
-            if len(ship.out) > MAX_OUTGOING_CONNECTIONS:
-                ship.out.pop(0)[1][0] = False
-        self.at(left + way * (3 if large else 1), self.reach, ship, peer, peer.life, data, size, ticket)
-
-    def reach(self, ship, peer, life, data, size, ticket):
-        if ticket and not ticket[0]:
-            self.sum.lost += 1
+            node.large_frames = [sent for sent in node.large_frames if sent[0] > self.now and sent[1][0]]
+            node.large_frames.append((leaves_at + 4 * latency, is_live))
+            if len(node.large_frames) > MAX_OUTGOING_CONNECTIONS:
+                node.large_frames.pop(0)[1][0] = False
+        self.at(
+            leaves_at + latency * (3 if large else 1), self.enter_downlink, node, peer, peer.life, data, size, is_live
+        )
+
+    def enter_downlink(self, node, peer, life, data, size, is_live):
+        if is_live and not is_live[0]:
+            self.totals.lost += 1
             return
-        peer.in_free = there = max(peer.in_free, self.now) + size * 8000 // (FAST if peer.disk else SLOW)
+        peer.downlink_free_at = arrives_at = max(peer.downlink_free_at, self.now) + size * 8000 // (
+            CORE_MBIT_S if peer.has_disk else DISKLESS_MBIT_S
+        )
         self.rx[peer.ip] += size
-        self.seen[peer.ip] += 1
-        self.at(there, self.arrive, ship, peer, life, data, ticket)
+        self.frames_received[peer.ip] += 1
+        self.at(arrives_at, self.deliver, node, peer, life, data, is_live)
 
-    def arrive(self, ship, peer, life, data, ticket):
+    def deliver(self, node, peer, life, data, is_live):
         if peer.up and peer.life == life:
-            self.own(peer, self.read, ship.ip, peer, data)
+            self.run_timed(peer, self.receive_frame, node.ip, peer, data)
 
-    def read(self, ip, peer, data):
+    def receive_frame(self, ip, peer, data):
         message = decode_frame(data)
-        (peer.look.on_heartbeat if message["k"] == messages.HEARTBEAT else peer.look.on_state_response)(
+        (peer.disseminator.on_heartbeat if message["k"] == messages.HEARTBEAT else peer.disseminator.on_state_response)(
             ip, message, peer.clock()
         )
 
-    def own(self, ship, act, *args):
-        if ship is not self.lead:
-            return act(*args)
-        began = time.perf_counter_ns()
-        act(*args)
-        self.cpu += time.perf_counter_ns() - began
+    def run_timed(self, node, callback, *args):
+        if node is not self.leader:
+            return callback(*args)
+        started_at = time.perf_counter_ns()
+        callback(*args)
+        self.cpu += time.perf_counter_ns() - started_at
 
     # ---- nodes
 
-    def start(self, ship):
-        self.began[ship.ip] = self.now
-        self.at(self.now + self.draw.randrange(50 * MS), self.tick, ship, ship.life)
+    def start(self, node):
+        self.started_at[node.ip] = self.now
+        self.at(self.now + self.rng.randrange(50 * MS), self.tick, node, node.life)
 
-    def tick(self, ship, life):
-        if ship.up and ship.life == life:
-            self.own(ship, self.beat, ship)
-            self.at(self.now + (TICK if ship.look.confirmed_at_ns else SOON), self.tick, ship, life)
+    def tick(self, node, life):
+        if node.up and node.life == life:
+            self.run_timed(node, self.tick_disseminator, node)
+            self.at(self.now + (TICK if node.disseminator.confirmed_at_ns else FAST_TICK), self.tick, node, life)
 
-    def beat(self, ship):
-        if ship is self.lead:
-            ship.look.set_leadership(CoreStatus(True, ship.ip, 1, ship.clock()), ship.clock())
-        ship.look.tick(ship.clock())
+    def tick_disseminator(self, node):
+        if node is self.leader:
+            node.disseminator.set_leadership(CoreStatus(True, node.ip, 1, node.clock()), node.clock())
+        node.disseminator.tick(node.clock())
 
     def run(self, ms):
         until, heap = self.now + ms * MS, self.heap
         while heap and heap[0][0] <= until:
-            self.now, _, act, args = heappop(heap)
-            act(*args)
+            self.now, _, callback, args = heappop(heap)
+            callback(*args)
         self.now = until
 
-    def until(self, reached, most=20000):
+    def run_until(self, reached, most=20000):
         """ms until `reached(ship)` of all that are up, and of 99 in 100; None: not in time."""
-        began, part = self.now, None
-        while self.now - began < most * MS:
+        started_at, most_ms = self.now, None
+        while self.now - started_at < most * MS:
             self.run(10)
-            up = [ship for ship in self.ships.values() if ship.up]
-            missing = sum(not reached(ship) for ship in up)
-            if part is None and missing <= len(up) / 100:
-                part = (self.now - began) // MS
+            up = [node for node in self.nodes.values() if node.up]
+            missing = sum(not reached(node) for node in up)
+            if most_ms is None and missing <= len(up) / 100:
+                most_ms = (self.now - started_at) // MS
             if not missing:
-                return part, (self.now - began) // MS
-        return part, None
+                return most_ms, (self.now - started_at) // MS
+        return most_ms, None
 
     # ---- what happens
 
-    def config(self):
-        lead = self.lead
-        self.own(lead, lead.apply, self.entry(lead.state))
-        index = lead.state.index
-        return lambda ship: ship.look.state_index >= index
-
-    def weight(self):
-        self.said["Sockets"][0]["Rulebook"][5]["ThenDo"]["Shares"][0]["Weight"] += 1
-        return self.config()
-
-    def routes(self):
-        self.said["Sockets"][0]["Rulebook"] += [self.rule() for _ in range(350)]
-        return self.config()
-
-    def zone(self):
-        lead = self.lead
-        self.own(lead, lead.apply, lead.state.next_entry(evacuated_zones=frozenset({"north-hall-1"})))
-        index = lead.state.index
-        return lambda ship: ship.look.state_index >= index
-
-    def listed(self, rows):
-        lead = self.lead
-        self.rows = rows
-        made = EndpointList(max(lead.look.endpoints_version + 1, first_version(1)), tuple(sorted(rows)), lead.clock())
-        lead.serve(made)
-        self.own(lead, lead.look.push_updates, lead.clock())
-        return lambda ship: ship.look.endpoints_version >= made.version
-
-    def one_server(self):
-        n = self.draw.randrange(len(self.rows))
-        return self.listed([row._replace(state="emptying") if k == n else row for k, row in enumerate(self.rows)])
-
-    def fifth(self):
-        return self.listed(
+    def publish_configuration(self):
+        leader = self.leader
+        self.run_timed(leader, leader.apply, self.entry(leader.state))
+        index = leader.state.index
+        return lambda node: node.disseminator.state_index >= index
+
+    def change_weight(self):
+        self.configuration["Sockets"][0]["Rulebook"][5]["ThenDo"]["Shares"][0]["Weight"] += 1
+        return self.publish_configuration()
+
+    def add_routes(self):
+        self.configuration["Sockets"][0]["Rulebook"] += [self.new_rule() for _ in range(350)]
+        return self.publish_configuration()
+
+    def evacuate_zone(self):
+        leader = self.leader
+        self.run_timed(leader, leader.apply, leader.state.next_entry(evacuated_zones=frozenset({"north-hall-1"})))
+        index = leader.state.index
+        return lambda node: node.disseminator.state_index >= index
+
+    def publish_endpoints(self, endpoints):
+        leader = self.leader
+        self.endpoints = endpoints
+        made = EndpointList(
+            max(leader.disseminator.endpoints_version + 1, first_version(1)), tuple(sorted(endpoints)), leader.clock()
+        )
+        leader.serve(made)
+        self.run_timed(leader, leader.disseminator.push_updates, leader.clock())
+        return lambda node: node.disseminator.endpoints_version >= made.version
+
+    def change_one_server(self):
+        n = self.rng.randrange(len(self.endpoints))
+        return self.publish_endpoints(
             [
-                row._replace(id=f"i-{self.draw.getrandbits(40):010x}", port=8000 + self.draw.randrange(999))
-                if k % 5 == 0
-                else row
-                for k, row in enumerate(self.rows)
+                endpoint._replace(state="emptying") if number == n else endpoint
+                for number, endpoint in enumerate(self.endpoints)
             ]
         )
 
-    def known(self):
+    def replace_fifth(self):
+        return self.publish_endpoints(
+            [
+                endpoint._replace(id=f"i-{self.rng.getrandbits(40):010x}", port=8000 + self.rng.randrange(999))
+                if number % 5 == 0
+                else endpoint
+                for number, endpoint in enumerate(self.endpoints)
+            ]
+        )
+
+    def complete_rosters(self):
         """Everybody's roster shows just those that are up, each ready."""
-        up = sum(ship.up for ship in self.ships.values())
-        return lambda ship: len(ship.look.roster) == up and all(entry.ready for entry in ship.look.roster)
+        up = sum(node.up for node in self.nodes.values())
+        return lambda node: len(node.disseminator.roster) == up and all(
+            entry.ready for entry in node.disseminator.roster
+        )
 
-    def stop(self, ships):
-        for ship in ships:
-            ship.up = False
+    def stop(self, nodes):
+        for node in nodes:
+            node.up = False
 
-    def back(self, ships):
-        for old in ships:
-            ship = self.ships[old.ip] = Ship(self, old.k, old.life + 1)
-            self.start(ship)
+    def restart(self, nodes):
+        for old in nodes:
+            node = self.nodes[old.ip] = ModelNode(self, old.number, old.life + 1)
+            self.start(node)
 
-    def quarter(self):
-        count = len(self.ships)
-        return [self.ships[self.ip(k)] for k in self.draw.sample(range(self.disks + 1, count + 1), count // 4)]
+    def sample_quarter(self):
+        count = len(self.nodes)
+        return [
+            self.nodes[self.ip(number)] for number in self.rng.sample(range(self.core_size + 1, count + 1), count // 4)
+        ]
 
 
 CHANGES = (
-    ("one weight changed", Sea.weight),
-    ("350 routes added", Sea.routes),
-    ("a zone emptied", Sea.zone),
-    ("one server changes state", Sea.one_server),
-    ("a fifth of the servers replaced", Sea.fifth),
+    ("one weight changed", FleetModel.change_weight),
+    ("350 routes added", FleetModel.add_routes),
+    ("a zone emptied", FleetModel.evacuate_zone),
+    ("one server changes state", FleetModel.change_one_server),
+    ("a fifth of the servers replaced", FleetModel.replace_fifth),
 )
 
 
-def scenes(count, seed=1, loss=0.0):
+def play_scenes(count, seed=1, loss=0.0):
     """(what, figures, ms until 99 in 100 and all have it) of each scene, the rest among them first; bytes of changes are
     those above the rest."""
-    sea = Sea(count, seed, loss)
-    sea.run(300)  # the founder is ready, and has read the list
-    sea.clear()
-    sea.listed(sea.rows)
-    took = sea.until(sea.known())
-    left = 3000 - (sea.now - sea.since) // MS
-    if left > 0:
-        sea.run(left)
-    start = "start of all in step, first 3 s", sea.figures(), took
-    sea.run(4000)
-    sea.clear()
-    sea.run(10000)
-    rest = sea.figures()
+    model = FleetModel(count, seed, loss)
+    model.run(300)  # the founder is ready, and has read the list
+    model.reset_figures()
+    model.publish_endpoints(model.endpoints)
+    took = model.run_until(model.complete_rosters())
+    remaining = 3000 - (model.now - model.counted_since) // MS
+    if remaining > 0:
+        model.run(remaining)
+    start = "start of all in step, first 3 s", model.figures(), took
+    model.run(4000)
+    model.reset_figures()
+    model.run(10000)
+    rest = model.figures()
     for name, value in vars(rest).items():
         setattr(rest, name, value / 10)
     yield "at rest, a second", rest, (None, None)
     yield start
 
-    def played(what, reached, ms=4000):
-        took = sea.until(reached)
-        spent = (sea.now - sea.since) // MS
+    def measure(what, reached, ms=4000):
+        took = model.run_until(reached)
+        spent = (model.now - model.counted_since) // MS
         if spent < ms:
-            sea.run(ms - spent)
-        found = sea.figures()
+            model.run(ms - spent)
+        found = model.figures()
         for name in ("leader", "others", "all", "zones", "regions", "messages", "cpu"):
-            setattr(found, name, max(0, getattr(found, name) - getattr(rest, name) * ((sea.now - sea.since) / SEC)))
+            setattr(
+                found,
+                name,
+                max(0, getattr(found, name) - getattr(rest, name) * ((model.now - model.counted_since) / SEC)),
+            )
         return what, found, took
 
     for what, change in CHANGES:
-        sea.clear()
-        yield played(what, change(sea))
-    gone = [sea.ships[sea.ip(count)]]
+        model.reset_figures()
+        yield measure(what, change(model))
+    gone = [model.nodes[model.ip(count)]]
     for what in ("one node goes", "a quarter killed"):
-        sea.clear()
-        sea.stop(gone)
-        yield played(what, sea.known())
-        sea.clear()
-        sea.back(gone)
-        yield played("and comes back", sea.known(), 3000)
-        gone = sea.quarter()
+        model.reset_figures()
+        model.stop(gone)
+        yield measure(what, model.complete_rosters())
+        model.reset_figures()
+        model.restart(gone)
+        yield measure("and comes back", model.complete_rosters(), 3000)
+        gone = model.sample_quarter()
 
 
 @click.command()
@@ -428,11 +457,11 @@
             f"\n{count} nodes" + " " * 24 + "leader KB  other KB  most KB   all KB  zones KB  regions KB  frames"
             "  lost  busiest  (other)  99 in 100  all ms  cpu ms"
         )
-        for what, f, (part, whole) in scenes(count, seed, loss):
+        for what, figures, (most_ms, all_ms) in play_scenes(count, seed, loss):
             click.echo(
-                f"{what:33} {f.leader / 1e3:9.1f} {f.others / 1e3:9.2f} {f.most / 1e3:8.2f} {f.all / 1e3:8.0f}"
-                f" {f.zones / 1e3:9.1f} {f.regions / 1e3:11.1f} {f.messages:7.0f} {f.lost:5.0f} {f.busiest:8.0f}"
-                f" {f.busy:8.0f} {'-' if part is None else part:>10} {'-' if whole is None else whole:>7} {f.cpu:7.1f}"
+                f"{what:33} {figures.leader / 1e3:9.1f} {figures.others / 1e3:9.2f} {figures.most / 1e3:8.2f} {figures.all / 1e3:8.0f}"
+                f" {figures.zones / 1e3:9.1f} {figures.regions / 1e3:11.1f} {figures.messages:7.0f} {figures.lost:5.0f} {figures.busiest:8.0f}"
+                f" {figures.busy:8.0f} {'-' if most_ms is None else most_ms:>10} {'-' if all_ms is None else all_ms:>7} {figures.cpu:7.1f}"
             )
 
 
--- a/rampfront/simulation/isolation.py
+++ b/rampfront/simulation/isolation.py
@@ -10,7 +10,7 @@
 from typing import NamedTuple
 
 from .checks import Broken
-from .fleet import Asked, Fleet, Machine
+from .fleet import ApiCall, Fleet, Machine
 from .rules import Watch
 from .system_run import SERVICES, SystemRun
 
@@ -40,7 +40,7 @@
     return int(json.loads(body)["Revision"][1:])
 
 
-def hand_in(machine: Machine, kind: str, asked: Asked) -> None:
+def hand_in(machine: Machine, kind: str, asked: ApiCall) -> None:
     """Hands an order (`config`, `read`, `empty`, `fill`) to a machine; `asked.respond` is called once."""
     control = machine.control
     handlers = {
@@ -68,12 +68,12 @@
         run, fleet = self.run, self.run.fleet
         if run.quiet:
             return
-        machine = fleet.chance.choice(run.aims or fleet.machines)
-        kind = fleet.chance.choice(("read", "read", "config", "zone"))
+        machine = fleet.rng.choice(run.aims or fleet.machines)
+        kind = fleet.rng.choice(("read", "read", "config", "zone"))
         if kind == "zone":
             kind = "fill" if self.emptied else "empty"
         call = OperatorCall(self, kind, machine)
-        fleet.at(fleet.now + fleet.way("operator", machine.ip), fleet.do, machine, machine.life, call.hand)
+        fleet.at(fleet.now + fleet.draw_latency("operator", machine.ip), fleet.do, machine, machine.life, call.hand)
         fleet.at(fleet.now + SILENCE, call.turn_away)
 
     def ended(self, call: "OperatorCall") -> None:
@@ -81,7 +81,7 @@
         if call.status == DONE and call.kind in ("empty", "fill"):
             self.emptied = call.kind == "empty"
         fleet = self.run.fleet
-        fleet.at(fleet.now + fleet.chance.randrange(*PAUSE_MS) * MS, self.ask)
+        fleet.at(fleet.now + fleet.rng.randrange(*PAUSE_MS) * MS, self.ask)
 
 
 class OperatorCall:
@@ -101,7 +101,7 @@
     def hand(self) -> None:
         """It reaches the machine."""
         self.handed = self.run.fleet.now
-        hand_in(self.machine, self.kind, Asked({"of": self.operator.zone}, self.body, self.answered))
+        hand_in(self.machine, self.kind, ApiCall({"of": self.operator.zone}, self.body, self.answered))
 
     def answered(self, status: int, body: bytes = b"", headers: Headers = (), **_: object) -> bool:
         """The machine answers, and is not told whether that was read. Raises `Broken` for one that it may not give."""
@@ -112,7 +112,7 @@
             raise Broken(f"{self.kind} is answered {status} {body!r}")
         elif b"Retry-After" not in dict(headers) or not json.loads(body)["Message"]:
             raise Broken(f"{self.kind}: 503 without a time or a reason")
-        fleet.at(fleet.now + fleet.way(self.machine.ip, "operator"), self.heard, status)
+        fleet.at(fleet.now + fleet.draw_latency(self.machine.ip, "operator"), self.heard, status)
         return True
 
     def confirmed(self, body: bytes) -> None:
@@ -166,10 +166,10 @@
         fleet = self.fleet
         for service in SERVICES:
             for zone in ZONES:
-                fleet.serve(service, zone, False)
+                fleet.add_server(service, zone, False)
         fleet.platform.shown[0] = (-60 * SEC, fleet.platform.shown[-1][1])
         for machine in fleet.machines:
-            fleet.at(fleet.chance.randrange(50 * MS), fleet.start, machine)
+            fleet.at(fleet.rng.randrange(50 * MS), fleet.start, machine)
         self.go(2 * SEC)
         self.order("config", fleet.core[0], self.body())
         self.go(3 * SEC)
@@ -194,7 +194,7 @@
             replies.append(Reply(status, said, self.fleet.now))
             return True
 
-        hand_in(machine, kind, Asked({"of": of}, body, answer))
+        hand_in(machine, kind, ApiCall({"of": of}, body, answer))
         return replies
 
     # ---- who is who
--- a/rampfront/simulation/operators.py
+++ b/rampfront/simulation/operators.py
@@ -9,7 +9,7 @@
 
 from ..net.http_messages import Delivery, DeliveryCallback
 from .checks import Broken
-from .fleet import Asked, Machine
+from .fleet import ApiCall, Machine
 from .linearizability import Kind, Operation, Verdict
 from .plan import LEADER, SERVICES
 from .rules import QUOTAS
@@ -53,7 +53,7 @@
     return blake2b(body, digest_size=8).digest()
 
 
-class Try(NamedTuple):
+class Attempt(NamedTuple):
     """One sending of an order to a node; `operation`: its place in the history."""
 
     call: Call
@@ -68,7 +68,7 @@
     def config(self, twice: bool = False, races: bool = False, machine: Machine | None = None) -> Call:
         """A new configuration: each holds a key of its own, and that of the one before. `twice`: another operator sends
         the next number at the same moment; `races`: he sends another body under that. `machine`: asked first."""
-        number = (self.revs[-1] if self.revs else 0) + self.chance.randrange(1, 4)
+        number = (self.revs[-1] if self.revs else 0) + self.rng.randrange(1, 4)
         body, other = self.body(number), self.body(number, "1100ms")
         wait = OTHERS_WAIT if self.revs else FIRST_ONE_WAITS
         self.revs.append(number)
@@ -119,7 +119,7 @@
 
     def take_back(self, zone: str) -> None:
         """Its servers have become cold meanwhile."""
-        if self.fleet.now < self.ends:
+        if self.fleet.now < self.faults_end_at:
             self.watch.taken_back(zone)
             self.call("fill", zone)
 
@@ -155,7 +155,7 @@
     def any(self) -> Machine:
         """A machine, as an operator picks it; in the calm at the end one that is up."""
         up = [machine for machine in self.fleet.machines if machine.up]
-        return self.chance.choice(up if self.calm and up else self.fleet.machines)
+        return self.rng.choice(up if self.calm and up else self.fleet.machines)
 
     def place(self, call: Call, machine: Machine) -> None:
         """Gives an order to a node, and to another one if nothing comes back within a second."""
@@ -167,8 +167,8 @@
             fleet.at(fleet.now + 50 * MS, self.missed, call, call.tries)
             return
         operation = self.history.begin(self.operation(call, machine))
-        fleet.at(fleet.now + SEC + self.chance.randrange(200 * MS), self.missed, call, call.tries)
-        arrives = fleet.now + fleet.way("operator", machine.ip)
+        fleet.at(fleet.now + SEC + self.rng.randrange(200 * MS), self.missed, call, call.tries)
+        arrives = fleet.now + fleet.draw_latency("operator", machine.ip)
         fleet.at(arrives, fleet.do, machine, machine.life, self.hand, call, machine, call.tries, operation)
 
     def operation(self, call: Call, machine: Machine) -> Operation:
@@ -184,9 +184,9 @@
         if call.tries != tries or call.verdict is not None:
             return  # the operator has turned away
         control, fleet = machine.control, self.fleet
-        told = partial(self.said, Try(call, machine, tries, operation))
+        told = partial(self.node_answered, Attempt(call, machine, tries, operation))
         body = zlib.decompress(call.body[1]) if call.kind == "config" else b""
-        asked = Asked({"of": call.body}, body, told)
+        asked = ApiCall({"of": call.body}, body, told)
         way = {
             "config": control.replace_configuration,
             "read": control.read_configuration,
@@ -195,40 +195,40 @@
         }[call.kind]
         fleet.calling = call
         try:
-            said = way(asked)
+            answer = way(asked)
         finally:
             fleet.calling = None
-        if said is not None:
-            told(said.status, said.body)
+        if answer is not None:
+            told(answer.status, answer.body)
 
-    def said(
-        self, tried: Try, status: int, body: bytes, *_: object, on_delivery: DeliveryCallback | None = None
+    def node_answered(
+        self, attempt: Attempt, status: int, body: bytes, *_: object, on_delivery: DeliveryCallback | None = None
     ) -> None:
         """A node has an answer, which may get lost on its way. `on_delivery`: the node wants to know."""
-        fleet, machine = self.fleet, tried.machine
+        fleet, machine = self.fleet, attempt.machine
         if status == OK:
             self.acker = machine
             self.acknowledged()
-        if self.answer_loss and self.chance.random() < self.answer_loss:
+        if self.answer_loss and self.rng.random() < self.answer_loss:
             fleet.count("answers lost")
-            self.tell_delivery(tried, Delivery.LOST, on_delivery)
+            self.tell_delivery(attempt, Delivery.LOST, on_delivery)
             return
-        fleet.at(fleet.now + fleet.way(machine.ip, "operator"), self.heard, tried, status, body, on_delivery)
+        fleet.at(fleet.now + fleet.draw_latency(machine.ip, "operator"), self.heard, attempt, status, body, on_delivery)
 
-    def tell_delivery(self, tried: Try, delivery: Delivery, on_delivery: DeliveryCallback | None) -> None:
+    def tell_delivery(self, attempt: Attempt, delivery: Delivery, on_delivery: DeliveryCallback | None) -> None:
         """The node sees how the operator's connection ends."""
         if on_delivery is not None:
-            machine, fleet = tried.machine, self.fleet
+            machine, fleet = attempt.machine, self.fleet
             fleet.at(fleet.now + CONNECTION_ENDS_AFTER, fleet.do, machine, machine.life, on_delivery, delivery)
 
-    def heard(self, tried: Try, status: int, body: bytes, on_delivery: DeliveryCallback | None = None) -> None:
+    def heard(self, attempt: Attempt, status: int, body: bytes, on_delivery: DeliveryCallback | None = None) -> None:
         """An operator has an answer. He has turned away from those of earlier tries."""
-        call = tried.call
-        if call.tries != tried.number:
-            self.tell_delivery(tried, Delivery.LOST, on_delivery)
+        call = attempt.call
+        if call.tries != attempt.number:
+            self.tell_delivery(attempt, Delivery.LOST, on_delivery)
             return
-        self.tell_delivery(tried, Delivery.DELIVERED, on_delivery)
-        self.record(tried, status, body)
+        self.tell_delivery(attempt, Delivery.DELIVERED, on_delivery)
+        self.record(attempt, status, body)
         if call.verdict is not None:
             return
         if status == OK:
@@ -241,12 +241,12 @@
         elif status < SERVER_ERROR:
             raise Broken(f"{call.kind} {str(call.body)[:40]} is answered {status}")
         else:
-            self.after(50 + self.chance.randrange(200), self.place_anywhere, call)
+            self.after(50 + self.rng.randrange(200), self.place_anywhere, call)
 
-    def record(self, tried: Try, status: int, body: bytes) -> None:
+    def record(self, attempt: Attempt, status: int, body: bytes) -> None:
         """Into the history. An answer that says nothing leaves the call in doubt."""
-        now, operation = self.fleet.now, tried.operation
-        if tried.call.kind == "read" and status in (OK, NOT_FOUND):
+        now, operation = self.fleet.now, attempt.operation
+        if attempt.call.kind == "read" and status in (OK, NOT_FOUND):
             number = int(json.loads(body)["Revision"][1:]) if status == OK else 0
             self.history.end_read(operation, now, number, mark(body) if number else b"")
         elif status == OK:
@@ -277,12 +277,12 @@
 
     def after_ack(self, what: str, ms: int) -> None:
         """A fault right behind the next acknowledgement: the moment at which it hurts most."""
-        self.trap = what, ms
+        self.armed_fault = what, ms
 
     def acknowledged(self) -> None:
         """A node has just acknowledged an order."""
-        if self.trap and self.fleet.now < self.ends:
-            (what, ms), self.trap = self.trap, None
+        if self.armed_fault and self.fleet.now < self.faults_end_at:
+            (what, ms), self.armed_fault = self.armed_fault, None
             arguments = {
                 "kill": (LEADER, 1500),
                 "term": (LEADER, 1500),
@@ -294,5 +294,5 @@
 
     def strike(self, what: str, arguments: tuple) -> None:
         """Guards the calm against a fault that was on its way when it began."""
-        if self.fleet.now < self.ends:
+        if self.fleet.now < self.faults_end_at:
             self.befall(what, arguments)
--- a/rampfront/simulation/outside.py
+++ b/rampfront/simulation/outside.py
@@ -57,7 +57,7 @@
         self.running += 1
         shore.watch.runs(self, job)
         pace = 3.0 if self.cold_until > shore.now else 1.0
-        work = int(min(2.0, shore.chance.expovariate(1 / 0.035) * pace + 0.003) * SEC)
+        work = int(min(2.0, shore.rng.expovariate(1 / 0.035) * pace + 0.003) * SEC)
         shore.at(shore.now + work, self.done, job)
 
     def done(self, job):
@@ -123,11 +123,11 @@
     def ask(self, target):
         """(status, body) of a page."""
         shore = self.shore
-        seen = shore.now - self.lag + shore.chance.randrange(self.lag // 4 + 1)
+        seen = shore.now - self.lag + shore.rng.randrange(self.lag // 4 + 1)
         rows = next(rows for since, rows in reversed(self.shown) if since <= seen)
         at = int(target.partition("=")[2] or 0)
         part = rows[at : at + self.page]
-        said = {
+        servers = {
             s.uid: {
                 "Service": s.service,
                 "Address": "%s:%d" % s.address,
@@ -140,7 +140,7 @@
             for s, state in part
         }
         then = str(at + self.page) if at + self.page < len(rows) else None
-        return 200, json.dumps({"Servers": said, "NextToken": then}).encode()
+        return 200, json.dumps({"Servers": servers, "NextToken": then}).encode()
 
 
 class Asking:
@@ -158,7 +158,7 @@
             )
         status, body = platform.ask(effect.target)
         fleet.at(
-            fleet.now + 2 * fleet.way(*pair),
+            fleet.now + 2 * fleet.draw_latency(*pair),
             fleet.do,
             machine,
             loop.life,
--- a/rampfront/simulation/rules.py
+++ b/rampfront/simulation/rules.py
@@ -34,7 +34,7 @@
 
     def touch(self, machine, since):
         """Whether a machine was in touch at `since`, and has been since."""
-        calm = self.fleet.touch_since(machine)
+        calm = self.fleet.in_touch_since(machine)
         return calm is not None and calm + IN_TOUCH <= since
 
     # ---- one machine
@@ -91,7 +91,7 @@
 
     def counted(self, machine, state):
         """What a leader calls in force lay on the disks of a majority, of no one that forgot."""
-        held = {who for who, stamp in self.fleet.kept.items() if stamp >= state.position}
+        held = {who for who, stamp in self.fleet.synced_positions.items() if stamp >= state.position}
         if not state.has_quorum(held):
             raise Broken(f"{machine.name} calls {state.index} in force, which lay on {sorted(held)} alone")
 
@@ -134,7 +134,7 @@
                     f"CONFIG: {machine.name} goes by r{request.revision}, r{must} was acknowledged "
                     f"{(request.sent - self.acked[at - 1][0]) / SEC:.2f} s before"
                 )
-        request.touch = self.touch(machine, request.sent)
+        request.was_in_touch = self.touch(machine, request.sent)
         fleet.count("taken")
 
     def arrived(self, server, machine, job):
@@ -207,9 +207,9 @@
             raise Broken(f"UNASKED: {request.tag} of {request.tenant} runs for {job.fields.get(b'customer')}")
         if b"authorization" in job.fields:
             raise Broken("UNASKED: a key is passed on")
-        if request.once and request.runs > 1:
+        if request.non_repeatable and request.runs > 1:
             raise Broken(f"TWICE: {request.tag}")
-        if request.once and request.status in PROMISES:
+        if request.non_repeatable and request.status in PROMISES:
             raise Broken(f"REFUSED: {request.tag} was answered {request.status}, and runs")
         if request.runs == 1 and request.tenant in QUOTAS:
             ran, now = self.ran[request.tenant], fleet.now
@@ -223,11 +223,11 @@
                 raise Broken(f"QUOTA: {many} of {request.tenant} in {WINDOW // SEC} s, {most:.0f} are allowed")
 
     def answered(self, request, status, body):
-        if request.once and status in PROMISES and request.runs:
+        if request.non_repeatable and status in PROMISES and request.runs:
             raise Broken(f"REFUSED: {request.tag} has run, and is answered {status}")
         if status == 200 and body != request.tag.encode():
             raise Broken(f"MIXED: {request.tag} gets {body}")
-        if status in (400, 401, 404) and request.proper and request.touch:
+        if status in (400, 401, 404) and request.must_succeed and request.was_in_touch:
             raise Broken(f"DENIED: {request.tag} with {request.key} gets {status} from {request.machine.name}")
 
     # ---- orders
--- a/rampfront/simulation/system_faults.py
+++ b/rampfront/simulation/system_faults.py
@@ -58,13 +58,13 @@
 
     def kill_all(self, salt: int, ms: int) -> None:
         """All are without power; a few come back empty."""
-        chance = Random(salt)
+        rng = Random(salt)
         for machine in self.fleet.machines:
-            if chance.random() < EMPTY_AFTER_POWER_LOSS:
-                self.wipe(self.fleet.machines.index(machine), chance.randrange(10, ms + 11))
+            if rng.random() < EMPTY_AFTER_POWER_LOSS:
+                self.wipe(self.fleet.machines.index(machine), rng.randrange(10, ms + 11))
             else:
                 self.fleet.stop(machine)
-                self.back(machine, chance.randrange(10, ms + 11))
+                self.back(machine, rng.randrange(10, ms + 11))
 
     def zone(self, zone: str, ms: int) -> None:
         """All of a zone is without power: machines and servers. Its servers come back as others, cold."""
@@ -86,9 +86,9 @@
     def stutter(self, who: int, times: int, ms: int) -> None:
         """It stands still again and again."""
         self.freeze(who, ms)
-        if times > 1 and self.fleet.now < self.ends:
+        if times > 1 and self.fleet.now < self.faults_end_at:
             self.after(
-                ms + self.chance.randrange(100), self.stutter, self.fleet.machines.index(self.pick(who)), times - 1, ms
+                ms + self.rng.randrange(100), self.stutter, self.fleet.machines.index(self.pick(who)), times - 1, ms
             )
 
     def disk(self, who: int, ms: int, **state: int) -> None:
@@ -172,7 +172,7 @@
 
     def term_in_time(self, machine: Machine) -> None:
         """Guards the calm against a SIGTERM that was on its way when it began."""
-        if self.fleet.now < self.ends and machine in self.fleet.machines:
+        if self.fleet.now < self.faults_end_at and machine in self.fleet.machines:
             self.term(self.fleet.machines.index(machine), 200)
 
     # ---- links
@@ -206,7 +206,7 @@
             self.cut_one(who, "both", False, ms)
             self.config(twice=True)
             self.after(4700, self.press, who, 1300)
-        elif looks and now < self.ends:
+        elif looks and now < self.faults_end_at:
             self.after(2, self.cut_when_fresh, who, ms, looks - 1)
 
     def cut_off(self, who: int, ms: int) -> None:
@@ -293,7 +293,7 @@
                 and was not in fleet.servers
             ):
                 address = old
-        fleet.serve(server.service, server.zone, True, address)
+        fleet.add_server(server.service, server.zone, True, address)
 
     def drain(self, salt: int, _: bool, ms: int) -> None:
         """A server leaves in order."""
--- a/rampfront/simulation/system_run.py
+++ b/rampfront/simulation/system_run.py
@@ -14,7 +14,7 @@
 from .fleet import ZONES, Fleet, Machine
 from .linearizability import Kind, Operation, Recorder
 from .operators import OK, Operators, mark
-from .plan import ACKER, BEGIN, LEADER, SERVICES, Row, draw_plan
+from .plan import ACKER, FAULTS_BEGIN_MS, LEADER, SERVICES, Row, draw_plan
 from .rules import APPLY, IN_TOUCH, RECOVERY, Watch
 from .system_faults import SystemFaults
 from .world import Call
@@ -38,11 +38,11 @@
         disks = disks or (4 if nodes < SMALL else 6)
         self.seed, self.nodes, self.disks, self.length = seed, nodes, disks, length
         self.fleet = fleet = Fleet(seed, nodes, disks, sync=(1, 1, 20, 80)[seed % 4] * MS)
-        self.chance = fleet.chance
+        self.rng = fleet.rng
         self.plan = draw_plan(seed, nodes, disks, length) if plan is None else plan
         fleet.watch = self.watch = Watch(fleet)
         fleet.calling, fleet.links_calm_at = None, 0
-        self.calls, self.trap, self.acker, self.calm = [], None, None, False
+        self.calls, self.armed_fault, self.acker, self.calm = [], None, None, False
         self.history, self.answer_loss = Recorder(), 0.0
         self.revs, self.sent, self.zones_busy = [], [], {}
         self.restored_at: dict[str, int] = {}  # when the operator of a zone knew that it was taken back
@@ -50,7 +50,7 @@
         self.groups = [Group(zone, patience) for zone in ZONES for patience in (1, 1, 3)]
         self.tags, self.rates = 0, {"ann": 16, "two": 8, "low": 2, "hot": 7}
         self.closing = None
-        self.ends = (BEGIN + length) * MS
+        self.faults_end_at = (FAULTS_BEGIN_MS + length) * MS
 
     def play(self) -> dict[str, int]:
         """Returns the counts of what happened; raises `Broken`."""
@@ -58,7 +58,7 @@
         fleet = self.fleet
         for at, what, *args in self.plan:
             fleet.at(at * MS, self.befall, what, args)
-        fleet.run(self.ends)
+        fleet.run(self.faults_end_at)
         self.settle()
         if self.closing:
             self.close(*self.closing)
@@ -67,15 +67,15 @@
 
     def start_all(self) -> None:
         """Servers, machines, clients and the first configuration."""
-        fleet, chance = self.fleet, self.chance
+        fleet, rng = self.fleet, self.rng
         for service in SERVICES:
             for zone in ZONES:
                 for _ in range(2):
-                    fleet.serve(service, zone, False)
+                    fleet.add_server(service, zone, False)
         fleet.platform.shown[0] = (-60 * SEC, fleet.platform.shown[-1][1])
-        within = chance.choice((50, 1500))
+        within = rng.choice((50, 1500))
         for machine in fleet.machines:
-            fleet.at(chance.randrange(within * MS), fleet.start, machine)
+            fleet.at(rng.randrange(within * MS), fleet.start, machine)
         fleet.at(500 * MS, self.config)
         for tenant in self.rates:
             fleet.at(2 * SEC, self.ask_on, tenant)
@@ -138,7 +138,7 @@
         fleet.run(sent + IN_TOUCH + APPLY + 2 * SEC)
         self.in_step(call)
         self.zones_are_open()
-        self.serves(3 * SEC)
+        self.check_requests_served(3 * SEC)
 
     def zones_are_open(self) -> None:
         """No lost answer leaves a zone evacuated for ever: each has one operator, and opens behind his return."""
@@ -155,7 +155,7 @@
     def end_faults(self) -> None:
         """Nothing is cut, slow or sick any more; those that were about to go for good are gone."""
         fleet = self.fleet
-        self.trap, self.calm, self.answer_loss = None, True, 0.0
+        self.armed_fault, self.calm, self.answer_loss = None, True, 0.0
         fleet.note("calm")
         fleet.mend([pair for pair, count in list(fleet.cuts.items()) for _ in range(count)])
         fleet.loss, fleet.repeat, fleet.slow = 0.005, 0.002, 0
@@ -172,14 +172,14 @@
 
     def left_down(self) -> set[Machine]:
         """Now and then a few stay away."""
-        fleet, chance = self.fleet, self.chance
-        if chance.random() >= LEFT_DOWN:
+        fleet, rng = self.fleet, self.rng
+        if rng.random() >= LEFT_DOWN:
             return set()
         lost = fleet.lost()
         whole = [machine for machine in fleet.core if machine not in lost]
         spare = (len(fleet.core) - 1) // 2 - len(lost)
-        down = set(chance.sample(whole, max(0, min(spare, len(whole)))))
-        down |= set(chance.sample([m for m in fleet.machines if not m.counted], chance.randrange(2)))
+        down = set(rng.sample(whole, max(0, min(spare, len(whole)))))
+        down |= set(rng.sample([m for m in fleet.machines if not m.counted], rng.randrange(2)))
         for machine in sorted(down, key=lambda each: each.name):
             fleet.stop(machine)
             fleet.note("left down", machine.name)
@@ -212,14 +212,17 @@
         if len(gone) > down:
             raise Broken(f"still members, and gone for good: {gone}")
 
-    def serves(self, span: int) -> None:
+    def check_requests_served(self, span: int) -> None:
         """What clients sent lately, and the quotas do not touch, was served. Those that hold on to an old answer of the
         directory may still go where nobody is."""
         fleet = self.fleet
         sent = [
             r
             for r in fleet.requests.values()
-            if fleet.now - span < r.sent < fleet.now - SEC and r.tenant == "ann" and r.group.patience == 1 and r.proper
+            if fleet.now - span < r.sent < fleet.now - SEC
+            and r.tenant == "ann"
+            and r.group.patience == 1
+            and r.must_succeed
         ]
         well = sum(r.status == OK for r in sent)
         if not sent or well < SERVED * len(sent):
@@ -239,13 +242,13 @@
                 fleet.wipe(machine)
             elif kind != "wipe":
                 fleet.stop(machine)
-        chance, back = Random(salt + 1), 0
+        rng, back = Random(salt + 1), 0
         for machine in was:
-            at = chance.randrange(10, 1000)
+            at = rng.randrange(10, 1000)
             back = max(back, at)
             self.after(at, fleet.start, machine)
         fleet.run(fleet.now + back * MS)
-        self.recovers(was)
+        self.wait_for_recovery(was)
         call = self.call("read", None, 10 * SEC)
         fleet.run(fleet.now + 6 * SEC)
         if call.verdict != "done" or json.loads(call.state)["Revision"] != f"r{number}":
@@ -253,17 +256,17 @@
         behind = [m.name for m in was if m.node_process.replicated_state.state.index < floor]
         if behind:
             raise Broken(f"LOST: {behind} do not know what was acknowledged")
-        self.serves(3 * SEC)
+        self.check_requests_served(3 * SEC)
 
-    def lost_at_the_end(self, kind: str, chance: Random) -> set[Machine]:
+    def lost_at_the_end(self, kind: str, rng: Random) -> set[Machine]:
         """As many machines of the core as may lose their disks; those that were left down count among them."""
         if kind not in ("power", "wipe"):
             return set()
         core = [machine for machine in self.fleet.core if machine.up]
         many = self.fleet.survive - (len(self.fleet.core) - len(core))
-        return set(chance.sample(core, max(0, min(many, len(core)))))
+        return set(rng.sample(core, max(0, min(many, len(core)))))
 
-    def recovers(self, was: list[Machine]) -> None:
+    def wait_for_recovery(self, was: list[Machine]) -> None:
         """All that were up serve again in time."""
         fleet, returned = self.fleet, self.fleet.now
         while not all(m.node_process.disseminator.ready for m in was):
--- a/tests/membership/test_state_dissemination.py
+++ b/tests/membership/test_state_dissemination.py
@@ -6,7 +6,7 @@
 from rampfront.membership.leadership import CoreStatus
 from rampfront.membership.roster import RosterEntry
 from rampfront.membership.versions import VERSIONS_PER_TERM
-from rampfront.simulation.fleet_growth import Sea
+from rampfront.simulation.fleet_growth import FleetModel
 
 
 def ages(fleet, *but):
@@ -129,19 +129,30 @@
 
 def test_a_fleet_with_datagram_loss_converges():
     """Real frames: bodies, lists and rosters through quick changes, with a tenth of all datagrams lost."""
-    sea = Sea(24, 3, loss=0.1)
-    sea.run(300)
-    sea.listed(sea.rows)
-    assert sea.until(sea.known(), 6000)[1]
-    for act in (Sea.weight, Sea.one_server, Sea.routes, Sea.fifth, Sea.zone, Sea.one_server, Sea.weight):
-        act(sea)
-        sea.run(70)
-    sea.run(2500)
-    lead = sea.lead
-    for ship in sea.ships.values():
-        assert ship.state.body == lead.state.body and ship.state.evacuated_zones == lead.state.evacuated_zones
-        assert ship.servers.endpoints == lead.servers.endpoints and ship.look.roster == lead.look.roster
-        assert ship.clock() - ship.look.confirmed_at_ns < 2 * SEC
+    model = FleetModel(24, 3, loss=0.1)
+    model.run(300)
+    model.publish_endpoints(model.endpoints)
+    assert model.run_until(model.complete_rosters(), 6000)[1]
+    for act in (
+        FleetModel.change_weight,
+        FleetModel.change_one_server,
+        FleetModel.add_routes,
+        FleetModel.replace_fifth,
+        FleetModel.evacuate_zone,
+        FleetModel.change_one_server,
+        FleetModel.change_weight,
+    ):
+        act(model)
+        model.run(70)
+    model.run(2500)
+    leader = model.leader
+    for node in model.nodes.values():
+        assert node.state.body == leader.state.body and node.state.evacuated_zones == leader.state.evacuated_zones
+        assert (
+            node.servers.endpoints == leader.servers.endpoints
+            and node.disseminator.roster == leader.disseminator.roster
+        )
+        assert node.clock() - node.disseminator.confirmed_at_ns < 2 * SEC
 
 
 def test_what_an_earlier_process_stored_is_not_passed_on():
--- a/tests/node/test_core_isolation.py
+++ b/tests/node/test_core_isolation.py
@@ -19,7 +19,7 @@
 from rampfront.settings import settings_reader
 from rampfront.settings.limits import MAX_REVISION
 from rampfront.simulation.checks import Broken
-from rampfront.simulation.fleet import Asked
+from rampfront.simulation.fleet import ApiCall
 from rampfront.simulation.isolation import IsolationRun
 
 MS, SEC = 10**6, 10**9
@@ -107,10 +107,10 @@
     run.go(SEC)
     one = run.pick(who)
     views = StatusViews(one.node_process)
-    assert json.loads(views.state(Asked({})).body)["LeaderSilentMs"] is None
+    assert json.loads(views.state(ApiCall({})).body)["LeaderSilentMs"] is None
     pairs = run.cut([one], others=[machine for machine in run.fleet.core if machine is not one])
     run.go(6 * SEC)
-    told = json.loads(views.state(Asked({})).body)
+    told = json.loads(views.state(ApiCall({})).body)
     assert told["Fresh"] and told["OutOfTouchMs"] is None and 5000 <= told["LeaderSilentMs"] <= 7500
     assert dict(gauges(one.node_process))["leader_silent_seconds"] == pytest.approx(
         told["LeaderSilentMs"] / 1000, abs=0.1
@@ -120,7 +120,7 @@
     assert asked[0].status == 503
     run.join(pairs)
     run.go(3 * SEC)
-    assert json.loads(views.state(Asked({})).body)["LeaderSilentMs"] is None
+    assert json.loads(views.state(ApiCall({})).body)["LeaderSilentMs"] is None
 
 
 def test_evacuations_are_read_behind_a_confirmed_round():
@@ -156,10 +156,10 @@
         answers += [run.order(kind, one, run.body(), of="a1") for kind in ("config", "read", "empty", "fill")]
         run.go(SEC)
     assert all(answer[0].status == 503 for answer in answers)
-    lookup = one.directory.lookup(Asked({"Zone": "a1"}))
+    lookup = one.directory.lookup(ApiCall({"Zone": "a1"}))
     assert lookup.status == 503 and dict(lookup.headers)[b"Retry-After"]
     assert not one.node_process.disseminator.ready
-    assert json.loads(StatusViews(one.node_process).state(Asked({})).body)["OutOfTouchMs"] >= 5000
+    assert json.loads(StatusViews(one.node_process).state(ApiCall({})).body)["OutOfTouchMs"] >= 5000
     run.join(pairs)
     run.go(3 * SEC)
     run.agree()
@@ -222,7 +222,7 @@
     run.fleet.freeze(old)
     run.go(3 * SEC)
     old.frozen, old.inbox = False, []
-    assert json.loads(StatusViews(old.node_process).state(Asked({})).body)["Leads"] is False
+    assert json.loads(StatusViews(old.node_process).state(ApiCall({})).body)["Leads"] is False
 
 
 def test_views_and_metrics_report_for_how_long_a_node_is_out_of_touch():
@@ -231,22 +231,22 @@
     run.go(SEC)
     for one in (run.leader(), run.fleet.machines[7]):
         views, node_process = StatusViews(one.node_process), one.node_process
-        assert json.loads(views.state(Asked({})).body)["OutOfTouchMs"] is None
+        assert json.loads(views.state(ApiCall({})).body)["OutOfTouchMs"] is None
         assert dict(gauges(node_process))["out_of_touch_seconds"] == 0
         pairs = run.cut([one])
         run.go(20 * SEC)
         for answer in (
-            views.state(Asked({})),
-            views.nodes(Asked({})),
-            views.servers(Asked({})),
-            views.quotas(Asked({})),
+            views.state(ApiCall({})),
+            views.nodes(ApiCall({})),
+            views.servers(ApiCall({})),
+            views.quotas(ApiCall({})),
         ):
             assert 20_000 <= json.loads(answer.body)["OutOfTouchMs"] < 21_500
         told = dict(gauges(node_process))
         assert told["out_of_touch"] and 20 <= told["out_of_touch_seconds"] < 21.5 and not told["leads"]
         run.join(pairs)
         run.go(3 * SEC)
-        assert json.loads(views.state(Asked({})).body)["OutOfTouchMs"] is None
+        assert json.loads(views.state(ApiCall({})).body)["OutOfTouchMs"] is None
 
 
 def test_what_the_core_would_never_take_is_rejected_with_4xx(monkeypatch):
--- a/tests/pins/adapter.py
+++ b/tests/pins/adapter.py
@@ -93,7 +93,7 @@
     connections to and from servers and clients too, all that is stored, and the answers to operators."""
     run = SystemRun(seed, nodes)
     fleet = run.fleet
-    frame, flow, store, answer = fleet.frame, fleet.flow, fleet.store, run.said
+    frame, flow, store, answer = fleet.transmit_frame, fleet.transmit_bytes, fleet.store, run.node_answered
 
     def sending(wire: Any, ip: str, data: bytes) -> None:
         step("frame", fleet.now, wire.ip, ip, plain_frame(data))
@@ -109,11 +109,11 @@
         step("record", fleet.now, loop.machine.name, "", record)
         return store(loop, record)
 
-    def answering(tried: Any, status: int, body: bytes, *more: Any, **delivery: Any) -> None:
-        step("answer", fleet.now, tried.machine.name, f"{tried.call.kind} {status}", body)
-        answer(tried, status, body, *more, **delivery)
+    def answering(attempt: Any, status: int, body: bytes, *more: Any, **delivery: Any) -> None:
+        step("answer", fleet.now, attempt.machine.name, f"{attempt.call.kind} {status}", body)
+        answer(attempt, status, body, *more, **delivery)
 
-    fleet.frame, fleet.flow, fleet.store, run.said = sending, flowing, storing, answering
+    fleet.transmit_frame, fleet.transmit_bytes, fleet.store, run.node_answered = sending, flowing, storing, answering
     run.play()
 
 
