--- a/rampfront/simulation/operators.py
+++ b/rampfront/simulation/operators.py
@@ -1,5 +1,6 @@
-"""Operators in a run of the whole: they send configurations, evacuate zones and read, at any node, by the handlers that
-serve; they turn to another node behind a second of silence, and send the same again when an answer got lost."""
+"""Operators of the simulated system. They send configurations, evacuate zones and read at any node, through the
+production handlers. They turn to another node after one second without an answer, and repeat an order whose answer was
+lost."""
 
 import json
 import zlib
@@ -17,13 +18,14 @@
 
 MS, SEC = 10**6, 10**9
 OK, NOT_FOUND, CONFLICT, SERVER_ERROR = 200, 404, 409, 500
-UNDER_WAY = 8  # orders of a storm at once
-CONNECTION_ENDS_AFTER = 10 * MS  # behind an answer that was read or lost, at the node
-FIRST_ONE_WAITS, OTHERS_WAIT = 60 * SEC, 15 * SEC  # for which an order is sent again
+MAX_STORM_ORDERS = 8  # unanswered at once
+CONNECTION_ENDS_AFTER = 10 * MS  # until the node sees the connection end, once its answer was read or lost
+FIRST_ORDER_TIMEOUT, ORDER_TIMEOUT = 60 * SEC, 15 * SEC  # during which an order is repeated
 
 
-def configuration(number: int, keys: list[str], target: str = "1s") -> bytes:
-    """One of number, routes for both services, and `keys` for a tenant; `target` tells two of one number apart."""
+def build_configuration(number: int, keys: list[str], target: str = "1s") -> bytes:
+    """A configuration of that number with routes to both services. `keys`: further keys of tenant ann; `target`
+    distinguishes two configurations under one number."""
     tenants: list[dict] = [{"Name": "ann", "ApiKeys": ["ann-key", *keys]}]
     for name, (per_s, burst) in QUOTAS.items():
         tenants.append({"Name": name, "ApiKeys": [f"{name}-key"], "PerS": per_s, "Burst": burst})
@@ -38,23 +40,24 @@
         for prefix, kind, service in routes
     ]
     groups = [{"Name": name, "HealthPath": "/health", "Warmup": "3s", "ColdPerS": 2} for name in SERVICES]
-    whole = {
+    configuration = {
         "Revision": f"r{number}",
         "Customers": tenants,
         "Caps": {},
         "Sockets": [{"Hostname": "h.example", "Rulebook": rules}],
         "Groups": groups,
     }
-    return json.dumps(whole).encode()
+    return json.dumps(configuration).encode()
 
 
-def mark(body: bytes) -> bytes:
+def body_digest(body: bytes) -> bytes:
     """Stands for a body in a history."""
     return blake2b(body, digest_size=8).digest()
 
 
 class Attempt(NamedTuple):
-    """One sending of an order to a node; `operation`: its place in the history."""
+    """One sending of an order to a node. `number`: which attempt of the call it is; `operation`: its index in the
+    history."""
 
     call: Call
     machine: Machine
@@ -63,131 +66,138 @@
 
 
 class Operators:
-    """Needs the `fleet`, `chance`, `watch`, `calls`, `revs`, `zones_busy`, `restored_at` and `history` of a run."""
+    """The operators' part of a run. Needs the run's `fleet`, `rng`, `watch`, `calls`, `revisions`, `evacuating_zones`,
+    `restored_at` and `history`."""
 
     def config(self, twice: bool = False, races: bool = False, machine: Machine | None = None) -> Call:
-        """A new configuration: each holds a key of its own, and that of the one before. `twice`: another operator sends
-        the next number at the same moment; `races`: he sends another body under that. `machine`: asked first."""
-        number = (self.revs[-1] if self.revs else 0) + self.rng.randrange(1, 4)
+        """Sends a new configuration, which holds a key of its own and that of its predecessor.
+
+        `twice`: another operator sends the next number at the same moment; `races`: another operator sends a different
+        body under the same number; `machine`: receives the order first.
+        """
+        number = (self.revisions[-1] if self.revisions else 0) + self.rng.randrange(1, 4)
         body, other = self.body(number), self.body(number, "1100ms")
-        wait = OTHERS_WAIT if self.revs else FIRST_ONE_WAITS
-        self.revs.append(number)
-        call = self.call("config", (number, zlib.compress(body)), wait, machine)
+        timeout = ORDER_TIMEOUT if self.revisions else FIRST_ORDER_TIMEOUT
+        self.revisions.append(number)
+        call = self.call("config", (number, zlib.compress(body)), timeout, machine)
         if races:
-            self.call("config", (number, zlib.compress(other)), wait)
+            self.call("config", (number, zlib.compress(other)), timeout)
         if twice:
             self.config()
         return call
 
     def body(self, number: int, target: str = "1s") -> bytes:
-        """A configuration that holds a key of its own, and that of the one before."""
-        return configuration(number, [f"ann-{each}" for each in (number, *self.revs[-1:])], target)
+        """A configuration that holds a key of its own and that of its predecessor."""
+        return build_configuration(number, [f"ann-{each}" for each in (number, *self.revisions[-1:])], target)
 
     def race(self) -> None:
-        """Two bodies under one number at the same moment."""
+        """Sends two bodies under one number at the same moment."""
         self.config(races=True)
 
-    def config_at(self, who: int) -> None:
-        """A new configuration, sent to one machine first."""
-        self.config(machine=self.pick(who))
+    def config_at(self, target: int) -> None:
+        """Sends a new configuration to one machine first."""
+        self.config(machine=self.pick(target))
 
     def again(self, salt: int) -> None:
-        """An older change arrives again, whether it was acknowledged or not."""
-        if self.sent:
-            self.call("config", self.sent[-1 - salt % min(len(self.sent), 6)], OTHERS_WAIT)
+        """Sends one of the last six configurations again, whether it was acknowledged or not."""
+        if self.sent_configurations:
+            self.call(
+                "config", self.sent_configurations[-1 - salt % min(len(self.sent_configurations), 6)], ORDER_TIMEOUT
+            )
 
     def storm(self, count: int, gap: int) -> None:
-        """Hundreds of changes, so many ms apart, a few under way at once."""
-        self.change_on([], count, gap)
+        """Sends `count` configurations, one every `gap` ms, with at most MAX_STORM_ORDERS of them unanswered."""
+        self.continue_storm([], count, gap)
 
-    def change_on(self, under_way: list[Call], left: int, gap: int) -> None:
-        """The next change of a storm."""
-        if not left or self.calm:
+    def continue_storm(self, under_way: list[Call], left: int, gap: int) -> None:
+        """Sends the next configuration of a storm."""
+        if not left or self.is_calm:
             return
         under_way = [call for call in under_way if call.verdict is None]
-        if len(under_way) < UNDER_WAY:
+        if len(under_way) < MAX_STORM_ORDERS:
             under_way.append(self.config())
             left -= 1
-        self.after(gap, self.change_on, under_way, left, gap)
+        self.after(gap, self.continue_storm, under_way, left, gap)
 
     def evacuate(self, zone: str, ms: int) -> None:
-        """One zone at a time, and each taken back before it is emptied anew."""
-        if not self.zones_busy:
-            self.zones_busy[zone] = ms
+        """Evacuates a zone for `ms` ms, unless another evacuation is under way; each is ended before the next
+        begins."""
+        if not self.evacuating_zones:
+            self.evacuating_zones[zone] = ms
             self.restored_at.pop(zone, None)
             self.call("empty", zone)
 
-    def take_back(self, zone: str) -> None:
-        """Its servers have become cold meanwhile."""
+    def restore_zone(self, zone: str) -> None:
+        """Ends an evacuation. The servers of the zone have become cold in the meantime."""
         if self.fleet.now < self.faults_end_at:
             self.watch.taken_back(zone)
             self.call("fill", zone)
 
-    def free(self, zone: str) -> None:
-        """It may be evacuated anew."""
-        self.zones_busy.pop(zone, None)
+    def release_zone(self, zone: str) -> None:
+        """Lets the next evacuation begin."""
+        self.evacuating_zones.pop(zone, None)
 
     def read(self) -> Call:
-        """Asks for the newest configuration."""
+        """Reads the newest configuration."""
         return self.call("read", None)
 
     def lose_answers(self, share: float, ms: int) -> None:
-        """Answers to operators get lost on their way."""
+        """Loses a share of the answers to operators for `ms` ms."""
         self.answer_loss = share
-        self.after(ms, self.keep_answers)
+        self.after(ms, self.end_answer_loss)
 
-    def keep_answers(self) -> None:
-        """Ends that."""
+    def end_answer_loss(self) -> None:
+        """Lets all answers arrive again."""
         self.answer_loss = 0.0
 
-    # One order, through all its tries.
+    # One order, through all its attempts.
 
-    def call(self, kind: str, body: object, until: int = OTHERS_WAIT, machine: Machine | None = None) -> Call:
-        """An order, sent until it is answered or `until` (ns from now) is over, to `machine` first."""
+    def call(self, kind: str, body: object, until: int = ORDER_TIMEOUT, machine: Machine | None = None) -> Call:
+        """Sends an order until it is answered or `until` (ns from now) has passed, to `machine` first."""
         fleet = self.fleet
         call = Call(kind, body, fleet.now, fleet.ledger.newest(), fleet.now + until, kind == "config")
-        if kind == "config" and body not in self.sent:
-            self.sent.append(body)
+        if kind == "config" and body not in self.sent_configurations:
+            self.sent_configurations.append(body)
         self.calls.append(call)
-        self.place(call, machine or self.any())
+        self.send_order(call, machine or self.pick_any())
         return call
 
-    def any(self) -> Machine:
-        """A machine, as an operator picks it; in the calm at the end one that is up."""
+    def pick_any(self) -> Machine:
+        """A machine that an operator picks at random; in the calm at the end only one that is up."""
         up = [machine for machine in self.fleet.machines if machine.up]
-        return self.rng.choice(up if self.calm and up else self.fleet.machines)
+        return self.rng.choice(up if self.is_calm and up else self.fleet.machines)
 
-    def place(self, call: Call, machine: Machine) -> None:
-        """Gives an order to a node, and to another one if nothing comes back within a second."""
+    def send_order(self, call: Call, machine: Machine) -> None:
+        """Sends an order to a node, and to another one if no answer arrives within a second."""
         fleet = self.fleet
         if call.verdict is not None or fleet.now > call.until:
             return
         call.tries += 1
         if not machine.up:
-            fleet.at(fleet.now + 50 * MS, self.missed, call, call.tries)
+            fleet.at(fleet.now + 50 * MS, self.on_silence, call, call.tries)
             return
         operation = self.history.begin(self.operation(call, machine))
-        fleet.at(fleet.now + SEC + self.rng.randrange(200 * MS), self.missed, call, call.tries)
+        fleet.at(fleet.now + SEC + self.rng.randrange(200 * MS), self.on_silence, call, call.tries)
         arrives = fleet.now + fleet.draw_latency("operator", machine.ip)
-        fleet.at(arrives, fleet.do, machine, machine.life, self.hand, call, machine, call.tries, operation)
+        fleet.at(arrives, fleet.do, machine, machine.life, self.deliver_order, call, machine, call.tries, operation)
 
     def operation(self, call: Call, machine: Machine) -> Operation:
-        """A try of an order, for the history."""
+        """An attempt of an order as it is recorded in the history."""
         kind = OPERATIONS[call.kind]
         if kind is Kind.CONFIGURE:
             number, body = call.body
-            return Operation(kind, machine.name, self.fleet.now, number=number, body=mark(zlib.decompress(body)))
+            return Operation(kind, machine.name, self.fleet.now, number=number, body=body_digest(zlib.decompress(body)))
         return Operation(kind, machine.name, self.fleet.now, zone=call.body or "")
 
-    def hand(self, call: Call, machine: Machine, tries: int, operation: int) -> None:
-        """An order is at a node."""
+    def deliver_order(self, call: Call, machine: Machine, tries: int, operation: int) -> None:
+        """An order is at a node: hands it to the node's handler."""
         if call.tries != tries or call.verdict is not None:
-            return  # the operator has turned away
+            return  # the operator has turned to another node
         control, fleet = machine.control, self.fleet
-        told = partial(self.node_answered, Attempt(call, machine, tries, operation))
+        respond = partial(self.node_answered, Attempt(call, machine, tries, operation))
         body = zlib.decompress(call.body[1]) if call.kind == "config" else b""
-        asked = ApiCall({"of": call.body}, body, told)
-        way = {
+        api_call = ApiCall({"of": call.body}, body, respond)
+        handler = {
             "config": control.replace_configuration,
             "read": control.read_configuration,
             "empty": control.start_evacuation,
@@ -195,104 +205,115 @@
         }[call.kind]
         fleet.calling = call
         try:
-            answer = way(asked)
+            answer = handler(api_call)
         finally:
             fleet.calling = None
         if answer is not None:
-            told(answer.status, answer.body)
+            respond(answer.status, answer.body)
 
     def node_answered(
         self, attempt: Attempt, status: int, body: bytes, *_: object, on_delivery: DeliveryCallback | None = None
     ) -> None:
-        """A node has an answer, which may get lost on its way. `on_delivery`: the node wants to know."""
+        """A node answers an order; the answer may get lost. `on_delivery`: called with whether the operator read it,
+        None if the node does not need to know."""
         fleet, machine = self.fleet, attempt.machine
         if status == OK:
-            self.acker = machine
-            self.acknowledged()
+            self.last_acknowledger = machine
+            self.on_acknowledgement()
         if self.answer_loss and self.rng.random() < self.answer_loss:
             fleet.count("answers lost")
-            self.tell_delivery(attempt, Delivery.LOST, on_delivery)
+            self.report_delivery(attempt, Delivery.LOST, on_delivery)
             return
-        fleet.at(fleet.now + fleet.draw_latency(machine.ip, "operator"), self.heard, attempt, status, body, on_delivery)
-
-    def tell_delivery(self, attempt: Attempt, delivery: Delivery, on_delivery: DeliveryCallback | None) -> None:
-        """The node sees how the operator's connection ends."""
+        fleet.at(
+            fleet.now + fleet.draw_latency(machine.ip, "operator"),
+            self.receive_answer,
+            attempt,
+            status,
+            body,
+            on_delivery,
+        )
+
+    def report_delivery(self, attempt: Attempt, delivery: Delivery, on_delivery: DeliveryCallback | None) -> None:
+        """Tells the node how the operator's connection ended."""
         if on_delivery is not None:
             machine, fleet = attempt.machine, self.fleet
             fleet.at(fleet.now + CONNECTION_ENDS_AFTER, fleet.do, machine, machine.life, on_delivery, delivery)
 
-    def heard(self, attempt: Attempt, status: int, body: bytes, on_delivery: DeliveryCallback | None = None) -> None:
-        """An operator has an answer. He has turned away from those of earlier tries."""
+    def receive_answer(
+        self, attempt: Attempt, status: int, body: bytes, on_delivery: DeliveryCallback | None = None
+    ) -> None:
+        """An operator receives an answer, and ignores those to earlier attempts."""
         call = attempt.call
         if call.tries != attempt.number:
-            self.tell_delivery(attempt, Delivery.LOST, on_delivery)
+            self.report_delivery(attempt, Delivery.LOST, on_delivery)
             return
-        self.tell_delivery(attempt, Delivery.DELIVERED, on_delivery)
+        self.report_delivery(attempt, Delivery.DELIVERED, on_delivery)
         self.record(attempt, status, body)
         if call.verdict is not None:
             return
         if status == OK:
-            self.done(call, body)
+            self.order_done(call, body)
         elif status == NOT_FOUND and call.kind == "read":
             call.verdict = "none"
         elif status == CONFLICT and call.kind == "config":
-            call.verdict = "refused"  # rightly or not: the history tells
+            call.verdict = "refused"  # the check of the history decides whether rightly
             self.fleet.count("refused")
         elif status < SERVER_ERROR:
-            raise Broken(f"{call.kind} {str(call.body)[:40]} is answered {status}")
+            raise Broken(f"{call.kind} {str(call.body)[:40]} was answered with status {status}")
         else:
-            self.after(50 + self.rng.randrange(200), self.place_anywhere, call)
+            self.after(50 + self.rng.randrange(200), self.resend, call)
 
     def record(self, attempt: Attempt, status: int, body: bytes) -> None:
-        """Into the history. An answer that says nothing leaves the call in doubt."""
+        """Records an answer in the history. One that decides nothing leaves the call in doubt."""
         now, operation = self.fleet.now, attempt.operation
         if attempt.call.kind == "read" and status in (OK, NOT_FOUND):
             number = int(json.loads(body)["Revision"][1:]) if status == OK else 0
-            self.history.end_read(operation, now, number, mark(body) if number else b"")
+            self.history.end_read(operation, now, number, body_digest(body) if number else b"")
         elif status == OK:
             self.history.end(operation, now, Verdict.ACKNOWLEDGED)
         elif status == CONFLICT:
             self.history.end(operation, now, Verdict.REFUSED)
 
-    def done(self, call: Call, body: bytes) -> None:
-        """An operator knows that his order was carried out."""
+    def order_done(self, call: Call, body: bytes) -> None:
+        """An operator knows that an order was carried out."""
         call.verdict, call.done_at, call.state = "done", self.fleet.now, body
         self.watch.acknowledged(call, self.fleet.now)
         if call.kind == "empty":
-            self.after(self.zones_busy.get(call.body, 1000), self.take_back, call.body)
+            self.after(self.evacuating_zones.get(call.body, 1000), self.restore_zone, call.body)
         elif call.kind == "fill":
             self.restored_at[call.body] = self.fleet.now
-            self.after(2000, self.free, call.body)
+            self.after(2000, self.release_zone, call.body)
 
-    def place_anywhere(self, call: Call) -> None:
-        """Another try."""
-        self.place(call, self.any())
+    def resend(self, call: Call) -> None:
+        """Sends an order again, to any node."""
+        self.send_order(call, self.pick_any())
 
-    def missed(self, call: Call, tries: int) -> None:
-        """Nothing came back."""
+    def on_silence(self, call: Call, tries: int) -> None:
+        """Sends an order again if the attempt got no answer."""
         if call.verdict is None and call.tries == tries:
-            self.place(call, self.any())
+            self.send_order(call, self.pick_any())
 
-    # Faults that wait for an acknowledgement.
+    # Faults that follow an acknowledgement.
 
     def after_ack(self, what: str, ms: int) -> None:
-        """A fault right behind the next acknowledgement: the moment at which it hurts most."""
+        """Arms a fault that strikes `ms` ms after the next acknowledgement, the moment at which it does the most
+        harm."""
         self.armed_fault = what, ms
 
-    def acknowledged(self) -> None:
-        """A node has just acknowledged an order."""
+    def on_acknowledgement(self) -> None:
+        """A node has just acknowledged an order: schedules the armed fault."""
         if self.armed_fault and self.fleet.now < self.faults_end_at:
             (what, ms), self.armed_fault = self.armed_fault, None
             arguments = {
                 "kill": (LEADER, 1500),
                 "term": (LEADER, 1500),
                 "wipe": (LEADER, 800),
-                "kill_all": (self.tags, 500),
+                "kill_all": (self.request_count, 500),
                 "cut_one": (LEADER, "both", False, 3000),
             }[what]
-            self.after(ms, self.strike, what, arguments)
+            self.after(ms, self.apply_before_calm, what, arguments)
 
-    def strike(self, what: str, arguments: tuple) -> None:
-        """Guards the calm against a fault that was on its way when it began."""
+    def apply_before_calm(self, what: str, arguments: tuple) -> None:
+        """Applies a row unless the calm has begun in the meantime."""
         if self.fleet.now < self.faults_end_at:
-            self.befall(what, arguments)
+            self.apply_row(what, arguments)
