--- a/tests/test_system_run.py
+++ b/tests/test_system_run.py
@@ -1,4 +1,5 @@
-"""The model of the whole: a few seeded runs, the runs that found something, and the model itself."""
+"""The simulation of the whole system: some seeded runs, plans that once broke a rule, and the simulation's own
+properties."""
 
 import pytest
 
@@ -22,7 +23,7 @@
 
 
 PLANS = {
-    # A leader, killed and started again, answered adds before it knew any tenant: all pilots took the quota for unused.
+    # A restarted leader answered quota updates before it knew any tenant, so all proxies took the quota for unused.
     17: [
         (6701, "after_ack", "kill", 5),
         (6708, "kill_all", 4706, 702),
@@ -30,7 +31,7 @@
         (8402, "cut_in_two", (0, 1, 4, 5, 6, 7, 8, 10), False, 4084),
         (8768, "kill", 0, 1454),
     ],
-    # A node that started again took the answer to its former life's question for its own.
+    # A restarted node accepted the answer to a request that its previous process had sent.
     1129: [
         (6759, "kill_all", 53106, 890),
         (7865, "freeze", -1, 3049),
@@ -39,7 +40,8 @@
         (10724, "config", True),
         (11170, "kill_all", 14859, 174),
     ],
-    # Cut from the holder as a tenant's second surge begins: each pilot went by a full reading until it found that out.
+    # Proxies were cut off from the quota counter as a tenant's second surge began. Until they noticed, each of them
+    # used the last total that it had received as if it were complete and current.
     50023: [
         (6385, "surge", "hot", 4500),
         (6503, "surge", "hot", 3447),
@@ -55,18 +57,21 @@
 
 
 def test_a_plan_that_means_a_machine_which_is_being_replaced():
-    """The last in the list stutters on as another one goes: an index past the end of the list, once."""
+    """The plan suspends the last machine of the list repeatedly while another one is removed, so that the list becomes
+    shorter than the machine's index."""
     SystemRun(810027).play()
 
 
 @pytest.mark.parametrize("seed", (904, 907, 913, 916))
 def test_a_surge_as_proxies_are_cut_off_by_other_luck(seed):
-    """The last of these plans with other draws: four of ten broke QUOTA by up to 11 requests of 99."""
+    """The last plan with other seeds, which draw other latencies and loads. Before the fault was mended, four of ten
+    seeds broke QUOTA by up to 11 requests of 99."""
     SystemRun(seed, plan=PLANS[50023], length=8000).play()
 
 
 def test_what_breaks_is_made_small(monkeypatch):
-    """The lease not looked at: a machine cut off from the core lets a key run that was taken away."""
+    """With the lease check disabled, a machine cut off from the core accepts a key after its revocation. The run must
+    report this, and the plan must be printable as a test."""
     monkeypatch.setattr(RequestProxy, "ready", lambda request_proxy: True)
     rows = [
         (6500, "seeds", (0, 1, 2)),
