--- a/rampfront/simulation/plan.py
+++ b/rampfront/simulation/plan.py
@@ -118,12 +118,12 @@
 
     def draw_rows(self, rate: float, draw: Callable[[], Row], begin: int) -> list[Row]:
         """Draws rows at random times. `rate`: rows a second."""
-        found = []
+        rows = []
         at = begin + int(self.rng.expovariate(rate) * 1000)
         while at < self.end:
-            found.append((at, *draw()))
+            rows.append((at, *draw()))
             at += 1 + int(self.rng.expovariate(rate) * 1000)
-        return found
+        return rows
 
     # The parts of rows.
 
@@ -200,7 +200,7 @@
     def draw_order(self) -> Row:
         """Draws an operator's order, without its time."""
         rng = self.rng
-        kind = rng.choices([what for _, what in ORDERS], [part for part, _ in ORDERS])[0]
+        kind = rng.choices([kind for _, kind in ORDERS], [share for share, _ in ORDERS])[0]
         if kind == "config":
             return kind, self.draw_rare()
         if kind == "evacuate":
@@ -225,7 +225,7 @@
         return [(at, "cut_one", LEADER, "both", False, 3000), *orders, (at + 2000, "read"), (at + 3000, "read")]
 
     def plot_quota(self, at: int) -> list[Row]:
-        """Splits the fleet during a surge and stops the machine that counts the quotas."""
+        """Splits the fleet during a surge and stops or suspends the machine that counts the quotas."""
         rng = self.rng
         return [
             (at, "cut_in_two", self.draw_machines(self.nodes // 2), False, 6000),
@@ -263,8 +263,8 @@
         rng = self.rng
         first, second = rng.randrange(self.disks), rng.randrange(self.disks)
         kind = rng.choice(("replace", "replace_planned"))
-        whole = at + 1000 + CATCH_UP_MS + rng.randrange(20, 100)
+        full_member_at = at + 1000 + CATCH_UP_MS + rng.randrange(20, 100)
         return [
             (at, kind, rng.choice((LEADER, first)), 1000),
-            (whole, "wipe", rng.choice((LEADER, LAST_ACKNOWLEDGER, second)), 500),
+            (full_member_at, "wipe", rng.choice((LEADER, LAST_ACKNOWLEDGER, second)), 500),
         ]
