--- a/rampfront/simulation/fleet.py
+++ b/rampfront/simulation/fleet.py
@@ -374,7 +374,7 @@
         self.inbox, self.offset, self.ruled, self.revision = [], 0, 0, 0
         # incarnation: of its disk contents; 0: none yet
         self.wiped_at, self.incarnation, self.leads = -60 * SEC, 0, False
-        self.active_faults, self.calm_at, self.began = 0, 0, False
+        self.active_faults, self.calm_at, self.has_started = 0, 0, False
         self.control = self.directory = None
         self.seeds = self.replaces = None  # seeds: in its settings; None: those of the fleet
 
@@ -526,7 +526,7 @@
                     "Ip": ip,
                     "Serves": ["front", "control", "directory"],
                     "DataFolder": "disk" if machine.disk else "",
-                    "FirstBoot": not machine.began,
+                    "FirstBoot": not machine.has_started,
                 },
                 "Network": {
                     "ListenOn": {
@@ -567,11 +567,11 @@
         node_process.client_front.server = Listener
         machine.control, machine.directory = build_control_calls(node_process), build_directory(node_process)
         self.watch.join(machine)
-        if machine.in_core and not machine.began and node_process.core.member.entry is not None:
+        if machine.in_core and not machine.has_started and node_process.core.member.entry is not None:
             self.ledger.founders.add(machine.name)
             if len(self.ledger.founders) > 1:
                 raise Broken("founded twice")
-        machine.began = True
+        machine.has_started = True
         self.fault_ended(machine)
         self.do(machine, machine.life, node_process.start)
 
@@ -620,7 +620,7 @@
         own."""
         self.machines_made += 1
         machine = Machine(self.machines_made, replaced.zone, True, self.sync)
-        machine.began, machine.wiped_at, machine.replaces = True, self.now, replaced
+        machine.has_started, machine.wiped_at, machine.replaces = True, self.now, replaced
         machine.seeds = [other.ip for other in self.core if other is not replaced][:3]
         self.machines.append(machine)
         self.core.append(machine)
--- a/rampfront/simulation/isolation.py
+++ b/rampfront/simulation/isolation.py
@@ -167,7 +167,7 @@
         for service in SERVICES:
             for zone in ZONES:
                 fleet.add_server(service, zone, False)
-        fleet.platform.shown[0] = (-60 * SEC, fleet.platform.shown[-1][1])
+        fleet.platform.list_history[0] = (-60 * SEC, fleet.platform.list_history[-1][1])
         for machine in fleet.machines:
             fleet.at(fleet.rng.randrange(50 * MS), fleet.start, machine)
         self.go(2 * SEC)
--- a/rampfront/simulation/outside.py
+++ b/rampfront/simulation/outside.py
@@ -118,10 +118,13 @@
     """The platform's paginated list of servers, which lags behind their state."""
 
     def __init__(self, fleet, lag, page_size):
-        """`lag`: how old a list is that the platform returns, up to a quarter less (ns)."""
+        """`lag`: age of the list that the platform returns, or up to a quarter less (ns)."""
         self.fleet, self.lag, self.page_size = fleet, lag, page_size
-        self.down_until, self.trouble_at = 0, -60 * SEC  # trouble_at: end of the latest outage
-        self.shown = [(-60 * SEC, ())]  # (time from which it held, rows of (server, state)), oldest first
+        self.down_until, self.outage_ends_at = (
+            0,
+            -60 * SEC,
+        )  # outage_ends_at: of the latest outage, not cut short by the calm
+        self.list_history = [(-60 * SEC, ())]  # (time from which it held, rows of (server, state)), oldest first
 
     def changed(self):
         """Records the list as it is now; read_page returns it once the lag is over."""
@@ -131,13 +134,13 @@
             for s in self.fleet.servers
             if s.up or s.state == "ready" and now - s.ended_at < LISTED_AFTER_CRASH
         )
-        self.shown = self.shown[-200:] + [(now, rows)]
+        self.list_history = self.list_history[-200:] + [(now, rows)]
 
     def read_page(self, target):
         """Returns (status, body) of a page of the list."""
         fleet = self.fleet
         seen = fleet.now - self.lag + fleet.rng.randrange(self.lag // 4 + 1)
-        rows = next(rows for since, rows in reversed(self.shown) if since <= seen)
+        rows = next(rows for since, rows in reversed(self.list_history) if since <= seen)
         start = int(target.partition("=")[2] or 0)
         page = rows[start : start + self.page_size]
         servers = {
--- a/rampfront/simulation/rules.py
+++ b/rampfront/simulation/rules.py
@@ -165,7 +165,7 @@
                 )
         if server.leaving_at is not None:
             shown = server.leaving_at + fleet.platform.lag
-            if now - shown > DRAIN and fleet.platform.trouble_at + IN_TOUCH < shown and self.touch(machine, shown):
+            if now - shown > DRAIN and fleet.platform.outage_ends_at + IN_TOUCH < shown and self.touch(machine, shown):
                 raise Broken(f"DRAIN: {machine.name} sends to {server.uid} {(now - shown) / SEC:.2f} s behind the list")
 
     def key(self, request, now):
--- a/rampfront/simulation/system_faults.py
+++ b/rampfront/simulation/system_faults.py
@@ -264,7 +264,7 @@
     def platform(self, ms: int) -> None:
         """The platform does not answer."""
         platform = self.fleet.platform
-        platform.down_until = platform.trouble_at = max(platform.down_until, self.fleet.now + ms * MS)
+        platform.down_until = platform.outage_ends_at = max(platform.down_until, self.fleet.now + ms * MS)
 
     def refuse(self, service: str, ms: int) -> None:
         """All servers of a service refuse requests."""
--- a/rampfront/simulation/system_run.py
+++ b/rampfront/simulation/system_run.py
@@ -75,7 +75,7 @@
             for zone in ZONES:
                 for _ in range(2):
                     fleet.add_server(service, zone, False)
-        fleet.platform.shown[0] = (-60 * SEC, fleet.platform.shown[-1][1])
+        fleet.platform.list_history[0] = (-60 * SEC, fleet.platform.list_history[-1][1])
         within = rng.choice((50, 1500))
         for machine in fleet.machines:
             fleet.at(rng.randrange(within * MS), fleet.start, machine)
--- a/tests/test_closing_loss.py
+++ b/tests/test_closing_loss.py
@@ -74,7 +74,7 @@
     def not_stored(self: Fleet, machine: Any, life: int, disk: Any, future: Any) -> None:
         before = disk.record
         stored(self, machine, life, disk, future)
-        if before is not None and machine.began and self.now > 6 * closing_loss.SEC:
+        if before is not None and machine.has_started and self.now > 6 * closing_loss.SEC:
             disk.record = before  # the disk said yes, and kept what it had
 
     monkeypatch.setattr(Fleet, "stored", not_stored)
