--- a/rampfront/cli/lab_system.py
+++ b/rampfront/cli/lab_system.py
@@ -39,16 +39,17 @@
     experiment = load_system_experiment(plan)
     rate_per_s = sum(stream.rate for stream in experiment.streams)
     typer.echo(
-        f"{experiment.name}: {len(plans.places(experiment))} pilots, {len(plans.servers(experiment))} servers, "
+        f"{experiment.name}: {len(plans.node_placements(experiment))} pilots, "
+        f"{len(plans.server_placements(experiment))} servers, "
         f"{rate_per_s:g} requests/s for {experiment.duration_s:g} s, as {', '.join(experiment.variants)}"
     )
     lines = [
         (event.at, f"{event.target:10} {event.kind} {'on' if event.on else 'off'} {event.size or ''}")
-        for event in schedule.faults(experiment, experiment.seed)
+        for event in schedule.fault_events(experiment, experiment.seed)
     ]
     lines += [
         (step.at, f"{step.call} {step.zone or f'r{step.revision}'}{'' if step.valid else ', invalid'}")
-        for step in schedule.orders(experiment)
+        for step in schedule.order_steps(experiment)
     ]
     for at, line in sorted(lines):
         typer.echo(f"  {at / _NS_PER_S:8.2f} s  {line}")
@@ -74,9 +75,9 @@
         fail(f"--variant: {only!r} is not one of {', '.join(plans.VARIANTS)}", EXIT_INVALID)
     reports_by_variant = {}
     for variant in [only] if only else experiment.variants:
-        report = run_or_exit(runs.play, experiment, variant, experiment.seed, out / variant)
+        report = run_or_exit(runs.run_variant, experiment, variant, experiment.seed, out / variant)
         reports_by_variant[variant] = report
-        typer.echo(reports.text(report))
+        typer.echo(reports.summary_text(report))
         draw_latency(report, report["routes"], out / variant)
     plots.shares(reports_by_variant, out / "worth.png", experiment.name)
     for row in next(iter(reports_by_variant.values()))["accounts"]:
@@ -94,4 +95,4 @@
     from ..lab.system import report as reports
     from ..lab.system import run as runs
 
-    typer.echo(reports.speed_text(run_or_exit(runs.speed, load_system_experiment(plan), out)))
+    typer.echo(reports.speed_text(run_or_exit(runs.measure_speed, load_system_experiment(plan), out)))
--- a/rampfront/lab/system/plan.py
+++ b/rampfront/lab/system/plan.py
@@ -161,12 +161,12 @@
 PLATFORM_FAULTS = ("silent", "garbled", "cut", "500")
 
 
-def places(plan):
+def node_placements(plan):
     """(zone, has a disk) of each pilot, in the order of their numbers."""
     return [(group.zone, k < group.disks) for group in plan.pilots for k in range(group.count)]
 
 
-def servers(plan):
+def server_placements(plan):
     """(service, zone) of each server, in the order of their numbers."""
     return [
         (service, zone) for service in plan.services for zone, count in service.servers.items() for _ in range(count)
@@ -176,7 +176,7 @@
 def targets(plan, text, rng):
     """("node" | "server" | "platform", numbers) that a fault's target names; `BadPlan` for none."""
     head, _, which = text.partition(":")
-    nodes, boxes = places(plan), servers(plan)
+    nodes, boxes = node_placements(plan), server_placements(plan)
     if text == "platform":
         return "platform", [0]
     if head in ("node", "server") and which:
@@ -217,7 +217,7 @@
         raise BadPlan(f"warmup_s: {plan.warmup_s:g} leaves nothing of duration_s {plan.duration_s:g}")
     for k, group in enumerate(plan.pilots):
         known(plan.zones, [group.zone], f"pilots[{k}].zone")
-    if not any(disk for _, disk in places(plan)):
+    if not any(disk for _, disk in node_placements(plan)):
         raise BadPlan("pilots: none has a disk, so there is no core")
     for k, service in enumerate(plan.services):
         known(plan.zones, service.servers, f"services[{k}].servers")
--- a/rampfront/lab/system/report.py
+++ b/rampfront/lab/system/report.py
@@ -259,7 +259,7 @@
     }
 
 
-def text(said):
+def summary_text(said):
     """A few lines for a terminal."""
     worth, latency = said["worth"], said["latency_ms"]
     lines = [
--- a/rampfront/lab/system/request_cost.py
+++ b/rampfront/lab/system/request_cost.py
@@ -1,7 +1,8 @@
-"""What one node adds to a request, by the size of what it holds: `python -m rampfront.lab.system.request_cost -o DIR`.
+"""Measures what one node adds to a request, by the size of its state.
 
-Each case is played by `run.speed`: open loop, straight to the servers and through the one node in turn. The node's
-processor time is fitted against the rate: what stands beside the slope it spends with no request at all.
+Call: `python -m rampfront.lab.system.request_cost -o DIR`. `run.measure_speed` runs each case: open loop, alternately
+straight to the servers and through the one node. A line is fitted to the node's processor time against the rate: its
+slope is the cost of a request, its base the time that the node uses without load.
 """
 
 import json
@@ -111,7 +112,7 @@
     click.echo(HEAD)
     for case in CASES:
         if only in ("", case.name):
-            rows = runs.speed(experiment(case), out / case.name.replace(" ", "-"))
+            rows = runs.measure_speed(experiment(case), out / case.name.replace(" ", "-"))
             for line in lines(case, rows):
                 click.echo(line)
             click.echo(f"| {case.name} | load of the machine {os.getloadavg()[0]:.0f} | | | | | |")
--- a/rampfront/lab/system/run.py
+++ b/rampfront/lab/system/run.py
@@ -1,4 +1,4 @@
-"""Plays an experiment on the whole system: pilots as processes, the rest in this one. `play(plan, variant, seed, folder)`.
+"""Plays an experiment on the whole system: pilots as processes, the rest in this one. `run_variant(plan, variant, seed, folder)`.
 
 A run leaves a folder: `plan.json`, `report.json` and the pilots' settings and logs. It owns what it started, and ends it
 whatever happens.
@@ -60,10 +60,10 @@
 
     def __init__(self, loop, plan, variant, seed, folder):
         body = json.dumps(plans.configuration(plan, 1)).encode()
-        super().__init__(loop, SystemSize(len(plans.places(plan)), plan.base), body=body, folder=folder)
+        super().__init__(loop, SystemSize(len(plans.node_placements(plan)), plan.base), body=body, folder=folder)
         self.plan, self.variant, self.seed, self.terms = plan, variant, seed, plans.terms(plan)
         self.counts, self.rng, self.defect, self.relay = Counter(), Random(f"{seed}/world"), None, None
-        self.events = schedule.faults(plan, seed)
+        self.events = schedule.fault_events(plan, seed)
         self.rigged = variant != "system" or any(e.kind in ("cut", "lossy", "disk", "slow_disk") for e in self.events)
         self.seen, self.told, self.spent = Seen(), [], Counter()  # told: the faults as carried out
         self.boxes, self.stamps, self.spoils = (
@@ -79,7 +79,7 @@
         first = plans.ip(self.plan.base)
         return [
             Node(f"pilot-{k + 1}", str(first + k), zone, port, disk)
-            for k, (zone, disk) in enumerate(plans.places(self.plan))
+            for k, (zone, disk) in enumerate(plans.node_placements(self.plan))
         ]
 
     async def prepare(self):
@@ -116,12 +116,12 @@
         self.platform = Platform(clock, told.page, round(told.lag_s * SEC), told.per_s)
         self.listener = await open_platform(self.loop, self.platform)
         self.fleet = Fleet(self.loop, clock, self.platform, seed=self.seed)
-        for number, (service, zone) in enumerate(plans.servers(self.plan)):
+        for number, (service, zone) in enumerate(plans.server_placements(self.plan)):
             self.boxes.append(None)
             await self.server(number, 0)
 
     async def server(self, number, cold):
-        service, zone = plans.servers(self.plan)[number]
+        service, zone = plans.server_placements(self.plan)[number]
         box = await self.fleet.start(
             make(service), zone, cold=cold, spoil=lambda box, request: self.spoil(number, service)
         )
@@ -229,7 +229,7 @@
             self.loop.create_task(self.server(number, self.warmup(number)))
 
     def warmup(self, number):
-        return round(plans.servers(self.plan)[number][0].warmup_s * SEC)
+        return round(plans.server_placements(self.plan)[number][0].warmup_s * SEC)
 
     # ---- a run
 
@@ -243,7 +243,9 @@
         operator.given.append(first)
         crowd = Crowd(self, due, self.begun)
         events = [(e.at, self.fault, e) for e in self.events]
-        events += [(s.at, lambda s: self.loop.create_task(operator.give(s)), s) for s in schedule.orders(self.plan)]
+        events += [
+            (s.at, lambda s: self.loop.create_task(operator.give(s)), s) for s in schedule.order_steps(self.plan)
+        ]
         for at, what, about in sorted(events, key=lambda row: row[0]):
             self.later(self.begun + at - time.monotonic_ns(), what, about)
         sampler = asyncio.ensure_future(self.sample())
@@ -324,7 +326,7 @@
         raise
 
 
-def play(plan, variant, seed, folder):
+def run_variant(plan, variant, seed, folder):
     """One run of one variant; returns its report, which is in the folder too."""
     from . import report
 
@@ -351,7 +353,7 @@
     return crowd.rows, cores
 
 
-def speed(plan, folder):
+def measure_speed(plan, folder):
     """Rates of the first stream straight to its servers, through one pilot and through all, in turn in one run: rows of
     (way, rate, report)."""
     from . import report
--- a/rampfront/lab/system/schedule.py
+++ b/rampfront/lab/system/schedule.py
@@ -64,7 +64,7 @@
     node: int = 0
 
 
-def orders(plan):
+def order_steps(plan):
     """The first configuration is sent before the run and is not among them; its version is 1."""
     steps, state, revision = [], {"moved": {}, "limits": {}, "revoked": set(), "dropped": set()}, 1
     for order in sorted(plan.orders, key=lambda order: order.at_s):
@@ -93,7 +93,7 @@
     return steps
 
 
-def faults(plan, seed):
+def fault_events(plan, seed):
     """Events in order of time: starts and ends, at every node or server that a fault's target names."""
     rng, events = Random(f"{seed}/faults"), []
     for number, fault in enumerate(plan.faults):
--- a/tests/lab/test_cost_measurements.py
+++ b/tests/lab/test_cost_measurements.py
@@ -102,7 +102,7 @@
 @pytest.mark.parametrize("case", CASES[:1] + CASES[3:5], ids=lambda case: case.name)
 def test_a_case_of_request_cost_holds_what_it_says(case):
     told = experiment(case)
-    assert len(plans.servers(told)) == case.servers and len(told.services) == case.services
+    assert len(plans.server_placements(told)) == case.servers and len(told.services) == case.services
     assert len(told.routes) == case.routes and told.routes[-1].name == told.streams[0].route
 
 
--- a/tests/test_lab_system.py
+++ b/tests/test_lab_system.py
@@ -80,8 +80,8 @@
             )
         )
     )
-    assert schedule.faults(told, 3) == schedule.faults(told, 3) != schedule.faults(told, 4)
-    steps = schedule.orders(told)
+    assert schedule.fault_events(told, 3) == schedule.fault_events(told, 3) != schedule.fault_events(told, 4)
+    steps = schedule.order_steps(told)
     assert [(s.call, s.revision, s.valid, s.node) for s in steps] == [
         ("empty.start", 0, True, 0),
         ("config.replace", 3, True, 0),
@@ -376,7 +376,7 @@
         ],
         orders=[{"kind": "replace", "at_s": 2.0, "move": {"read": "orders"}}, {"kind": "invalid", "at_s": 2.5}],
     )
-    said = run.play(told, "system", 1, tmp_path / "run")
+    said = run.run_variant(told, "system", 1, tmp_path / "run")
     assert said["rules_broken"] == [] and said["settled"] > 0.6 * said["offered"]
     assert said["relay"]["cut"] > 0 and said["relay"]["datagrams"] > 0 and said["servers"]["late"] > 0
     assert [(o["version"], o["acked_ms"] is not None) for o in said["orders"]] == [(1, True), (3, True), (5, False)]
