--- a/rampfront/lab/system/__init__.py
+++ b/rampfront/lab/system/__init__.py
@@ -1,1 +1,1 @@
-"""The laboratory of the whole system: real pilots, stand-ins of everything else, faults by schedule, a judge."""
+"""The laboratory of the whole system: real proxy nodes, emulation of all other parts, scheduled faults, a judge."""
--- a/rampfront/lab/system/counts_cost.py
+++ b/rampfront/lab/system/counts_cost.py
@@ -1,7 +1,8 @@
-"""What counts of tenants cost their holder and a node, by the number of tenants: `python -m ...counts_cost`.
+"""Measures the cost of tenants' counts for their holder and for a node, by the number of tenants.
 
-`QuotaCounter` and `Limiter` as they serve, in one process, without frames: processor time of one call, and the parts of
-budgets that nodes of a fleet get (`proxy.budget_shares`), by the number of nodes.
+Call: `python -m rampfront.lab.system.counts_cost`. It uses the real `QuotaCounter` and `Limiter` in one process,
+without frames, and prints the processor time of one call. It also prints the shares of the budgets that each node of a
+fleet gets (`proxy.budget_shares`), by the number of nodes.
 """
 
 import time
@@ -28,7 +29,7 @@
 
 @dataclass
 class Bench:
-    """A holder and a limiter that know so many tenants, each used by a few requests."""
+    """A holder of counts and a limiter with the same tenants, each of which is used by a few requests."""
 
     counter: QuotaCounter
     limiter: Limiter
@@ -36,72 +37,73 @@
     now: int = 1000 * SEC
     number: int = 0
 
-    def add(self, proxy: str, **more: object) -> dict:
-        """One node's message with one tenant's count."""
+    def add(self, proxy: str, **fields: object) -> dict:
+        """Delivers a node's message with one tenant's count; returns the answer."""
         self.now += SEC // 100
         self.number += 1
         name = self.names[self.number % len(self.names)]
         row = [name, self.now // (5 * SEC), 1, 0, 0]
-        return self.counter.receive(self.now, proxy, {"l": 7, "s": self.number, "g": 1, "a": [row], **more})
+        return self.counter.receive(self.now, proxy, {"l": 7, "s": self.number, "g": 1, "a": [row], **fields})
 
     def node_starts(self) -> None:
-        """A node that just started asks for all that is in use."""
+        """A node that has just started requests all counts in use."""
         self.add(f"node-{self.number}", w=1)
 
     def node_moves(self) -> None:
-        """A node that lived a while comes from another holder: it brings its part, and asks for all."""
+        """A node changes over from another holder: it sends its own counts and requests all."""
         self.add(f"node-{self.number}", f=60000, w=1)
 
     def node_missing(self) -> None:
-        """The part of nodes that are heard changes."""
+        """The share of nodes that the holder does not hear changes."""
         self.counter.missing_share = 0.5
         self.counter.registry.missing_share_updated_at = self.now - SEC // 5
         self.counter.update_missing_share(self.now)
 
     def take(self) -> None:
-        """One request's question at a node."""
+        """A node asks its limiter to admit one request."""
         self.now += SEC // 100
         self.number += 1
         self.limiter.take(self.names[self.number % len(self.names)], self.now)
 
 
 def bench(tenants: int) -> Bench:
-    """All tenants have a quota and a burst."""
-    customers = {f"tenant-{n}": Customer(f"tenant-{n}", (), 0, 20.0, 20.0) for n in range(tenants)}
-    made = Bench(QuotaCounter(1, 0, QuotaRule()), Limiter("node-0", Random(1)), list(customers))
-    made.counter.set_quotas(customers, made.now)
-    made.counter.set_proxy_count(460)
-    made.limiter.set_quotas(customers, made.now)
-    return made
-
-
-def cost(act: Callable[[], object], repeats: int) -> float:
-    """Least processor time of one call in microseconds, of several spans."""
-    act()
-    spans = []
+    """Returns a bench of this many tenants, each with a quota and a burst."""
+    customers = {f"tenant-{index}": Customer(f"tenant-{index}", (), 0, 20.0, 20.0) for index in range(tenants)}
+    bench_state = Bench(QuotaCounter(1, 0, QuotaRule()), Limiter("node-0", Random(1)), list(customers))
+    bench_state.counter.set_quotas(customers, bench_state.now)
+    bench_state.counter.set_proxy_count(460)
+    bench_state.limiter.set_quotas(customers, bench_state.now)
+    return bench_state
+
+
+def cost(action: Callable[[], object], repeats: int) -> float:
+    """Returns the processor time of one call in microseconds: the minimum of several averages over `repeats` calls."""
+    action()
+    costs_us = []
     for _ in range(3):
-        began = time.process_time()
+        started_s = time.process_time()
         for _ in range(repeats):
-            act()
-        spans.append((time.process_time() - began) / repeats * MICRO)
-    return min(spans)
+            action()
+        costs_us.append((time.process_time() - started_s) / repeats * MICRO)
+    return min(costs_us)
 
 
-def calls(made: Bench) -> dict[str, float]:
-    """What to microseconds."""
+def call_costs(bench_state: Bench) -> dict[str, float]:
+    """Returns the cost of each call in microseconds."""
     return {
-        "holder: one tenant's add": cost(lambda: made.add("node-1"), 100 * REPEATS),
-        "holder: what it tells unasked": cost(lambda: made.counter.announcements(made.now), 100 * REPEATS),
-        "holder: a node starts": cost(made.node_starts, REPEATS),
-        "holder: a node comes from another holder": cost(made.node_moves, REPEATS),
-        "holder: other nodes are missing": cost(made.node_missing, REPEATS),
-        "node: `take` of a request": cost(made.take, 100 * REPEATS),
-        "node: `switch_counter`": cost(lambda: made.limiter.link.switch_counter(made.now), REPEATS),
+        "holder: one tenant's count": cost(lambda: bench_state.add("node-1"), 100 * REPEATS),
+        "holder: announcements": cost(lambda: bench_state.counter.announcements(bench_state.now), 100 * REPEATS),
+        "holder: a node starts": cost(bench_state.node_starts, REPEATS),
+        "holder: a node changes over from another holder": cost(bench_state.node_moves, REPEATS),
+        "holder: other nodes are missing": cost(bench_state.node_missing, REPEATS),
+        "node: `take` of a request": cost(bench_state.take, 100 * REPEATS),
+        "node: `switch_counter`": cost(lambda: bench_state.limiter.link.switch_counter(bench_state.now), REPEATS),
     }
 
 
 def parts(nodes: int) -> tuple[float, float]:
-    """Further tries that a node may save up, and requests a second to a cold server, of its fleet's budgets."""
+    """Returns a node's shares of its fleet's budgets: the retries that it may save up, and the requests a second to a
+    cold server."""
     bounds = SimpleNamespace(retry_ratio=0.2, extra_tries=EXTRA_TRIES)
     node = SimpleNamespace(saved_retries=1.0)
     service = SimpleNamespace(cold_per_s=COLD_PER_S, warmup=3 * SEC)
@@ -111,16 +113,16 @@
 
 @click.command()
 def main() -> None:
-    """Prints both tables."""
-    found = {tenants: calls(bench(tenants)) for tenants in TENANTS}
-    click.echo("| call | " + " | ".join(f"{tenants} tenants" for tenants in TENANTS) + " | us a tenant (error) |")
+    """Print both tables."""
+    costs = {tenants: call_costs(bench(tenants)) for tenants in TENANTS}
+    click.echo("| call | " + " | ".join(f"{tenants} tenants" for tenants in TENANTS) + " | us per tenant (error) |")
     click.echo("| --- |" + " --- |" * (len(TENANTS) + 1))
-    for what in found[TENANTS[0]]:
-        figures = [found[tenants][what] for tenants in TENANTS]
+    for call in costs[TENANTS[0]]:
+        figures = [costs[tenants][call] for tenants in TENANTS]
         slope = fit(TENANTS, figures)
-        told = " | ".join(f"{value:,.1f}" for value in figures)
-        click.echo(f"| {what} | {told} | {slope.each:.4f} ({slope.each_error:.4f}) |")
-    click.echo("\n| nodes | tries that a node may save up | requests a second of a node to a cold server |")
+        cells = " | ".join(f"{value:,.1f}" for value in figures)
+        click.echo(f"| {call} | {cells} | {slope.each:.4f} ({slope.each_error:.4f}) |")
+    click.echo("\n| nodes | retries that a node may save up | requests a second of a node to a cold server |")
     click.echo("| --- | --- | --- |")
     for nodes in NODES:
         saved, cold = parts(nodes)
--- a/rampfront/lab/system/request_cost.py
+++ b/rampfront/lab/system/request_cost.py
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True)
 class Case:
-    """`servers` of all `services` together; the requests go to the first service."""
+    """The size of a node's state. `servers`: of all services together; the requests use the first service."""
 
     name: str
     routes: int = 40
@@ -44,9 +44,11 @@
 
 
 def experiment(case: Case, rates: tuple[float, ...] = RATES, seconds: float = SECONDS) -> Experiment:
-    """One node, the case's servers, all with room, and a stream on the last route. Raises BadPlan."""
+    """Returns an experiment with one node, the case's servers, all with spare capacity, and a stream on the last route.
+
+    Raises BadPlan."""
     services = [f"service-{number}" for number in range(case.services)]
-    each = case.servers // case.services // len(ZONES)
+    servers_per_zone = case.servers // case.services // len(ZONES)
     return plans.parse(
         {
             "name": case.name.replace(" ", "-"),
@@ -56,7 +58,7 @@
             "services": [
                 {
                     "name": name,
-                    "servers": dict.fromkeys(ZONES, each),
+                    "servers": dict.fromkeys(ZONES, servers_per_zone),
                     "slots": 64,
                     "queue": 256,
                     "connections": 1000,
@@ -80,36 +82,36 @@
 
 
 def lines(case: Case, rows: list[dict]) -> list[str]:
-    """Rows of a table in Markdown: each rate, and the slope of the processor time."""
+    """Returns rows of a Markdown table: one for each rate, and one with the slope of the processor time."""
     through = [row for row in rows if row["way"] != "direct"]
-    told = []
+    table = []
     for row in through:
         latency, added, lag = row["latency_ms"], row["added_ms"], row["lag_ms"]["p99"]
-        told.append(
+        table.append(
             f"| {case.name} | {row['rate']:g} | {row['settled']} of {row['offered']} | "
             f"{latency.get('p50', 0):.2f}, {latency.get('p99', 0):.2f} | {added.get('p50', 0):.2f}, "
             f"{added.get('p99', 0):.2f} | {lag:.2f} | {row['cores'][0] / row['rate'] * MICRO:.0f} |"
         )
     slope = fit([row["rate"] for row in through], [row["cores"][0] for row in through])
-    told.append(
+    table.append(
         f"| {case.name} | slope | | | | | {slope.each * MICRO:.0f} (error {slope.each_error * MICRO:.0f}), "
-        f"and {slope.base:.3f} of a core beside |"
+        f"and {slope.base:.3f} of a core without load |"
     )
-    return told
+    return table
 
 
-HEAD = (
-    "| case | requests/s | answered | p50, p99 ms | added p50, p99 ms | the tool's lag p99 ms | processor us/request |"
+TABLE_HEAD = (
+    "| case | requests/s | answered | p50, p99 ms | added p50, p99 ms | lag of the tool p99 ms | processor us/request |"
     "\n| --- | --- | --- | --- | --- | --- | --- |"
 )
 
 
 @click.command()
 @click.option("--out", "-o", type=click.Path(path_type=Path), default=Path("found/request-cost"), show_default=True)
-@click.option("--case", "only", default="", help="This case alone.")
+@click.option("--case", "only", default="", help="Run only this case.")
 def main(out: Path, only: str) -> None:
-    """Plays the cases one after another and prints a table."""
-    click.echo(HEAD)
+    """Run the cases one after another and print a table."""
+    click.echo(TABLE_HEAD)
     for case in CASES:
         if only in ("", case.name):
             rows = runs.measure_speed(experiment(case), out / case.name.replace(" ", "-"))
--- a/rampfront/lab/system/sized_configuration.py
+++ b/rampfront/lab/system/sized_configuration.py
@@ -1,4 +1,4 @@
-"""Configurations and lists of servers of a given size, for measurements of what single parts cost. No I/O."""
+"""Configurations and server lists of a given size, for measurements of the cost of single parts. No I/O."""
 
 import json
 from dataclasses import dataclass
@@ -6,12 +6,12 @@
 
 REGIONS = 6
 ZONES = {f"z{number:02}": f"region-{number % REGIONS}" for number in range(23)}
-WEIGHT_TURN = 50  # weights that changes go through
+WEIGHT_CYCLE = 50  # distinct weights, through which the revisions cycle
 
 
 @dataclass(frozen=True)
 class Size:
-    """How many of each there are."""
+    """The number of rows of each kind."""
 
     routes: int = 40
     tenants: int = 80
@@ -20,20 +20,20 @@
 
 
 def configuration(size: Size, revision: int = 1) -> bytes:
-    """A configuration of that size; each revision differs from the one before by one weight."""
-    draw = Random(size.routes)
+    """Returns a configuration of a given size; each revision differs from the previous one by one weight."""
+    rng = Random(size.routes)
     services = [f"service-{number:03}" for number in range(size.services)]
 
     def rule(number: int) -> dict:
-        first, second = draw.sample(services, 2) if len(services) > 1 else (services[0], services[0])
-        weight = 50 + (revision % WEIGHT_TURN if number == 0 else 0)
+        first, second = rng.sample(services, 2) if len(services) > 1 else (services[0], services[0])
+        weight = 50 + (revision % WEIGHT_CYCLE if number == 0 else 0)
         return {
             "Name": f"route-{number}",
             "Type": "read_only",
             "Target": "1000ms",
             "Priority": number % 3,
             "Public": False,
-            "MatchesWhen": {"PathStart": f"/{draw.getrandbits(40):010x}/{number}/"},
+            "MatchesWhen": {"PathStart": f"/{rng.getrandbits(40):010x}/{number}/"},
             "ThenDo": {
                 "Shares": [{"Service": first, "Weight": weight}, {"Service": second, "Weight": 10}],
                 "GiveUp": "4000ms",
@@ -45,7 +45,7 @@
     def tenant(number: int) -> dict:
         return {
             "Name": f"tenant-{number:05}",
-            "ApiKeys": [f"{draw.getrandbits(96):024x}", f"{draw.getrandbits(96):024x}"],
+            "ApiKeys": [f"{rng.getrandbits(96):024x}", f"{rng.getrandbits(96):024x}"],
             "Priority": number % 3,
             "PerS": 5 + number % 45,
             "Burst": 5 + number % 45,
@@ -63,29 +63,29 @@
             "ColdPerS": 2.8,
         }
 
-    per_host = 100
+    routes_per_host = 100
     rules = [rule(number) for number in range(size.routes)]
-    said = {
+    body = {
         "Revision": f"r{revision}",
         "Caps": {"MaxHeaderBytes": 16384, "MaxBodyBytes": 67108864, "HeaderWait": "3000ms", "Idle": "15000ms"},
         "Customers": [tenant(number) for number in range(size.tenants)],
         "Sockets": [
-            {"Hostname": f"host-{start // per_host}.example", "Rulebook": rules[start : start + per_host]}
-            for start in range(0, len(rules), per_host)
+            {"Hostname": f"host-{start // routes_per_host}.example", "Rulebook": rules[start : start + routes_per_host]}
+            for start in range(0, len(rules), routes_per_host)
         ],
         "Groups": [service(name) for name in services],
     }
-    return json.dumps(said, separators=(",", ":")).encode()
+    return json.dumps(body, separators=(",", ":")).encode()
 
 
 def server_entries(size: Size) -> dict[str, tuple[dict, int]]:
-    """The platform's list: id to (entry, cold until)."""
-    zones, draw = list(ZONES), Random(size.servers)
+    """Returns the platform's list: server id to (entry, time until which the server is cold)."""
+    zones, rng = list(ZONES), Random(size.servers)
     return {
-        f"i-{draw.getrandbits(40):010x}": (
+        f"i-{rng.getrandbits(40):010x}": (
             {
                 "Service": f"service-{number % size.services:03}",
-                "Address": f"127.100.{number // 250}.{number % 250 + 1}:{8000 + draw.randrange(900)}",
+                "Address": f"127.100.{number // 250}.{number % 250 + 1}:{8000 + rng.randrange(900)}",
                 "Zone": zones[number % len(zones)],
                 "Revision": "v1",
                 "Capacity": 3,
