--- a/rampfront/lab/system/plan.py
+++ b/rampfront/lab/system/plan.py
@@ -208,19 +208,19 @@
             return kind, [rng.randrange(count)]
         if selector.isdigit() and int(selector) < count:
             return kind, [int(selector)]
-    found = {
+    matches = {
         "nodes": range(len(nodes)),
         "core": [index for index, (_, disk) in enumerate(nodes) if disk],
         "zone": [index for index, (zone, _) in enumerate(nodes) if zone == selector],
     }.get(kind)
-    if found and (kind == "zone") == bool(selector):
-        return "node", list(found)
-    found = {
+    if matches and (kind == "zone") == bool(selector):
+        return "node", list(matches)
+    matches = {
         "servers": range(len(servers)),
         "service": [index for index, (service, _) in enumerate(servers) if service.name == selector],
     }.get(kind)
-    if found and (kind == "service") == bool(selector):
-        return "server", list(found)
+    if matches and (kind == "service") == bool(selector):
+        return "server", list(matches)
     raise BadPlan(f"{text!r} is not one of node:K, nodes, core, zone:ZONE, server:K, servers, service:NAME, platform")
 
 
--- a/rampfront/lab/system/run.py
+++ b/rampfront/lab/system/run.py
@@ -32,10 +32,8 @@
 from .relay import Relay
 
 MS, SEC = 10**6, 10**9
-WIRE_PORT_OFFSET, RELAY_PORT_OFFSET = (
-    4,
-    7,
-)  # in a node's row of ports: the port for frames of other nodes, and that of the relay
+# Offsets in a node's port range: the port for frames of other nodes, and the port of the relay.
+WIRE_PORT_OFFSET, RELAY_PORT_OFFSET = 4, 7
 START_DELAY_NS = SEC  # from the moment when all nodes are ready to the start of the schedule
 DEFAULT_FAULT_SHARE = 0.3  # of spoilt answers or lost frames, if the experiment file gives none
 DEFAULT_RESTART_DELAY_NS = SEC  # of a killed process, if the experiment file gives none
@@ -63,7 +61,7 @@
     """The system of one run, with its emulated clients, servers, platform and faults."""
 
     def __init__(self, loop, plan, variant, seed, folder):
-        """`variant`: one of `plan.VARIANTS`; `folder`: an empty folder of the run."""
+        """`variant`: one of `plan.VARIANTS`; `folder`: that of the run."""
         body = json.dumps(plans.configuration(plan, 1)).encode()
         super().__init__(loop, SystemSize(len(plans.node_placements(plan)), plan.base), body=body, folder=folder)
         self.plan, self.variant, self.seed, self.terms = plan, variant, seed, plans.read_terms(plan)
@@ -72,16 +70,10 @@
         self.uses_lab_nodes = variant != "system" or any(
             event.kind in ("cut", "lossy", "disk", "slow_disk") for event in self.events
         )
-        self.observed, self.fault_log, self.earlier_cpu_s = (
-            Observations(),
-            [],
-            Counter(),
-        )  # fault_log: the faults as they were applied
-        self.boxes, self.draining_since, self.spoils = (
-            [],
-            {},
-            {},
-        )  # boxes: the newest server of each number; draining_since: when a server's emptying was listed, by id
+        # `fault_log`: the faults as they were applied; `earlier_cpu_s`: processor time of a node's former processes.
+        self.observed, self.fault_log, self.earlier_cpu_s = Observations(), [], Counter()
+        # `boxes`: the newest server of each number; `draining_since`: when the list shows a server as emptying, by id.
+        self.boxes, self.draining_since, self.spoils = [], {}, {}
         self.timers, self.fault_starts, self.down_nodes = [], {}, set()
 
     # ---- overrides of LocalSystem
--- a/tests/test_lab_system.py
+++ b/tests/test_lab_system.py
@@ -226,13 +226,13 @@
 
 
 def flood(observed):
-    for k in range(90):  # the limit is 86: 5 s at 10 and a burst of 10, a tenth more, and 20
-        add(observed, f"q{k}", "read", 20 * SEC + k * 50 * MS)
+    for index in range(90):  # the limit is 86: 5 s at 10 and a burst of 10, a tenth more, and 20
+        add(observed, f"q{index}", "read", 20 * SEC + index * 50 * MS)
 
 
 def repeats(observed):
-    for k in range(60):
-        observed.servers[0].arrivals.append((9 * SEC + k, "t1"))
+    for index in range(60):
+        observed.servers[0].arrivals.append((9 * SEC + index, "t1"))
 
 
 def stampede(observed):
@@ -299,8 +299,8 @@
     observed = scene()
     spoil(observed)
     observed.fault_periods = [(1 * SEC, 11 * SEC)]
-    found = verdict(observed)
-    assert found and not breaches(found)
+    findings = verdict(observed)
+    assert findings and not breaches(findings)
 
 
 def test_a_quota_counts_what_is_both_sent_and_run_in_the_window():
@@ -309,11 +309,11 @@
     observed.servers[0].runs = [
         run for run in observed.servers[0].runs if run.try_id[0] != "q" or int(run.try_id[1:]) % 2
     ]
-    for k in range(0, 90, 2):  # half of them are executed much later
+    for index in range(0, 90, 2):  # half of them are executed much later
         ran(
             observed.servers[0],
-            next(client_try for client_try in observed.tries if client_try.id == f"q{k}"),
-            40 * SEC + k,
+            next(client_try for client_try in observed.tries if client_try.id == f"q{index}"),
+            40 * SEC + index,
         )
     assert "QUOTA" not in verdict(observed)
 
