--- a/rampfront/syslog/__init__.py
+++ b/rampfront/syslog/__init__.py
@@ -1,18 +1,18 @@
-"""Decisions of the edge node as syslog messages, sent to a collector and kept through its outages.
+"""Sends the decisions of the edge node to a syslog collector, and buffers them during the collector's outages.
 
-A message is RFC 5424 with structured data. Over TCP it is framed by octet counting (RFC 6587, section 3.4.1), over UDP
-it is one datagram. The path of a transaction must never wait for any of this: it appends one record to a queue, and
-all else is done by a timer, the disk by a thread.
+Messages follow RFC 5424 and carry structured data. Over TCP they are framed by octet counting (RFC 6587, section
+3.4.1); over UDP each message is one datagram. The request path must never wait for any of this: it appends one record
+to a queue. A timer does everything else, and a separate thread does the disk I/O.
 
-To read, in this order:
+Reading order:
 
-1. `message` is one syslog message, `message_encoder` makes bytes of it, `octet_counting` frames them and cuts a stream
-   into messages again. `message_parser` reads messages strictly; the laboratory's collector and the tests use it.
-2. `decision_messages` says which message each decision becomes. `decision_recorder` is what the decision driver calls.
-3. `send_queue` is what waits and what is in flight, `disk_buffer` what was put on disk, `disk_buffer_thread` the thread
-   that writes and reads it. `collector_connection` is one connection, `collector_connector` opens it anew after it is
-   lost.
-4. `syslog_sender` joins these as `syslog_settings` asks, and says in which order messages go out.
+1. `message` defines a syslog message, `message_encoder` encodes it, and `octet_counting` frames messages for a stream
+   and splits a stream into messages. `message_parser` is a strict parser for the laboratory's collector and the tests.
+2. `decision_messages` maps decisions to messages. The decision driver calls `decision_recorder`.
+3. `send_queue` holds queued records and frames in flight, `disk_buffer` holds messages on disk, and
+   `disk_buffer_thread` runs the disk I/O on a thread. `collector_connection` is one connection; `collector_connector`
+   reconnects after it is lost.
+4. `syslog_sender` combines these according to `syslog_settings`, and determines the order in which messages are sent.
 
 `message`, `message_encoder`, `message_parser`, `octet_counting`, `decision_messages` and `send_queue` do no I/O and
 read no clock. `docs/syslog.md` has the design and the operators' page.
--- a/rampfront/syslog/collector_connection.py
+++ b/rampfront/syslog/collector_connection.py
@@ -1,4 +1,4 @@
-"""One connection to the collector, over TCP or UDP, and what its machine has taken of the bytes written to it."""
+"""One connection to the collector, over TCP or UDP, and the number of written bytes not acknowledged by its host."""
 
 import asyncio
 import fcntl
@@ -11,69 +11,69 @@
 
 
 class ConnectionOwner(Protocol):
-    """Is told of the beginning and the end of a connection."""
+    """Receives notice when a connection opens and closes."""
 
     def connection_opened(self, connection: "CollectorConnection") -> None:
-        """The connection can be written to."""
+        """Called when the connection can be written to."""
         raise NotImplementedError
 
     def connection_closed(self, connection: "CollectorConnection", unsent_bytes: int | None) -> None:
-        """The connection has ended.
+        """Called when the connection has closed.
 
         Args:
             connection: the connection.
-            unsent_bytes: how many of the bytes written the other machine had not taken when it closed in good order;
-                None if it did not, or if it is not known.
+            unsent_bytes: the number of written bytes that the collector's host had not acknowledged when it closed the
+                connection cleanly; None after an unclean close, or if the number is unknown.
         """
         raise NotImplementedError
 
 
 class CollectorConnection(asyncio.Protocol):
-    """A connection; the event loop calls it."""
+    """The asyncio protocol of a connection to the collector."""
 
     _transport: asyncio.BaseTransport
 
     def __init__(self, owner: ConnectionOwner) -> None:
-        """Not connected yet."""
+        """Creates the protocol, not yet connected."""
         self._owner = owner
         self._unsent_at_eof_bytes: int | None = None
 
     # ---- called by the event loop
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is there."""
+        """Reports the open connection to the owner."""
         self._transport = transport
         self._owner.connection_opened(self)
 
     def data_received(self, data: bytes) -> None:
-        """A collector sends nothing; what it sends all the same is ignored."""
+        """Ignores received data: syslog has no messages from the collector."""
 
     def eof_received(self) -> bool:
-        """The collector closes in good order: what its machine has taken by now is delivered.
+        """Notes the unacknowledged bytes: when the collector closes cleanly, all acknowledged bytes are delivered.
 
-        Guards against repeats behind a planned stop of the collector.
+        This avoids duplicates after a planned stop of the collector.
         """
         self._unsent_at_eof_bytes = self.unsent_bytes()
         return False
 
     def connection_lost(self, error: Exception | None) -> None:
-        """The connection has ended."""
+        """Reports the closed connection to the owner."""
         self._owner.connection_closed(self, None if error else self._unsent_at_eof_bytes)
 
     # ---- called by the sender
 
     @property
     def is_closing(self) -> bool:
-        """Whether nothing can be written any more."""
+        """Whether the connection is closing and accepts no more writes."""
         return self._transport.is_closing()
 
     @property
     def buffered_bytes(self) -> int:
-        """What waits in the process to be written to the socket."""
+        """Bytes buffered in the process that are not yet written to the socket."""
         return self._stream.get_write_buffer_size()
 
     def unsent_bytes(self) -> int | None:
-        """Bytes that the other machine has not taken: those in the process and in the kernel; None if not known."""
+        """Bytes that the collector's host has not acknowledged, in the process and in the kernel; None if unknown."""
         socket = self._transport.get_extra_info("socket")
         buffered = self.buffered_bytes
         if socket is None or socket.fileno() < 0:
@@ -90,7 +90,7 @@
         cast(asyncio.DatagramTransport, self._transport).sendto(message)
 
     def close(self) -> None:
-        """Closes the connection once all is written."""
+        """Closes the connection once all buffered bytes are written."""
         self._transport.close()
 
     @property
--- a/rampfront/syslog/decision_messages.py
+++ b/rampfront/syslog/decision_messages.py
@@ -1,40 +1,40 @@
-"""Decisions as syslog messages: which decision has which MSGID, severity and parameters. No I/O, no clock."""
+"""Maps decisions to syslog messages with their MSGID, severity and parameters. No I/O, no clock."""
 
 from typing import Literal, NamedTuple
 
 from .message import FACILITY_LOCAL0, Message, Severity
 
 APP_NAME = "rampfront"
-DOCUMENTATION_ENTERPRISE_NUMBER = 32473  # kept by RFC 5612 for documentation; an installation sets its own
+DOCUMENTATION_ENTERPRISE_NUMBER = 32473  # reserved by RFC 5612 for documentation; an installation sets its own
 
 Decision = Literal["declined", "voided", "settled", "drain", "removed", "up", "counter"]
-"""What is reported; it is the message's MSGID."""
+"""The kind of a decision, which is also the MSGID of its message."""
 
 
-class _Wording(NamedTuple):
-    """How grave a decision is, and its text for people."""
+class _MessageTemplate(NamedTuple):
+    """The severity and the free text of a decision's message."""
 
     severity: Severity
     text: str
 
 
-_WORDINGS: dict[Decision, _Wording] = {
-    "declined": _Wording(Severity.NOTICE, "txn declined"),
-    "voided": _Wording(Severity.WARNING, "txn voided"),
-    "settled": _Wording(Severity.INFO, "txn settled"),
-    "drain": _Wording(Severity.NOTICE, "registry box drains"),
-    "removed": _Wording(Severity.NOTICE, "registry box removed"),
-    "up": _Wording(Severity.INFO, "registry box in service"),
-    "counter": _Wording(Severity.WARNING, "news of the counter"),
+_TEMPLATES: dict[Decision, _MessageTemplate] = {
+    "declined": _MessageTemplate(Severity.NOTICE, "txn declined"),
+    "voided": _MessageTemplate(Severity.WARNING, "txn voided"),
+    "settled": _MessageTemplate(Severity.INFO, "txn settled"),
+    "drain": _MessageTemplate(Severity.NOTICE, "registry box drains"),
+    "removed": _MessageTemplate(Severity.NOTICE, "registry box removed"),
+    "up": _MessageTemplate(Severity.INFO, "registry box in service"),
+    "counter": _MessageTemplate(Severity.WARNING, "news of the counter"),
 }
 
 
 class DecisionRecord(NamedTuple):
-    """A decision that waits to be sent.
+    """A decision queued for sending.
 
     Attributes:
         decision: what was decided.
-        parameters: names and values, in order; values that are None or empty are left out of the message.
+        parameters: names and values, in order; parameters whose value is None or empty are omitted from the message.
         decided_at_ns: Unix time in ns.
     """
 
@@ -44,12 +44,12 @@
 
 
 class Origin(NamedTuple):
-    """Who sends the messages.
+    """The originator of the messages.
 
     Attributes:
-        node_name: the HOSTNAME.
-        process_id: the PROCID.
-        enterprise_number: the private enterprise number within the SD-ID of the parameters.
+        node_name: the HOSTNAME field.
+        process_id: the PROCID field.
+        enterprise_number: the private enterprise number in the SD-ID of the parameters.
     """
 
     node_name: str
@@ -58,13 +58,13 @@
 
 
 def decision_message(record: DecisionRecord, sequence_id: int, origin: Origin) -> Message:
-    """The message of a decision. `sequence_id`: by which a collector recognises a repeat (section 7.3.1)."""
-    wording = _WORDINGS[record.decision]
+    """Returns the message of a decision. A collector detects duplicates by `sequence_id` (section 7.3.1)."""
+    template = _TEMPLATES[record.decision]
     parameters = [(name, str(value)) for name, value in record.parameters if value is not None and value != ""]
     return Message(
         timestamp_ns=record.decided_at_ns,
         message_id=record.decision,
-        severity=wording.severity,
+        severity=template.severity,
         facility=FACILITY_LOCAL0,
         hostname=origin.node_name,
         app_name=APP_NAME,
@@ -73,5 +73,5 @@
             f"decision@{origin.enterprise_number}": parameters,
             "meta": [("sequenceId", str(sequence_id))],
         },
-        text=wording.text,
+        text=template.text,
     )
--- a/rampfront/syslog/decision_recorder.py
+++ b/rampfront/syslog/decision_recorder.py
@@ -1,4 +1,4 @@
-"""Reports decisions to the syslog collector: the decision driver's `DecisionRecorder`. It decides nothing."""
+"""Reports decisions to the syslog collector; implements the decision driver's `DecisionRecorder`."""
 
 from collections.abc import Iterable
 from typing import Literal
@@ -12,25 +12,25 @@
 
 
 class SyslogDecisionRecorder:
-    """Makes records of decisions and hands them to the sender."""
+    """Converts decisions to records and passes them to the sender."""
 
     def __init__(self, sender: SyslogSender, product_names: Iterable[str], reports_successes: bool) -> None:
-        """Nothing was reported yet.
+        """Creates a recorder that has reported nothing yet.
 
         Args:
-            sender: takes the records; it is closed with the recorder.
+            sender: receives the records; closed together with the recorder.
             product_names: the names of the products, in the order of their indices.
-            reports_successes: whether transactions that settled are reported too.
+            reports_successes: whether settled transactions are reported too.
         """
         self._sender = sender
         self._product_names = list(product_names)
         self._reports_successes = reports_successes
-        self._server_states: dict[str, int] = {}  # by uid, as last told; removed servers leave it
+        self._server_states: dict[str, int] = {}  # last known state by uid; without removed servers
 
     def record_transaction(
         self, decision: Literal["settled", "declined", "voided"], exchange: AnyExchange, **parameters: object
     ) -> None:
-        """Reports how a transaction ended. `parameters` follow those that every transaction has."""
+        """Reports how a transaction ended. `parameters` follow the ones common to all transactions."""
         if decision == "settled" and not self._reports_successes:
             return
         self._sender.enqueue(
@@ -43,11 +43,11 @@
         )
 
     def record_counter_notice(self, notice: str, nodes: int) -> None:
-        """Reports news of the counter. `nodes`: how many nodes it hears of."""
+        """Reports a notice about the counter. `nodes` is the number of nodes that the counter knows of."""
         self._sender.enqueue("counter", ("news", notice), ("heard", nodes))
 
     def record_server_state(self, uid: str, state: int) -> None:
-        """Reports the state of a server (of `terms.py`) if it has changed; a new server that is up is no change."""
+        """Reports a changed server state (a constant of `terms.py`); a new server that is up is not reported."""
         previous = self._server_states.get(uid)
         if state == terms.REMOVED:
             self._server_states.pop(uid, None)
@@ -57,5 +57,5 @@
             self._sender.enqueue(_STATES[state], ("box", uid))
 
     def close(self) -> None:
-        """At the end of the process: sends or stores what waits."""
+        """Sends or stores all queued messages when the process ends."""
         self._sender.close()
--- a/rampfront/syslog/disk_buffer.py
+++ b/rampfront/syslog/disk_buffer.py
@@ -1,8 +1,8 @@
-"""A bounded queue on disk: messages appended to numbered segments, read back in order, a segment dropped once sent.
+"""A bounded queue of messages on disk, in numbered segments that are read in order and removed once sent.
 
-A record is length, CRC-32 and bytes. A torn or damaged record ends its segment, and is counted: never silently. The
-buffer never grows past its limit; what does not fit is the caller's to count. There are no locks: one thread at a time
-may use it. Segments that an earlier process left are read first.
+A record consists of a length, a CRC-32 and the message. A torn or damaged record ends its segment and is always
+counted. The buffer never grows past its limit; the caller counts the messages that do not fit. There are no locks, so
+only one thread at a time may use a buffer. Segments left by an earlier process are read first.
 """
 
 import struct
@@ -17,40 +17,40 @@
 
 
 class DiskBuffer:
-    """The segments of one folder, of which no other process may use any."""
+    """The segments of one folder, which no other process may use."""
 
     def __init__(self, folder: Path, max_bytes: int) -> None:
-        """Opens the folder, or makes it.
+        """Opens the folder, and creates it if needed.
 
         Args:
-            folder: where the segments are.
-            max_bytes: the most that they take together.
+            folder: the folder of the segments.
+            max_bytes: the maximum total size of the segments.
 
         Raises:
-            OSError: the folder cannot be made or read.
+            OSError: the folder cannot be created or read.
         """
         self._folder = folder
         self._max_bytes = max_bytes
         self._folder.mkdir(parents=True, exist_ok=True)
         self._segments = sorted(self._folder.glob(f"*{_SUFFIX}"))  # oldest first
-        self._size_bytes = self._measure()
+        self._size_bytes = self._total_segment_bytes()
         self._last_number = int(self._segments[-1].stem) if self._segments else 0
-        self._file: FileIO | None = None  # the newest segment while it is appended to
+        self._file: FileIO | None = None  # the newest segment while it is open for appending
         self._file_bytes = 0
         self._damaged_records = 0
 
     @property
     def has_segments(self) -> bool:
-        """Whether anything is to be read."""
+        """Whether there are segments to read."""
         return bool(self._segments)
 
     @property
     def size_bytes(self) -> int:
-        """What the segments take."""
+        """The total size of the segments."""
         return self._size_bytes
 
     def take_damaged_records(self) -> int:
-        """Damaged records found since this was called last."""
+        """Returns and resets the number of damaged records found."""
         damaged = self._damaged_records
         self._damaged_records = 0
         return damaged
@@ -58,11 +58,11 @@
     def append(self, messages: Sequence[bytes]) -> int:
         """Writes as many messages as fit, in order.
 
-        An `OSError` (a full disk, say) counts as not fitting: what was torn ends its segment, and the next call begins
-        another.
+        A message whose write fails with `OSError`, for example on a full disk, counts as not fitting. The torn record
+        ends its segment, and the next call begins another.
 
         Returns:
-            How many were written.
+            The number of messages written.
         """
         written = 0
         try:
@@ -74,19 +74,19 @@
                 written += 1
         except OSError:
             self.close()
-            self._size_bytes = self._measure()
+            self._size_bytes = self._total_segment_bytes()
         return written
 
     def close(self) -> None:
-        """Ends the segment that is appended to."""
+        """Closes the segment that is open for appending."""
         if self._file:
             self._file.close()
             self._file = None
 
     def read_oldest_segment(self) -> list[bytes]:
-        """The messages of the oldest segment, up to the first damaged one; it stays until `drop_oldest_segment`."""
+        """Returns the messages of the oldest segment up to its first damaged record; does not remove the segment."""
         if self._file and len(self._segments) == 1:
-            self.close()  # what comes now goes into another
+            self.close()  # later messages are appended to another segment
         data = self._segments[0].read_bytes()
         messages = []
         position = 0
@@ -100,22 +100,22 @@
         return messages
 
     def drop_oldest_segment(self) -> None:
-        """Removes the oldest segment: it has been sent."""
+        """Removes the oldest segment, whose messages have been sent."""
         path = self._segments.pop(0)
         self._size_bytes -= path.stat().st_size
         path.unlink()
 
-    def _measure(self) -> int:
-        """What the segments take, by the file system."""
+    def _total_segment_bytes(self) -> int:
+        """Returns the total size of the segment files."""
         return sum(path.stat().st_size for path in self._segments)
 
     def _write(self, record: bytes) -> None:
-        """Appends a record to the newest segment, or to a new one if it would grow too large."""
+        """Appends a record to the newest segment, or to a new one if that would grow too large."""
         file = self._file
         if file is None or self._file_bytes + len(record) > _MAX_SEGMENT_BYTES:
             file = self._begin_segment()
         if file.write(record) != len(record):
-            raise OSError("a short write")
+            raise OSError("short write to the disk buffer")
         self._file_bytes += len(record)
         self._size_bytes += len(record)
 
@@ -131,7 +131,7 @@
 
 
 def _read_record(data: bytes, position: int) -> bytes | None:
-    """The message of the record at `position`; None if the record is torn or its checksum is wrong."""
+    """Returns the message of the record at `position`; None if the record is torn or its checksum does not match."""
     start = position + RECORD_HEADER.size
     if len(data) < start:
         return None
--- a/rampfront/syslog/message.py
+++ b/rampfront/syslog/message.py
@@ -1,13 +1,13 @@
-"""One syslog message as RFC 5424 (section 6) has it, with the limits of its fields. No I/O, no clock."""
+"""The syslog message of RFC 5424, section 6, and the limits of its fields. No I/O, no clock."""
 
 from collections.abc import Mapping, Sequence
 from enum import IntEnum
 from typing import NamedTuple
 
 Parameter = tuple[str, str]
-"""A parameter of structured data: its name and its value."""
+"""The name and the value of a structured data parameter."""
 
-NIL_VALUE = "-"  # stands for a field that is absent
+NIL_VALUE = "-"  # marks an absent field
 FACILITY_LOCAL0 = 16
 SEVERITIES = 8  # PRI is facility * 8 + severity
 MAX_PRIORITY = 191
@@ -19,7 +19,7 @@
 
 
 class Severity(IntEnum):
-    """How grave a message is (section 6.2.1)."""
+    """The severity of a message (section 6.2.1)."""
 
     EMERGENCY = 0
     ALERT = 1
@@ -32,18 +32,18 @@
 
 
 class Message(NamedTuple):
-    """A message; text fields that are absent are `NIL_VALUE`.
+    """A syslog message; absent text fields are `NIL_VALUE`.
 
     Attributes:
         timestamp_ns: Unix time in ns; 0 for a message without one.
-        message_id: the kind of the message, MSGID.
+        message_id: the MSGID, the type of the message.
         severity: one of `Severity`.
-        facility: the part of a machine that sends it.
-        hostname: the machine or node.
-        app_name: the program.
-        process_id: the process, PROCID.
-        structured_data: SD-ID to parameters, in order; a parameter's name may occur more than once.
-        text: the free text for people; empty for none.
+        facility: the facility code (section 6.2.1).
+        hostname: the host or node that sends it.
+        app_name: the program that sends it.
+        process_id: the PROCID of the sending process.
+        structured_data: parameters by SD-ID, in order; a parameter name may occur more than once.
+        text: the free text (MSG); empty if there is none.
     """
 
     timestamp_ns: int
--- a/rampfront/syslog/message_parser.py
+++ b/rampfront/syslog/message_parser.py
@@ -1,7 +1,7 @@
-"""Bytes to syslog messages, strictly by RFC 5424 (section 6). No I/O, no clock.
+"""A strict parser for syslog messages (RFC 5424, section 6). No I/O, no clock.
 
-It judges what the encoder writes, in the tests and in the laboratory's collector. What is malformed is refused with the
-place of the fault: nothing is guessed.
+The tests and the laboratory's collector use it to check the encoder's output. A malformed message is rejected with the
+position of the fault; the parser never guesses.
 """
 
 import re
@@ -26,8 +26,8 @@
 _FRACTION_DIGITS = 6  # microseconds
 _MAX_PRIORITY_LENGTH = 3
 _MAX_TIMESTAMP_LENGTH = 32
-_EXCERPT_LENGTH = 20  # characters of a malformed message that an error shows
-_ENDS_OF_NAME = ' ="]'
+_EXCERPT_LENGTH = 20  # characters of a malformed message quoted in an error
+_NAME_TERMINATORS = ' ="]'
 _ESCAPED = ('"', "\\", "]")
 _TIMESTAMP = re.compile(
     r"(?P<date_and_time>\d{4}-\d\d-\d\dT\d\d:\d\d:\d\d)(?:\.(?P<fraction>\d{1,6}))?(?P<zone>Z|[+-]\d\d:\d\d)"
@@ -35,11 +35,11 @@
 
 
 class MessageParseError(ValueError):
-    """The bytes are no RFC 5424 message."""
+    """The bytes are not an RFC 5424 message."""
 
 
 def parse_message(data: bytes) -> Message:
-    """Reads one message.
+    """Parses one message.
 
     Args:
         data: the message without framing.
@@ -48,7 +48,8 @@
         The message.
 
     Raises:
-        MessageParseError: duplicate SD-IDs, bad escapes, missing fields, bad UTF-8 and whatever else is malformed.
+        MessageParseError: the message is malformed, for example by duplicate SD-IDs, bad escapes, missing fields or
+                bad UTF-8.
     """
     try:
         cursor = _Cursor(data.decode("utf-8"))
@@ -76,7 +77,7 @@
 
 
 class _Cursor:
-    """A place in the text of one message; reading moves it on."""
+    """A read position in the text of one message."""
 
     def __init__(self, text: str) -> None:
         """Starts at the beginning."""
@@ -85,52 +86,52 @@
 
     @property
     def at_end(self) -> bool:
-        """Whether all was read."""
+        """Whether the whole text has been read."""
         return self._position == len(self._text)
 
     def fail(self, reason: str) -> NoReturn:
-        """Raises a `MessageParseError` that names this place."""
+        """Raises a `MessageParseError` with the current position."""
         excerpt = self._text[self._position : self._position + _EXCERPT_LENGTH]
         raise MessageParseError(f"{reason} at {self._position}: {excerpt!r}")
 
     def peek(self) -> str:
-        """The next character, which stays unread; empty at the end."""
+        """Returns the next character without consuming it; an empty string at the end."""
         return self._text[self._position : self._position + 1]
 
     def skip(self) -> None:
-        """Passes one character."""
+        """Consumes one character."""
         self._position += 1
 
     def expect(self, literal: str) -> None:
-        """Passes `literal`, or fails."""
+        """Consumes `literal`, or raises `MessageParseError`."""
         if not self._text.startswith(literal, self._position):
             self.fail(f"{literal!r} expected")
         self._position += len(literal)
 
-    def read_until(self, ends: str, max_length: int, what: str) -> str:
-        """Reads printable ASCII up to one of the characters `ends`. `what` names the field in an error."""
+    def read_until(self, terminators: str, max_length: int, field_name: str) -> str:
+        """Reads printable ASCII up to any character of `terminators`. Errors name the field by `field_name`."""
         start = self._position
-        while not self.at_end and self._text[self._position] not in ends:
+        while not self.at_end and self._text[self._position] not in terminators:
             if not "\x21" <= self._text[self._position] <= "\x7e":
-                self.fail(f"{what} is not printable ASCII")
+                self.fail(f"{field_name} is not printable ASCII")
             self._position += 1
         found = self._text[start : self._position]
         if not 0 < len(found) <= max_length:
-            self.fail(f"{what} of {len(found)} characters")
+            self.fail(f"{field_name} of {len(found)} characters")
         return found
 
     def read_value(self) -> str:
-        """Reads a PARAM-VALUE behind its opening quote, to its closing one.
+        """Reads a PARAM-VALUE from behind its opening quote through its closing quote.
 
-        A backslash before any character that need not be escaped stands for itself (section 6.3.3).
+        A backslash before a character that needs no escape is a regular backslash (section 6.3.3).
         """
         characters: list[str] = []
         while True:
             character = self.peek()
             if character == "":
-                self.fail("a value without its end")
+                self.fail("unterminated PARAM-VALUE")
             if character == "]":
-                self.fail("a bare ] in a value")
+                self.fail("unescaped ] in PARAM-VALUE")
             self.skip()
             if character == '"':
                 return "".join(characters)
@@ -140,7 +141,7 @@
             characters.append(character)
 
     def read_rest(self) -> str:
-        """Reads all that is left."""
+        """Reads the rest of the text."""
         rest = self._text[self._position :]
         self._position = len(self._text)
         return rest
@@ -151,20 +152,20 @@
     cursor.expect("<")
     digits = cursor.read_until(">", _MAX_PRIORITY_LENGTH, "PRI")
     if not digits.isdigit() or int(digits) > MAX_PRIORITY or digits != str(int(digits)):
-        cursor.fail(f"PRI {digits}")
+        cursor.fail(f"invalid PRI {digits}")
     cursor.expect(">1 ")
     return int(digits)
 
 
-def _read_header_field(cursor: _Cursor, what: str, max_length: int) -> str:
-    """Reads a field of the header and the space behind it."""
-    found = cursor.read_until(" ", max_length, what)
+def _read_header_field(cursor: _Cursor, field_name: str, max_length: int) -> str:
+    """Reads a header field and the space after it."""
+    found = cursor.read_until(" ", max_length, field_name)
     cursor.expect(" ")
     return found
 
 
 def _read_structured_data(cursor: _Cursor) -> dict[str, list[Parameter]]:
-    """Reads STRUCTURED-DATA: elements without anything between them, or NIL."""
+    """Reads STRUCTURED-DATA, which is a sequence of elements without separators, or NIL."""
     elements: dict[str, list[Parameter]] = {}
     if cursor.peek() == NIL_VALUE:
         cursor.skip()
@@ -173,9 +174,9 @@
         cursor.fail("STRUCTURED-DATA expected")
     while cursor.peek() == "[":
         cursor.skip()
-        name = cursor.read_until(_ENDS_OF_NAME, MAX_STRUCTURED_DATA_NAME_LENGTH, "SD-ID")
+        name = cursor.read_until(_NAME_TERMINATORS, MAX_STRUCTURED_DATA_NAME_LENGTH, "SD-ID")
         if name in elements:
-            cursor.fail(f"SD-ID {name} twice")
+            cursor.fail(f"duplicate SD-ID {name}")
         elements[name] = _read_parameters(cursor)
         cursor.expect("]")
     return elements
@@ -186,7 +187,7 @@
     parameters = []
     while cursor.peek() == " ":
         cursor.skip()
-        name = cursor.read_until(_ENDS_OF_NAME, MAX_STRUCTURED_DATA_NAME_LENGTH, "PARAM-NAME")
+        name = cursor.read_until(_NAME_TERMINATORS, MAX_STRUCTURED_DATA_NAME_LENGTH, "PARAM-NAME")
         cursor.expect('="')
         parameters.append((name, cursor.read_value()))
     return parameters
@@ -201,15 +202,15 @@
 
 
 def _parse_timestamp(text: str) -> int:
-    """A TIMESTAMP as Unix time in ns; 0 for NIL."""
+    """Converts a TIMESTAMP to Unix time in ns; 0 for NIL."""
     if text == NIL_VALUE:
         return 0
     match = _TIMESTAMP.fullmatch(text)
     if not match:
-        raise MessageParseError(f"no timestamp: {text!r}")
+        raise MessageParseError(f"invalid TIMESTAMP: {text!r}")
     try:
         seconds = datetime.fromisoformat(match["date_and_time"] + match["zone"].replace("Z", "+00:00")).timestamp()
     except ValueError as error:
-        raise MessageParseError(f"no timestamp: {text!r} ({error})") from None
+        raise MessageParseError(f"invalid TIMESTAMP: {text!r} ({error})") from None
     microseconds = int((match["fraction"] or "0").ljust(_FRACTION_DIGITS, "0"))
     return int(seconds) * _NS_PER_S + microseconds * _NS_PER_US
--- a/rampfront/syslog/send_queue.py
+++ b/rampfront/syslog/send_queue.py
@@ -1,11 +1,11 @@
-"""What waits to reach the collector, and what was sent but may not have arrived. No I/O, no clock.
+"""The queue of items to be sent to the collector, and the frames sent but not known to be delivered. No I/O, no clock.
 
-By age: frames in flight (written to the connection, not yet surely delivered), then the disk (`disk_buffer`, which the
-sender keeps), then the queue. The path of a transaction calls `offer` only: it appends, or counts a drop where the
-queue is full. Nothing is dropped without being counted.
+From oldest to newest, messages are in flight (written to the connection, delivery not yet certain), on disk
+(`disk_buffer`, owned by the sender) or in the queue. The request path calls only `offer`, which appends an item, or
+counts a drop if the queue is full. Every dropped message is counted.
 
-Plain syslog acknowledges nothing. A frame counts as delivered once the other machine has taken its bytes and a second
-has passed: a reset may lose what its kernel has taken and its program has not read.
+Syslog has no acknowledgements. A frame counts as delivered one second after the collector's host has acknowledged its
+bytes, because a connection reset may lose bytes that the host's kernel has received and the collector has not read.
 """
 
 from collections import deque
@@ -14,33 +14,33 @@
 
 _NS_PER_S = 10**9
 _DELIVERY_DELAY_NS = _NS_PER_S
-_MAX_SEQUENCE_ID = 2147483647  # RFC 5424, section 7.3.1: sequenceId wraps to 1
+_MAX_SEQUENCE_ID = 2147483647  # sequenceId wraps to 1 after it (RFC 5424, section 7.3.1)
 
 ItemT = TypeVar("ItemT")
 
 
 class _SentFrame:
-    """A frame in flight: where it ends among the connection's bytes, and when the other machine had taken it."""
+    """A frame in flight, its end offset among the connection's bytes, and when the collector's host acknowledged it."""
 
     __slots__ = ("end_offset", "frame", "acknowledged_at_ns")
 
     def __init__(self, end_offset: int, frame: bytes) -> None:
-        """It is not acknowledged."""
+        """Creates a frame that is not acknowledged."""
         self.end_offset = end_offset
         self.frame = frame
-        self.acknowledged_at_ns = 0  # 0: not yet
+        self.acknowledged_at_ns = 0  # 0 while not acknowledged
 
 
 class SendQueue(Generic[ItemT]):
-    """Items that wait, frames in flight, and the counts of what became of them.
+    """Queued items, frames in flight, and message counts.
 
     Attributes:
-        capacity: most items that wait.
-        written_bytes: written to the present connection.
+        capacity: the maximum number of queued items.
+        written_bytes: the bytes written to the current connection.
     """
 
     def __init__(self, capacity: int) -> None:
-        """Starts empty. `capacity`: most items that wait."""
+        """Creates an empty queue of at most `capacity` items."""
         self.capacity = capacity
         self.written_bytes = 0
         self._waiting: deque[ItemT] = deque()
@@ -50,23 +50,23 @@
         self._counts = {"offered": 0, "sent": 0, "resent": 0, "spilled": 0, "replayed": 0, "dropped": 0}
 
     def __len__(self) -> int:
-        """Items that wait."""
+        """The number of queued items."""
         return len(self._waiting)
 
     @property
     def in_flight(self) -> int:
-        """Frames that were written and may not have arrived."""
+        """The number of frames written but not known to be delivered."""
         return len(self._in_flight)
 
     def next_sequence_id(self) -> int:
-        """The number of the next message."""
+        """Returns the sequenceId of the next message."""
         self._sequence_id = self._sequence_id % _MAX_SEQUENCE_ID + 1
         return self._sequence_id
 
     # ---- items
 
     def offer(self, item: ItemT) -> bool:
-        """Appends an item. Returns False if there was no room, and the item is dropped."""
+        """Appends an item. Returns False if the queue is full and the item is dropped."""
         self._counts["offered"] += 1
         if len(self._waiting) >= self.capacity:
             self.count_dropped(1)
@@ -81,28 +81,28 @@
     # ---- counts
 
     def counts(self) -> dict[str, int]:
-        """What became of the items, by the names of the log's fields."""
+        """Returns the message counts, by the names of the log's fields."""
         return dict(self._counts)
 
     def count_dropped(self, messages: int) -> None:
-        """Messages were dropped."""
+        """Counts dropped messages."""
         self._counts["dropped"] += messages
         self._unreported_drops += messages
 
     def count_datagram(self) -> None:
-        """A message was sent as a datagram, of which nothing more is known."""
+        """Counts a message sent as a datagram; its delivery is not tracked."""
         self._counts["sent"] += 1
 
-    def count_stored(self, messages: int) -> None:
-        """Messages were put on disk."""
+    def count_spilled(self, messages: int) -> None:
+        """Counts messages written to the disk buffer."""
         self._counts["spilled"] += messages
 
     def count_replayed(self, messages: int) -> None:
-        """Messages were read back from disk."""
+        """Counts messages read back from the disk buffer."""
         self._counts["replayed"] += messages
 
     def take_unreported_drops(self) -> int:
-        """Messages dropped since this was called last."""
+        """Returns and resets the number of dropped messages not yet reported."""
         dropped = self._unreported_drops
         self._unreported_drops = 0
         return dropped
@@ -110,20 +110,20 @@
     # ---- the connection
 
     def connection_opened(self) -> None:
-        """A connection begins: its bytes are counted from here."""
+        """Resets the byte count for a new connection."""
         self.written_bytes = 0
 
     def frames_sent(self, frames: Sequence[bytes]) -> None:
-        """Frames were written to the connection."""
+        """Records frames that were written to the connection."""
         for frame in frames:
             self.written_bytes += len(frame)
             self._in_flight.append(_SentFrame(self.written_bytes, frame))
         self._counts["sent"] += len(frames)
 
-    def acknowledge(self, taken_bytes: int, now_ns: int) -> None:
-        """The other machine has taken `taken_bytes` of this connection; what it took a second ago is forgotten."""
+    def acknowledge(self, acknowledged_bytes: int, now_ns: int) -> None:
+        """Records that the host has acknowledged `acknowledged_bytes`; releases frames acknowledged a second ago."""
         for sent in self._in_flight:
-            if sent.end_offset > taken_bytes:
+            if sent.end_offset > acknowledged_bytes:
                 break
             sent.acknowledged_at_ns = sent.acknowledged_at_ns or now_ns
         while self._in_flight:
@@ -133,16 +133,18 @@
             self._in_flight.popleft()
 
     def connection_lost(self, delivered_bytes: int | None = None) -> list[bytes]:
-        """The connection has ended.
+        """Clears the frames in flight after the connection has closed.
 
         Args:
-            delivered_bytes: what the other side surely took before it closed in good order. None: all that is in flight
-                may be lost, and goes again under its sequenceId, by which a collector recognises a repeat.
+            delivered_bytes: the bytes known to be delivered after a clean close. None if any frame in flight may be
+                lost: all are sent again with their sequenceId, by which a collector detects duplicates.
 
         Returns:
-            The frames to be sent again, in order.
+            The frames to send again, in order.
         """
-        again = [sent.frame for sent in self._in_flight if delivered_bytes is None or sent.end_offset > delivered_bytes]
+        unconfirmed = [
+            sent.frame for sent in self._in_flight if delivered_bytes is None or sent.end_offset > delivered_bytes
+        ]
         self._in_flight.clear()
-        self._counts["resent"] += len(again)
-        return again
+        self._counts["resent"] += len(unconfirmed)
+        return unconfirmed
--- a/rampfront/syslog/syslog_settings.py
+++ b/rampfront/syslog/syslog_settings.py
@@ -1,4 +1,4 @@
-"""Where and how decisions are sent, as the configuration's table `[syslog]` has it."""
+"""The settings of the syslog sender, from the configuration's table `[syslog]`."""
 
 from dataclasses import dataclass
 from pathlib import Path
@@ -8,16 +8,16 @@
 
 @dataclass(frozen=True, slots=True)
 class SyslogSettings:
-    """How decisions are sent.
+    """The settings of the syslog sender.
 
     Attributes:
-        collector_address: host and port.
-        node_name: the HOSTNAME of the messages.
-        buffer_folder: where messages are stored in an outage; None: memory alone bridges it.
-        max_buffer_bytes: the most that they may take there.
-        max_queued_messages: the most that wait in memory.
-        enterprise_number: within the SD-ID of the decisions' parameters.
-        udp: one datagram a message in place of TCP.
+        collector_address: host and port of the collector.
+        node_name: the HOSTNAME field of the messages.
+        buffer_folder: the folder where messages are stored during an outage; None to buffer in memory only.
+        max_buffer_bytes: the maximum size of the messages in that folder.
+        max_queued_messages: the maximum number of messages queued in memory.
+        enterprise_number: the private enterprise number in the SD-ID of the decisions' parameters.
+        udp: whether to send each message as a UDP datagram instead of over TCP.
     """
 
     collector_address: tuple[str, int]
