--- a/rampfront/journal/durable_intent_journal.py
+++ b/rampfront/journal/durable_intent_journal.py
@@ -1,8 +1,8 @@
-"""The node's side of the journal: intents pend until they are durable, outcomes are recorded, doubts are known.
+"""Connects the journal to the node: holds intents until they are durable, and records outcomes.
 
-It owns what waits for the next write. It never sends: it hands over what `write_ahead_rule` lets go, and reports what
-it does not. Records are numbered here; a batch is written on the store's thread, and its end comes back to the event
-loop.
+This module owns the records queued for the next write, and numbers the intents. It never sends a submission: it passes
+on those that `write_ahead_rule` releases, and reports those that it refuses. Each batch is written on the store's
+thread, and its completion is handled on the event loop.
 """
 
 from asyncio import AbstractEventLoop
@@ -22,20 +22,20 @@
 from .write_ahead_rule import IntentEffect, JournalState, WriteAheadRule, WriteResult
 
 _NS_PER_S = 10**9
-_RETRY_DELAY_NS = _NS_PER_S  # between writes while they fail
+_RETRY_DELAY_NS = _NS_PER_S  # between writes while writing fails
 _MAX_QUEUED_RECORDS = 65536
 _MAX_REPORTED_DAMAGE = 20
-_ENDS_WITHOUT_RUN = (terms.NOT_ACCEPTED, terms.NOT_SENT, terms.CONNECT_FAILED)
+_NOT_RUN_REASONS = (terms.NOT_ACCEPTED, terms.NOT_SENT, terms.CONNECT_FAILED)
 
 
 class DurableIntentJournal:
-    """Records the intents and outcomes of once-only submissions: the `IntentJournal` of the once-only gate.
+    """Records the intents and outcomes of once-only submissions; implements the once-only gate's `IntentJournal`.
 
-    The program sets `send` and `refuse` before the first intent.
+    The program must set `send` and `refuse` before the first intent.
 
     Attributes:
         in_doubt_ids: ids of transactions that may have run before this start; they are not accepted again.
-        send: called with number and submission once an intent is durable.
+        send: called with the intent's number and the submission once the intent is durable.
         refuse: called with the submission of an intent that cannot be recorded.
     """
 
@@ -50,17 +50,17 @@
         settings: JournalSettings,
         product_names: Iterable[str],
     ) -> None:
-        """Opens the journal and reads it.
+        """Opens and reads the journal.
 
         Args:
             loop: the event loop.
             timers: the timers, and the clock of the records.
             log: the event log.
-            settings: where and how the journal is written.
+            settings: the folder, the batch delay and the limits.
             product_names: the names of the products, in the order of their indices.
 
         Raises:
-            OSError: the folder cannot be used, or another process writes there.
+            OSError: the folder cannot be used, or another process has locked it.
         """
         self._loop = loop
         self._timers = timers
@@ -71,8 +71,8 @@
         self._store = SegmentStore(settings)
         self._rule = WriteAheadRule()
         self._last_number = self._store.index.last_number
-        self._pending: dict[int, PendingIntent] = {}  # by number; emptied by the ends of writes
-        self._queue: list[Record] = []  # of the next write; bounded by the rule and `_MAX_QUEUED_RECORDS`
+        self._pending: dict[int, PendingIntent] = {}  # by number; removed when their write ends
+        self._queue: list[Record] = []  # for the next write; bounded by `_rule` and `_MAX_QUEUED_RECORDS`
         self._writing = False
         self._timer: Timer | None = None  # for the next write
         self.in_doubt_ids = {intent.transaction_id.encode("latin-1") for intent in self._store.index.in_doubt.values()}
@@ -81,7 +81,7 @@
     # ---- called by the once-only gate
 
     def accepts_intents(self) -> bool:
-        """Whether intents can be recorded now."""
+        """Whether the journal can record intents now."""
         return self._rule.accepts_intents()
 
     def record_intent(
@@ -91,12 +91,12 @@
 
         Args:
             exchange: the transaction.
-            attempt: the number of the submission among those of the transaction.
-            server: the id of the server that it goes to.
-            pending: the submission, which `send` or `refuse` is called with.
+            attempt: the number of the submission among those of the transaction, from 0.
+            server: the id of the server that the submission is for.
+            pending: the submission, passed to `send` or `refuse` later.
 
         Returns:
-            The number of the intent; None if it is refused at once.
+            The number of the intent; None if it is refused immediately.
         """
         self._last_number += 1
         number = self._last_number
@@ -110,41 +110,46 @@
                 transaction_id=exchange.id.decode("latin-1"),
                 product=self._product_names[exchange.product],
                 account=exchange.account,
-                server=cast(str, server),  # a submission goes to a server that is listed
+                server=cast(str, server),  # a submission is always for a listed server
                 attempt=attempt,
             )
         )
         return number
 
     def withdraw(self, number: int) -> bool:
-        """Withdraws an intent that is not durable yet. Returns whether its submission now never leaves."""
+        """Withdraws an intent that is not durable yet. Returns whether its submission will never be sent."""
         return self._rule.withdraw(number)
 
-    def record_outcome(self, number: int, how: int) -> None:
-        """A submission ended, for the reason `how` of `terms.py`. What may have run stays in doubt.
+    def record_outcome(self, number: int, reason: int) -> None:
+        """Records the end of a submission. A submission that may have run remains in doubt.
 
-        Past the most records the outcome is not recorded: the transaction is in doubt after a crash, which is safe.
+        If `_MAX_QUEUED_RECORDS` are queued, the outcome is not recorded. The transaction is then in doubt after a
+        crash, which is safe.
+
+        Args:
+            number: the number of the intent.
+            reason: why the submission ended, a constant of `terms.py`.
         """
         if len(self._queue) < _MAX_QUEUED_RECORDS:
-            self._enqueue(Outcome(number, self._clock(), _ending(how)))
+            self._enqueue(Outcome(number, self._clock(), _ending(reason)))
 
     def close(self) -> None:
-        """Writes the outcomes that are left.
+        """Writes the remaining outcomes and closes the journal.
 
-        The event loop has stopped, so an intent that still waits never leaves.
+        The event loop has stopped, so submissions whose intents are still queued are never sent.
         """
         self._store.stop_thread()
         try:
             if outcomes := [encode_record(record) for record in self._queue if not isinstance(record, Intent)]:
                 self._store.append(outcomes)
         except OSError as error:
-            self._log.record("journal", state=JournalState.FULL.value, why=str(error))
+            self._log.record("journal", state=JournalState.UNWRITABLE.value, why=str(error))
         self._store.close()
 
     # ---- writes
 
     def _report_start(self) -> None:
-        """Logs what the journal held."""
+        """Logs a summary of the journal's contents and damage."""
         damage = self._store.damage
         index = self._store.index
         for span in damage[:_MAX_REPORTED_DAMAGE]:
@@ -161,20 +166,20 @@
         )
 
     def _enqueue(self, record: Record) -> None:
-        """Puts a record into the next write."""
+        """Adds a record to the next write."""
         self._queue.append(record)
         if not self._writing:
             self._schedule_write()
 
     def _schedule_write(self) -> None:
-        """Sets the timer of the next write, unless it is set."""
+        """Starts the timer of the next write, unless it is running."""
         if self._timer is None:
-            full = self._rule.state == JournalState.FULL
-            delay_ns = _RETRY_DELAY_NS if full else self._settings.batch_delay_ns
+            unwritable = self._rule.state == JournalState.UNWRITABLE
+            delay_ns = _RETRY_DELAY_NS if unwritable else self._settings.batch_delay_ns
             self._timer = self._timers.after(delay_ns, self._write)
 
     def _write(self) -> None:
-        """The timer: gives the queue to the store's thread."""
+        """Called by the timer: passes the queued records to the store's thread."""
         self._timer = None
         self._writing = True
         batch = self._queue
@@ -184,20 +189,20 @@
         future.add_done_callback(partial(self._return_to_loop, batch, numbers))
 
     def _return_to_loop(self, batch: Sequence[Record], numbers: Sequence[int], future: Future[None]) -> None:
-        """Called on the store's thread when a write has ended."""
+        """Called on the store's thread when a write has ended; continues on the event loop."""
         self._loop.call_soon_threadsafe(self._write_ended, batch, numbers, future.exception())
 
     def _write_ended(self, batch: Sequence[Record], numbers: Sequence[int], error: BaseException | None) -> None:
-        """A write has ended: its intents are let go or refused.
+        """Sends or refuses the submissions whose intents were in a write that has ended.
 
         Args:
-            batch: its records.
-            numbers: of the intents among them.
-            error: why it failed; None if it is durable.
+            batch: the records of the write.
+            numbers: the numbers of the intents among them.
+            error: why the write failed; None if it is durable.
         """
         self._writing = False
         if error is None:
-            self._count_durable(batch)
+            self._index_durable(batch)
         elif not isinstance(error, OSError):
             self._log.record_limited("fault", "journal", trouble=repr(error))
         end = self._rule.write_ended(WriteResult.FAILED if error else WriteResult.DURABLE, numbers)
@@ -206,28 +211,28 @@
         if error:
             self._requeue(batch)
         for number, effect in end.effects:
-            self._carry_out(number, effect)
+            self._apply_effect(number, effect)
         for number in numbers:
             self._pending.pop(number, None)
         if self._queue:
             self._schedule_write()
 
-    def _count_durable(self, batch: Sequence[Record]) -> None:
-        """Takes records into the index; not sooner, as compaction goes by what stands on the disk."""
+    def _index_durable(self, batch: Sequence[Record]) -> None:
+        """Adds records to the index once they are durable, because compaction relies on the index to match the disk."""
         self._log.counts["journal_records"] += len(batch)
         self._log.counts["journal_writes"] += 1
         for record in batch:
             self._store.index.add(record)
 
     def _requeue(self, batch: Sequence[Record]) -> None:
-        """A write failed: its intents are nowhere, and none has left; its outcomes are tried again."""
+        """Queues the outcomes of a failed write again. Its intents are dropped: none was written and none was sent."""
         others: list[Record] = [record for record in batch if not isinstance(record, Intent)]
         self._queue = others[:_MAX_QUEUED_RECORDS] + self._queue
-        if not self._queue:  # guards against a journal that is never tried again for want of anything to write
+        if not self._queue:  # writing is retried only while records are queued
             self._queue.append(Start(self._clock(), self._settings.node_name))
 
-    def _carry_out(self, number: int, effect: IntentEffect) -> None:
-        """Does with an intent what the rule says."""
+    def _apply_effect(self, number: int, effect: IntentEffect) -> None:
+        """Applies an effect of the write-ahead rule to a pending intent."""
         pending = self._pending.pop(number)
         match effect:
             case IntentEffect.SEND:
@@ -241,8 +246,8 @@
                 assert_never(effect)
 
 
-def _ending(how: int) -> Ending:
-    """The ending that is recorded, of the reason `how` of `terms.py`."""
-    if how == terms.DONE:
+def _ending(reason: int) -> Ending:
+    """Returns the ending to record for a reason of `terms.py`."""
+    if reason == terms.DONE:
         return Ending.SUCCEEDED
-    return Ending.NOT_RUN if how in _ENDS_WITHOUT_RUN else Ending.DOUBT
+    return Ending.NOT_RUN if reason in _NOT_RUN_REASONS else Ending.IN_DOUBT
--- a/rampfront/journal/journal_reader.py
+++ b/rampfront/journal/journal_reader.py
@@ -1,6 +1,6 @@
-"""Reads a journal's folder for people: every submission with what became of it.
+"""Reads a journal's folder for the command line: every submission with its outcome.
 
-It never writes and needs no node: a journal may be read while a node writes it.
+It never writes, and needs no running node. A journal may be read while a node writes it.
 """
 
 from collections import Counter
@@ -14,16 +14,16 @@
 
 _NS_PER_S = 1e9
 _NS_PER_MS = 1e6
-_ENDING_TEXTS = {Ending.SUCCEEDED: "settled", Ending.NOT_RUN: "not_run", Ending.DOUBT: "doubt"}
+_ENDING_TEXTS = {Ending.SUCCEEDED: "settled", Ending.NOT_RUN: "not_run", Ending.IN_DOUBT: "doubt"}
 
 
 @dataclass(slots=True)
 class JournalEntry:
-    """One submission.
+    """One submission, as recorded.
 
     Attributes:
         intent: its intent.
-        outcome: how it ended; None: no record of its end, so it is in doubt.
+        outcome: its outcome; None if none is recorded, so that it is in doubt.
     """
 
     intent: Intent
@@ -31,37 +31,37 @@
 
     @property
     def in_doubt(self) -> bool:
-        """Whether it may or may not have run."""
-        return self.outcome is None or self.outcome.ending == Ending.DOUBT
+        """Whether it is unknown if the submission ran."""
+        return self.outcome is None or self.outcome.ending == Ending.IN_DOUBT
 
     @property
     def ending_text(self) -> str:
-        """How it ended, for people."""
+        """The ending as displayed."""
         return "doubt (no outcome)" if self.outcome is None else _ENDING_TEXTS[self.outcome.ending]
 
     def line(self) -> str:
-        """A line for people."""
+        """Formats the submission as a line of text."""
         intent = self.intent
-        took = ""
+        duration_text = ""
         if self.outcome is not None:
-            took = f" after {(self.outcome.at_ns - intent.at_ns) / _NS_PER_MS:.1f} ms"
+            duration_text = f" after {(self.outcome.at_ns - intent.at_ns) / _NS_PER_MS:.1f} ms"
         return (
             f"{format_time(intent.at_ns)} #{intent.number} {intent.transaction_id} {intent.product} "
-            f"account {intent.account} to {intent.server}, try {intent.attempt + 1}: {self.ending_text}{took}"
+            f"account {intent.account} to {intent.server}, try {intent.attempt + 1}: {self.ending_text}{duration_text}"
         )
 
 
 @dataclass(frozen=True, slots=True)
 class EntryFilter:
-    """Which entries are asked for; an attribute that is empty or None asks for all.
+    """Selects entries; an attribute that is empty or None matches all.
 
     Attributes:
-        transaction_id: the client's id.
+        transaction_id: the id given by the client.
         account: the customer.
         server: the id of the server.
-        in_doubt: only submissions that may or may not have run.
-        since_ns: from this Unix time on.
-        until_ns: up to this Unix time.
+        in_doubt: whether to select only submissions in doubt.
+        since_ns: earliest Unix time in ns, inclusive.
+        until_ns: latest Unix time in ns, exclusive.
     """
 
     transaction_id: str = ""
@@ -72,7 +72,7 @@
     until_ns: int | None = None
 
     def matches(self, entry: JournalEntry) -> bool:
-        """Whether an entry is asked for."""
+        """Whether the filter selects an entry."""
         intent = entry.intent
         return (
             self.transaction_id in ("", intent.transaction_id)
@@ -86,15 +86,15 @@
 
 @dataclass(slots=True)
 class JournalContents:
-    """All that a folder holds.
+    """The contents of a journal's folder.
 
     Attributes:
-        entries: number to submission, in the order of the numbers.
+        entries: submissions by number, in ascending order.
         damage: damaged spans, in the order of the files.
-        starts: processes that began to write.
-        segment_count: files.
-        size_bytes: of all files.
-        orphans: outcomes whose intent went with an older file or a damaged record.
+        starts: the starts of the processes that wrote the journal.
+        segment_count: the number of files.
+        size_bytes: the total size of the files.
+        orphans: the number of outcomes whose intent was in a removed file or a damaged record.
     """
 
     entries: dict[int, JournalEntry] = field(default_factory=dict)
@@ -104,18 +104,18 @@
     size_bytes: int = 0
     orphans: int = 0
 
-    def select(self, wanted: EntryFilter) -> list[JournalEntry]:
-        """The entries that match."""
-        return [entry for entry in self.entries.values() if wanted.matches(entry)]
+    def select(self, entry_filter: EntryFilter) -> list[JournalEntry]:
+        """Returns the entries that match the filter."""
+        return [entry for entry in self.entries.values() if entry_filter.matches(entry)]
 
     def damage_lines(self) -> list[str]:
-        """A line for people of each damaged span."""
+        """Formats each damaged span as a line of text."""
         return [
             f"damaged: {span.segment} at {span.offset}, {span.size_bytes} bytes: {span.reason}" for span in self.damage
         ]
 
     def summary(self) -> str:
-        """A line of totals for people."""
+        """Formats the totals as a line of text."""
         totals = Counter(entry.outcome.ending if entry.outcome else None for entry in self.entries.values())
         endings = [f"{totals[ending]} {text}" for ending, text in _ENDING_TEXTS.items()]
         orphans = f"; {self.orphans} outcomes whose intent went with an older file or a damaged record"
@@ -126,11 +126,13 @@
         )
 
     def add(self, record: Record) -> None:
-        """Takes the next record."""
+        """Adds the next record."""
         if isinstance(record, Start):
             self.starts.append(record)
         elif isinstance(record, Intent):
-            self.entries.setdefault(record.number, JournalEntry(record))  # one that compaction wrote again is the same
+            self.entries.setdefault(
+                record.number, JournalEntry(record)
+            )  # keeps the first copy; compaction may have rewritten it
         elif entry := self.entries.get(record.number):
             entry.outcome = record
         else:
@@ -138,7 +140,7 @@
 
 
 def read_journal(folder: Path) -> JournalContents:
-    """Reads all segments of a folder. Raises `OSError` if one cannot be read."""
+    """Reads all segments of a folder. Raises `OSError` if a segment cannot be read."""
     contents = JournalContents()
     for path in segment_paths(folder):
         data = path.read_bytes()
@@ -148,10 +150,10 @@
         contents.damage += scanned.damage_in(path.name)
         for record in scanned.records:
             contents.add(record)
-    contents.entries = dict(sorted(contents.entries.items()))  # what compaction wrote again stands behind later ones
+    contents.entries = dict(sorted(contents.entries.items()))  # rewritten intents come after later ones in the files
     return contents
 
 
 def format_time(at_ns: int) -> str:
-    """Unix time in ns as a date and time in UTC."""
+    """Formats Unix time in ns as an ISO 8601 date and time in UTC."""
     return datetime.fromtimestamp(at_ns / _NS_PER_S, UTC).strftime("%Y-%m-%dT%H:%M:%S.%f") + "Z"
--- a/rampfront/journal/journal_settings.py
+++ b/rampfront/journal/journal_settings.py
@@ -1,4 +1,4 @@
-"""Where and how the journal is written, as the configuration's table `[journal]` has it."""
+"""The settings of the journal, from the configuration's table `[journal]`."""
 
 from dataclasses import dataclass
 from pathlib import Path
@@ -6,15 +6,15 @@
 
 @dataclass(frozen=True, slots=True)
 class JournalSettings:
-    """How the journal is written.
+    """The settings of the journal.
 
     Attributes:
-        folder: where its segments are; no other process may write there.
-        node_name: of the node that writes.
-        batch_delay_ns: how long a record waits for others before all are written.
-        max_segment_bytes: past it a new segment begins.
-        max_total_bytes: the most that all segments take together.
-        retention_s: a segment that was last written so long ago is removed.
+        folder: the folder of the segments; no other process may write there.
+        node_name: the name of the node that writes the journal.
+        batch_delay_ns: how long a record is held so that later ones are written in the same batch.
+        max_segment_bytes: the size beyond which a new segment begins.
+        max_total_bytes: the maximum total size of the segments.
+        retention_s: a segment is removed once this long has passed since its last write.
     """
 
     folder: Path
--- a/rampfront/journal/record_scanner.py
+++ b/rampfront/journal/record_scanner.py
@@ -1,6 +1,7 @@
-"""Reads all records of a segment, and names what is damaged. No I/O.
+"""Reads all records of a segment and reports damaged spans. No I/O.
 
-Each record stands alone: behind a damaged one reading goes on at the next mark that a complete record follows.
+Records are independent of each other. After a damaged one, reading continues at the next mark that begins a complete
+record.
 """
 
 from dataclasses import dataclass, field
@@ -13,9 +14,9 @@
     """A damaged span of a segment.
 
     Attributes:
-        offset: where it begins.
-        size_bytes: up to the next complete record, or to the end of the file.
-        reason: what is wrong at its beginning.
+        offset: the offset of its first byte.
+        size_bytes: its length, up to the next complete record or the end of the file.
+        reason: the fault found at `offset`.
     """
 
     offset: int
@@ -24,7 +25,7 @@
 
 
 class SegmentDamage(NamedTuple):
-    """A `Damage` with the file that has it."""
+    """A `Damage` and the name of its segment file."""
 
     segment: str
     offset: int
@@ -34,23 +35,23 @@
 
 @dataclass(slots=True)
 class ScanResult:
-    """What a segment holds.
+    """The contents of a segment.
 
     Attributes:
-        records: the complete ones, in order.
-        damage: what else there is.
+        records: the complete records, in order.
+        damage: the spans that hold no complete record.
     """
 
     records: list[Record] = field(default_factory=list)
     damage: list[Damage] = field(default_factory=list)
 
     def damage_in(self, segment: str) -> list[SegmentDamage]:
-        """The damage, with the name of the segment."""
+        """Returns the damage with the name of the segment."""
         return [SegmentDamage(segment, *damage) for damage in self.damage]
 
 
 def scan_records(data: bytes) -> ScanResult:
-    """Reads the bytes of a segment."""
+    """Decodes the bytes of a segment."""
     result = ScanResult()
     offset = 0
     while offset < len(data):
@@ -66,7 +67,7 @@
 
 
 def _next_complete_record(data: bytes, offset: int) -> int:
-    """The offset of the first complete record from `offset` on; the end of the data if there is none."""
+    """Returns the offset of the first complete record at or after `offset`; the end of the data if there is none."""
     position = data.find(RECORD_MARK, offset)
     while position >= 0:
         try:
--- a/rampfront/journal/records.py
+++ b/rampfront/journal/records.py
@@ -1,8 +1,8 @@
-"""Records of the journal, and their bytes. No I/O.
+"""The records of the journal and their encoding. No I/O.
 
-A record is `RECORD_MARK`, length, CRC-32 of the body, body; the body is a msgpack array whose first element is the
-kind. The mark lets a reader find the next record behind a damaged one. Submissions are numbered; the number counts
-on over restarts. An intent without an outcome is in doubt: it may have run.
+A record is encoded as `RECORD_MARK`, length, CRC-32 of the body, and the body, a msgpack array whose first element is
+the record's kind. The mark lets a reader find the next record after a damaged one. Submissions are numbered
+consecutively across restarts. An intent without an outcome is in doubt, as the transaction may have run.
 """
 
 import struct
@@ -12,25 +12,25 @@
 import msgspec
 
 RECORD_MARK = b"\xabRJ1"
-_LENGTH_AND_CHECKSUM = struct.Struct("<II")  # bytes of the body, CRC-32 of the body
+_LENGTH_AND_CHECKSUM = struct.Struct("<II")  # length and CRC-32 of the body
 _HEADER_BYTES = len(RECORD_MARK) + _LENGTH_AND_CHECKSUM.size
-_MAX_BODY_BYTES = 1 << 16  # a longer length is damage
+_MAX_BODY_BYTES = 1 << 16  # a greater length is damage
 
 
 class Ending(IntEnum):
     """How a submission ended."""
 
-    SUCCEEDED = 0  # a complete response came
+    SUCCEEDED = 0  # a complete response was received
     NOT_RUN = 1
-    DOUBT = 2  # it may have run
+    IN_DOUBT = 2  # the transaction may have run
 
 
 class Start(msgspec.Struct, frozen=True, array_like=True, tag=0, forbid_unknown_fields=True, gc=False):
-    """A process began to write.
+    """A process began to write the journal.
 
     Attributes:
         at_ns: Unix time in ns.
-        node: its name.
+        node: the name of the node.
     """
 
     at_ns: int
@@ -38,16 +38,16 @@
 
 
 class Intent(msgspec.Struct, frozen=True, array_like=True, tag=1, forbid_unknown_fields=True, gc=False):
-    """A submission is about to leave.
+    """A submission is about to be sent.
 
     Attributes:
-        number: of the submission.
+        number: the number of the submission.
         at_ns: Unix time in ns.
         transaction_id: the id that the client gave, in Latin-1.
         product: the name of its product.
         account: the customer.
-        server: the id of the server that it goes to.
-        attempt: its number among the submissions of the transaction, from 0.
+        server: the id of the server that the submission is for.
+        attempt: the number of the submission among those of the transaction, from 0.
     """
 
     number: int
@@ -63,9 +63,9 @@
     """A submission ended.
 
     Attributes:
-        number: of its intent.
+        number: the number of its intent.
         at_ns: Unix time in ns.
-        ending: how.
+        ending: how it ended.
     """
 
     number: int
@@ -80,48 +80,48 @@
 
 
 class DamagedRecordError(ValueError):
-    """No complete record stands at an offset; the text says why."""
+    """There is no complete record at an offset; the message is the reason."""
 
 
 def encode_record(record: Record) -> bytes:
-    """The bytes of a record."""
+    """Encodes a record."""
     body = _encode_body(record)
     return RECORD_MARK + _LENGTH_AND_CHECKSUM.pack(len(body), zlib.crc32(body)) + body
 
 
 def decode_record(data: bytes, offset: int) -> tuple[Record, int]:
-    """Reads the record at an offset.
+    """Decodes the record at an offset.
 
     Returns:
-        The record, and the offset behind it.
+        The record, and the offset after it.
 
     Raises:
-        DamagedRecordError: there is none, or it is torn or damaged.
+        DamagedRecordError: there is no record, or it is torn or damaged.
     """
     body_start = offset + _HEADER_BYTES
     if body_start > len(data):
-        raise DamagedRecordError("torn: the file ends within a record's head")
+        raise DamagedRecordError("torn: the file ends within a record header")
     if not data.startswith(RECORD_MARK, offset):
         raise DamagedRecordError("no record begins here")
     length, checksum = _LENGTH_AND_CHECKSUM.unpack_from(data, offset + len(RECORD_MARK))
     if length > _MAX_BODY_BYTES:
-        raise DamagedRecordError("a length that no record has")
+        raise DamagedRecordError("record length out of range")
     end = body_start + length
     if end > len(data):
         raise DamagedRecordError("torn: the file ends within a record")
     body = data[body_start:end]
     if zlib.crc32(body) != checksum:
-        raise DamagedRecordError("its checksum is wrong")
+        raise DamagedRecordError("checksum mismatch")
     try:
         return _decode_body(body), end
     except msgspec.DecodeError:
-        raise DamagedRecordError(_reason_of_bad_body(body)) from None
+        raise DamagedRecordError(_invalid_body_reason(body)) from None
 
 
-def _reason_of_bad_body(body: bytes) -> str:
-    """Why a body with the right checksum is no record."""
+def _invalid_body_reason(body: bytes) -> str:
+    """Returns why a body whose checksum matches is not a record."""
     try:
         msgspec.msgpack.decode(body, type=list)
     except msgspec.DecodeError:
-        return "no record under its checksum"
-    return "a record of no kind that there is"
+        return "body is not a msgpack array"
+    return "unknown record kind or malformed fields"
--- a/rampfront/journal/segment_store.py
+++ b/rampfront/journal/segment_store.py
@@ -1,9 +1,10 @@
-"""The journal's files: segments in a folder, appended to, made durable in batches, compacted.
+"""The files of the journal: append-only segments in a folder, made durable in batches and compacted.
 
-The store owns the files and the one thread that writes them. It never decides what may be sent (`write_ahead_rule`). A
-write that fails is cut off again, so that the next record does not stand behind half of one. A segment is removed once
-it is older than its retention; past the most bytes the oldest go first, and what is in doubt in them is written again
-to the newest. Where that leaves no room, writing fails: the disk is full, by the journal's own limit.
+The store owns the files and the one thread that writes them. It does not decide what may be sent; `write_ahead_rule`
+does. A failed write is truncated, so that the next record does not follow a torn one. A segment is removed once its
+retention period has passed. If the journal would exceed its maximum size, the oldest segments are removed first, after
+their intents in doubt have been rewritten to the newest segment. If that does not free enough space, writing fails as
+on a full disk.
 """
 
 import fcntl
@@ -26,25 +27,25 @@
 
 
 class JournalBusyError(OSError):
-    """Another process writes this journal."""
+    """Another process has locked this journal."""
 
 
 class JournalFullError(OSError):
-    """What is in doubt takes all the bytes that the journal may have."""
+    """Intents in doubt use up the maximum size of the journal."""
 
 
 def segment_paths(folder: Path) -> list[Path]:
-    """The segments of a journal, oldest first."""
+    """Returns the segment files of a journal, oldest first."""
     return sorted(Path(folder).glob("*" + _SUFFIX))
 
 
 class _Segment:
-    """What is known of a segment: its bytes, and the numbers of the intents that it holds."""
+    """The size of a segment, and the numbers of the intents in it."""
 
     __slots__ = ("size_bytes", "intent_numbers")
 
     def __init__(self, size_bytes: int) -> None:
-        """Of `size_bytes`, without intents."""
+        """Creates a segment of `size_bytes` without intents."""
         self.size_bytes = size_bytes
         self.intent_numbers: set[int] = set()
 
@@ -53,22 +54,22 @@
     """The files of one journal.
 
     Attributes:
-        index: what the records say of all submissions.
-        damage: damaged spans found at the start.
+        index: the state of all submissions, as recorded.
+        damage: damaged spans found when the journal was opened.
     """
 
     _current_path: Path
     _last_number: int
 
     def __init__(self, settings: JournalSettings, clock: Callable[[], int] = time.time_ns) -> None:
-        """Opens the folder, or makes it; reads all segments and begins one.
+        """Opens the folder, creating it if needed, reads all segments and begins a new one.
 
         Args:
-            settings: where and how.
-            clock: Unix time in ns.
+            settings: the folder and the limits.
+            clock: returns Unix time in ns.
 
         Raises:
-            JournalBusyError: another process writes there.
+            JournalBusyError: another process has locked the journal.
             OSError: the folder cannot be read or written.
         """
         self.index = IntentIndex()
@@ -79,35 +80,35 @@
         self._folder.mkdir(parents=True, exist_ok=True)
         self._lock_fd = self._lock()
         self._segments: dict[Path, _Segment] = {}
-        self._fd: int | None = None  # of the current segment; None: the next write begins one
+        self._fd: int | None = None  # of the current segment; if None, the next write begins one
         self._recover()
         self._thread = ThreadPoolExecutor(1, "journal")
 
     @property
     def size_bytes(self) -> int:
-        """What all segments take."""
+        """The total size of all segments."""
         return sum(segment.size_bytes for segment in self._segments.values())
 
     @property
     def segment_count(self) -> int:
-        """How many segments there are."""
+        """The number of segments."""
         return len(self._segments)
 
     def start_append(self, encoded_records: Sequence[bytes], intent_numbers: Sequence[int]) -> Future[None]:
-        """`append` on the store's thread."""
+        """Runs `append` on the store's thread."""
         return self._thread.submit(self.append, encoded_records, intent_numbers)
 
     def append(self, encoded_records: Sequence[bytes], intent_numbers: Sequence[int] = ()) -> None:
         """Writes records and makes them durable.
 
-        Once the node runs, only the store's thread may call it, or whoever has stopped the thread.
+        While the store's thread runs, only that thread may call this method.
 
         Args:
-            encoded_records: their bytes.
-            intent_numbers: of the intents among them.
+            encoded_records: the records.
+            intent_numbers: the numbers of the intents among them.
 
         Raises:
-            OSError: they cannot be written; nothing of them is left behind.
+            OSError: the records cannot be written; none of them is left in the files.
         """
         data = b"".join(encoded_records)
         if self._fd is None or self._outgrows_segment(len(data)):
@@ -118,11 +119,11 @@
         self._write_durably(data, intent_numbers)
 
     def stop_thread(self) -> None:
-        """Waits for the write under way; `append` may be called by any thread afterwards."""
+        """Waits for the write in progress and ends the thread; any thread may call `append` afterwards."""
         self._thread.shutdown()
 
     def close(self) -> None:
-        """Ends the thread, closes the files and lets others write the journal."""
+        """Ends the thread, closes the files and unlocks the journal."""
         self._thread.shutdown()
         if self._fd is not None:
             os.close(self._fd)
@@ -137,13 +138,13 @@
             fcntl.flock(lock_fd, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
             os.close(lock_fd)
-            raise JournalBusyError(f"{self._folder} is written by another process") from None
+            raise JournalBusyError(f"{self._folder} is locked by another process") from None
         return lock_fd
 
     def _recover(self) -> None:
-        """Reads all segments, and begins one with the record of this start.
+        """Reads all segments, and begins a new one with a `Start` record.
 
-        A torn tail stays as it is: what follows goes to a segment of its own.
+        A torn tail is left as it is, since new records are written to the new segment.
         """
         paths = segment_paths(self._folder)
         with _garbage_collection_paused():
@@ -154,7 +155,7 @@
         self.append([encode_record(Start(self._clock(), self._settings.node_name))])
 
     def _read_segment(self, path: Path) -> None:
-        """Takes the records of a segment into the index, and its damage into the list."""
+        """Adds the records of a segment to the index, and its damage to `damage`."""
         data = path.read_bytes()
         found = scan_records(data)
         self.damage += found.damage_in(path.name)
@@ -166,7 +167,7 @@
         self._segments[path] = segment
 
     def _begin_segment(self) -> None:
-        """Begins a segment: an earlier process's last one is never written to again, whatever its end looks like."""
+        """Begins a segment. The last segment of an earlier process is never appended to, as it may be torn."""
         if self._fd is not None:
             os.close(self._fd)
             self._fd = None
@@ -178,7 +179,7 @@
         self._sync_folder()
 
     def _sync_folder(self) -> None:
-        """Makes a new segment's name durable: its data alone is lost without it."""
+        """Makes a new segment's directory entry durable; without it, its data could not be found after a crash."""
         folder_fd = os.open(self._folder, os.O_RDONLY)
         try:
             os.fsync(folder_fd)
@@ -188,12 +189,12 @@
     # ---- writing
 
     def _outgrows_segment(self, more_bytes: int) -> bool:
-        """Whether the current segment, unless it is empty, would grow too large."""
+        """Whether the current segment is not empty and would exceed its maximum size."""
         size_bytes = self._segments[self._current_path].size_bytes
         return size_bytes > 0 and size_bytes + more_bytes > self._settings.max_segment_bytes
 
     def _write_durably(self, data: bytes, intent_numbers: Iterable[int]) -> None:
-        """Appends to the current segment. A write that fails is cut off again, and raises `OSError`."""
+        """Appends to the current segment and syncs it. If that fails, truncates the segment and raises `OSError`."""
         fd = self._fd
         assert fd is not None, "a segment is begun before it is written to"
         segment = self._segments[self._current_path]
@@ -209,9 +210,9 @@
         segment.intent_numbers.update(intent_numbers)
 
     def _truncate(self, fd: int, size_bytes: int) -> None:
-        """Removes what a failed write left.
+        """Removes the partial data of a failed write.
 
-        Where that fails too, the next write begins a segment: a reader finds its way past the torn one.
+        If that fails too, the next write begins a new segment; a reader skips the torn record.
         """
         try:
             os.ftruncate(fd, size_bytes)
@@ -220,10 +221,10 @@
             self._fd = None
 
     def _compact(self, needed_bytes: int = 0) -> None:
-        """Removes segments past their retention, and while more room is needed also younger ones.
+        """Removes segments past their retention period, and further ones, oldest first, while space is needed.
 
         Raises:
-            JournalFullError: there is no room for `needed_bytes`.
+            JournalFullError: there is no space for `needed_bytes`.
         """
         max_total_bytes = self._settings.max_total_bytes
         now_s = self._clock() / _NS_PER_S
@@ -238,13 +239,13 @@
             path.unlink()
             del self._segments[path]
         if self.size_bytes + needed_bytes > max_total_bytes:
-            raise JournalFullError("the journal's own bound is used up by txns in doubt")
+            raise JournalFullError("the journal's size bound is used up by transactions in doubt")
 
     def _rewrite_in_doubt(self, path: Path, needed_bytes: int) -> bool:
-        """Writes what is in doubt in a segment to the current one. Returns False if nothing would be gained."""
+        """Rewrites a segment's intents in doubt to the current segment. Returns False if that would free too little."""
         segment = self._segments[path]
         in_doubt = self.index.in_doubt
-        # `get`, as the event loop may take an intent out meanwhile: its outcome has become durable.
+        # Uses `get`, because the event loop may remove an intent meanwhile, when its outcome has become durable.
         found = [in_doubt.get(number) for number in sorted(segment.intent_numbers)]
         intents = [intent for intent in found if intent is not None]
         data = b"".join([encode_record(intent) for intent in intents])
@@ -256,7 +257,7 @@
 
 @contextmanager
 def _garbage_collection_paused() -> Iterator[None]:
-    """The collector would look through a million live records again and again: half of a start's time."""
+    """Pauses garbage collection, as scanning a million live records repeatedly takes half of the start-up time."""
     was_enabled = gc.isenabled()
     gc.disable()
     try:
--- a/rampfront/journal/write_ahead_rule.py
+++ b/rampfront/journal/write_ahead_rule.py
@@ -1,9 +1,9 @@
-"""The write-ahead rule: when the submission of a once-only transaction may leave. No I/O, no clock.
+"""The write-ahead rule, which decides when a submission of a once-only transaction may be sent. No I/O, no clock.
 
-A submission leaves once its intent is durable, and not before. One table says what the end of a write makes of the
-journal, another what becomes of an intent that it held. Whoever carries out an effect does so once.
+A submission is sent only after its intent is durable. One table gives the journal's next state when a write ends,
+another the effect on each intent in that write. The caller must apply each effect exactly once.
 
-Intents wait from `add` to the end of the write that holds them: what comes within one batch, bounded by `max_waiting`.
+An intent waits from `add` until the write that contains it ends. `max_waiting` limits the number of waiting intents.
 """
 
 from collections.abc import Iterable
@@ -12,39 +12,39 @@
 
 
 class JournalState(Enum):
-    """Whether the journal can be written. The values stand in the log."""
+    """Whether the journal can be written. The values appear in the log."""
 
     WRITABLE = "well"
-    FULL = "full"  # any failure to write: of room, of the disk, of the folder
+    UNWRITABLE = "full"  # after any failed write: no space, a disk fault, or a fault of the folder
 
 
 class WriteResult(Enum):
-    """How a write ended."""
+    """The result of a write."""
 
     DURABLE = "durable"
     FAILED = "failed"
 
 
 class IntentState(Enum):
-    """An intent that waits for a write."""
+    """The state of an intent whose write has not ended."""
 
     WAITING = "waiting"
-    WITHDRAWN = "withdrawn"  # its submission is not to leave, whatever the write does
+    WITHDRAWN = "withdrawn"  # its submission must not be sent, whatever the result of the write
 
 
 class IntentEffect(Enum):
-    """What is to be done with an intent whose write has ended."""
+    """The action required for an intent whose write has ended."""
 
-    SEND = "send"  # its submission may leave
-    REFUSE = "refuse"  # it cannot leave
-    RECORD_NOT_RUN = "record not run"  # it never left, though its intent is durable: the journal must say so
+    SEND = "send"  # its submission may be sent
+    REFUSE = "refuse"  # its submission must not be sent
+    RECORD_NOT_RUN = "record not run"  # its intent is durable but it was not sent, which the journal must record
 
 
 _JOURNAL_TRANSITIONS: dict[tuple[JournalState, WriteResult], JournalState] = {
     (JournalState.WRITABLE, WriteResult.DURABLE): JournalState.WRITABLE,
-    (JournalState.WRITABLE, WriteResult.FAILED): JournalState.FULL,
-    (JournalState.FULL, WriteResult.DURABLE): JournalState.WRITABLE,
-    (JournalState.FULL, WriteResult.FAILED): JournalState.FULL,
+    (JournalState.WRITABLE, WriteResult.FAILED): JournalState.UNWRITABLE,
+    (JournalState.UNWRITABLE, WriteResult.DURABLE): JournalState.WRITABLE,
+    (JournalState.UNWRITABLE, WriteResult.FAILED): JournalState.UNWRITABLE,
 }
 _INTENT_EFFECTS: dict[tuple[IntentState, WriteResult], IntentEffect | None] = {
     (IntentState.WAITING, WriteResult.DURABLE): IntentEffect.SEND,
@@ -54,12 +54,12 @@
 }
 
 
-class WriteEnd(NamedTuple):
-    """What the end of a write asks for.
+class WriteCompletion(NamedTuple):
+    """The consequences of the end of a write.
 
     Attributes:
         effects: (number of the intent, effect), in the order of the write.
-        state_changed: whether the journal's state is another than before.
+        state_changed: whether the journal's state has changed.
     """
 
     effects: list[tuple[int, IntentEffect]]
@@ -67,42 +67,42 @@
 
 
 class WriteAheadRule:
-    """The state of the journal and of the intents that wait.
+    """The state of the journal and of the waiting intents.
 
     Attributes:
-        state: of the journal.
+        state: the state of the journal.
     """
 
     def __init__(self, max_waiting: int = 4096) -> None:
-        """Writable, and nothing waits. `max_waiting`: the most intents that wait."""
+        """Creates a writable journal state, with room for `max_waiting` waiting intents."""
         self.state = JournalState.WRITABLE
         self._max_waiting = max_waiting
         self._waiting: dict[int, IntentState] = {}
 
     def __len__(self) -> int:
-        """Intents that wait, withdrawn ones included."""
+        """The number of waiting intents, including withdrawn ones."""
         return len(self._waiting)
 
     def accepts_intents(self) -> bool:
-        """Whether a once-only transaction may be accepted; else it is declined before anything is sent."""
+        """Whether a once-only transaction may be accepted; otherwise it is declined before anything is sent."""
         return self.state == JournalState.WRITABLE and len(self._waiting) < self._max_waiting
 
     def add(self, number: int) -> bool:
-        """An intent is to be written. Returns False if it is refused at once, and nothing is to be written."""
+        """Adds an intent that is to be written. Returns False if it is refused and must not be written."""
         if not self.accepts_intents():
             return False
         self._waiting[number] = IntentState.WAITING
         return True
 
     def withdraw(self, number: int) -> bool:
-        """Returns whether the submission has not left, and now never will."""
+        """Withdraws a waiting intent. Returns whether its submission has not been sent and never will be."""
         if self._waiting.get(number) != IntentState.WAITING:
             return False
         self._waiting[number] = IntentState.WITHDRAWN
         return True
 
-    def write_ended(self, result: WriteResult, numbers: Iterable[int]) -> WriteEnd:
-        """A write has ended. `numbers`: of the intents that it held."""
+    def write_ended(self, result: WriteResult, numbers: Iterable[int]) -> WriteCompletion:
+        """Updates the state after a write has ended. `numbers` are those of the intents in the write."""
         previous = self.state
         self.state = _JOURNAL_TRANSITIONS[previous, result]
         effects = []
@@ -113,4 +113,4 @@
             effect = _INTENT_EFFECTS[intent_state, result]
             if effect is not None:
                 effects.append((number, effect))
-        return WriteEnd(effects, self.state != previous)
+        return WriteCompletion(effects, self.state != previous)
--- a/tests/journal/test_record_scanner.py
+++ b/tests/journal/test_record_scanner.py
@@ -43,6 +43,6 @@
         index.add(intent(number))
     index.add(outcome(95))
     index.add(outcome(96, Ending.NOT_RUN))
-    index.add(outcome(97, Ending.DOUBT))
-    assert len(index.in_doubt) == 8 and index.forgotten == 90
+    index.add(outcome(97, Ending.IN_DOUBT))
+    assert len(index.in_doubt) == 8 and index.evicted == 90
     assert (index.succeeded, index.not_run) == (1, 1)
