--- a/tests/edge/test_counter_client.py
+++ b/tests/edge/test_counter_client.py
@@ -21,7 +21,7 @@
     s.pipes["counter"].feed("\n")
     s.ask(5, client="b", plan="held")
     s.say("silent: replaced")
-    s.beats = False
+    s.sends_heartbeats = False
     s.wait(2700)
     s.say("answers that are none, at once; one that has begun and does not go on")
     for k, text in enumerate(
--- a/tests/edge/test_discovery_watch.py
+++ b/tests/edge/test_discovery_watch.py
@@ -16,7 +16,7 @@
     s.wait(600)
     s.say("beats, then silence")
     s.wait(4000)
-    s.beats = False
+    s.sends_heartbeats = False
     s.wait(8000)
     s.told(target(2), whole=True, rev=9)
     s.ask(1)
@@ -27,7 +27,7 @@
     """Discovery rejects every watch, as when most nodes connect at once. The node continues to serve with its last list
     and retries with a growing, random delay."""
     s = Stage(servers=1)
-    s.beats = False
+    s.sends_heartbeats = False
     s.pipes["discovery"].cut()
     for _ in range(200):
         s.wait(100)
--- a/tests/helper.py
+++ b/tests/helper.py
@@ -1,5 +1,9 @@
-"""Plays: `Play` tells one node inputs and prints what it decides, `Stage` runs the whole program against
-parties of its own and prints what goes over the connections. KEEP=1 writes the traces anew."""
+"""Test harnesses that record readable traces and compare them with the files in `traces`.
+
+`NodeHarness` passes inputs to one decision node and records its decisions. `Stage` runs the whole edge node on a
+simulated event loop against simulated clients, servers, discovery and counter, and records the messages on their
+connections. With KEEP=1 in the environment, the trace files are overwritten.
+"""
 
 import heapq
 import json
@@ -18,7 +22,9 @@
 ONCE = t.Product(t.ONCE_ONLY, t.ALL, 1000 * MS, 0, 0.0)
 
 
-class Play:
+class NodeHarness:
+    """One decision node with simulated time, and the trace of its decisions."""
+
     def __init__(self, servers=1, nodes=2, plans=(RATE, CAP, CEILING), products=(INQUIRY, CELL, ONCE), seed=7, **other):
         terms = dict(
             products=list(products),
@@ -38,64 +44,79 @@
             cold_overload_factor=2.0,
             cold_overload_after=1000 * MS,
         )
-        self.ms, self.lines, self.due, self.adds = 10000, [], [], []
-        self.node = Node(t.Terms(**{**terms, **other}), seed, self.ms * MS)
-        self.note(self.node.take(self.ms * MS, None))
+        self.now_ms, self.lines, self.reminders, self.pending_adds = 10000, [], [], []
+        self.node = Node(t.Terms(**{**terms, **other}), seed, self.now_ms * MS)
+        self.record_effects(self.node.take(self.now_ms * MS, None))
         if servers:
-            self.list(*range(servers))
+            self.update_servers(*range(servers))
 
-    def list(self, *ids, state=t.UP, born=0, whole=True, cell=0):
-        self.tell(t.ServerList(whole, False, [t.ServerListRow(k, state, 0, cell, 1.0, born * MS) for k in ids]))
+    def update_servers(self, *ids, state=t.UP, started_at_ms=0, complete=True, cell=0):
+        self.apply_input(
+            t.ServerList(complete, False, [t.ServerListRow(k, state, 0, cell, 1.0, started_at_ms * MS) for k in ids])
+        )
 
-    def note(self, effects):
-        for e in effects:
-            if isinstance(e, t.Remind):
-                heapq.heappush(self.due, (self.ms + e.delay / MS, e.ref))
+    def record_effects(self, effects):
+        for effect in effects:
+            if isinstance(effect, t.Remind):
+                heapq.heappush(self.reminders, (self.now_ms + effect.delay / MS, effect.ref))
                 continue
-            if isinstance(e, t.AddToCount):
-                self.adds.append(e)
-            said = {
-                t.Submit: lambda: f"txn {e.txn} to {e.server} for {e.timeout // MS} ms",
-                t.Decline: lambda: f"txn {e.txn} declined, back in {e.retry_after // MS} ms",
-                t.Void: lambda: f"txn {e.txn} voided",
-                t.Cancel: lambda: f"txn {e.txn} called off",
-                t.AddToCount: lambda: f"adds {e.amount:g}",
-                t.Probe: lambda: f"probes {e.server}",
+            if isinstance(effect, t.AddToCount):
+                self.pending_adds.append(effect)
+            description = {
+                t.Submit: lambda: f"txn {effect.txn} to {effect.server} for {effect.timeout // MS} ms",
+                t.Decline: lambda: f"txn {effect.txn} declined, back in {effect.retry_after // MS} ms",
+                t.Void: lambda: f"txn {effect.txn} voided",
+                t.Cancel: lambda: f"txn {effect.txn} called off",
+                t.AddToCount: lambda: f"adds {effect.amount:g}",
+                t.Probe: lambda: f"probes {effect.server}",
                 t.Subscribe: lambda: "subscribes",
-            }[type(e)]()
-            self.lines.append(f"{self.ms - 10000:6.0f} ms  {said}")
+            }[type(effect)]()
+            self.lines.append(f"{self.now_ms - 10000:6.0f} ms  {description}")
 
     def say(self, text):
         self.lines.append(f"           -- {text}")
 
-    def tell(self, told):
-        self.note(self.node.take(round(self.ms * 1000) * 1000, told))
+    def apply_input(self, event):
+        self.record_effects(self.node.take(round(self.now_ms * 1000) * 1000, event))
 
     def wait(self, ms):
-        until = self.ms + ms
-        while self.due and self.due[0][0] <= until:
-            due, ref = heapq.heappop(self.due)
-            self.ms = max(self.ms, due)
-            self.tell(t.Due(ref))
-        self.ms = until
+        until = self.now_ms + ms
+        while self.reminders and self.reminders[0][0] <= until:
+            due, ref = heapq.heappop(self.reminders)
+            self.now_ms = max(self.now_ms, due)
+            self.apply_input(t.Due(ref))
+        self.now_ms = until
 
     def arrive(self, txn, product=0, plan=0, account="a", units=1, expiry=5000, nodes=2):
-        self.tell(t.Arrival(txn, product, plan, account, units, expiry * MS, nodes))
+        self.apply_input(t.Arrival(txn, product, plan, account, units, expiry * MS, nodes))
 
-    def end(self, txn, how=t.DONE, server=0, took=100, true=0, final=None, use=None, attempt=None):
+    def end(self, txn, outcome=t.DONE, server=0, duration_ms=100, actual_units=0, final=None, usage=None, attempt=None):
         attempt = min(self.node.txns[txn].in_flight) if attempt is None else attempt
-        self.tell(t.Ended(txn, server, how, took * MS, how == t.DONE if final is None else final, true, attempt, use))
+        self.apply_input(
+            t.Ended(
+                txn,
+                server,
+                outcome,
+                duration_ms * MS,
+                outcome == t.DONE if final is None else final,
+                actual_units,
+                attempt,
+                usage,
+            )
+        )
 
-    def count(self, total=0, how=t.DONE):
-        self.tell(t.Counted(self.adds.pop(0).name, total, how, (50 if how == t.TIMED_OUT else 2) * MS))
+    def count(self, total=0, outcome=t.DONE):
+        self.apply_input(
+            t.Counted(self.pending_adds.pop(0).name, total, outcome, (50 if outcome == t.TIMED_OUT else 2) * MS)
+        )
 
-    def room(self):
-        """Room for all: what is out holds no place."""
+    def free_all_places(self):
+        """Frees all places: submissions in flight occupy none."""
         for server in self.node.servers.values():
             server.occupied = 0
         self.node.free_places, self.node.free_at, self.node.slack = 9.0, self.node.now + 10**12, 1.0
 
-    def sent_to(self):
+    def last_server(self):
         return int([line for line in self.lines if " to " in line][-1].split(" to ")[1].split()[0])
 
     def serve(self, txns, **arrival):
@@ -112,14 +133,16 @@
         assert text == path.read_text()
 
 
-def experiment(told, folder, seed=None, tries=3):
-    """An experiment's report, and the folder of its run. A run whose load tool fell behind on a busy machine may not be
-    reported, so it has no verdict: it is played again."""
+def experiment(plan, folder, seed=None, tries=3):
+    """Runs an experiment; returns its report and the folder of its run.
+
+    A run whose load tool fell behind on a busy machine is refused by the report and has no verdict, so it is repeated.
+    """
     from rampfront.lab import report
     from rampfront.lab.run import Repeat
 
     for turn in range(tries):
-        run = Repeat(told, told.seed if seed is None else seed, folder / f"run-{turn}").play()
+        run = Repeat(plan, plan.seed if seed is None else seed, folder / f"run-{turn}").play()
         try:
             return report.write(run), run
         except report.RunRefused:
@@ -127,7 +150,7 @@
                 raise
 
 
-# ---- the sockets: the whole program on a loop of ours, whose parties are written from the protocol's pages
+# ---- the whole edge node on a simulated event loop; the peers are implemented from the protocol documents
 
 SETTINGS = {
     "Classes": [
@@ -162,8 +185,8 @@
     }
 
 
-def short(data):
-    """What is worth reading of a message."""
+def summarize_message(data):
+    """Returns the parts of a message that are shown in a trace."""
     if data[:1] == b"*":
         parts = data.decode().split("\r\n")[2::2]
         return f"adds {parts[2]}"
@@ -176,39 +199,43 @@
     return first + ids + wait + last + f" {body}".rstrip()
 
 
-class Handle(list):
+class TimerHandle(list):
+    """A scheduled call: due time in ns, sequence number and callback (None once cancelled)."""
+
     def cancel(self):
         self[2] = None
 
 
 class Pipe:
-    """One connection as our side sees it; also the task that opens it."""
+    """The transport of one simulated connection, and also the task that opens it."""
 
     def __init__(self, stage, name, make):
         self.stage, self.name, self.make = stage, name, make
-        self.protocol = self.trouble = None
-        self.callbacks, self.closed, self.off = [], False, False
-        self.greeting = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"  # discovery's, once
+        self.protocol = self.connect_error = None
+        self.callbacks, self.closed, self.was_cancelled = [], False, False
+        self.pending_head = (
+            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"  # of discovery's response, until sent
+        )
 
-    # as a task
-    def add_done_callback(self, what):
-        self.callbacks.append(what)
+    # ---- the task
+    def add_done_callback(self, callback):
+        self.callbacks.append(callback)
 
     def cancel(self):
-        self.off = True
+        self.was_cancelled = True
 
     def cancelled(self):
-        return self.off
+        return self.was_cancelled
 
     def exception(self):
-        return self.trouble
+        return self.connect_error
 
-    # as a transport
+    # ---- the transport
     def write(self, data):
         assert not self.closed
         if not data.endswith(b"PING\r\n"):
-            self.stage.note(f"{self.name} < {short(data)}")
-        elif self.stage.beats:
+            self.stage.note(f"{self.name} < {summarize_message(data)}")
+        elif self.stage.sends_heartbeats:
             self.stage.call_later(0.001, lambda: self.closed or self.feed("+PONG\r\n"))
 
     def get_extra_info(self, name):
@@ -231,7 +258,7 @@
 
     abort = close
 
-    # as the far side
+    # ---- the remote side
     def feed(self, data):
         data = data.encode() if isinstance(data, str) else data
         if hasattr(self.protocol, "data_received"):
@@ -252,19 +279,25 @@
 
 
 class Stage:
+    """The edge node on a simulated event loop, with simulated peers, and the trace of their messages.
+
+    `ways` says by name of a peer whether a connect succeeds ("up", the default), is refused ("refuses") or hangs
+    ("silent").
+    """
+
     def __init__(self, servers=1, limits=None, **settings):
         from rampfront.edge.configuration import read_configuration
         from rampfront.edge.log import Log
-        from rampfront.edge.node import start  # here, since what plays the system has other libraries
+        from rampfront.edge.node import start  # here, as the tests of the system run with other libraries
 
-        self.file = config(servers, **settings)  # what SIGHUP finds
-        self.beats = True  # whether discovery beats and the counter answers a PING
+        self.file = config(servers, **settings)  # the configuration file as read on SIGHUP
+        self.sends_heartbeats = True  # whether discovery sends heartbeats and the counter answers a PING
         self.now, self.number, self.handles, self.lines = 0, 0, [], []
         self.opening, self.ends, self.ways, self.pipes, self.signals = [], [], {}, {}, {}
-        self.sockets = {}  # of a party, where a test gives it a real one
-        told = config(servers, **settings)
-        told["limits"].update(limits or {})
-        configuration = read_configuration(told, {})
+        self.sockets = {}  # real sockets by name of the peer, if a test needs them
+        initial_file = config(servers, **settings)
+        initial_file["limits"].update(limits or {})
+        configuration = read_configuration(initial_file, {})
         self.log = Log("n0", 10**10, self)
         self.edge_node = start(
             self,
@@ -275,13 +308,13 @@
         )
         self.driver = self.edge_node.driver
         self.settle()
-        self.beat()
+        self.send_heartbeat()
         self.lines.clear()
 
-    # as the loop
-    def call_later(self, delay, what):
+    # ---- the event loop
+    def call_later(self, delay, callback):
         self.number += 1
-        handle = Handle([self.now + round(delay * 1e9), self.number, what])
+        handle = TimerHandle([self.now + round(delay * 1e9), self.number, callback])
         heapq.heappush(self.handles, handle)
         return handle
 
@@ -302,8 +335,8 @@
         except StopIteration:
             pass
 
-    def add_signal_handler(self, number, what, *about):
-        self.signals[number] = lambda: (what(*about), self.settle())
+    def add_signal_handler(self, number, callback, *about):
+        self.signals[number] = lambda: (callback(*about), self.settle())
 
     def stop(self):
         self.note("exit")
@@ -311,44 +344,44 @@
     def close(self):
         self.note("listens no more")
 
-    # as the log's output
+    # ---- the log's output
     def write(self, line):
-        said = json.loads(line)
-        self.note("log: " + " ".join(str(said[k]) for k in ("event", "party", "why", "more") if k in said))
+        record = json.loads(line)
+        self.note("log: " + " ".join(str(record[k]) for k in ("event", "party", "why", "more") if k in record))
 
     def flush(self):
         pass
 
-    # ---- the play
+    # ---- control of the simulation
 
     def note(self, text):
         self.lines.append(f"{self.now / 1e6:6.0f} ms  {text}")
 
     def settle(self):
-        """What the loop does in its next turns: connects that come up or fail, ends that are told."""
+        """Runs the pending events of the loop: connects that succeed or fail, and notices of closed connections."""
         while self.ends or any(self.ways.get(p.name) != "silent" for p in self.opening):
             while self.ends:
                 self.ends.pop(0).protocol.connection_lost(None)
             for pipe in list(self.opening):
-                way = self.ways.get(pipe.name, "up")
-                if way == "silent":
+                outcome = self.ways.get(pipe.name, "up")
+                if outcome == "silent":
                     continue
                 self.opening.remove(pipe)
-                if way == "refuses" and not pipe.off:
-                    pipe.trouble = ConnectionRefusedError()
-                elif not pipe.off:
+                if outcome == "refuses" and not pipe.was_cancelled:
+                    pipe.connect_error = ConnectionRefusedError()
+                elif not pipe.was_cancelled:
                     self.pipes[pipe.name] = pipe
                     pipe.protocol = pipe.make()
                     pipe.protocol.connection_made(pipe)
-                for what in pipe.callbacks:
-                    what(pipe)
+                for callback in pipe.callbacks:
+                    callback(pipe)
 
-    def beat(self):
+    def send_heartbeat(self):
         pipe = self.pipes["discovery"]
-        if self.beats and not pipe.closed:
-            pipe.feed(pipe.greeting + "1\r\n\n\r\n")
-            pipe.greeting = ""
-        self.call_later(2, self.beat)
+        if self.sends_heartbeats and not pipe.closed:
+            pipe.feed(pipe.pending_head + "1\r\n\n\r\n")
+            pipe.pending_head = ""
+        self.call_later(2, self.send_heartbeat)
 
     def wait(self, ms):
         until = self.now + round(ms * 1e6)
@@ -369,7 +402,7 @@
         return pipe
 
     def ask(self, txn, client="a", product="fetch", plan="open", expiry=5000, units=1, more="", body="", **other):
-        """`other` replaces a header, or leaves it out where None; underscores stand for hyphens."""
+        """Sends a request. `other` replaces a header, or omits it if None; underscores in names become hyphens."""
         fields = {
             "X-Request-Id": txn,
             "X-Class": product,
@@ -395,11 +428,11 @@
         self.note("discovery > " + ", ".join(f"{row['uid']} {row['state']}" for row in rows))
         line = json.dumps({"rev": rev, "all": whole, "targets": rows}) + "\n"
         pipe = self.pipes["discovery"]
-        pipe.feed(f"{pipe.greeting}{len(line):x}\r\n{line}\r\n")
-        pipe.greeting = ""
+        pipe.feed(f"{pipe.pending_head}{len(line):x}\r\n{line}\r\n")
+        pipe.pending_head = ""
 
     def out(self):
-        """The app server that a submission went to last and is out at; None if none is."""
+        """Returns the name of the app server that holds the latest pending submission; None if there is none."""
         sent = [
             pipe for name, pipe in self.pipes.items() if name[0] == "s" and not pipe.closed and pipe.protocol.exchange
         ]
@@ -409,10 +442,10 @@
     def counts(self, *names):
         self.note(", ".join(f"{name} {self.log.counts[name]}" for name in names))
 
-    say, check, last = Play.say, Play.check, None
+    say, check, last = NodeHarness.say, NodeHarness.check, None
 
 
-def address_of(listening):
-    """`host:port` of a listening socket."""
-    host, port = listening.getsockname()
+def address_of(listener):
+    """Returns `host:port` of a listening socket."""
+    host, port = listener.getsockname()
     return f"{host}:{port}"
