--- a/tests/journal/journal_fixtures.py
+++ b/tests/journal/journal_fixtures.py
@@ -1,4 +1,4 @@
-"""Records of the tests of `rampfront/journal`."""
+"""Records for the tests of `rampfront/journal`."""
 
 from rampfront.journal.records import Ending, Intent, Outcome
 
--- a/tests/journal/test_journal_commands.py
+++ b/tests/journal/test_journal_commands.py
@@ -1,4 +1,4 @@
-"""The journal for operators: the command line and the configuration."""
+"""The journal commands of the command line, and the `journal` table of the configuration."""
 
 import pytest
 from helper import config
--- a/tests/journal/test_node_crashes.py
+++ b/tests/journal/test_node_crashes.py
@@ -1,4 +1,4 @@
-"""Real nodes that are killed, or whose disk is full."""
+"""The journal of node processes that are killed, or whose disk is full."""
 
 import http.client
 import resource
@@ -13,14 +13,14 @@
 
 @pytest.mark.slow(33)
 def test_killed_nodes_and_servers_agree_on_every_once_only_transaction(tmp_path):
-    done = Harness(tmp_path, 7).play(50)
-    assert done["disagreements"] == [] and done["in_doubt"] > 20 and done["refused_again"] > 20
-    assert done["settled"] > 500
+    report = Harness(tmp_path, 7).play(50)
+    assert report["disagreements"] == [] and report["in_doubt"] > 20 and report["refused_again"] > 20
+    assert report["settled"] > 500
 
 
-def ask(call, transaction_id, product="ledger-entry"):
-    """Sends one transaction; returns its answer, read."""
-    call.request(
+def send_transaction(connection, transaction_id, product="ledger-entry"):
+    """Sends one transaction, reads the response and returns it."""
+    connection.request(
         "POST",
         f"/api?a=0&u=1&p=0&x={transaction_id}",
         headers={
@@ -32,9 +32,9 @@
             "X-Call-Terms": "units=1,spread=1,first=0",
         },
     )
-    answer = call.getresponse()
-    answer.read()
-    return answer
+    response = connection.getresponse()
+    response.read()
+    return response
 
 
 @pytest.mark.slow(3)
@@ -44,19 +44,19 @@
     node = harness.node.start().ready()
     thread.start()
     try:
-        call = http.client.HTTPConnection(node.listen, timeout=5)
-        assert ask(call, "a").status == 200
+        connection = http.client.HTTPConnection(node.listen, timeout=5)
+        assert send_transaction(connection, "a").status == 200
         resource.prlimit(node.process.pid, resource.RLIMIT_FSIZE, (4096, resource.RLIM_INFINITY))
-        answers = [ask(call, f"b{number}") for number in range(60)]
-        refused = [answer for answer in answers if answer.status == 429]
-        assert len(refused) > 10 and {answer.status for answer in answers} == {200, 429}
-        assert answers[-1].getheader("Retry-After") and answers[-1].status == 429
+        responses = [send_transaction(connection, f"b{number}") for number in range(60)]
+        declined = [response for response in responses if response.status == 429]
+        assert len(declined) > 10 and {response.status for response in responses} == {200, 429}
+        assert responses[-1].getheader("Retry-After") and responses[-1].status == 429
         ran = dict(harness.lab.runs.once)
-        assert all(f"b{number}" not in ran for number, answer in enumerate(answers) if answer.status == 429)
+        assert all(f"b{number}" not in ran for number, response in enumerate(responses) if response.status == 429)
         resource.prlimit(node.process.pid, resource.RLIMIT_FSIZE, (resource.RLIM_INFINITY, resource.RLIM_INFINITY))
-        until = time.monotonic() + 5
-        while ask(call, f"c{until - time.monotonic():.3f}").status != 200:
-            assert time.monotonic() < until
+        deadline = time.monotonic() + 5
+        while send_transaction(connection, f"c{deadline - time.monotonic():.3f}").status != 200:
+            assert time.monotonic() < deadline
             time.sleep(0.1)
         node.end()
         assert max(harness.lab.runs.once.values()) == 1 and node.totals()["journal_refused"] >= 1
--- a/tests/journal/test_record_scanner.py
+++ b/tests/journal/test_record_scanner.py
@@ -1,4 +1,4 @@
-"""Records of damaged files, and the index of intents."""
+"""Scanning of damaged segments, and the bound of the intent index."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
--- a/tests/journal/test_segment_store.py
+++ b/tests/journal/test_segment_store.py
@@ -1,4 +1,4 @@
-"""The journal's files: one writer, bounds, retention, and what the reader finds in them."""
+"""The segment store: exclusive access, size limits and retention, as seen by the journal reader."""
 
 import time
 
@@ -30,16 +30,16 @@
 
     def record(number, succeeded):
         records = [intent(number)] + ([outcome(number)] if succeeded else [])
-        for each in records:
-            store.index.add(each)
-        store.append([encode_record(each) for each in records], [number])
+        for entry in records:
+            store.index.add(entry)
+        store.append([encode_record(entry) for entry in records], [number])
 
     for number in range(1, 2001):
         record(number, succeeded=number % 100 != 0)
         assert store.size_bytes <= 6000
     in_doubt = [entry.intent.number for entry in read_journal(tmp_path).entries.values() if entry.in_doubt]
     assert in_doubt == list(range(100, 2001, 100))
-    with pytest.raises(OSError, match="bound"):  # nothing can be dropped where all is in doubt: a full disk, then
+    with pytest.raises(OSError, match="bound"):  # all intents are in doubt, so no segment can be removed
         for number in range(3000, 3200):
             record(number, succeeded=False)
     assert store.size_bytes <= 6000 and not read_journal(tmp_path).damage
--- a/tests/journal/test_slow_disk.py
+++ b/tests/journal/test_slow_disk.py
@@ -1,4 +1,4 @@
-"""Once-only transactions while the journal's disk stands still, on the stage."""
+"""Once-only transactions while the journal's writes do not complete."""
 
 from helper import Stage
 
@@ -6,7 +6,7 @@
 
 
 class StalledJournal:
-    """A journal whose writes never end, until told to."""
+    """A journal whose writes end only when the test calls `send`."""
 
     def __init__(self):
         self.pending, self.in_doubt_ids, self.withdrawn, self.outcomes = {}, set(), [], []
@@ -35,8 +35,8 @@
     s.ask(2, product="ledger", client="b")
     assert s.out() is None and len(journal.pending) == 2 and s.log.counts["submissions"] == 2
     s.ask(3, product="fetch", client="c")
-    s.reply(s.out())  # what is not once-only waits for nothing
-    s.pipes["b"].protocol.connection_lost(None)  # its client left: withdrawn, so it never leaves
+    s.reply(s.out())  # other transactions do not wait for the journal
+    s.pipes["b"].protocol.connection_lost(None)  # its client has disconnected, so it is withdrawn and never sent
     s.settle()
     assert 1 in journal.withdrawn
     s.wait(450)
--- a/tests/syslog_messages/conftest.py
+++ b/tests/syslog_messages/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the tests of `rampfront/syslog`: a sender and a collector on loopback."""
+"""Fixtures for the tests of `rampfront/syslog`: a sender and a collector on loopback."""
 
 import asyncio
 
@@ -14,28 +14,28 @@
 
 
 class DiscardedOutput:
-    """The log's output, which nobody reads."""
+    """An output for the log that discards all lines."""
 
     def write(self, line):
-        """Nothing is kept."""
+        """Discards the line."""
 
     def flush(self):
-        """Nothing waits."""
+        """Does nothing, as nothing is buffered."""
 
 
 def middle(low, high):
-    """Delays without chance."""
+    """Returns the midpoint, so that reconnect delays are deterministic."""
     return (low + high) / 2
 
 
 @pytest.fixture
-def play():
-    """Runs `script(sender, collector)` with both on one event loop, and returns what it returns."""
+def run_script():
+    """Runs `script(sender, collector)` with both on one event loop, and returns its result."""
 
     def run(script, **settings):
         loop = uvloop.new_event_loop()
 
-        async def start_and_play():
+        async def start_and_run():
             collector = await Collector(loop).listen()
             timers = TimerQueue(loop, Clock())
             log = Log("n0", 10**10, DiscardedOutput())
@@ -45,7 +45,7 @@
             return await script(sender, collector)
 
         try:
-            return loop.run_until_complete(asyncio.wait_for(start_and_play(), 60))
+            return loop.run_until_complete(asyncio.wait_for(start_and_run(), 60))
         finally:
             loop.close()
 
--- a/tests/syslog_messages/test_collector_outages.py
+++ b/tests/syslog_messages/test_collector_outages.py
@@ -1,4 +1,4 @@
-"""A sender whose collector goes away, reads slowly or is too slow, on loopback."""
+"""A sender whose collector is disconnected or slower than the decisions, on loopback."""
 
 import asyncio
 
@@ -21,8 +21,8 @@
 ]
 
 
-async def all_delivered(sender, collector, messages):
-    """Waits until so many messages have arrived and nothing is on disk, 20 s at most."""
+async def wait_until_delivered(sender, collector, messages):
+    """Waits at most 20 s until `messages` messages have arrived and none are on disk."""
     for _ in range(400):
         if collector.counts["messages"] >= messages and not sender.state()["disk_bytes"]:
             return
@@ -30,7 +30,7 @@
 
 
 async def decline_steadily(sender, count, seconds):
-    """Reports so many declined transactions, spread over so long."""
+    """Reports `count` declined transactions, spread over `seconds`."""
     for number in range(count):
         sender.enqueue(
             "declined",
@@ -45,21 +45,21 @@
 
 @pytest.mark.parametrize("abort", [False, True])
 @pytest.mark.slow(14)
-def test_no_message_is_missing_or_duplicated_after_an_outage(tmp_path, play, abort):
-    """A scaled-down outage: 3 s, memory for 400 messages, the rest on disk; documented long run in docs/syslog.md."""
+def test_no_message_is_missing_or_duplicated_after_an_outage(tmp_path, run_script, abort):
+    """An outage of 3 s with memory for 400 messages and the rest on disk; docs/syslog.md describes the long run."""
 
     async def script(sender, collector):
         await decline_steadily(sender, 500, 0.5)
-        await all_delivered(sender, collector, 300)
+        await wait_until_delivered(sender, collector, 300)
         collector.leave(abort)
         await decline_steadily(sender, 3000, 3.0)
         assert sender.state()["disk_bytes"] > 0
         await collector.back()
         await decline_steadily(sender, 500, 0.5)
-        await all_delivered(sender, collector, 4000)
+        await wait_until_delivered(sender, collector, 4000)
         return sender.state(), collector
 
-    state, collector = play(script, buffer_folder=tmp_path / "spill", max_queued_messages=400)
+    state, collector = run_script(script, buffer_folder=tmp_path / "spill", max_queued_messages=400)
     assert state["dropped"] == 0 and collector.counts["malformed"] == 0, (state, collector.troubles)
     element = f"decision@{DOCUMENTATION_ENTERPRISE_NUMBER}"
     received = [dict(message.structured_data[element]) for message in collector.messages]
@@ -75,21 +75,21 @@
 
 
 @pytest.mark.slow(9)
-def test_decisions_faster_than_the_connection_go_to_disk(tmp_path, play, monkeypatch):
+def test_decisions_faster_than_the_connection_go_to_disk(tmp_path, run_script, monkeypatch):
     monkeypatch.setattr("rampfront.syslog.syslog_sender.MESSAGES_PER_FLUSH", 4)
 
     async def script(sender, collector):
-        await decline_steadily(sender, 2000, 2.0)  # 10 a flush at the least
+        await decline_steadily(sender, 2000, 2.0)  # at least 10 per flush
         spilled = sender.state()["spilled"]
-        await all_delivered(sender, collector, 2000)
+        await wait_until_delivered(sender, collector, 2000)
         return spilled, sender.state()["dropped"], collector
 
-    spilled, dropped, collector = play(script, buffer_folder=tmp_path / "spill", max_queued_messages=400)
+    spilled, dropped, collector = run_script(script, buffer_folder=tmp_path / "spill", max_queued_messages=400)
     assert spilled > 100 and dropped == 0 and collector.counts["messages"] == 2000 and not collector.missing()
 
 
 @pytest.mark.slow(5)
-def test_messages_that_do_not_fit_are_counted_as_dropped(tmp_path, play):
+def test_messages_that_do_not_fit_are_counted_as_dropped(tmp_path, run_script):
     async def script(sender, collector):
         collector.leave()
         await asyncio.sleep(0.1)
@@ -97,8 +97,10 @@
         await asyncio.sleep(0.2)
         before = sender.state()
         await collector.back()
-        await all_delivered(sender, collector, before["offered"] - before["dropped"])
+        await wait_until_delivered(sender, collector, before["offered"] - before["dropped"])
         return before, collector
 
-    state, collector = play(script, buffer_folder=tmp_path / "spill", max_buffer_bytes=60_000, max_queued_messages=200)
+    state, collector = run_script(
+        script, buffer_folder=tmp_path / "spill", max_buffer_bytes=60_000, max_queued_messages=200
+    )
     assert state["dropped"] > 100 and collector.counts["messages"] == 2000 - state["dropped"]
--- a/tests/syslog_messages/test_decision_messages.py
+++ b/tests/syslog_messages/test_decision_messages.py
@@ -1,4 +1,4 @@
-"""The messages that decisions become."""
+"""The mapping of decisions to syslog messages."""
 
 from rampfront.syslog.decision_messages import DecisionRecord, Origin, decision_message
 from rampfront.syslog.message_encoder import encode_message
--- a/tests/syslog_messages/test_disk_buffer.py
+++ b/tests/syslog_messages/test_disk_buffer.py
@@ -1,4 +1,4 @@
-"""The disk buffer: order, bounds and damage."""
+"""The disk buffer: order, size limit and damaged records."""
 
 from rampfront.syslog.disk_buffer import RECORD_HEADER, DiskBuffer
 
@@ -12,7 +12,7 @@
     buffer.close()
     path = next(tmp_path.glob("*.spill"))
     data = bytearray(path.read_bytes())
-    data[2 * RECORD_HEADER.size + 1] ^= 1  # the second record's text
+    data[2 * RECORD_HEADER.size + 1] ^= 1  # in the message of the second record
     path.write_bytes(data)
     next_process = DiskBuffer(tmp_path, 1000)
     assert next_process.read_oldest_segment() == [b"1"] and next_process.take_damaged_records() == 1
--- a/tests/syslog_messages/test_octet_counting.py
+++ b/tests/syslog_messages/test_octet_counting.py
@@ -1,4 +1,4 @@
-"""Octet counting: messages cut out of a stream."""
+"""Octet counting: splitting a stream into messages."""
 
 import pytest
 
--- a/tests/syslog_messages/test_send_queue.py
+++ b/tests/syslog_messages/test_send_queue.py
@@ -1,4 +1,4 @@
-"""The send queue: drops are counted, and frames that may be lost are kept."""
+"""The send queue: dropped items are counted, and frames that may be lost are kept."""
 
 from rampfront.syslog.send_queue import SendQueue
 
@@ -10,8 +10,8 @@
     queue.connection_opened()
     queue.frames_sent([b"12345", b"678"])
     queue.acknowledge(5, 10)
-    assert queue.connection_lost(5) == [b"678"] and not queue.in_flight  # it closed in good order
+    assert queue.connection_lost(5) == [b"678"] and not queue.in_flight  # a clean close
     queue.connection_opened()
     queue.frames_sent([b"12345", b"678"])
     queue.acknowledge(8, 10)
-    assert queue.connection_lost() == [b"12345", b"678"]  # a reset: taken a moment ago, read or not
+    assert queue.connection_lost() == [b"12345", b"678"]  # a reset may lose bytes acknowledged a moment ago
--- a/tests/syslog_messages/test_syslog_message_codec.py
+++ b/tests/syslog_messages/test_syslog_message_codec.py
@@ -1,4 +1,4 @@
-"""RFC 5424 messages, encoded and parsed."""
+"""Encoding and parsing of RFC 5424 messages."""
 
 import contextlib
 
