--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,8 +1,9 @@
-"""The whole run goes side by side in a fixed number of processes, so that what plays in real time waits side by side.
+"""Distributes a complete run over a fixed number of processes, so that tests that wait in real time wait in parallel.
 
-A test that takes seconds says how many (`@pytest.mark.slow(7)`); such tests go first, each by itself or, with a second word, one
-after another with those of the same word, as they need a core each; the others go by their files.
-One file or test alone, `-n`, or a machine without pytest-xdist: one process, as ever.
+A test that takes seconds is marked with its duration (`@pytest.mark.slow(7)`). Slow tests start first, each in a group
+of its own. Those marked with the same second argument share a group and run one after another, as each needs a core.
+The other tests are grouped by file. A run of selected files or tests, a run with `-n` and a run without pytest-xdist
+are not distributed here.
 """
 
 import asyncio
@@ -13,29 +14,33 @@
 import pytest
 import uvloop
 
-PROCESSES = 6  # most of them wait most of the time
-PORTS, ROW = 20000, 2000  # of the laboratory's nodes: a row for each process, so that no two take one port
+PROCESSES = 6  # they are idle most of the time
+# Ports of the laboratory's nodes: each process has its own range, so that no two use the same port.
+FIRST_PORT, PORTS_PER_PROCESS = 20000, 2000
 
 
 @pytest.hookimpl(tryfirst=True)
 def pytest_cmdline_main(config):
     if "PYTEST_XDIST_WORKER" in os.environ or hasattr(config, "workerinput"):
-        return  # Guards the machine: a process of the run that began processes of its own would never end
-    whole = config.args_source is pytest.Config.ArgsSource.TESTPATHS
+        return  # A worker that started workers of its own would never end.
+    complete_run = config.args_source is pytest.Config.ArgsSource.TESTPATHS
     if (
-        whole
+        complete_run
         and config.pluginmanager.hasplugin("xdist")
         and config.option.numprocesses is None
         and not config.option.usepdb
     ):
         config.option.numprocesses, config.option.dist = PROCESSES, "loadgroup"
-        config.option.loadscopereorder = False  # the slow ones go first, as they are sorted below
+        config.option.loadscopereorder = False  # keeps the order set below, in which slow tests are first
 
 
-def order(rows, count):
-    """Names of (name, seconds) in the order in which `count` processes get them, which take one ahead of the one they play: the
-    longest first, then those ahead so that the shortest waits behind the longest, then the rest as each comes free."""
-    names = [name for name, _ in sorted(rows, key=lambda row: (-row[1], row[0]))]
+def start_order(groups_and_seconds, count):
+    """Returns the names of (name, seconds) in the order in which `count` processes receive them.
+
+    Each process prefetches one group while it runs another. The longest groups are first; the prefetched ones follow in
+    reverse, so that the shortest is queued behind the longest; then the rest.
+    """
+    names = [name for name, _ in sorted(groups_and_seconds, key=lambda row: (-row[1], row[0]))]
     return names[:count] + names[count : 2 * count][::-1] + names[2 * count :]
 
 
@@ -48,22 +53,24 @@
     worker = os.environ.get("PYTEST_XDIST_WORKER", "")
     if not worker:
         return
-    groups, load = {}, {}
-    for item in items:  # a slow test goes alone, or with those that it may not stand beside; all others by their files
-        seconds, *beside = (mark.args or (9,)) if (mark := item.get_closest_marker("slow")) else (0, item.path.stem)
-        groups[item] = group = beside[0] if beside else item.nodeid.replace("@", " ")
-        load[group] = load.get(group, 0) + seconds
+    groups, group_seconds = {}, {}
+    for item in items:  # a slow test is alone or with those that must not run beside it; others are grouped by file
+        seconds, *shared_group = (
+            (mark.args or (9,)) if (mark := item.get_closest_marker("slow")) else (0, item.path.stem)
+        )
+        groups[item] = group = shared_group[0] if shared_group else item.nodeid.replace("@", " ")
+        group_seconds[group] = group_seconds.get(group, 0) + seconds
         item.add_marker(pytest.mark.xdist_group(group))
-    turns = {name: turn for turn, name in enumerate(order(load.items(), PROCESSES))}
-    items.sort(key=lambda item: turns[groups[item]])
+    positions = {name: position for position, name in enumerate(start_order(group_seconds.items(), PROCESSES))}
+    items.sort(key=lambda item: positions[groups[item]])
     if nodes := sys.modules.get("rampfront.lab.nodes"):
-        low = PORTS + ROW * int(worker.removeprefix("gw"))
-        nodes.free_port.__defaults__ = "127.0.0.1", low, low + ROW
+        lowest_port = FIRST_PORT + PORTS_PER_PROCESS * int(worker.removeprefix("gw"))
+        nodes.free_port.__defaults__ = "127.0.0.1", lowest_port, lowest_port + PORTS_PER_PROCESS
 
 
 @pytest.fixture
 def loop():
-    """An event loop as programs run it, closed behind the test."""
+    """A uvloop event loop, as the programs use it, closed after the test."""
     loop = uvloop.new_event_loop()
     yield loop
     loop.run_until_complete(asyncio.sleep(0))
--- a/tests/docs/test_glossary.py
+++ b/tests/docs/test_glossary.py
@@ -1,4 +1,4 @@
-"""The pages that an engineer reads first name only what exists."""
+"""The introductory pages refer only to modules, names and pages that exist."""
 
 import ast
 import re
@@ -12,7 +12,7 @@
 
 
 def resolves(name):
-    """Whether a dotted name below `rampfront` is a package, a module, or a class or function at a module's top."""
+    """Whether a dotted name below `rampfront` is a package, a module, or a top-level class or function."""
     parts = name.split(".")
     folder = SOURCES.joinpath(*parts)
     if (folder / "__init__.py").exists() or folder.with_suffix(".py").exists():
@@ -25,7 +25,7 @@
 
 
 def places():
-    """Every name in the columns headed "where" of the glossary's tables."""
+    """Yields every name in the columns headed "where" of the glossary's tables."""
     column = None
     for line in (DOCS / "glossary.md").read_text().splitlines():
         cells = [cell.strip() for cell in line.strip("|").split("|")]
--- a/tests/docs/test_reference_tables.py
+++ b/tests/docs/test_reference_tables.py
@@ -1,4 +1,4 @@
-"""The tables of log events and metrics in the docs are what the code declares."""
+"""The tables of log events and metrics in the docs match the declarations in the code."""
 
 import ast
 import re
@@ -13,22 +13,22 @@
 LOGGING = (ROOT / "docs/logging.md").read_text()
 OBSERVING = (ROOT / "docs/system/observing.md").read_text()
 EDGE_PACKAGES = ("edge", "net", "syslog", "journal", "mqtt")
-DECISIONS = {"settled", "declined", "voided"}  # records of the syslog's decisions, not events of the log
+DECISIONS = {"settled", "declined", "voided"}  # kinds of syslog decision records, not events of the log
 
 
 def section(page, heading):
-    """The text under a heading of the second level."""
+    """Returns the text below a second-level heading."""
     return re.split(r"^## ", page.split(f"## {heading}\n", 1)[1], flags=re.M)[0]
 
 
 def names_in_first_column(text):
-    """The names in code type in the first column of a section's tables."""
+    """Returns the names in code font in the first column of a section's tables."""
     rows = [line.split("|")[1] for line in text.splitlines() if line.startswith("| `")]
     return [name for cell in rows for name in re.findall(r"`([^`]+)`", cell)]
 
 
 def edge_events():
-    """Literal names of events in the packages of the edge node."""
+    """Yields the literal names of events in the packages of the edge node."""
     for package in EDGE_PACKAGES:
         for path in (ROOT / "rampfront" / package).rglob("*.py"):
             for node in ast.walk(ast.parse(path.read_text())):
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -1,4 +1,7 @@
-"""The house: imports go one way, and no process reaches into another's folders. Read off the sources, nothing is imported."""
+"""The layering rules: imports are acyclic, and the packages of one process do not import those of another.
+
+The tests parse the sources and import none of them.
+"""
 
 import ast
 import tomllib
@@ -20,10 +23,10 @@
 
 
 def imports(name, path, known, late=True):
-    """Names of our modules that this one imports; `late`: within functions too."""
+    """Yields the project's modules that this one imports; with `late`, also those imported within functions."""
     package = name.split(".") if path.name == "__init__.py" else name.split(".")[:-1]
     tree = ast.parse(path.read_text())
-    nodes = list(ast.walk(tree)) if late else early(tree)
+    nodes = list(ast.walk(tree)) if late else import_time_nodes(tree)
     for node in nodes:
         if isinstance(node, ast.Import):
             rows = [alias.name for alias in node.names]
@@ -36,14 +39,14 @@
         yield from (row for row in rows if row in known and row != name)
 
 
-def early(tree):
-    """What runs when the module is imported: all but the bodies of functions."""
-    left = list(tree.body)
-    while left:
-        node = left.pop()
+def import_time_nodes(tree):
+    """Yields the nodes that run when the module is imported, which excludes the bodies of functions."""
+    remaining = list(tree.body)
+    while remaining:
+        node = remaining.pop()
         yield node
         if not isinstance(node, (ast.FunctionDef, ast.AsyncFunctionDef, ast.Lambda)):
-            left += ast.iter_child_nodes(node)
+            remaining += ast.iter_child_nodes(node)
 
 
 def graph(late):
@@ -51,59 +54,59 @@
     return {name: set(imports(name, path, known, late)) for name, path in known.items()}
 
 
-def circle(graph):
-    """A circle of the graph as a list of names, or None."""
-    done, way = set(), []
+def find_cycle(graph):
+    """Returns a cycle of the graph as a list of names, or None."""
+    done, path_so_far = set(), []
 
     def visit(name):
-        if name in way:
-            return [*way[way.index(name) :], name]
+        if name in path_so_far:
+            return [*path_so_far[path_so_far.index(name) :], name]
         if name in done:
             return None
-        way.append(name)
+        path_so_far.append(name)
         for other in sorted(graph[name]):
             if found := visit(other):
                 return found
-        done.add(way.pop())
+        done.add(path_so_far.pop())
         return None
 
     return next((found for name in sorted(graph) if (found := visit(name))), None)
 
 
-def top(name):
+def top_package(name):
     return (name.split(".") + [""])[1]
 
 
 def test_no_import_goes_in_a_circle():
-    """Also not where one half of it is within a function: `cli` and `__main__` once needed each other."""
-    assert circle(graph(late=True)) is None
+    """Imports within functions count too: `cli` and `__main__` once imported each other that way."""
+    assert find_cycle(graph(late=True)) is None
 
 
 def test_a_circle_would_be_found():
-    assert circle({"a": {"b"}, "b": {"c"}, "c": {"b"}, "d": {"a"}}) == ["b", "c", "b"]
+    assert find_cycle({"a": {"b"}, "b": {"c"}, "c": {"b"}, "d": {"a"}}) == ["b", "c", "b"]
 
 
 def test_imports_go_downwards():
-    odd = [
+    violations = [
         f"{name} imports {other}"
         for name, others in graph(late=True).items()
         for other in others
-        if top(name) in SHARED
-        and top(other) not in SHARED
-        or top(name) in SYSTEM
-        and top(other) not in SYSTEM | SHARED
-        or top(name) in EDGE
-        and top(other) not in EDGE | SHARED
-        or top(name) == "choice"
-        and top(other) not in ("terms", "state", "epoch", "choice")
+        if top_package(name) in SHARED
+        and top_package(other) not in SHARED
+        or top_package(name) in SYSTEM
+        and top_package(other) not in SYSTEM | SHARED
+        or top_package(name) in EDGE
+        and top_package(other) not in EDGE | SHARED
+        or top_package(name) == "choice"
+        and top_package(other) not in ("terms", "state", "epoch", "choice")
     ]
-    assert odd == []
+    assert violations == []
 
 
 def test_every_folder_has_its_place_on_the_page():
-    """`docs/architecture.md` says which process runs it; a new one is put into a set above, and there."""
+    """`docs/architecture.md` names the process that runs each package; add a new one there and to a set above."""
     page = (ROOT / "docs/architecture.md").read_text()
-    tops = {top(name) for name in modules()} - {"", "__main__"}
+    tops = {top_package(name) for name in modules()} - {"", "__main__"}
     assert tops == EDGE | SYSTEM | TOOLS | SHARED
     assert [name for name in sorted(tops) if f"{name}/" not in page and f"{name}.py" not in page] == []
 
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of tests that are known to fail: it is short, and excuses nothing but what it names."""
+"""The list of expected test failures: it is bounded, and tolerates only the failures of the tests in it."""
 
 from pathlib import Path
 
--- a/tests/test_lint_exceptions.py
+++ b/tests/test_lint_exceptions.py
@@ -1,14 +1,14 @@
-"""The linter's exceptions may only shrink: a newcomer's file starts clean."""
+"""The number of linter exceptions may only decrease, so a new file must have none."""
 
 import tomllib
 from pathlib import Path
 
 ROOT = Path(__file__).parents[1]
-MOST_EXCEPTIONS = 412  # rules excepted, summed over all files; to be lowered whenever the list gets shorter
+MOST_EXCEPTIONS = 412  # excepted rules, summed over all files; lower it when the list becomes shorter
 
 
 def exceptions():
-    """File pattern to the rules that it is excepted from."""
+    """Returns the excepted rules by file pattern."""
     settings = tomllib.loads((ROOT / "pyproject.toml").read_text())
     return settings["tool"]["ruff"]["lint"]["per-file-ignores"]
 
