--- a/rampfront/journal/durable_intent_journal.py
+++ b/rampfront/journal/durable_intent_journal.py
@@ -25,7 +25,7 @@
 _RETRY_DELAY_NS = _NS_PER_S  # between writes while writing fails
 _MAX_QUEUED_RECORDS = 65536
 _MAX_REPORTED_DAMAGE = 20
-_NOT_RUN_REASONS = (terms.NOT_ACCEPTED, terms.NOT_SENT, terms.CONNECT_FAILED)
+_NOT_RUN_OUTCOMES = (terms.NOT_ACCEPTED, terms.NOT_SENT, terms.CONNECT_FAILED)
 
 
 class DurableIntentJournal:
@@ -120,7 +120,7 @@
         """Withdraws an intent that is not durable yet. Returns whether its submission will never be sent."""
         return self._rule.withdraw(number)
 
-    def record_outcome(self, number: int, reason: int) -> None:
+    def record_outcome(self, number: int, outcome: int) -> None:
         """Records the end of a submission. A submission that may have run remains in doubt.
 
         If `_MAX_QUEUED_RECORDS` are queued, the outcome is not recorded. The transaction is then in doubt after a
@@ -128,10 +128,10 @@
 
         Args:
             number: the number of the intent.
-            reason: why the submission ended, a constant of `terms.py`.
+            outcome: how the submission ended, a constant of `terms.py`.
         """
         if len(self._queue) < _MAX_QUEUED_RECORDS:
-            self._enqueue(Outcome(number, self._clock(), _ending(reason)))
+            self._enqueue(Outcome(number, self._clock(), _ending(outcome)))
 
     def close(self) -> None:
         """Writes the remaining outcomes and closes the journal.
@@ -246,8 +246,8 @@
                 assert_never(effect)
 
 
-def _ending(reason: int) -> Ending:
-    """Returns the ending to record for a reason of `terms.py`."""
-    if reason == terms.DONE:
+def _ending(outcome: int) -> Ending:
+    """Returns the ending to record for an outcome of `terms.py`."""
+    if outcome == terms.DONE:
         return Ending.SUCCEEDED
-    return Ending.NOT_RUN if reason in _NOT_RUN_REASONS else Ending.IN_DOUBT
+    return Ending.NOT_RUN if outcome in _NOT_RUN_OUTCOMES else Ending.IN_DOUBT
--- a/tests/journal/test_slow_disk.py
+++ b/tests/journal/test_slow_disk.py
@@ -22,8 +22,8 @@
         self.withdrawn.append(number)
         return True
 
-    def record_outcome(self, number, how):
-        self.outcomes.append((number, how))
+    def record_outcome(self, number, outcome):
+        self.outcomes.append((number, outcome))
 
 
 def test_a_transaction_that_waits_for_the_disk_is_answered_in_time_and_never_leaves_late():
