--- a/rampfront/lab/emulator.py
+++ b/rampfront/lab/emulator.py
@@ -23,7 +23,7 @@
 from .faults import Event, timeline
 from .http import Listener, Request, Side, StandIn, Worker, reset, run_until_stopped
 from .plan import box_names
-from .station import GONE, MS, SEC, Job, Station
+from .server_model import GONE, MS, SEC, Job, Station
 
 KINDS = {"inquiry": tally.INQUIRY, "referenced": tally.REFERENCED, "once_only": tally.ONCE_ONLY}
 NOT_RUN = b"X-Not-Run: 1\r\n"
--- a/rampfront/lab/http.py
+++ b/rampfront/lab/http.py
@@ -13,7 +13,7 @@
 
 import httptools
 
-from .station import Station
+from .server_model import Station
 
 REASONS = {
     200: "OK",
--- a/rampfront/lab/boxes.py
+++ b/rampfront/lab/simulated_servers.py
@@ -1,6 +1,6 @@
 """Stand-in servers of the system, as its protocol describes them, on loopback sockets.
 
-A `Box` is one life of one server: slots and a queue (`Station`), cold spells, a deadline kept, answers sealed, and
+A `SimulatedServer` is one life of one server: slots and a queue (`Station`), cold spells, a deadline kept, answers sealed, and
 answers spoilt as `spoil` says. It must never lose count of what ran: `runs` has every request that was worked on.
 `Fleet` starts and ends boxes and keeps the platform's list by them.
 """
@@ -11,16 +11,16 @@
 from random import Random
 
 from .http import REASONS, Listener, Request, Side, Worker, reset
-from .station import GONE, MS, SEC, WORKING, Job, Station
+from .server_model import GONE, MS, SEC, WORKING, Job, Station
 
 REASONS.update({421: "Misdirected Request", 504: "Gateway Timeout"})
 NOT_RUN = b"Not-Run: 1\r\n"
-SPOILS = frozenset(("lost", "reset", "garbled", "cut", "extra", "late", "chunked", "error", "close"))
+RESPONSE_FAULTS = frozenset(("lost", "reset", "garbled", "cut", "extra", "late", "chunked", "error", "close"))
 
 
 @dataclass(frozen=True, slots=True)
-class Work:
-    """How long a request is worked on; words of `station.sampler`."""
+class ServiceTime:
+    """How long a request is worked on; words of `server_model.sampler`."""
 
     mean_ms: float = 5.0
     kind: str = "constant"
@@ -28,13 +28,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Make:
+class ServerProfile:
     """What the boxes of a service are like. `warm_s` and `cold_share` are of a start: it is slow for some seconds."""
 
     service: str
     slots: int = 2
     queue: int = 4
-    latency: Work = field(default_factory=Work)
+    latency: ServiceTime = field(default_factory=ServiceTime)
     warm_s: float = 0.0
     cold_share: float = 0.25
     max_conns: int = 130
@@ -46,7 +46,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Run:
+class ExecutedRequest:
     at: int
     try_id: str
     method: str
@@ -59,14 +59,14 @@
     return hashlib.blake2b(b"%s %s %s" % (uid.encode(), try_id, body), digest_size=8).hexdigest().encode()
 
 
-def answer_of(uid, make, try_id, body):
+def expected_response(uid, make, try_id, body):
     """What a server says to a request that ran: (body, seal)."""
     said = (sealed(uid, try_id, body) * (make.body_bytes // 16 + 1))[: make.body_bytes]
     return said, sealed(uid, try_id, said)
 
 
-class Box(Worker):
-    """`spoil(box, request)` gives one of `SPOILS` or None for each request that ran; a deque of such words does too."""
+class SimulatedServer(Worker):
+    """`spoil(box, request)` gives one of `RESPONSE_FAULTS` or None for each request that ran; a deque of such words does too."""
 
     def __init__(self, loop, clock, rng, uid, make, zone, host="127.0.0.1", port=0, cold=0, spoil=None):
         self.loop, self.clock, self.uid, self.make, self.zone, self.spoil = loop, clock, uid, make, zone, spoil
@@ -170,7 +170,7 @@
                         request.fields.get(b"customer", b""),
                     )
                 ]
-                self.runs.append(Run(now, *told, hashlib.blake2b(request.body, digest_size=8).digest()))
+                self.runs.append(ExecutedRequest(now, *told, hashlib.blake2b(request.body, digest_size=8).digest()))
                 late = bool(due) and job.due > due
                 end = min(job.due, due) if due else job.due
                 self.loop.call_later(max(0, end - now) / SEC, self.finish, job, late)
@@ -194,7 +194,7 @@
 
     def settle(self, request, late):
         side, try_id = request.side, request.fields[b"try-id"]
-        body, stamp = answer_of(self.uid, self.make, try_id, request.body)
+        body, stamp = expected_response(self.uid, self.make, try_id, request.body)
         how = None
         if self.spoil is not None:
             how = self.spoil(self, request) if callable(self.spoil) else self.spoil.popleft() if self.spoil else None
@@ -256,7 +256,7 @@
         self.number += 1
         uid = f"i-{self.number:08x}"
         rng = Random(self.rng.getrandbits(64))
-        box = await Box(self.loop, self.clock, rng, uid, make, zone, self.host, port, cold, spoil).open()
+        box = await SimulatedServer(self.loop, self.clock, rng, uid, make, zone, self.host, port, cold, spoil).open()
         self.boxes[uid] = box
         self.platform.put(uid, make.service, box.address, zone, make.slots, cold=cold)
         return box
--- a/rampfront/lab/system/judge.py
+++ b/rampfront/lab/system/judge.py
@@ -11,8 +11,8 @@
 from hashlib import blake2b
 
 from ...settings import configuration_reader
-from ..boxes import answer_of
-from ..station import SEC
+from ..server_model import SEC
+from ..simulated_servers import expected_response
 
 PROMISES = frozenset((408, 421, 429, 503))
 TRUE_WORDS = 20  # findings worded for each rule; the rest are counted
@@ -44,7 +44,7 @@
 
 @dataclass(slots=True)
 class Server:
-    """One life of a server, and what it ran (`boxes.Run`) and got (at, try id)."""
+    """One life of a server, and what it ran (`simulated_servers.ExecutedRequest`) and got (at, try id)."""
 
     uid: str
     make: object
@@ -213,7 +213,8 @@
             return self.found.add("MIXED", f"{one.id} got the answer to {one.tag.decode('latin-1')}")
         if 200 <= one.status < 300:
             true = [
-                answer_of(server.uid, server.make, one.id.encode(), one.body) for server, _ in self.ran.get(one.id, ())
+                expected_response(server.uid, server.make, one.id.encode(), one.body)
+                for server, _ in self.ran.get(one.id, ())
             ]
             if (one.answer, one.seal) not in true:
                 self.found.add("MIXED", f"{one.id}: a {one.status} that is no server's whole answer")
--- a/rampfront/lab/system/plan.py
+++ b/rampfront/lab/system/plan.py
@@ -14,8 +14,8 @@
 
 from ...config import NonNegative, Positive, PositiveInt, StrictTable, split_validation_error
 from ...settings import configuration_reader, settings_reader
-from ..boxes import SPOILS
 from ..plan import BadPlan, Fault, Latency, Name, Retries, Shape, Share, clash, read_table
+from ..simulated_servers import RESPONSE_FAULTS
 
 HOST = "lab.example"
 VARIANTS = ("system", "split", "unshared", "random")
@@ -30,7 +30,7 @@
 
 
 class Service(StrictTable, kw_only=True):
-    """A service and its stand-in servers. What is not said here is as in `lab/boxes.py`."""
+    """A service and its stand-in servers. What is not said here is as in `lab/simulated_servers.py`."""
 
     name: Name
     servers: dict[str, PositiveInt]  # by zone
@@ -156,7 +156,7 @@
         return self
 
 
-SERVER_FAULTS = ("crash", "release", "chill", *sorted(SPOILS))
+SERVER_FAULTS = ("crash", "release", "chill", *sorted(RESPONSE_FAULTS))
 NODE_FAULTS = ("kill", "stop", "freeze", "wipe", "cut", "lossy", "disk", "slow_disk")
 PLATFORM_FAULTS = ("silent", "garbled", "cut", "500")
 
@@ -221,7 +221,7 @@
         raise BadPlan("pilots: none has a disk, so there is no core")
     for k, service in enumerate(plan.services):
         known(plan.zones, service.servers, f"services[{k}].servers")
-        known(SPOILS, service.spoils, f"services[{k}].spoils")
+        known(RESPONSE_FAULTS, service.spoils, f"services[{k}].spoils")
     for k, route in enumerate(plan.routes):
         if bool(route.service) == bool(route.shares):
             raise BadPlan(f"routes[{k}].service: should stand there, or shares instead")
--- a/rampfront/lab/system/run.py
+++ b/rampfront/lab/system/run.py
@@ -22,9 +22,9 @@
 from ...operator_cli.local_layout import Environment, LocalSystemError, Node, node_settings
 from ...operator_cli.local_system import LocalSystem, SystemSize
 from ...settings.scalars import parse_address
-from ..boxes import SPOILS, Fleet, Make
 from ..nodes import RunFailed, usage
 from ..platform import Platform, open_platform
+from ..simulated_servers import RESPONSE_FAULTS, Fleet, ServerProfile
 from . import plan as plans
 from . import schedule
 from .clients import Crowd, Fixed, Operator
@@ -40,7 +40,7 @@
 
 
 def make(service):
-    return Make(
+    return ServerProfile(
         service.name,
         slots=service.slots,
         queue=service.queue,
@@ -207,7 +207,7 @@
 
     def at_server(self, event, number):
         box = self.boxes[number]
-        if event.kind in SPOILS:
+        if event.kind in RESPONSE_FAULTS:
             some = self.spoils.setdefault(number, {})
             if event.on:
                 some[event.kind] = event.size or USUAL
--- a/rampfront/operator_cli/local_system.py
+++ b/rampfront/operator_cli/local_system.py
@@ -19,8 +19,8 @@
 
 from result import Err, Ok
 
-from ..lab import boxes, platform
-from ..lab.boxes import Make, Work
+from ..lab import platform, simulated_servers
+from ..lab.simulated_servers import ServerProfile, ServiceTime
 from ..net.http_client import HttpRequest, send_request
 from ..settings import configuration_reader
 from ..settings.configuration import Configuration, Service
@@ -54,7 +54,7 @@
 # These parts of the laboratory are not annotated.
 _Platform: Any = platform.Platform
 _open_platform: Any = platform.open_platform
-_Fleet: Any = boxes.Fleet
+_Fleet: Any = simulated_servers.Fleet
 
 
 class SystemSize(NamedTuple):
@@ -218,13 +218,13 @@
         return exit_codes
 
 
-def _server_kind(service: Service) -> Make:
+def _server_kind(service: Service) -> ServerProfile:
     """Returns the properties of the simulated servers of a service."""
-    return Make(
+    return ServerProfile(
         service.name,
         slots=SERVER_SLOTS,
         queue=SERVER_QUEUE,
-        latency=Work(SERVER_WORK_MS, "exponential"),
+        latency=ServiceTime(SERVER_WORK_MS, "exponential"),
         max_conns=min(MAX_SERVER_CONNECTIONS, service.max_conns),
         health=service.health_path.decode(),
         cold_per_s=service.cold_per_s or DEFAULT_COLD_PER_S,
--- a/tests/lab/test_stand_in_servers.py
+++ b/tests/lab/test_stand_in_servers.py
@@ -4,8 +4,8 @@
 import time
 from collections import deque
 
-from rampfront.lab.boxes import Fleet, Make, Work
 from rampfront.lab.platform import Platform
+from rampfront.lab.simulated_servers import Fleet, ServerProfile, ServiceTime
 from rampfront.net.http_client import HttpClient, HttpRequest, send_request
 from rampfront.settings.scalars import parse_address
 
@@ -22,7 +22,7 @@
     run, clock = loop.run_until_complete, time.monotonic_ns
     fleet = Fleet(loop, clock, Platform(clock), seed=1)
     spoils = deque([None, "cut", "garbled", "reset", "late", None, "chunked", "extra", "close", "error"])
-    box = run(fleet.start(Make("s", latency=Work(1.0), queue=1), "z", spoil=spoils))
+    box = run(fleet.start(ServerProfile("s", latency=ServiceTime(1.0), queue=1), "z", spoil=spoils))
     client = HttpClient(loop, parse_address(box.address))
 
     def tell(method="GET", target="/x?a=b", client=client, **fields):
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -14,7 +14,7 @@
 from rampfront.lab.nodes import RunFailed
 from rampfront.lab.plan import BadPlan, changed, lay_over, parse_plan, read_plan
 from rampfront.lab.run import Repeat
-from rampfront.lab.station import SEC, Job, Station
+from rampfront.lab.server_model import SEC, Job, Station
 
 BASE = """
 name = "t"
--- a/tests/test_lab_system.py
+++ b/tests/test_lab_system.py
@@ -11,9 +11,9 @@
 
 from rampfront.cli import app
 from rampfront.consensus.record_store import RecordStore
-from rampfront.lab.boxes import Make, Run, answer_of
 from rampfront.lab.client import DECLINED, ROW, SETTLED
 from rampfront.lab.plan import BadPlan
+from rampfront.lab.simulated_servers import ExecutedRequest, ServerProfile, expected_response
 from rampfront.lab.system import machine, report, run, schedule
 from rampfront.lab.system import plan as plans
 from rampfront.lab.system.judge import Ordered, Seen, Server, Try, broken, digest, judge
@@ -95,7 +95,7 @@
 
 # ---- the judge
 
-READS, ORDERS = Make("reads", body_bytes=32), Make("orders", body_bytes=32)
+READS, ORDERS = ServerProfile("reads", body_bytes=32), ServerProfile("orders", body_bytes=32)
 
 
 def scene():
@@ -131,7 +131,7 @@
     )
     server = server or seen.servers[route == "order"]
     ran(server, one, at + 10 * MS)
-    one.answer, one.seal = answer_of(server.uid, server.make, uid.encode(), b"")
+    one.answer, one.seal = expected_response(server.uid, server.make, uid.encode(), b"")
     seen.tries.append(one)
     return one
 
@@ -139,7 +139,7 @@
 def ran(server, one, at, **other):
     server.arrivals.append((at, one.id))
     server.runs.append(
-        Run(
+        ExecutedRequest(
             **{
                 "at": at,
                 "try_id": one.id,
