--- a/rampfront/lab/emulator.py
+++ b/rampfront/lab/emulator.py
@@ -23,7 +23,7 @@
 from .faults import Event, timeline
 from .http import Listener, Request, Side, StandIn, Worker, reset, run_until_stopped
 from .plan import box_names
-from .server_model import GONE, MS, SEC, Job, Station
+from .server_model import GONE, MS, SEC, Job, ServerModel
 
 KINDS = {"inquiry": tally.INQUIRY, "referenced": tally.REFERENCED, "once_only": tally.ONCE_ONLY}
 NOT_RUN = b"X-Not-Run: 1\r\n"
@@ -49,7 +49,7 @@
         self.lab, self.number, self.uid, self.group = lab, number, uid, group
         self.clock, self.timers = lab.clock, lab.timers
         self.rng = Random(f"{lab.seed}/box/{number}")
-        super().__init__(Station(group, self.rng, self.clock()), dict.fromkeys(COUNTED, 0))
+        super().__init__(ServerModel(group, self.rng, self.clock()), dict.fromkeys(COUNTED, 0))
         self.boot, self.state = 0, "in_service"
         self.listener = Listener(lab.loop, lambda: Side(self), lab.host)
         self.hang = self.down = False
@@ -94,7 +94,7 @@
             self.counts["probes"] += 1
             if self.hang:
                 return None
-            load = {"inflight": self.station.working, "queue": len(self.station.queue)}
+            load = {"inflight": self.server_model.working, "queue": len(self.server_model.queue)}
             return request.side.answer(200, orjson.dumps(load))
         now, counts = self.clock(), self.counts
         request_id = request.fields.get(b"x-request-id")
@@ -113,7 +113,7 @@
             self.lab.run(request, now)
             return request.side.answer(500)
         job = request.side.mark = Job(request)
-        begun = self.station.arrive(job, now)
+        begun = self.server_model.arrive(job, now)
         if begun is None:
             counts["turned_away"] += 1
             return request.side.answer(503, b"", NOT_RUN)
@@ -131,7 +131,7 @@
         if job.state == GONE:
             return
         now = self.clock()
-        following = self.station.finish(job, now)
+        following = self.server_model.finish(job, now)
         side = job.about.side
         if self.hang:
             self.counts["hung"] += 1
@@ -146,7 +146,7 @@
     def fault(self, event):
         on = event.on
         if event.kind == "slow":
-            self.station.factor = event.size or 4.0 if on else 1.0
+            self.server_model.factor = event.size or 4.0 if on else 1.0
         elif event.kind == "hang":
             self.hang = on
             if not on:  # what it held is never answered: a hung process was replaced
@@ -169,7 +169,7 @@
             self.down = on
             if on:
                 self.listener.close()
-                for job in self.station.crash(self.clock()) if event.kind == "crash" else ():
+                for job in self.server_model.crash(self.clock()) if event.kind == "crash" else ():
                     self.counts["lost"] += 1
                 self.cut()
             else:
@@ -181,7 +181,7 @@
 
     async def back(self, cold):
         if cold:
-            self.station = Station(self.group, self.rng, self.clock(), warm=False)
+            self.server_model = ServerModel(self.group, self.rng, self.clock(), warm=False)
             self.boot = self.clock() // MS
             self.lab.discovery.change(self, self.lab.plan.topology.discovery.notice_s)
         await self.listener.open()
@@ -544,10 +544,10 @@
             "boxes": {
                 box.uid: {
                     **box.counts,
-                    "working": box.station.working,
-                    "queued": len(box.station.queue),
-                    "most_working": box.station.most_working,
-                    "most_queued": box.station.most_queued,
+                    "working": box.server_model.working,
+                    "queued": len(box.server_model.queue),
+                    "most_working": box.server_model.most_working,
+                    "most_queued": box.server_model.most_queued,
                     "open": len(box.sides),
                     "state": box.state,
                     "last_drained_arrival_ms": None
--- a/rampfront/lab/http.py
+++ b/rampfront/lab/http.py
@@ -13,7 +13,7 @@
 
 import httptools
 
-from .server_model import Station
+from .server_model import ServerModel
 
 REASONS = {
     200: "OK",
@@ -143,10 +143,10 @@
 class Worker(StandIn):
     """A stand-in that runs requests by a model of its work; what it counts is in `counts`."""
 
-    def __init__(self, station: Station, counts: MutableMapping[str, int]) -> None:
+    def __init__(self, server_model: ServerModel, counts: MutableMapping[str, int]) -> None:
         """`counts` has `connections`, `abandoned` and `dropped_used`, or gives 0 for them."""
         super().__init__()
-        self.station = station
+        self.server_model = server_model
         self.counts = counts
 
     def joined(self, side: Side) -> None:
@@ -157,7 +157,7 @@
     def parted(self, side: Side, busy: Request | None) -> None:
         """A connection ended: the work that it waited for is given up, where that can be."""
         super().parted(side, busy)
-        if busy is not None and side.mark is not None and self.station.abandon(side.mark):
+        if busy is not None and side.mark is not None and self.server_model.abandon(side.mark):
             self.counts["abandoned"] += 1
 
     def dropped_used(self, side: Side) -> None:
--- a/rampfront/lab/platform.py
+++ b/rampfront/lab/platform.py
@@ -14,18 +14,18 @@
 SEC = 10**9
 
 
-def worded(span):
+def format_ms(span):
     return f"{max(0, span) // 10**6}ms"
 
 
 class Platform:
     """`lag`: ns by which the list is behind; `per_s`: calls a second, with one second's worth at once; `page`: rows.
-    `ill`: None, or what calls get instead: "silent", "garbled", "cut" (half a page that is no JSON), a status."""
+    `fault`: None, or what calls get instead: "silent", "garbled", "cut" (half a page that is no JSON), a status."""
 
     def __init__(self, clock, page=50, lag=0, per_s=1000.0):
         self.clock, self.page, self.lag, self.per_s = clock, page, lag, per_s
         self.versions = deque([(clock(), {})])  # (since, {id: (entry, cold until)}), no older than the lag needs
-        self.left, self.filled, self.ill = per_s, clock(), None
+        self.tokens, self.filled, self.fault = per_s, clock(), None
         self.counts, self.held = Counter(), []
 
     def put(self, uid, service, address, zone, capacity=2, state="ready", cold=0, revision="v1"):
@@ -39,7 +39,7 @@
         }
         self.change({**self.versions[-1][1], uid: (entry, self.clock() + cold if cold else 0)})
 
-    def state(self, uid, state):
+    def set_state(self, uid, state):
         entry, cold = self.versions[-1][1][uid]
         self.change({**self.versions[-1][1], uid: ({**entry, "State": state}, cold)})
 
@@ -52,7 +52,7 @@
         while len(self.versions) > 1 and self.versions[1][0] <= now - self.lag:
             self.versions.popleft()
 
-    def seen(self, now):
+    def visible_entries(self, now):
         """What the list shows by now."""
         shown = {}
         for since, rows in self.versions:
@@ -64,31 +64,33 @@
     def servers(self, asked):
         now = self.clock()
         self.counts["calls"] += 1
-        self.left = min(self.per_s, self.left + (now - self.filled) * self.per_s / SEC)
+        self.tokens = min(self.per_s, self.tokens + (now - self.filled) * self.per_s / SEC)
         self.filled = now
-        if self.left < 1:
+        if self.tokens < 1:
             self.counts["over"] += 1
             return error_response(429, "too many calls")
-        self.left -= 1
-        if self.ill == "silent":
+        self.tokens -= 1
+        if self.fault == "silent":
             self.held.append(asked)
             return None
-        if type(self.ill) is int:
-            return error_response(self.ill, "ill")
+        if type(self.fault) is int:
+            return error_response(self.fault, "ill")
         token, zone = asked.query.get("PageToken", "p-0"), asked.query.get("Zone")
         if not token.startswith("p-") or not token[2:].isdecimal():
             return error_response(400, "PageToken: none of ours")
         start = int(token[2:])
-        rows = [(uid, row) for uid, row in sorted(self.seen(now).items()) if zone in (None, row[0]["Zone"])]
+        rows = [(uid, row) for uid, row in sorted(self.visible_entries(now).items()) if zone in (None, row[0]["Zone"])]
         page = {
-            uid: {**entry, "ColdLeft": worded(cold - now if cold else 0)}
+            uid: {**entry, "ColdLeft": format_ms(cold - now if cold else 0)}
             for uid, (entry, cold) in rows[start : start + self.page]
         }
         end = start + self.page
         answer = json_response({"Servers": page, "NextToken": f"p-{end}" if end < len(rows) else None})
-        if self.ill in ("garbled", "cut"):
+        if self.fault in ("garbled", "cut"):
             body = answer.body[: len(answer.body) // 2]
-            return json_response(json.loads('{"Servers": 7}')) if self.ill == "garbled" else answer.__class__(200, body)
+            return (
+                json_response(json.loads('{"Servers": 7}')) if self.fault == "garbled" else answer.__class__(200, body)
+            )
         return answer
 
 
--- a/rampfront/lab/server_model.py
+++ b/rampfront/lab/server_model.py
@@ -1,6 +1,6 @@
 """What a registry box does with a txn, as a model: slots, a bounded queue, warming up, faults. No I/O, no clock.
 
-A `Station` is told what happens and when (whole ns) and says what is done. The emulator carries it out on sockets.
+A `ServerModel` is told what happens and when (whole ns) and says what is done. The emulator carries it out on sockets.
 Fields of a job are set here; the caller keeps whatever else it wants in `job.about`.
 """
 
@@ -33,7 +33,7 @@
         self.state, self.about, self.due = QUEUED, about, 0
 
 
-class Station:
+class ServerModel:
     """One box. `arrive`, `finish` and `abandon` return the jobs that begin work by it, with `due` set: the ns at
     which they will be done. A job that `arrive` does not take is turned away (it has not run)."""
 
--- a/rampfront/lab/simulated_servers.py
+++ b/rampfront/lab/simulated_servers.py
@@ -1,7 +1,7 @@
 """Stand-in servers of the system, as its protocol describes them, on loopback sockets.
 
-A `SimulatedServer` is one life of one server: slots and a queue (`Station`), cold spells, a deadline kept, answers sealed, and
-answers spoilt as `spoil` says. It must never lose count of what ran: `runs` has every request that was worked on.
+A `SimulatedServer` is one life of one server: slots and a queue (`ServerModel`), cold spells, a deadline kept, answers sealed, and
+answers spoilt as `choose_fault` says. It must never lose count of what ran: `runs` has every request that was worked on.
 `Fleet` starts and ends boxes and keeps the platform's list by them.
 """
 
@@ -11,7 +11,7 @@
 from random import Random
 
 from .http import REASONS, Listener, Request, Side, Worker, reset
-from .server_model import GONE, MS, SEC, WORKING, Job, Station
+from .server_model import GONE, MS, SEC, WORKING, Job, ServerModel
 
 REASONS.update({421: "Misdirected Request", 504: "Gateway Timeout"})
 NOT_RUN = b"Not-Run: 1\r\n"
@@ -59,29 +59,39 @@
     return hashlib.blake2b(b"%s %s %s" % (uid.encode(), try_id, body), digest_size=8).hexdigest().encode()
 
 
-def expected_response(uid, make, try_id, body):
+def expected_response(uid, profile, try_id, body):
     """What a server says to a request that ran: (body, seal)."""
-    said = (sealed(uid, try_id, body) * (make.body_bytes // 16 + 1))[: make.body_bytes]
+    said = (sealed(uid, try_id, body) * (profile.body_bytes // 16 + 1))[: profile.body_bytes]
     return said, sealed(uid, try_id, said)
 
 
 class SimulatedServer(Worker):
-    """`spoil(box, request)` gives one of `RESPONSE_FAULTS` or None for each request that ran; a deque of such words does too."""
-
-    def __init__(self, loop, clock, rng, uid, make, zone, host="127.0.0.1", port=0, cold=0, spoil=None):
-        self.loop, self.clock, self.uid, self.make, self.zone, self.spoil = loop, clock, uid, make, zone, spoil
-        super().__init__(Station(make, rng, clock(), warm=not cold), Counter())
+    """`choose_fault(box, request)` gives one of `RESPONSE_FAULTS` or None for each request that ran; a deque of such words does too."""
+
+    def __init__(self, loop, clock, rng, uid, profile, zone, host="127.0.0.1", port=0, cold=0, choose_fault=None):
+        self.loop, self.clock, self.uid, self.profile, self.zone, self.choose_fault = (
+            loop,
+            clock,
+            uid,
+            profile,
+            zone,
+            choose_fault,
+        )
+        super().__init__(ServerModel(profile, rng, clock(), warm=not cold), Counter())
         self.cold_until = clock() + cold if cold else 0
         self.listener = Listener(loop, lambda: Side(self), host, port)
         self.runs = []
         self.arrivals = None  # a list, where a judge wants (at, try id) of all that came but what got 421
-        self.leaving = self.well = False
-        self.lately, self.most_cold = deque(), 0  # arrivals of the last second while cold, and the most there were
+        self.draining = self.is_up = False
+        self.lately, self.max_cold_arrivals = (
+            deque(),
+            0,
+        )  # arrivals of the last second while cold, and the most there were
         self.owed = {}  # side -> an answer that is to come in the place of the next one
 
     async def open(self):
         await self.listener.open()
-        self.well = True
+        self.is_up = True
         return self
 
     @property
@@ -90,13 +100,13 @@
 
     def crash(self):
         """All connections are reset, and nothing of it is left."""
-        self.well = False
+        self.is_up = False
         self.counts["crashes"] += 1
         self.listener.close()
-        self.station.crash(self.clock())
+        self.server_model.crash(self.clock())
         self.cut()
 
-    def chill(self, span):
+    def begin_cold_spell(self, span):
         """Cold again, in the midst of work."""
         self.cold_until = self.clock() + span
 
@@ -104,7 +114,7 @@
 
     def refuses(self) -> bool:
         """Whether a connection that comes now is reset, which is counted."""
-        refused = not self.well or len(self.sides) > self.make.max_conns
+        refused = not self.is_up or len(self.sides) > self.profile.max_conns
         if refused:
             self.counts["reset"] += 1
         return refused
@@ -114,10 +124,10 @@
         super().parted(side, busy)
         self.owed.pop(side, None)
 
-    def sweep(self):
+    def close_idle_connections(self):
         """Idle connections are closed; call it now and then where that matters."""
         now = self.clock()
-        for side in [s for s in self.sides if s.busy is None and now - s.since > self.make.idle_s * SEC]:
+        for side in [s for s in self.sides if s.busy is None and now - s.since > self.profile.idle_s * SEC]:
             side.transport.close()
 
     # ---- requests
@@ -129,21 +139,21 @@
         if wanted is not None and wanted != self.uid.encode():
             self.counts["misdirected"] += 1
             return self.say(side, 421, b"", b"Server-Id: %s\r\n" % self.uid.encode(), try_id)
-        health = request.method == b"GET" and request.path == self.make.health
+        health = request.method == b"GET" and request.path == self.profile.health
         if self.arrivals is not None and not health and try_id:
             self.arrivals.append((now, try_id.decode("latin-1")))
         if self.cold_until > now:
             self.lately.append(now)
             while self.lately[0] <= now - SEC:
                 self.lately.popleft()
-            self.most_cold = max(self.most_cold, len(self.lately))
-            if len(self.lately) > 3 * self.make.cold_per_s + 5:
+            self.max_cold_arrivals = max(self.max_cold_arrivals, len(self.lately))
+            if len(self.lately) > 3 * self.profile.cold_per_s + 5:
                 return self.crash()
         if not health and not try_id:
             return self.say(side, 400, b"", NOT_RUN)
         left = fields.get(b"time-left-ms", b"")
         job = side.mark = Job((request, health, now + int(left) * MS if left.isdigit() else 0))
-        begun = self.station.arrive(job, now)
+        begun = self.server_model.arrive(job, now)
         if begun is None:
             self.counts["turned_away"] += 1
             return self.say(side, 503, b"", NOT_RUN, try_id)
@@ -155,10 +165,10 @@
             request, health, due = job.about
             if due and due <= now:  # it waited too long: it has not run
                 self.counts["expired"] += 1
-                jobs = self.station.finish(job, now)
+                jobs = self.server_model.finish(job, now)
                 self.say(request.side, 503, b"", NOT_RUN, request.fields.get(b"try-id"))
             elif health:
-                jobs = self.station.finish(job, now)
+                jobs = self.server_model.finish(job, now)
                 self.health(request, now)
             else:
                 told = [
@@ -178,13 +188,13 @@
     def health(self, request, now):
         self.counts["probes"] += 1
         cold = b"Cold-Ms: %d\r\n" % max(0, (self.cold_until - now) // MS) if self.cold_until else b""
-        self.say(request.side, 503 if self.leaving else 200, b"", b"Server-Id: %s\r\n%s" % (self.uid.encode(), cold))
+        self.say(request.side, 503 if self.draining else 200, b"", b"Server-Id: %s\r\n%s" % (self.uid.encode(), cold))
 
     def finish(self, job, late):
         if job.state != WORKING:
             return
         now = self.clock()
-        following = self.station.finish(job, now)
+        following = self.server_model.finish(job, now)
         request = job.about[0]
         if request.side.busy is request:  # else its caller has gone
             request.side.mark = None
@@ -194,10 +204,16 @@
 
     def settle(self, request, late):
         side, try_id = request.side, request.fields[b"try-id"]
-        body, stamp = expected_response(self.uid, self.make, try_id, request.body)
+        body, stamp = expected_response(self.uid, self.profile, try_id, request.body)
         how = None
-        if self.spoil is not None:
-            how = self.spoil(self, request) if callable(self.spoil) else self.spoil.popleft() if self.spoil else None
+        if self.choose_fault is not None:
+            how = (
+                self.choose_fault(self, request)
+                if callable(self.choose_fault)
+                else self.choose_fault.popleft()
+                if self.choose_fault
+                else None
+            )
         if how:
             self.counts[how] += 1
         seal = b"Server-Seal: %s\r\n" % stamp
@@ -235,10 +251,14 @@
         self.counts[status] += 1
         if try_id:
             more += b"Try-Id: %s\r\n" % try_id
-        if self.make.tells_load:
-            more += b"Server-Load: %d,%d,%d\r\n" % (self.station.working, len(self.station.queue), self.make.slots)
-        last = last or self.leaving
-        more += b"Connection: close\r\n" if last else b"Keep-Alive: timeout=%d\r\n" % self.make.idle_s
+        if self.profile.tells_load:
+            more += b"Server-Load: %d,%d,%d\r\n" % (
+                self.server_model.working,
+                len(self.server_model.queue),
+                self.profile.slots,
+            )
+        last = last or self.draining
+        more += b"Connection: close\r\n" if last else b"Keep-Alive: timeout=%d\r\n" % self.profile.idle_s
         side.answer(status, body, more)
         if last and not side.transport.is_closing():
             side.transport.close()
@@ -249,34 +269,36 @@
 
     def __init__(self, loop, clock, platform, seed=0, host="127.0.0.1"):
         self.loop, self.clock, self.platform, self.host = loop, clock, platform, host
-        self.rng, self.boxes, self.number = Random(seed), {}, 0
+        self.rng, self.servers, self.number = Random(seed), {}, 0
 
-    async def start(self, make, zone, port=0, cold=0, spoil=None):
+    async def start(self, profile, zone, port=0, cold=0, choose_fault=None):
         """A new life with a new id; `port`: at the address of one that has ended."""
         self.number += 1
         uid = f"i-{self.number:08x}"
         rng = Random(self.rng.getrandbits(64))
-        box = await SimulatedServer(self.loop, self.clock, rng, uid, make, zone, self.host, port, cold, spoil).open()
-        self.boxes[uid] = box
-        self.platform.put(uid, make.service, box.address, zone, make.slots, cold=cold)
+        box = await SimulatedServer(
+            self.loop, self.clock, rng, uid, profile, zone, self.host, port, cold, choose_fault
+        ).open()
+        self.servers[uid] = box
+        self.platform.put(uid, profile.service, box.address, zone, profile.slots, cold=cold)
         return box
 
-    def empty(self, uid):
+    def drain(self, uid):
         """It is to end: it serves on, and its answers close their connections."""
-        self.boxes[uid].leaving = True
-        self.platform.state(uid, "emptying")
+        self.servers[uid].draining = True
+        self.platform.set_state(uid, "emptying")
 
     def end(self, uid, listed=False):
         """`listed`: it has crashed, and stands on the list for now."""
-        self.boxes[uid].crash()
+        self.servers[uid].crash()
         if not listed:
             self.platform.remove(uid)
 
     def close(self):
-        for box in self.boxes.values():
+        for box in self.servers.values():
             box.crash()
 
-    def twice(self):
+    def executed_more_than_once(self):
         """Try ids that ran more than once, over all lives."""
-        ran = Counter(run.try_id for box in self.boxes.values() for run in box.runs)
+        ran = Counter(run.try_id for box in self.servers.values() for run in box.runs)
         return {try_id: count for try_id, count in ran.items() if count > 1}
--- a/rampfront/lab/system/report.py
+++ b/rampfront/lab/system/report.py
@@ -197,7 +197,7 @@
     done = rows[steady & (rows["outcome"] == SETTLED)]
     statuses = Counter(one.status for one in crowd.tries)
 
-    counts = sum((box.counts for box in world.fleet.boxes.values()), Counter())
+    counts = sum((box.counts for box in world.fleet.servers.values()), Counter())
 
     def worth(mask):
         got, most = float(paid[mask].sum()), float(due[mask].sum())
--- a/rampfront/lab/system/run.py
+++ b/rampfront/lab/system/run.py
@@ -123,7 +123,7 @@
     async def server(self, number, cold):
         service, zone = plans.servers(self.plan)[number]
         box = await self.fleet.start(
-            make(service), zone, cold=cold, spoil=lambda box, request: self.spoil(number, service)
+            make(service), zone, cold=cold, choose_fault=lambda box, request: self.spoil(number, service)
         )
         box.arrivals = []
         self.boxes[number] = box
@@ -145,7 +145,7 @@
         elif head == "server":
             self.at_server(event, int(number))
         else:
-            self.platform.ill = (int(event.kind) if event.kind.isdigit() else event.kind) if event.on else None
+            self.platform.fault = (int(event.kind) if event.kind.isdigit() else event.kind) if event.on else None
 
     def at_node(self, event, node, now):
         """Kills last for `for_s`, or a second; every fault at a node is trouble until it ends."""
@@ -215,7 +215,7 @@
                 some.pop(event.kind, None)
         elif event.kind == "chill":
             if event.on:
-                box.chill(round((event.size or 3.0) * SEC))
+                box.begin_cold_spell(round((event.size or 3.0) * SEC))
         elif event.kind == "crash":
             if event.on:
                 self.fleet.end(box.uid, listed=True)
@@ -223,7 +223,7 @@
             else:
                 self.loop.create_task(self.server(number, self.warmup(number)))
         elif event.on:  # release: it empties, and a new life stands beside it
-            self.fleet.empty(box.uid)
+            self.fleet.drain(box.uid)
             self.stamps[box.uid] = time.monotonic_ns() + round(self.plan.platform.lag_s * SEC)
             self.later(round(self.plan.platform.drain_s * SEC), self.fleet.end, box.uid)
             self.loop.create_task(self.server(number, self.warmup(number)))
@@ -260,8 +260,16 @@
         self.seen.read_back, self.seen.end = read, now
         self.seen.tries, self.seen.orders = crowd.tries, operator.given
         self.seen.servers = [
-            Server(box.uid, box.make, box.zone, box.runs, box.arrivals, box.most_cold, self.stamps.get(box.uid, 0))
-            for box in self.fleet.boxes.values()
+            Server(
+                box.uid,
+                box.profile,
+                box.zone,
+                box.runs,
+                box.arrivals,
+                box.max_cold_arrivals,
+                self.stamps.get(box.uid, 0),
+            )
+            for box in self.fleet.servers.values()
         ]
         if self.defect is not None:
             raise RunFailed(f"the laboratory failed: {self.defect!r}")
@@ -271,8 +279,8 @@
         """Idle connections of the servers end in time, and the highest memory of each pilot is seen."""
         self.memory = Counter()
         while True:
-            for box in self.fleet.boxes.values():
-                box.sweep()
+            for box in self.fleet.servers.values():
+                box.close_idle_connections()
             for name, child in self.children.items():
                 self.memory[name] = max(self.memory[name], usage(child.pid)[1])
             await asyncio.sleep(0.5)
@@ -364,7 +372,7 @@
         await asyncio.sleep(1.0)
         fronts = [parse_address(node.front) for node in world.nodes]
         ways = {
-            "direct": [parse_address(box.address) for box in world.boxes if box.make.service == service],
+            "direct": [parse_address(box.address) for box in world.boxes if box.profile.service == service],
             "one pilot": fronts[:1],
             f"{len(fronts)} pilots": fronts,
         }
--- a/rampfront/operator_cli/local_system.py
+++ b/rampfront/operator_cli/local_system.py
@@ -204,7 +204,7 @@
 
     def startup_message(self) -> str:
         """Returns the text that `up` prints: the nodes, a sample request, and how to query the system."""
-        return local_report.startup_message(self.nodes, len(self.fleet.boxes), self.configuration, str(self.folder))
+        return local_report.startup_message(self.nodes, len(self.fleet.servers), self.configuration, str(self.folder))
 
     async def end(self) -> dict[str, int]:
         """Ends the nodes and the simulated parts; returns the exit codes of the nodes by name."""
--- a/tests/lab/test_stand_in_servers.py
+++ b/tests/lab/test_stand_in_servers.py
@@ -22,7 +22,7 @@
     run, clock = loop.run_until_complete, time.monotonic_ns
     fleet = Fleet(loop, clock, Platform(clock), seed=1)
     spoils = deque([None, "cut", "garbled", "reset", "late", None, "chunked", "extra", "close", "error"])
-    box = run(fleet.start(ServerProfile("s", latency=ServiceTime(1.0), queue=1), "z", spoil=spoils))
+    box = run(fleet.start(ServerProfile("s", latency=ServiceTime(1.0), queue=1), "z", choose_fault=spoils))
     client = HttpClient(loop, parse_address(box.address))
 
     def tell(method="GET", target="/x?a=b", client=client, **fields):
@@ -47,30 +47,30 @@
         for k, r in enumerate(said)
         if r.is_ok()
     )
-    assert len(box.runs) == 10 and not fleet.twice() and box.runs[0].url == "/x?a=b"
+    assert len(box.runs) == 10 and not fleet.executed_more_than_once() and box.runs[0].url == "/x?a=b"
     assert run(tell(Wanted_Server="i-other", Try_Id="a")).ok_value.status == 421
     assert run(tell()).ok_value.headers[b"not-run"] == b"1" and len(box.runs) == 10
     assert run(tell(target="/health")).ok_value.headers[b"server-id"] == box.uid.encode()
 
-    box.station.draw = lambda: 100 * SEC
+    box.server_model.draw = lambda: 100 * SEC
 
     async def crowd(count, turned):
         calls = [
             tell("POST", client=HttpClient(loop, parse_address(box.address)), Try_Id=f"c{k}") for k in range(count)
         ]
         calls = asyncio.gather(*calls)
-        await asyncio.wait_for(poll(lambda: box.counts["turned_away"] == turned or not box.well), 5)
+        await asyncio.wait_for(poll(lambda: box.counts["turned_away"] == turned or not box.is_up), 5)
         return calls
 
     calls = run(crowd(6, 3))  # two slots, one waits, the rest has not run
     assert len(box.runs) == 12
-    fleet.empty(box.uid)
+    fleet.drain(box.uid)
     assert run(tell(target="/health")).ok_value.status == 503 and not client.connected
-    box.chill(5 * SEC)
+    box.begin_cold_spell(5 * SEC)
     more = run(crowd(20, -1))
-    assert box.most_cold == 12 and not box.well  # far above its rate it falls over
+    assert box.max_cold_arrivals == 12 and not box.is_up  # far above its rate it falls over
     said = [r.ok_value.status if r.is_ok() else 0 for r in run(calls) + run(more)]
-    assert sorted(set(said)) == [0, 503] and said[:6].count(503) == 3 and not fleet.twice()
+    assert sorted(set(said)) == [0, 503] and said[:6].count(503) == 3 and not fleet.executed_more_than_once()
     fleet.end(box.uid)
     assert (
         run(send_request(loop, parse_address(box.address), HttpRequest("GET", "/x"))).is_err()
--- a/tests/membership/test_endpoint_list_pager.py
+++ b/tests/membership/test_endpoint_list_pager.py
@@ -129,11 +129,11 @@
     run = PagerRun(3)
     waits = []
     for fault in (503, 503, "cut", 503, 503, 503, None):
-        run.platform.ill = fault
+        run.platform.fault = fault
         run.fire_timer()
         waits.append((run.due - run.now) // MS)
     assert waits == [250, 500, 1000, 1000, 1000, 1000, 500] and len(run.failures) == 6
-    run.platform.ill = 429  # each of these counts as two failures
+    run.platform.fault = 429  # each of these counts as two failures
     run.fire_timer()
     assert run.due - run.now == 500 * MS
 
@@ -142,7 +142,7 @@
     """With 281 servers and 6 pages a round, calls stay within the rate and its bucket however short the interval is,
     and the platform never has to answer 429."""
     run = PagerRun(281, interval=100 * MS, per_s=20.0)
-    run.platform.per_s = run.platform.left = 20.0
+    run.platform.per_s = run.platform.tokens = 20.0
     run.until(11 * SEC)
     assert 200 <= run.platform.counts["calls"] <= 10 * 20 + 10 and not run.platform.counts["over"]
     assert len(run.lists) == run.platform.counts["calls"] // 6 and len(run.ids) == 281
@@ -154,7 +154,7 @@
     run.until(3 * SEC)
     # First an empty list, then two servers; a list without changes gets no new version.
     assert run.lists[-1].servers.version == 2
-    run.platform.state("i-000", "emptying")
+    run.platform.set_state("i-000", "emptying")
     run.until(3 * SEC + 1301 * MS)
     assert [row.state for row in run.lists[-1].servers.endpoints] == [DRAINING, READY]
     run.platform.remove("i-000")
--- a/tests/membership/test_endpoint_list_poller.py
+++ b/tests/membership/test_endpoint_list_poller.py
@@ -38,13 +38,13 @@
     assert [row.id for row in lists[-1].endpoints] == [f"i-{k}" for k in range(5)]
     assert listeners[0].counts["connections"] == 1
     assert poller.failing_ns(poller.since_ns + SEC) == SEC and poller.since_ns > lists[0].read_at_ns
-    one.ill = "garbled"
+    one.fault = "garbled"
     run(until(lambda: failures))
-    one.ill = "silent"
+    one.fault = "silent"
     run(asyncio.wait_for(poll(lambda: one.held), 5))
     poller.change_address(listeners[1].address)
     held = len(one.held)
-    one.ill, count = None, len(lists)
+    one.fault, count = None, len(lists)
     run(until(lambda: len(lists) > count))
     # A change of address keeps the list: the five servers are kept for a round, then removed.
     assert lists[count].endpoints[0].id == "i-0"
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -14,7 +14,7 @@
 from rampfront.lab.nodes import RunFailed
 from rampfront.lab.plan import BadPlan, changed, lay_over, parse_plan, read_plan
 from rampfront.lab.run import Repeat
-from rampfront.lab.server_model import SEC, Job, Station
+from rampfront.lab.server_model import SEC, Job, ServerModel
 
 BASE = """
 name = "t"
@@ -101,7 +101,7 @@
 def test_a_box_queues_turns_away_warms_and_loses_its_work():
     group = plan().topology.boxes[0]
     group = type(group)(count=1, slots=1, queue=1, latency=group.latency, cold_share=0.25, warm_s=4.0)
-    box, now = Station(group, Random(1), 0, warm=False), 0
+    box, now = ServerModel(group, Random(1), 0, warm=False), 0
     first, second, third = Job(), Job(), Job()
     assert box.arrive(first, now) == [first] and first.due == 20 * 10**6  # cold: a quarter of its speed
     assert box.arrive(second, now) == [] and box.arrive(third, now) is None
--- a/tests/test_mqtt.py
+++ b/tests/test_mqtt.py
@@ -468,7 +468,7 @@
     mids = [client.publish(f"ledger-entry/0/{k}", b"x", qos=k % 2).mid for k in range(300)]
     until(lambda: len(client.acks) == 300)
     assert f.lab.state()["once_only"] == {"txns": 300, "runs": 300, "twice": {}} and len(mids) == 300
-    assert max(box.station.most_working for box in f.lab.boxes) <= 4
+    assert max(box.server_model.most_working for box in f.lab.boxes) <= 4
     f.nodes[0].end()
     assert f.nodes[0].process.returncode == 0
     until(lambda: client.gone)
