--- a/rampfront/cli/common.py
+++ b/rampfront/cli/common.py
@@ -32,24 +32,24 @@
 
 def load_experiment(path: Path) -> Experiment:
     """Returns the experiment in a file; ends the command if it is invalid."""
-    from ..lab.plan import BadPlan, read_plan
+    from ..lab.plan import InvalidPlanError, read_plan
 
     try:
         return read_plan(path)
-    except BadPlan as error:
+    except InvalidPlanError as error:
         fail(error, EXIT_INVALID)
 
 
 def run_or_exit(run: Callable[P, T], *args: P.args, **kwargs: P.kwargs) -> T:
     """Calls `run` with the arguments; ends the command with an exit code if it raises an error of a run."""
-    from ..lab.nodes import RunFailed
-    from ..lab.report import RunRefused
+    from ..lab.nodes import RunFailedError
+    from ..lab.report import RunRefusedError
 
     try:
         return run(*args, **kwargs)
-    except RunRefused as error:
+    except RunRefusedError as error:
         fail(error, EXIT_NOT_REPORTABLE)
-    except (RunFailed, OSError) as error:
+    except (RunFailedError, OSError) as error:
         fail(error, EXIT_FAILED)
 
 
--- a/rampfront/cli/lab.py
+++ b/rampfront/cli/lab.py
@@ -185,7 +185,7 @@
         """Sends the load and prints the outcomes."""
         import numpy as np
 
-        client.work(
+        client.run_worker(
             {
                 "plan": experiment,
                 "seed": experiment.seed,
@@ -202,13 +202,13 @@
 
 
 def _print_outcomes(rows: "NDArray[Any]", experiment: "Experiment") -> None:
-    """Prints the outcomes and the latency of a load. Raises `RunRefused` if the load tool lagged too much."""
+    """Prints the outcomes and the latency of a load. Raises `RunRefusedError` if the load tool lagged too much."""
     from ..lab import client
     from ..lab import report as reports
 
     lag = reports.lag(rows, experiment)
     if lag["p99"] > experiment.load.most_lag_ms:
-        raise reports.RunRefused(f"the load tool lagged by {lag['p99']:g} ms at p99")
+        raise reports.RunRefusedError(f"the load tool lagged by {lag['p99']:g} ms at p99")
     answered = rows[rows["outcome"] == client.SETTLED]
     latency = {name: value for name, value in reports.latency(answered["took"]).items() if name != "hdr"}
-    typer.echo(f"{len(rows)} txns, {reports.counted(rows['outcome'])}, settled after (ms) {latency}, lag {lag}")
+    typer.echo(f"{len(rows)} txns, {reports.count_outcomes(rows['outcome'])}, settled after (ms) {latency}, lag {lag}")
--- a/rampfront/cli/lab_system.py
+++ b/rampfront/cli/lab_system.py
@@ -21,12 +21,12 @@
 
 def load_system_experiment(path: Path) -> Experiment:
     """Returns the experiment in a file; ends the command if it is invalid."""
-    from ..lab.plan import BadPlan
+    from ..lab.plan import InvalidPlanError
     from ..lab.system.plan import read_plan
 
     try:
         return read_plan(path)
-    except BadPlan as error:
+    except InvalidPlanError as error:
         fail(error, EXIT_INVALID)
 
 
--- a/rampfront/lab/child.py
+++ b/rampfront/lab/child.py
@@ -19,14 +19,14 @@
         from .emulator import serve
 
         return serve(plan, int(seed), rest[0])
-    from .client import work
+    from .client import run_worker
     from .schedule import arrivals
 
     worker, targets, out = int(rest[0]), rest[1].split(","), rest[2]
     due = arrivals(plan, int(seed), worker, plan.load.workers)
     print("drawn", flush=True)
     start = int(sys.stdin.readline())
-    done = work(
+    done = run_worker(
         {"plan": plan, "seed": int(seed), "worker": worker, "due": due, "targets": targets, "start": start, "out": out}
     )
     print(msgspec.json.encode(done).decode(), flush=True)
--- a/rampfront/lab/client.py
+++ b/rampfront/lab/client.py
@@ -18,7 +18,7 @@
 import uvloop
 
 from ..net.timers import TimerQueue
-from .emulator import customer
+from .emulator import account_key
 from .schedule import SEC, accounts, retry_wait
 
 MS = 10**6
@@ -240,7 +240,7 @@
         self.heads, self.sets = [], []
         nodes = max(1, plan.topology.nodes)
         for index, (name, stream) in enumerate(accounts(plan)):
-            key, stream = customer(name), plan.load.streams[stream]
+            key, stream = account_key(name), plan.load.streams[stream]
             spread = stream.spread or nodes
             first = int(key[-4:], 16) % nodes
             self.sets.append(
@@ -356,7 +356,7 @@
             self.over()
 
 
-def work(job):
+def run_worker(job):
     """One worker process: plays its part of the schedule and writes its rows. `job` is what the runner hands over:
     plan, seed, worker, due (its arrivals), targets, start (Unix ns), out (path)."""
     plan = job["plan"]
--- a/rampfront/lab/collector.py
+++ b/rampfront/lab/collector.py
@@ -1,6 +1,6 @@
 """A stand-in syslog collector: parses every message strictly, knows repeats by sequenceId, and can go away.
 
-`Collector.leave()` stops listening and, in good order, closes its connections behind what it was sent; with
+`Collector.disconnect()` stops listening and, in good order, closes its connections behind what it was sent; with
 `abort=True` it resets them. It counts what it could not parse, and keeps messages in order of arrival.
 """
 
@@ -14,18 +14,18 @@
 from .http import Listener, reset, run_until_stopped
 
 
-class Side(asyncio.Protocol):
+class CollectorConnection(asyncio.Protocol):
     def __init__(self, collector):
         self.collector, self.frames, self.transport = collector, FrameDecoder(), None
 
     def connection_made(self, transport):
         self.transport = transport
-        self.collector.sides[self] = None
-        if self.collector.slow:
+        self.collector.connections[self] = None
+        if self.collector.paused:
             transport.pause_reading()
 
-    def connection_lost(self, trouble):
-        self.collector.sides.pop(self, None)
+    def connection_lost(self, error):
+        self.collector.connections.pop(self, None)
         if self.frames.has_incomplete_frame:
             self.collector.counts["torn"] += 1
 
@@ -35,33 +35,33 @@
     def data_received(self, data):
         try:
             for said in self.frames.feed(data):
-                self.collector.took(said)
-        except FramingError as trouble:
-            self.collector.odd(trouble)
+                self.collector.on_message(said)
+        except FramingError as error:
+            self.collector.count_malformed(error)
             reset(self.transport)
 
 
 class Collector:
     def __init__(self, loop, host="127.0.0.1", port=0, out=None):
-        self.loop, self.out, self.slow = loop, out, False
-        self.listener = Listener(loop, lambda: Side(self), host, port)
-        self.sides, self.messages, self.seen, self.troubles = {}, [], {}, []
+        self.loop, self.out, self.paused = loop, out, False
+        self.listener = Listener(loop, lambda: CollectorConnection(self), host, port)
+        self.connections, self.messages, self.seen_ids, self.errors = {}, [], {}, []
         self.counts = {"messages": 0, "repeats": 0, "malformed": 0, "torn": 0}
 
     async def listen(self):
         await self.listener.open()
         return self
 
-    def took(self, said):
+    def on_message(self, said):
         try:
             message = parse_message(said)
-        except MessageParseError as trouble:
-            return self.odd(trouble)
+        except MessageParseError as error:
+            return self.count_malformed(error)
         number = next(
             (int(value) for key, value in message.structured_data.get("meta", ()) if key == "sequenceId"), None
         )
         if number is not None:
-            mine = self.seen.setdefault((message.hostname, message.app_name, message.process_id), set())
+            mine = self.seen_ids.setdefault((message.hostname, message.app_name, message.process_id), set())
             if number in mine:
                 self.counts["repeats"] += 1
                 return
@@ -82,20 +82,20 @@
                 + b"\n"
             )
 
-    def odd(self, trouble):
+    def count_malformed(self, error):
         self.counts["malformed"] += 1
-        self.troubles.append(str(trouble))
+        self.errors.append(str(error))
 
     def missing(self):
         """Numbers between 1 and the highest of each sender that never came."""
-        return {sender: max(mine) - len(mine) for sender, mine in self.seen.items() if len(mine) < max(mine)}
+        return {sender: max(mine) - len(mine) for sender, mine in self.seen_ids.items() if len(mine) < max(mine)}
 
-    def leave(self, abort=False):
+    def disconnect(self, abort=False):
         self.listener.close()
-        for side in list(self.sides):
+        for side in list(self.connections):
             reset(side.transport) if abort else side.transport.close()
 
-    async def back(self):
+    async def listen_again(self):
         await self.listener.open()
 
 
--- a/rampfront/lab/compare.py
+++ b/rampfront/lab/compare.py
@@ -9,7 +9,7 @@
 from scipy import stats
 
 from . import report as reports
-from .nodes import RunFailed
+from .nodes import RunFailedError
 
 # name, whether more is better (None: neither), how it is read off a report
 FIGURES = (
@@ -52,7 +52,7 @@
     """Rows of both sides' means, and of the differences paired by seed. Lists of reports, one each repeat."""
     seeds = sorted({r["seed"] for r in first} & {r["seed"] for r in second})
     if not seeds:
-        raise RunFailed("the two runs share no seed: nothing can be paired")
+        raise RunFailedError("the two runs share no seed: nothing can be paired")
     one, two = ({r["seed"]: r for r in side} for side in (first, second))
     rows = []
     for name, better, read in FIGURES:
--- a/rampfront/lab/crash.py
+++ b/rampfront/lab/crash.py
@@ -20,9 +20,9 @@
 
 from ..journal.journal_reader import EntryFilter, read_journal
 from ..journal.records import Ending
-from .emulator import Lab, customer
+from .emulator import Emulator, account_key
 from .nodes import Node
-from .plan import Boxes, Experiment, Latency, Load, Plan, Product, Stream, Topology
+from .plan import Experiment, Latency, Load, Plan, Product, ServerGroup, Stream, Topology
 
 SETTLED, IN_DOUBT, LOST = 200, 409, 0
 
@@ -34,7 +34,7 @@
         topology=Topology(
             nodes=1,
             journal=journal,
-            boxes=[Boxes(count=3, slots=16, queue=64, latency=Latency(kind="exponential", mean_ms=4.0))],
+            boxes=[ServerGroup(count=3, slots=16, queue=64, latency=Latency(kind="exponential", mean_ms=4.0))],
         ),
         products=[Product(name="ledger-entry", effect="once_only", sla_ms=1000.0)],
         plans=[Plan(name="open")],
@@ -52,7 +52,7 @@
     try:
         writer.write(
             f"POST /api?a=0&u=1&p=0&x={mark} HTTP/1.1\r\nX-Request-Id: {mark}\r\nX-Class: ledger-entry\r\n"
-            f"X-Tier: open\r\nCookie: key={customer('s-0')}\r\nX-Deadline-Ms: 3000\r\nContent-Length: 0\r\n"
+            f"X-Tier: open\r\nCookie: key={account_key('s-0')}\r\nX-Deadline-Ms: 3000\r\nContent-Length: 0\r\n"
             "X-Call-Terms: units=1,spread=1,first=0\r\n\r\n".encode()
         )
         head = await asyncio.wait_for(reader_.readuntil(b"\r\n\r\n"), 5)
@@ -90,8 +90,10 @@
         self.folder.mkdir(parents=True, exist_ok=True)
         self.plan = plan(journal if journal is not None else {"batch_ms": 1.0})
         self.loop = uvloop.new_event_loop()
-        self.lab = self.loop.run_until_complete(Lab(self.loop, self.plan, seed, open("/dev/null", "wb")).listen())
-        self.node = Node(self.plan, 0, self.lab.addresses(), seed, self.folder)
+        self.emulator = self.loop.run_until_complete(
+            Emulator(self.loop, self.plan, seed, open("/dev/null", "wb")).listen()
+        )
+        self.node = Node(self.plan, 0, self.emulator.addresses(), seed, self.folder)
         self.told, self.doubts, self.refused, self.sent = {}, 0, 0, 0
         self.left = []  # what the last life left in doubt
 
@@ -105,7 +107,7 @@
 
     async def run(self, run):
         """One life of the node; returns what disagrees."""
-        await self.loop.run_in_executor(None, lambda: self.node.start().ready())
+        await self.loop.run_in_executor(None, lambda: self.node.start().wait_until_ready())
         # It is asked for again under its id: none of it may run now.
         again = [await ask(self.node.listen, mark) for mark in self.left[:20]]
         odd = [
@@ -119,7 +121,7 @@
         await asyncio.gather(*tasks)
         await asyncio.sleep(0.03)  # what had left by then has reached the boxes and runs
         found = read_journal(self.folder / "journal-0")
-        odd += disagreements(found, dict(self.lab.runs.once), self.told)
+        odd += disagreements(found, dict(self.emulator.executions.once_only_counts), self.told)
         odd += [f"damage that is no torn tail: {row}" for row in found.damage if not row.reason.startswith("torn")]
         doubts = [e.intent.transaction_id for e in found.select(EntryFilter(in_doubt=True))]
         self.left = [mark for mark in doubts if mark.startswith(f"r{run}-")]
--- a/rampfront/lab/emulator.py
+++ b/rampfront/lab/emulator.py
@@ -22,7 +22,7 @@
 from .collector import Collector
 from .faults import Event, timeline
 from .http import Listener, Request, Side, StandIn, Worker, reset, run_until_stopped
-from .plan import box_names
+from .plan import named_servers
 from .server_model import GONE, MS, SEC, Job, ServerModel
 
 KINDS = {"inquiry": tally.INQUIRY, "referenced": tally.REFERENCED, "once_only": tally.ONCE_ONLY}
@@ -42,16 +42,16 @@
 )
 
 
-class Box(Worker):
+class EmulatedServer(Worker):
     """One registry box: a listener, a station, and the faults that stand."""
 
-    def __init__(self, lab, number, uid, group):
-        self.lab, self.number, self.uid, self.group = lab, number, uid, group
-        self.clock, self.timers = lab.clock, lab.timers
-        self.rng = Random(f"{lab.seed}/box/{number}")
+    def __init__(self, emulator, number, uid, group):
+        self.emulator, self.number, self.uid, self.group = emulator, number, uid, group
+        self.clock, self.timers = emulator.clock, emulator.timers
+        self.rng = Random(f"{emulator.seed}/box/{number}")
         super().__init__(ServerModel(group, self.rng, self.clock()), dict.fromkeys(COUNTED, 0))
         self.boot, self.state = 0, "in_service"
-        self.listener = Listener(lab.loop, lambda: Side(self), lab.host)
+        self.listener = Listener(emulator.loop, lambda: Side(self), emulator.host)
         self.hang = self.down = False
         self.error_share = self.away_share = self.drop_after = 0.0
         self.drained_at = None
@@ -104,13 +104,13 @@
         if self.drained_at is not None:
             counts["after_drain"] += 1
             self.last_drained_arrival = now - self.drained_at
-        self.lab.admit(request, request_id, now)
+        self.emulator.admit(request, request_id, now)
         if len(self.sides) > self.group.connections or self.away_share and self.rng.random() < self.away_share:
             counts["turned_away"] += 1
             return request.side.answer(503, b"", NOT_RUN)
         if self.error_share and self.rng.random() < self.error_share:
             counts["errors"] += 1  # it may have run: it did
-            self.lab.run(request, now)
+            self.emulator.run(request, now)
             return request.side.answer(500)
         job = request.side.mark = Job(request)
         begun = self.server_model.arrive(job, now)
@@ -121,7 +121,7 @@
 
     def work(self, jobs, now):
         for job in jobs:
-            self.lab.run(job.about, now)  # from here on it has run, whatever becomes of its answer
+            self.emulator.run(job.about, now)  # from here on it has run, whatever becomes of its answer
             if job.due - now < MS // 4:
                 self.finish(job)
             else:
@@ -138,7 +138,7 @@
         elif side.busy is job.about:
             self.counts["answered"] += 1
             side.mark = None
-            side.answer(200, self.lab.body(self.group.body_bytes))
+            side.answer(200, self.emulator.body(self.group.body_bytes))
         self.work(following, now)
 
     # ---- faults
@@ -162,9 +162,9 @@
         elif event.kind == "drain":
             self.state = "terminating" if on else "in_service"
             self.drained_at = None
-            self.lab.discovery.change(self, self.lab.plan.topology.discovery.notice_s)
+            self.emulator.discovery.change(self, self.emulator.plan.topology.discovery.notice_s)
             if on:
-                self.timers.after(round(self.lab.plan.topology.discovery.notice_s * SEC), self.drained)
+                self.timers.after(round(self.emulator.plan.topology.discovery.notice_s * SEC), self.drained)
         elif event.kind in ("refuse", "crash"):
             self.down = on
             if on:
@@ -173,7 +173,7 @@
                     self.counts["lost"] += 1
                 self.cut()
             else:
-                self.lab.loop.create_task(self.back(event.kind == "crash"))
+                self.emulator.loop.create_task(self.back(event.kind == "crash"))
 
     def drained(self):
         if self.state == "terminating":
@@ -183,7 +183,7 @@
         if cold:
             self.server_model = ServerModel(self.group, self.rng, self.clock(), warm=False)
             self.boot = self.clock() // MS
-            self.lab.discovery.change(self, self.lab.plan.topology.discovery.notice_s)
+            self.emulator.discovery.change(self, self.emulator.plan.topology.discovery.notice_s)
         await self.listener.open()
 
 
@@ -207,7 +207,7 @@
         data, at = self.rest + data, 0
         while at < len(data):
             try:
-                parts, at = parse(data, at)
+                parts, at = parse_resp_array(data, at)
             except ValueError:
                 return reset(self.transport)
             if parts is None:
@@ -220,7 +220,7 @@
             self.transport.write(text)
 
 
-def parse(data, at):
+def parse_resp_array(data, at):
     """One RESP2 array of bulk strings from `at`: its parts and where the next begins, or None while it is short."""
     end = data.find(b"\r\n", at)
     if end < 0:
@@ -246,15 +246,16 @@
     """The shared counter, at an address of its own for each node. A split gives each half a store that starts as a
     copy; at repair the first half's store stays and what the other counted is lost."""
 
-    def __init__(self, lab):
-        self.lab, self.clock, self.timers = lab, lab.clock, lab.timers
-        self.model = lab.plan.topology.counter_model
-        self.stores, self.halves = [tally.Store()], ()
-        self.queue = tally.Queue(self.model.per_s, self.model.longest_wait_ms)
+    def __init__(self, emulator):
+        self.emulator, self.clock, self.timers = emulator, emulator.clock, emulator.timers
+        self.model = emulator.plan.topology.counter_model
+        self.stores, self.halves = [tally.CounterStore()], ()
+        self.queue = tally.RateLimitedQueue(self.model.per_s, self.model.longest_wait_ms)
         self.sides, self.down, self.silent, self.extra = {}, False, False, 0
         self.counts = dict.fromkeys(("calls", "busy", "unheard", "odd"), 0)
         self.listeners = [
-            Listener(lab.loop, lambda k=k: CounterSide(self, k), lab.host) for k in range(lab.plan.topology.nodes)
+            Listener(emulator.loop, lambda k=k: CounterSide(self, k), emulator.host)
+            for k in range(emulator.plan.topology.nodes)
         ]
 
     def call(self, side, parts):
@@ -275,7 +276,7 @@
                 text, due = b"-BUSY\r\n", now
             else:
                 store = self.stores[self.halves[side.node] if self.halves else 0]
-                said = tally.total(store.add(parts[1], amount, life, now))
+                said = tally.format_total(store.add(parts[1], amount, life, now))
                 text = b"$%d\r\n%s\r\n" % (len(said), said)
             due = side.tail = max(side.tail, round(due + self.model.latency_ms * MS) + self.extra)
             return self.timers.at(due, side.say, text)
@@ -294,17 +295,17 @@
                 self.cut()
             else:
                 for listener in self.listeners:
-                    self.lab.loop.create_task(listener.open())
+                    self.emulator.loop.create_task(listener.open())
         elif event.kind == "silent":
             self.silent = on
         elif event.kind == "slow":
             self.extra = round((event.size or 200.0) * MS) if on else 0
         elif event.kind == "restart":
-            self.stores = [tally.Store() for _ in self.stores]
+            self.stores = [tally.CounterStore() for _ in self.stores]
             self.cut()
         elif event.kind == "split":
             if on:
-                twin = tally.Store()
+                twin = tally.CounterStore()
                 twin.rows = {name: list(row) for name, row in self.stores[0].rows.items()}
                 self.stores, self.halves = [self.stores[0], twin], event.halves
             else:
@@ -318,17 +319,17 @@
 class Discovery(StandIn):
     """The server list: whole on request, and a watch. `stale` freezes what it tells; `down` and `silent` say nothing."""
 
-    def __init__(self, lab):
+    def __init__(self, emulator):
         super().__init__()
-        self.lab, self.clock, self.timers = lab, lab.clock, lab.timers
-        self.listener = Listener(lab.loop, lambda: Side(self), lab.host)
+        self.emulator, self.clock, self.timers = emulator, emulator.clock, emulator.timers
+        self.listener = Listener(emulator.loop, lambda: Side(self), emulator.host)
         self.rev, self.told, self.changes = 1, {}, []  # rows as told by uid; (rev, row), bounded
         self.watches = {}
         self.down = self.silent = self.stale = False
         self.waiting = []  # boxes that changed while the list was frozen
 
     def start(self):
-        self.told = {box.uid: box.row() for box in self.lab.boxes}
+        self.told = {server.uid: server.row() for server in self.emulator.servers}
         self.beat()
 
     def refuses(self) -> bool:
@@ -372,15 +373,15 @@
             for side in self.watches:
                 self.push(side, b"\n")
 
-    def change(self, box, notice):
-        self.timers.after(round(notice * SEC), self.tell, box)
+    def change(self, server, notice):
+        self.timers.after(round(notice * SEC), self.tell, server)
 
-    def tell(self, box):
+    def tell(self, server):
         if self.stale or self.silent:
-            self.waiting.append(box)
+            self.waiting.append(server)
             return
         self.rev += 1
-        row = self.told[box.uid] = box.row()
+        row = self.told[server.uid] = server.row()
         self.changes = [*self.changes[-255:], (self.rev, row)]
         for side in list(self.watches):
             self.push(side, self.listing([row], False))
@@ -396,48 +397,52 @@
                 self.listener.close()
                 self.cut()
             else:
-                self.lab.loop.create_task(self.listener.open())
+                self.emulator.loop.create_task(self.listener.open())
         if not (self.stale or self.silent):
             waiting, self.waiting = self.waiting, []
-            for box in waiting:
-                self.tell(box)
+            for server in waiting:
+                self.tell(server)
 
 
-class Gathering(Collector):
+class RunCollector(Collector):
     """The collector of a run: counts by MSGID, and keeps no messages."""
 
     def fault(self, event):
         if event.on:
-            self.leave(event.kind == "abort")
+            self.disconnect(event.kind == "abort")
         else:
-            self.loop.create_task(self.back())
+            self.loop.create_task(self.listen_again())
 
     def told(self):
         for message in self.messages:
             key = f"msgid_{message.message_id}"
             self.counts[key] = self.counts.get(key, 0) + 1
         self.messages.clear()
-        return {**self.counts, "missing": sum(self.missing().values()), "troubles": self.troubles[:5]}
+        return {**self.counts, "missing": sum(self.missing().values()), "troubles": self.errors[:5]}
 
 
 class Control(StandIn):
     """The emulator's own address."""
 
-    def __init__(self, lab):
+    def __init__(self, emulator):
         super().__init__()
-        self.lab, self.clock, self.listener = lab, lab.clock, Listener(lab.loop, lambda: Side(self), lab.host)
+        self.emulator, self.clock, self.listener = (
+            emulator,
+            emulator.clock,
+            Listener(emulator.loop, lambda: Side(self), emulator.host),
+        )
 
     def handle(self, request):
         query, answer = request.query, request.side.answer
         try:
             if request.path == "/state":
-                return answer(200, orjson.dumps(self.lab.state()))
+                return answer(200, orjson.dumps(self.emulator.state()))
             if request.method == b"POST" and request.path == "/begin":
-                self.lab.begin(int(query["at"]))
+                self.emulator.begin(int(query["at"]))
             elif request.method == b"POST" and request.path == "/fault":
-                self.lab.carry_out(
+                self.emulator.carry_out(
                     Event(
-                        self.clock() - (self.lab.began or self.clock()),
+                        self.clock() - (self.emulator.began or self.clock()),
                         -1,
                         query.get("on") != "0",
                         query["target"],
@@ -446,7 +451,7 @@
                     )
                 )
             elif request.method == b"POST" and request.path == "/dump":
-                self.lab.dump(Path(query["dir"]))
+                self.emulator.dump(Path(query["dir"]))
             else:
                 return answer(404)
         except (KeyError, ValueError, IndexError, OSError) as trouble:
@@ -454,23 +459,23 @@
         answer(204)
 
 
-class Lab:
+class Emulator:
     """All stand-ins of one run. `log` is a binary file for the fault log, one JSON line an event."""
 
     def __init__(self, loop, plan, seed, log, host="127.0.0.1"):
         self.loop, self.plan, self.seed, self.log, self.host = loop, plan, seed, log, host
         self.clock = Clock()
         self.timers = TimerQueue(loop, self.clock)
-        self.runs, self.admissions = tally.Runs(), tally.Admissions()
+        self.executions, self.admissions = tally.Executions(), tally.Admissions()
         self.products = [(KINDS[p.effect], round(p.repeat_window_ms * MS)) for p in plan.products]
-        self.boxes = [Box(self, k, uid, group) for k, (uid, group) in enumerate(box_names(plan))]
+        self.servers = [EmulatedServer(self, k, uid, group) for k, (uid, group) in enumerate(named_servers(plan))]
         self.counter, self.discovery, self.control = Counter(self), Discovery(self), Control(self)
-        self.collector = Gathering(loop, host) if plan.topology.collector else None
+        self.collector = RunCollector(loop, host) if plan.topology.collector else None
         self.events, self.began, self.odd = timeline(plan, seed), None, 0
         self.bodies = {}
 
     async def listen(self):
-        for part in [*self.boxes, self.discovery, self.control]:
+        for part in [*self.servers, self.discovery, self.control]:
             await part.listener.open()
         for listener in self.counter.listeners:
             await listener.open()
@@ -486,13 +491,13 @@
             "discovery": self.discovery.listener.address,
             "counter": [listener.address for listener in self.counter.listeners],
             "collector": self.collector.listener.address if self.collector else None,
-            "boxes": [box.row() for box in self.boxes],
+            "boxes": [server.row() for server in self.servers],
         }
 
     def sweep(self):
         self.timers.after(SEC // 10, self.sweep)
-        for box in self.boxes:
-            box.sweep()
+        for server in self.servers:
+            server.sweep()
 
     def body(self, size):
         if size not in self.bodies:
@@ -504,7 +509,7 @@
     def admit(self, request, request_id, now):
         query = request.query
         try:
-            self.admissions.came(request_id, int(query["a"]), float(query["u"]), now)
+            self.admissions.record(request_id, int(query["a"]), float(query["u"]), now)
         except (KeyError, ValueError):
             self.odd += 1  # not of our load tool: nothing is known of whose it is
 
@@ -514,7 +519,7 @@
             effect, window = self.products[int(query["p"])]
         except (KeyError, ValueError, IndexError):
             return
-        self.runs.ran(effect, query.get("x", ""), request.fields.get(b"idempotency-key"), window, now)
+        self.executions.record(effect, query.get("x", ""), request.fields.get(b"idempotency-key"), window, now)
 
     # ---- faults
 
@@ -528,13 +533,13 @@
     def carry_out(self, event):
         head, _, number = event.target.partition(":")
         if head == "box":
-            part = self.boxes[int(number)]
+            part = self.servers[int(number)]
         elif head in ("counter", "discovery", "collector"):
             part = getattr(self, head)
         else:
             raise ValueError(f"no target {event.target!r}")
         late = self.clock() - (self.began or self.clock()) - event.at
-        self.log.write(orjson.dumps({**event.said(), "late_ms": round(late / MS, 3)}) + b"\n")
+        self.log.write(orjson.dumps({**event.as_log_row(), "late_ms": round(late / MS, 3)}) + b"\n")
         self.log.flush()
         part.fault(event)
 
@@ -542,30 +547,30 @@
         return {
             "began": self.began,
             "boxes": {
-                box.uid: {
-                    **box.counts,
-                    "working": box.server_model.working,
-                    "queued": len(box.server_model.queue),
-                    "most_working": box.server_model.most_working,
-                    "most_queued": box.server_model.most_queued,
-                    "open": len(box.sides),
-                    "state": box.state,
+                server.uid: {
+                    **server.counts,
+                    "working": server.server_model.working,
+                    "queued": len(server.server_model.queue),
+                    "most_working": server.server_model.most_working,
+                    "most_queued": server.server_model.most_queued,
+                    "open": len(server.sides),
+                    "state": server.state,
                     "last_drained_arrival_ms": None
-                    if box.last_drained_arrival is None
-                    else box.last_drained_arrival / MS,
+                    if server.last_drained_arrival is None
+                    else server.last_drained_arrival / MS,
                 }
-                for box in self.boxes
+                for server in self.servers
             },
             "counter": {**self.counter.counts, "names": sum(len(s.rows) for s in self.counter.stores)},
             "once_only": {
-                "txns": len(self.runs.once),
-                "runs": sum(self.runs.once.values()),
-                "twice": self.runs.twice(),
+                "txns": len(self.executions.once_only_counts),
+                "runs": sum(self.executions.once_only_counts.values()),
+                "twice": self.executions.executed_more_than_once(),
             },
-            "referenced": {"keys": len(self.runs.kept), "repeats_dropped": self.runs.repeats},
+            "referenced": {"keys": len(self.executions.last_run_by_key), "repeats_dropped": self.executions.repeats},
             "collector": self.collector.told() if self.collector else None,
-            "admitted": len(self.admissions.when),
-            "again": self.admissions.again,
+            "admitted": len(self.admissions.times),
+            "again": self.admissions.repeated,
             "odd": self.odd,
         }
 
@@ -573,8 +578,8 @@
         """Writes `emulator.json` and `admissions.npy` (rows of when from the start in ns, account, units)."""
         folder.mkdir(parents=True, exist_ok=True)
         (folder / "emulator.json").write_bytes(orjson.dumps(self.state(), option=orjson.OPT_INDENT_2))
-        rows = np.empty(len(self.admissions.when), dtype=[("at", "i8"), ("account", "i4"), ("units", "f8")])
-        rows["at"] = np.asarray(self.admissions.when, dtype="i8") - (self.began or 0)
+        rows = np.empty(len(self.admissions.times), dtype=[("at", "i8"), ("account", "i4"), ("units", "f8")])
+        rows["at"] = np.asarray(self.admissions.times, dtype="i8") - (self.began or 0)
         rows["account"] = np.asarray(self.admissions.account)
         rows["units"] = np.asarray(self.admissions.units)
         np.save(folder / "admissions.npy", rows)
@@ -584,10 +589,10 @@
     """Runs the emulator until SIGTERM or SIGINT; says its addresses as one JSON line once it listens."""
     loop = uvloop.new_event_loop()
     with open(log_path or "/dev/null", "ab") as log:
-        lab = loop.run_until_complete(Lab(loop, plan, seed, log).listen())
-        run_until_stopped(loop, orjson.dumps(lab.addresses()).decode(), say)
+        emulator = loop.run_until_complete(Emulator(loop, plan, seed, log).listen())
+        run_until_stopped(loop, orjson.dumps(emulator.addresses()).decode(), say)
 
 
-def customer(name):
+def account_key(name):
     """An account's key on the wire: 16 hex digits, a number under 2^33, the same wherever its name is known."""
     return "%016x" % (int.from_bytes(hashlib.blake2b(name.encode(), digest_size=8).digest(), "big") >> 31)
--- a/rampfront/lab/faults.py
+++ b/rampfront/lab/faults.py
@@ -7,7 +7,7 @@
 from dataclasses import asdict, dataclass
 from random import Random
 
-from .plan import box_names
+from .plan import named_servers
 
 SEC = 10**9
 
@@ -22,18 +22,18 @@
     size: float = 0.0
     halves: tuple = ()
 
-    def said(self):
+    def as_log_row(self):
         """As one row of the fault log: seconds, and names."""
         return {**asdict(self), "at": round(self.at / SEC, 3)}
 
 
-def draw(span, rng):
+def draw_value(span, rng):
     return float(span) if isinstance(span, (int, float)) else rng.uniform(*span)
 
 
-def targets(fault, plan, rng):
+def resolve_targets(fault, plan, rng):
     head, _, number = fault.target.partition(":")
-    boxes = box_names(plan)
+    boxes = named_servers(plan)
     if number == "any":
         return [f"{head}:{rng.randrange(len(boxes) if head == 'box' else plan.topology.nodes)}"]
     if fault.target == "boxes":
@@ -54,9 +54,9 @@
     rng = Random(f"{seed}/faults")
     events = []
     for number, fault in enumerate(plan.faults):
-        at, length, size = draw(fault.at_s, rng), draw(fault.for_s, rng), draw(fault.size, rng)
+        at, length, size = draw_value(fault.at_s, rng), draw_value(fault.for_s, rng), draw_value(fault.size, rng)
         split = halves(fault, plan.topology.nodes) if fault.kind == "split" else ()
-        for target in targets(fault, plan, rng):
+        for target in resolve_targets(fault, plan, rng):
             events.append(Event(round(at * SEC), number, True, target, fault.kind, size, split))
             if length and (target, fault.kind) != ("counter", "restart"):
                 events.append(Event(round((at + length) * SEC), number, False, target, fault.kind, size, split))
--- a/rampfront/lab/nodes.py
+++ b/rampfront/lab/nodes.py
@@ -25,14 +25,14 @@
 _recent_ports: deque[int] = deque(maxlen=500)  # handed out last; their nodes may not have bound them yet
 
 
-class RunFailed(Exception):
+class RunFailedError(Exception):
     """A run could not be played, or may not be reported; the text says why."""
 
 
 def free_port(host="127.0.0.1", low=20000, high=32000):
     """A port below those that the system hands to outgoing connections. Guards against one that a connection of
     another run, or of this one, takes between here and the node's start, and against one port for two nodes: the first
-    has not bound it yet when the second one's is drawn. Raises RunFailed if none is found."""
+    has not bound it yet when the second one's is drawn. Raises RunFailedError if none is found."""
     for _ in range(MAX_PORT_DRAWS):
         port = low + secrets.randbelow(high - low)
         if port in _recent_ports:
@@ -44,10 +44,10 @@
                 continue
         _recent_ports.append(port)
         return port
-    raise RunFailed(f"no port between {low} and {high} is free")
+    raise RunFailedError(f"no port between {low} and {high} is free")
 
 
-def usage(pid):
+def process_usage(pid):
     """CPU seconds and resident bytes of a process; (0, 0) once it is gone."""
     try:
         with open(f"/proc/{pid}/stat") as file:
@@ -57,14 +57,14 @@
         return 0.0, 0
 
 
-def descriptors(pid):
+def open_descriptors(pid):
     try:
         return len(os.listdir(f"/proc/{pid}/fd"))
     except OSError:
         return 0
 
 
-def get(address, path, method="GET", wait=2.0):
+def http_request(address, path, method="GET", wait=2.0):
     """One HTTP call on loopback: status and body; `OSError` where nobody answers."""
     host, _, port = address.rpartition(":")
     call = http.client.HTTPConnection(host, int(port), timeout=wait)
@@ -78,7 +78,7 @@
         call.close()
 
 
-def pinned(command, cores):
+def with_cpu_affinity(command, cores):
     return ["taskset", "-c", ",".join(map(str, cores)), *command] if cores else command
 
 
@@ -93,8 +93,8 @@
         self.python = str(python) if plan.topology.root and python.exists() else sys.executable
         self.config = folder / f"node-{number}.json"
         self.process, self.starts, self.spent = None, 0, 0.0
-        self.told_to_end = False  # by a fault, and not started again yet
-        self.told = {
+        self.stopped_by_fault = False  # by a fault, and not started again yet
+        self.configuration = {
             "name": f"n{number}",
             "listen": self.listen,
             "discovery": addresses["discovery"],
@@ -103,29 +103,31 @@
             "settings": plans.settings(plan),
         }
         if plan.topology.storm is not None:
-            self.told["storm"] = dict(plan.topology.storm)
+            self.configuration["storm"] = dict(plan.topology.storm)
         self.mqtt = None  # the address of its MQTT front
         if plan.topology.mqtt is not None:
             self.mqtt = f"127.0.0.1:{free_port()}"
-            self.told["mqtt"] = {"listen": self.mqtt, **plan.topology.mqtt}
+            self.configuration["mqtt"] = {"listen": self.mqtt, **plan.topology.mqtt}
         if plan.topology.journal is not None:
-            self.told["journal"] = {"dir": str(folder / f"journal-{number}"), **plan.topology.journal}
+            self.configuration["journal"] = {"dir": str(folder / f"journal-{number}"), **plan.topology.journal}
         if plan.topology.collector:
-            self.told["syslog"] = {
+            self.configuration["syslog"] = {
                 "collector": addresses["collector"],
                 "spill_dir": str(folder / f"spill-{number}"),
                 **plan.topology.syslog,
             }
         if plan.topology.counter:
-            self.told["counter"] = addresses["counter"][number]
+            self.configuration["counter"] = addresses["counter"][number]
 
     def start(self):
         self.starts += 1
-        self.told_to_end = False
-        self.told["seed"] = "%x" % (self.seed * 1000 + self.number * 50 + self.starts)
-        self.config.write_bytes(orjson.dumps(self.told, option=orjson.OPT_INDENT_2))
+        self.stopped_by_fault = False
+        self.configuration["seed"] = "%x" % (self.seed * 1000 + self.number * 50 + self.starts)
+        self.config.write_bytes(orjson.dumps(self.configuration, option=orjson.OPT_INDENT_2))
         cores = self.plan.pin.nodes
-        command = pinned([self.python, "-m", "rampfront"], [cores[self.number % len(cores)]] if cores else [])
+        command = with_cpu_affinity(
+            [self.python, "-m", "rampfront"], [cores[self.number % len(cores)]] if cores else []
+        )
         with open(self.folder / f"node-{self.number}.log", "ab") as log:
             self.process = subprocess.Popen(
                 command,
@@ -137,35 +139,35 @@
             )
         return self
 
-    def ready(self, wait=10.0):
-        """Waits until it says that it is ready; `RunFailed` tells what its log said last."""
+    def wait_until_ready(self, wait=10.0):
+        """Waits until it says that it is ready; `RunFailedError` tells what its log said last."""
         until = time.monotonic() + wait
         while time.monotonic() < until and self.process.poll() is None:
             try:
-                if get(self.listen, "/-/ready", wait=0.5)[0] == 200:
+                if http_request(self.listen, "/-/ready", wait=0.5)[0] == 200:
                     return self
             except OSError:
                 pass
             time.sleep(0.02)
-        raise RunFailed(f"node {self.number} did not become ready: {self.log_tail()}")
+        raise RunFailedError(f"node {self.number} did not become ready: {self.log_tail()}")
 
     def log_tail(self):
         """What its log said last."""
         return (self.folder / f"node-{self.number}.log").read_bytes()[-400:].decode(errors="replace")
 
     def check_running(self):
-        """Raises RunFailed if it ended and no fault had it end: it has no totals, and others served in its place."""
+        """Raises RunFailedError if it ended and no fault had it end: it has no totals, and others served in its place."""
         status = self.process.poll()
-        if status is not None and not self.told_to_end:
-            raise RunFailed(f"node {self.number} ended by itself with status {status}: {self.log_tail()}")
+        if status is not None and not self.stopped_by_fault:
+            raise RunFailedError(f"node {self.number} ended by itself with status {status}: {self.log_tail()}")
 
     def fault(self, kind, on):
         """kill: SIGKILL, back at the end; stop: SIGSTOP until the end; restart: SIGTERM, then started anew."""
         if kind == "stop":
             return self.process.send_signal(signal.SIGSTOP if on else signal.SIGCONT)
         if on:
-            self.told_to_end = True
-            self.spent += usage(self.process.pid)[0]
+            self.stopped_by_fault = True
+            self.spent += process_usage(self.process.pid)[0]
             self.process.send_signal(signal.SIGKILL if kind == "kill" else signal.SIGTERM)
         else:
             if self.process.poll() is None:
@@ -177,7 +179,7 @@
             self.start()
 
     def cpu(self):
-        return self.spent + usage(self.process.pid)[0]
+        return self.spent + process_usage(self.process.pid)[0]
 
     def end(self):
         if self.process and self.process.poll() is None:
--- a/rampfront/lab/plan.py
+++ b/rampfront/lab/plan.py
@@ -1,6 +1,6 @@
 """The experiment file: one TOML file that names topology, load, faults, settings and repeats.
 
-`read_plan(path)` gives a checked `Experiment`, or raises `BadPlan` with the key path and the reason. Times in the
+`read_plan(path)` gives a checked `Experiment`, or raises `InvalidPlanError` with the key path and the reason. Times in the
 file are seconds (`_s`) or milliseconds (`_ms`), as their names say; rates are txns a second; units are quota units.
 Nothing here does I/O but `read_plan`. Validation is msgspec's, with the checks between keys below it.
 """
@@ -16,12 +16,12 @@
 
 Share = Annotated[float, Meta(ge=0, le=1)]
 Name = Annotated[str, Meta(pattern=r"^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$")]
-Span = (
+ValueOrRange = (
     NonNegative | Annotated[list[NonNegative], Meta(min_length=2, max_length=2)]
 )  # a value, or [low, high] to draw from
 
 
-class BadPlan(Exception):
+class InvalidPlanError(Exception):
     """The experiment file does not hold what it should; the text names the key."""
 
 
@@ -33,7 +33,7 @@
     cv: Annotated[float, Meta(gt=0, le=10)] = 1.0  # standard deviation over mean; lognormal and pareto
 
 
-class Boxes(StrictTable, kw_only=True):
+class ServerGroup(StrictTable, kw_only=True):
     """A group of app servers (registry boxes) that are alike."""
 
     name: Name = "box"
@@ -63,7 +63,7 @@
 class Topology(StrictTable, kw_only=True):
     nodes: Annotated[int, Meta(ge=0, le=64)] = 1  # 0: clients speak straight to the boxes
     counter: bool = True
-    boxes: Annotated[list[Boxes], Meta(min_length=1)] = field(default_factory=lambda: [Boxes()])
+    boxes: Annotated[list[ServerGroup], Meta(min_length=1)] = field(default_factory=lambda: [ServerGroup()])
     counter_model: CounterModel = CounterModel()
     discovery: DiscoveryModel = DiscoveryModel()
     collector: bool = False  # a syslog collector, to which the nodes send their decisions
@@ -155,9 +155,9 @@
 
     target: Annotated[str, Meta(min_length=1)]
     kind: str
-    at_s: Span
-    for_s: Span = 0.0  # 0: to the end of the run; a counter's restart takes no time
-    size: Span = 0.0
+    at_s: ValueOrRange
+    for_s: ValueOrRange = 0.0  # 0: to the end of the run; a counter's restart takes no time
+    size: ValueOrRange = 0.0
     halves: list[list[int]] = field(default_factory=list)  # split: which nodes see which half; empty: alternately
 
 
@@ -184,73 +184,75 @@
     pin: Pin = Pin()
 
 
-def clash(rows, where):
+def check_unique_names(rows, where):
     seen = set()
     for k, row in enumerate(rows):
         if row.name in seen:
-            raise BadPlan(f"{where}[{k}].name: {row.name!r} is taken already")
+            raise InvalidPlanError(f"{where}[{k}].name: {row.name!r} is taken already")
         seen.add(row.name)
     return seen
 
 
-def kinds_of(target, groups, nodes, boxes, where):
-    """The fault kinds that a target knows; raises `BadPlan` for a target that is not there."""
+def fault_kinds(target, groups, nodes, boxes, where):
+    """The fault kinds that a target knows; raises `InvalidPlanError` for a target that is not there."""
     head, _, number = target.partition(":")
     if target in ("counter", "discovery", "collector"):
         return {"counter": COUNTER_FAULTS, "discovery": DISCOVERY_FAULTS, "collector": COLLECTOR_FAULTS}[target]
     if head in ("box", "node") and number:
         there = boxes if head == "box" else nodes
         if number != "any" and not (number.isdigit() and int(number) < there):
-            raise BadPlan(f"{where}.target: there is no {target!r}; {head}s are numbered from 0 to {there - 1}")
+            raise InvalidPlanError(
+                f"{where}.target: there is no {target!r}; {head}s are numbered from 0 to {there - 1}"
+            )
         if not there:
-            raise BadPlan(f"{where}.target: there are no {head}s")
+            raise InvalidPlanError(f"{where}.target: there are no {head}s")
         return BOX_FAULTS if head == "box" else NODE_FAULTS
     if target == "boxes" or target in groups:
         return BOX_FAULTS
-    raise BadPlan(f"{where}.target: {target!r} is no box, group, node, counter or discovery")
+    raise InvalidPlanError(f"{where}.target: {target!r} is no box, group, node, counter or discovery")
 
 
 def check(plan):
     """The checks between keys. Returns the plan."""
-    products, plans = clash(plan.products, "products"), clash(plan.plans, "plans")
-    clash(plan.load.streams, "load.streams")
-    groups = clash(plan.topology.boxes, "topology.boxes")
+    products, plans = check_unique_names(plan.products, "products"), check_unique_names(plan.plans, "plans")
+    check_unique_names(plan.load.streams, "load.streams")
+    groups = check_unique_names(plan.topology.boxes, "topology.boxes")
     if plan.warmup_s >= plan.duration_s:
-        raise BadPlan(f"warmup_s: {plan.warmup_s:g} leaves nothing of duration_s {plan.duration_s:g}")
+        raise InvalidPlanError(f"warmup_s: {plan.warmup_s:g} leaves nothing of duration_s {plan.duration_s:g}")
     for k, one in enumerate(plan.plans):
         if one.rate > 0 and one.burst <= 0:
-            raise BadPlan(f"plans[{k}].burst: a plan with a rate needs one above 0")
+            raise InvalidPlanError(f"plans[{k}].burst: a plan with a rate needs one above 0")
     for k, stream in enumerate(plan.load.streams):
         where = f"load.streams[{k}]"
         if stream.front != "http" and (plan.topology.mqtt is None or not plan.topology.nodes):
-            raise BadPlan(f"{where}.front: no node has an MQTT front without topology.mqtt")
+            raise InvalidPlanError(f"{where}.front: no node has an MQTT front without topology.mqtt")
         if stream.plan not in plans:
-            raise BadPlan(f"{where}.plan: unknown plan {stream.plan!r}")
+            raise InvalidPlanError(f"{where}.plan: unknown plan {stream.plan!r}")
         for name in stream.products:
             if name not in products:
-                raise BadPlan(f"{where}.products: unknown product {name!r}")
+                raise InvalidPlanError(f"{where}.products: unknown product {name!r}")
         if stream.spread > max(1, plan.topology.nodes):
-            raise BadPlan(f"{where}.spread: {stream.spread} of {plan.topology.nodes} nodes")
+            raise InvalidPlanError(f"{where}.spread: {stream.spread} of {plan.topology.nodes} nodes")
         if stream.shape.kind == "bursts" and stream.shape.on_s > stream.shape.every_s:
-            raise BadPlan(f"{where}.shape.on_s: longer than every_s")
+            raise InvalidPlanError(f"{where}.shape.on_s: longer than every_s")
         if (stream.until_s or plan.duration_s) <= stream.from_s:
-            raise BadPlan(f"{where}.until_s: not after from_s {stream.from_s:g}")
+            raise InvalidPlanError(f"{where}.until_s: not after from_s {stream.from_s:g}")
     boxes = sum(group.count for group in plan.topology.boxes)
     for k, fault in enumerate(plan.faults):
         where = f"faults[{k}]"
-        known = kinds_of(fault.target, groups, plan.topology.nodes, boxes, where)
+        known = fault_kinds(fault.target, groups, plan.topology.nodes, boxes, where)
         if fault.kind not in known:
-            raise BadPlan(f"{where}.kind: {fault.target} knows no {fault.kind!r}, only {', '.join(known)}")
+            raise InvalidPlanError(f"{where}.kind: {fault.target} knows no {fault.kind!r}, only {', '.join(known)}")
         for key in ("at_s", "for_s", "size"):
             span = getattr(fault, key)
             if isinstance(span, list) and span[0] > span[1]:
-                raise BadPlan(f"{where}.{key}: [low, high] with low above high")
+                raise InvalidPlanError(f"{where}.{key}: [low, high] with low above high")
         if (fault.at_s if isinstance(fault.at_s, (int, float)) else fault.at_s[1]) >= plan.duration_s:
-            raise BadPlan(f"{where}.at_s: not before the end at {plan.duration_s:g} s")
+            raise InvalidPlanError(f"{where}.at_s: not before the end at {plan.duration_s:g} s")
         if fault.target in ("counter", "collector") and not getattr(plan.topology, fault.target):
-            raise BadPlan(f"{where}.target: this topology has no {fault.target}")
+            raise InvalidPlanError(f"{where}.target: this topology has no {fault.target}")
         if any(not 0 <= node < plan.topology.nodes for half in fault.halves for node in half):
-            raise BadPlan(f"{where}.halves: names a node that is not there")
+            raise InvalidPlanError(f"{where}.halves: names a node that is not there")
     return plan
 
 
@@ -259,15 +261,15 @@
         return check(msgspec.convert(table, Experiment))
     except msgspec.ValidationError as trouble:
         where, reason = split_validation_error(trouble)
-        raise BadPlan(f"{where or 'the file'}: {reason}") from None
+        raise InvalidPlanError(f"{where or 'the file'}: {reason}") from None
 
 
 def parse_plan(text):
-    """An `Experiment` from TOML text; `BadPlan` names the key (or the line, where it is no TOML)."""
+    """An `Experiment` from TOML text; `InvalidPlanError` names the key (or the line, where it is no TOML)."""
     try:
         return convert(tomllib.loads(text))
     except tomllib.TOMLDecodeError as trouble:
-        raise BadPlan(f"no TOML: {trouble}") from None
+        raise InvalidPlanError(f"no TOML: {trouble}") from None
 
 
 def read_table(path, depth=0):
@@ -275,23 +277,23 @@
     try:
         table = tomllib.loads(Path(path).read_text(encoding="utf-8"))
     except OSError as trouble:
-        raise BadPlan(f"{path}: {trouble.strerror}") from None
+        raise InvalidPlanError(f"{path}: {trouble.strerror}") from None
     except (UnicodeDecodeError, tomllib.TOMLDecodeError) as trouble:
-        raise BadPlan(f"{path}: no TOML: {trouble}") from None
+        raise InvalidPlanError(f"{path}: no TOML: {trouble}") from None
     base = table.pop("extends", None)
     if base is None:
         return table
     if not isinstance(base, str) or depth > 4:
-        raise BadPlan(f"{path}: extends: should name a file, and not more than four deep")
-    return lay_over(read_table(Path(path).parent / base, depth + 1), table)
+        raise InvalidPlanError(f"{path}: extends: should name a file, and not more than four deep")
+    return merge_tables(read_table(Path(path).parent / base, depth + 1), table)
 
 
 def read_plan(path):
     table = read_table(path)
     try:
         return convert(table)
-    except BadPlan as trouble:
-        raise BadPlan(f"{path}: {trouble}") from None
+    except InvalidPlanError as trouble:
+        raise InvalidPlanError(f"{path}: {trouble}") from None
 
 
 def changed(plan, **parts):
@@ -299,17 +301,19 @@
     return check(msgspec.structs.replace(plan, **parts))
 
 
-def box_names(plan):
+def named_servers(plan):
     """`(uid, group)` of each box, in the order of their numbers."""
     return [(f"{group.name}-{k}", group) for group in plan.topology.boxes for k in range(group.count)]
 
 
-def lay_over(base, more):
+def merge_tables(base, more):
     """`more` laid over `base`, objects key by key; neither is changed."""
     return {
         **base,
         **{
-            key: lay_over(base[key], value) if isinstance(value, dict) and isinstance(base.get(key), dict) else value
+            key: merge_tables(base[key], value)
+            if isinstance(value, dict) and isinstance(base.get(key), dict)
+            else value
             for key, value in more.items()
         },
     }
@@ -363,4 +367,4 @@
         "Areas": sorted({g.zone for g in plan.topology.boxes}),
         "Tick": 1.0,
     }
-    return lay_over(base, plan.settings)
+    return merge_tables(base, plan.settings)
--- a/rampfront/lab/publishers.py
+++ b/rampfront/lab/publishers.py
@@ -6,7 +6,7 @@
 import asyncio
 
 from ..mqtt import codec as c
-from .emulator import customer
+from .emulator import account_key
 from .schedule import accounts
 
 OUTCOMES = {c.OK: 200, c.QUOTA: 429}  # reason code to the status that HTTP gives for the same
@@ -22,7 +22,7 @@
     def connection_made(self, transport):
         self.transport = transport
         name, stream = self.pool.accounts[self.account]
-        user = f"{self.pool.client.plan.load.streams[stream].plan}:{customer(name)}"
+        user = f"{self.pool.client.plan.load.streams[stream].plan}:{account_key(name)}"
         client_id = f"w{self.pool.client.worker}-{name}"
         transport.write(
             c.packet(c.CONNECT, 0, c.text("MQTT") + b"\x05\x82\x00\x3c\x00" + c.text(client_id) + c.text(user))
--- a/rampfront/lab/report.py
+++ b/rampfront/lab/report.py
@@ -1,6 +1,6 @@
 """Reports: what a repeat's folder says, as one JSON object. Figures are emulated, on loopback.
 
-`summarize(folder)` returns the report; `RunRefused` where the load tool fell behind its own schedule, for then its
+`summarize(folder)` returns the report; `RunRefusedError` where the load tool fell behind its own schedule, for then its
 latencies tell of the tool. Latencies are ms from the intended send to the final answer, in HDR histograms of three
 significant digits; quotas are judged by what reached the boxes.
 """
@@ -14,7 +14,7 @@
 
 from . import tally
 from .client import DECLINED, LOST, OUTCOMES, SETTLED
-from .nodes import RunFailed
+from .nodes import RunFailedError
 from .plan import Experiment
 from .schedule import accounts
 
@@ -23,7 +23,7 @@
 QUANTILES = {"p50": 50.0, "p90": 90.0, "p99": 99.0, "p999": 99.9}
 
 
-class RunRefused(RunFailed):
+class RunRefusedError(RunFailedError):
     """The run may not be reported."""
 
 
@@ -51,14 +51,14 @@
     }
 
 
-def counted(outcomes):
+def count_outcomes(outcomes):
     return {name: int((outcomes == k).sum()) for k, name in enumerate(OUTCOMES)}
 
 
 def load_rows(folder):
     parts = sorted(folder.glob("load-*.npy"))
     if not parts:
-        raise RunFailed(f"{folder} holds no run")
+        raise RunFailedError(f"{folder} holds no run")
     return np.concatenate([np.load(part) for part in parts])
 
 
@@ -83,7 +83,7 @@
         mine = admitted[admitted["account"] == index]
         if quota.rate <= 0 or not len(mine):
             continue
-        bucket = tally.Bucket(quota.rate, quota.burst)
+        bucket = tally.TokenBucket(quota.rate, quota.burst)
         beyond = sum(
             units for at, units in zip(mine["at"].tolist(), mine["units"].tolist()) if not bucket.take(units, at)
         )
@@ -104,7 +104,7 @@
     return sorted(rows, key=lambda row: (-row["overshoot_pct"], -row["used"], row["account"]))
 
 
-def between(admitted, plan, name, start, end, burst=False):
+def overshoot_between(admitted, plan, name, start, end, burst=False):
     """Percent of overshoot of one account from `start` to `end` seconds: units let in there beyond rate * time, over
     that allowance. A burst is granted where `burst` says so; an account that floods before `start` has used it up."""
     index = [account for account, _ in accounts(plan)].index(name)
@@ -123,7 +123,7 @@
     for k in range(int(np.ceil(plan.duration_s))):
         part = rows[second == k]
         said["offered"].append(int(len(part)))
-        for name, count in counted(part["outcome"]).items():
+        for name, count in count_outcomes(part["outcome"]).items():
             said[name].append(count)
         done = part[part["outcome"] == SETTLED]
         said["on_time"].append(int((done["took"] <= sla[done["product"]]).sum()))
@@ -165,24 +165,24 @@
 
 
 def read_folder(folder):
-    """Plan, rows and manifest of one repeat; `RunRefused` where the tool was the bottleneck."""
+    """Plan, rows and manifest of one repeat; `RunRefusedError` where the tool was the bottleneck."""
     folder = Path(folder)
     try:
         plan = msgspec.json.decode((folder / "plan.json").read_bytes(), type=Experiment)
         manifest = orjson.loads((folder / "manifest.json").read_bytes())
     except (OSError, ValueError) as trouble:
-        raise RunFailed(f"{folder} holds no whole run: {trouble}") from None
+        raise RunFailedError(f"{folder} holds no whole run: {trouble}") from None
     rows = load_rows(folder)
     behind = lag(rows, plan)
     if behind["p99"] > plan.load.most_lag_ms:
-        raise RunRefused(
+        raise RunRefusedError(
             f"{folder}: the load tool lagged behind its schedule by {behind['p99']:g} ms at p99, more "
             f"than load.most_lag_ms {plan.load.most_lag_ms:g}: its latencies would tell of the tool. "
             "Give it more workers or cores, or ask for a lower rate"
         )
     left = sum(w["sent"] - w["ended"] for w in manifest["workers"])
     if left:
-        raise RunRefused(f"{folder}: {left} txns have no final row")
+        raise RunRefusedError(f"{folder}: {left} txns have no final row")
     return plan, rows, manifest, behind
 
 
@@ -199,7 +199,7 @@
         done = mine[mine["outcome"] == SETTLED]
         products[product.name] = {
             "offered": int(len(mine)),
-            **counted(mine["outcome"]),
+            **count_outcomes(mine["outcome"]),
             "on_time": int((done["took"] <= product.sla_ms * MS).sum()),
             "retried": int((mine["tries"] > 1).sum()),
             "tries": int(mine["tries"].sum()),
@@ -208,7 +208,7 @@
     streams = {
         stream.name: {
             "offered": int((steady["stream"] == k).sum()),
-            **counted(steady["outcome"][steady["stream"] == k]),
+            **count_outcomes(steady["outcome"][steady["stream"] == k]),
             "latency_ms": latency(steady["took"][(steady["stream"] == k) & (steady["outcome"] == SETTLED)]),
         }
         for k, stream in enumerate(plan.load.streams)
@@ -226,7 +226,7 @@
         "lag_ms": behind,
         "offered": int(len(steady)),
         "offered_per_s": round(len(steady) / length, 2),
-        **counted(steady["outcome"]),
+        **count_outcomes(steady["outcome"]),
         "settled_per_s": round(len(done) / length, 2),
         "latency_ms": latency(done["took"]),
         "declined_latency_ms": latency(steady["took"][(steady["outcome"] == DECLINED) & (steady["tries"] == 1)]),
@@ -261,7 +261,7 @@
         (p for p in out.glob("seed-*") if (p / "manifest.json").exists()), key=lambda p: int(p.name.rpartition("-")[2])
     )
     if not found:
-        raise RunFailed(f"{out} holds no run")
+        raise RunFailedError(f"{out} holds no run")
     return found
 
 
--- a/rampfront/lab/run.py
+++ b/rampfront/lab/run.py
@@ -15,7 +15,7 @@
 import orjson
 
 from .faults import timeline
-from .nodes import Node, RunFailed, descriptors, get, pinned, usage
+from .nodes import Node, RunFailedError, http_request, open_descriptors, process_usage, with_cpu_affinity
 from .plan import changed
 
 SEC = 10**9
@@ -24,7 +24,7 @@
 
 def spawn(args, cores, log, **more):
     return subprocess.Popen(
-        pinned([sys.executable, "-m", "rampfront.lab.child", *args], cores),
+        with_cpu_affinity([sys.executable, "-m", "rampfront.lab.child", *args], cores),
         stderr=log,
         cwd=Path(__file__).parents[2],
         text=True,
@@ -43,7 +43,7 @@
     def play(self):
         self.folder.mkdir(parents=True, exist_ok=True)
         if any(self.folder.glob("load-*.npy")):
-            raise RunFailed(f"{self.folder} holds a run already")
+            raise RunFailedError(f"{self.folder} holds a run already")
         plan_file = self.folder / "plan.json"
         plan_file.write_bytes(msgspec.json.format(msgspec.json.encode(self.plan)))
         with open(self.folder / "lab.log", "ab") as log:
@@ -69,11 +69,11 @@
         )
         said = self.emulator.stdout.readline()
         if not said:
-            raise RunFailed(f"the emulator did not start; see {self.folder / 'lab.log'}")
+            raise RunFailedError(f"the emulator did not start; see {self.folder / 'lab.log'}")
         self.addresses = json.loads(said)
         self.nodes = [Node(plan, k, self.addresses, self.seed, self.folder).start() for k in range(plan.topology.nodes)]
         for node in self.nodes:
-            node.ready()
+            node.wait_until_ready()
         targets = [f"{node.listen}/{node.mqtt}" if node.mqtt else node.listen for node in self.nodes]
         targets = targets or [row["endpoint"] for row in self.addresses["boxes"]]
         # Workers read their part of the schedule before they are told the start: drawing it takes a while.
@@ -97,11 +97,11 @@
             )
         for process in self.workers:
             if process.stdout.readline() != "drawn\n":
-                raise RunFailed(f"a load worker did not start; see {self.folder / 'lab.log'}")
+                raise RunFailedError(f"a load worker did not start; see {self.folder / 'lab.log'}")
         self.start = time.time_ns() + int(LEAD * SEC)
-        status, why = get(self.addresses["control"], f"/begin?at={self.start}", "POST")
+        status, why = http_request(self.addresses["control"], f"/begin?at={self.start}", "POST")
         if status != 204:
-            raise RunFailed(f"the emulator did not begin: {why.decode(errors='replace')}")
+            raise RunFailedError(f"the emulator did not begin: {why.decode(errors='replace')}")
         for process in self.workers:
             process.stdin.write(f"{self.start}\n")
             process.stdin.flush()
@@ -120,13 +120,13 @@
                     event = events.pop(0)
                     self.nodes[int(event.target.partition(":")[2])].fault(event.kind, event.on)
                     late = (time.time_ns() - self.start - event.at) / 1e6
-                    faults.write(orjson.dumps({**event.said(), "late_ms": round(late, 3)}) + b"\n")
+                    faults.write(orjson.dumps({**event.as_log_row(), "late_ms": round(late, 3)}) + b"\n")
                     faults.flush()
                 if now >= due:
                     file.write(orjson.dumps(self.sample((now - self.start) / SEC)) + b"\n")
                     due += SEC
                 if now > limit:
-                    raise RunFailed("the load workers did not end in time")
+                    raise RunFailedError("the load workers did not end in time")
                 following = min([due, *(self.start + e.at for e in events[:1])])
                 time.sleep(max(0.002, min(0.05, (following - time.time_ns()) / SEC)))
 
@@ -134,15 +134,15 @@
         """CPU cores used since the last sample, resident MB and descriptors, by process."""
         row = {"at": round(at, 3)}
         rows = [(f"node-{n.number}", n.process.pid, n.cpu()) for n in self.nodes]
-        rows += [(f"load-{k}", p.pid, usage(p.pid)[0]) for k, p in enumerate(self.workers)]
-        rows += [("emulator", self.emulator.pid, usage(self.emulator.pid)[0])]
+        rows += [(f"load-{k}", p.pid, process_usage(p.pid)[0]) for k, p in enumerate(self.workers)]
+        rows += [("emulator", self.emulator.pid, process_usage(self.emulator.pid)[0])]
         for name, pid, cpu in rows:
             was_at, was = self.last.get(name, (at - 1.0, cpu))
             self.last[name] = (at, cpu)
             row[name] = {
                 "cores": round((cpu - was) / max(at - was_at, 1e-3), 3),
-                "mb": round(usage(pid)[1] / 1e6, 1),
-                "fds": descriptors(pid),
+                "mb": round(process_usage(pid)[1] / 1e6, 1),
+                "fds": open_descriptors(pid),
             }
         return row
 
@@ -150,7 +150,7 @@
         """Waits until the collector, where there is one, has had nothing new for a while: sinks replay behind a run."""
         until, last, since = time.monotonic() + most, -1, time.monotonic()
         while self.plan.topology.collector and time.monotonic() < until:
-            now = orjson.loads(get(self.addresses["control"], "/state", wait=10.0)[1])["collector"]["messages"]
+            now = orjson.loads(http_request(self.addresses["control"], "/state", wait=10.0)[1])["collector"]["messages"]
             if now != last:
                 last, since = now, time.monotonic()
             elif time.monotonic() - since > still:
@@ -161,12 +161,12 @@
         ends = []
         for k, process in enumerate(self.workers):
             if process.wait():
-                raise RunFailed(
+                raise RunFailedError(
                     f"load worker {k} ended with status {process.returncode}; see {self.folder / 'lab.log'}"
                 )
             ends.append(json.loads(process.stdout.read()))
         self.drain_decisions()
-        get(self.addresses["control"], f"/dump?dir={self.folder.resolve()}", "POST", wait=30.0)
+        http_request(self.addresses["control"], f"/dump?dir={self.folder.resolve()}", "POST", wait=30.0)
         for node in self.nodes:
             node.check_running()
         for node in self.nodes:
@@ -182,7 +182,7 @@
         }
         (self.folder / "manifest.json").write_bytes(orjson.dumps(manifest, option=orjson.OPT_INDENT_2))
         if not (self.folder / "emulator.json").exists():
-            raise RunFailed("the emulator wrote no counts")
+            raise RunFailedError("the emulator wrote no counts")
         return self.folder
 
 
--- a/rampfront/lab/schedule.py
+++ b/rampfront/lab/schedule.py
@@ -34,7 +34,7 @@
     return weights / weights.sum()
 
 
-def moments(stream, rate, start, end, rng):
+def arrival_times(stream, rate, start, end, rng):
     """Moments of a Poisson process with the stream's shape, in seconds; thinned from its highest rate."""
     shape, length = stream.shape, end - start
     peak = rate * (1.0 if shape.kind == "poisson" else max(1.0, shape.factor))
@@ -53,7 +53,7 @@
     for index, stream in enumerate(plan.load.streams):
         rng = np.random.Generator(np.random.PCG64([seed, index, worker]))
         end = min(stream.until_s or plan.duration_s, plan.duration_s)
-        at = moments(stream, stream.rate / workers, stream.from_s, end, rng)
+        at = arrival_times(stream, stream.rate / workers, stream.from_s, end, rng)
         weights = np.array([stream.products.get(p.name, 0.0 if stream.products else 1.0) for p in plan.products])
         parts.append(
             (
--- a/rampfront/lab/sweep.py
+++ b/rampfront/lab/sweep.py
@@ -12,7 +12,7 @@
 
 from . import report as reports
 from .plan import changed
-from .report import RunRefused
+from .report import RunRefusedError
 from .run import Repeat
 
 
@@ -42,7 +42,7 @@
     """A report, or why there is none."""
     try:
         return reports.write(Repeat(plan, seed, out).play()), None
-    except RunRefused as trouble:
+    except RunRefusedError as trouble:
         return None, str(trouble).partition(": ")[2]
 
 
--- a/rampfront/lab/system/machine.py
+++ b/rampfront/lab/system/machine.py
@@ -21,7 +21,7 @@
 from ...node.ports import Ports
 from ...quota.limiter import Limiter
 from ...quota.update_schedule import NEVER
-from ..tally import Bucket
+from ..tally import TokenBucket
 
 SEC = 10**9
 LONGEST = 2 * SEC
@@ -68,7 +68,7 @@
             rate, depth = row.quota.per_s * self.part, max(1.0, row.quota.depth * self.part)
             bucket = old.get(name)
             if bucket is None or (bucket.rate, bucket.burst) != (rate, depth):
-                bucket = Bucket(rate, depth)
+                bucket = TokenBucket(rate, depth)
                 bucket.at = now
             self.buckets[name] = bucket
 
--- a/rampfront/lab/system/plan.py
+++ b/rampfront/lab/system/plan.py
@@ -1,5 +1,5 @@
 """The experiment file of a whole system: one TOML file. `read_plan(path)` gives a checked `Experiment`, or raises
-`BadPlan` with the key path and the reason.
+`InvalidPlanError` with the key path and the reason.
 
 Words and units are those of the edge node's experiments (`lab/plan.py`), whose parts are used here. Rates are requests a
 second over the whole system. `configuration(plan, ...)` words what the operator sends. Nothing does I/O but `read_plan`.
@@ -14,7 +14,7 @@
 
 from ...config import NonNegative, Positive, PositiveInt, StrictTable, split_validation_error
 from ...settings import configuration_reader, settings_reader
-from ..plan import BadPlan, Fault, Latency, Name, Retries, Shape, Share, clash, read_table
+from ..plan import Fault, InvalidPlanError, Latency, Name, Retries, Shape, Share, check_unique_names, read_table
 from ..simulated_servers import RESPONSE_FAULTS
 
 HOST = "lab.example"
@@ -174,7 +174,7 @@
 
 
 def targets(plan, text, rng):
-    """("node" | "server" | "platform", numbers) that a fault's target names; `BadPlan` for none."""
+    """("node" | "server" | "platform", numbers) that a fault's target names; `InvalidPlanError` for none."""
     head, _, which = text.partition(":")
     nodes, boxes = places(plan), servers(plan)
     if text == "platform":
@@ -197,41 +197,43 @@
     )
     if found and (head == "service") == bool(which):
         return "server", list(found)
-    raise BadPlan(f"{text!r} is no node:K, nodes, core, zone:ZONE, server:K, servers, service:NAME or platform")
+    raise InvalidPlanError(
+        f"{text!r} is no node:K, nodes, core, zone:ZONE, server:K, servers, service:NAME or platform"
+    )
 
 
 def check(plan):
     """The checks between keys. Returns the plan."""
     from random import Random
 
-    services, routes = clash(plan.services, "services"), clash(plan.routes, "routes")
-    tenants = clash(plan.tenants, "tenants")
-    clash(plan.streams, "streams")
+    services, routes = check_unique_names(plan.services, "services"), check_unique_names(plan.routes, "routes")
+    tenants = check_unique_names(plan.tenants, "tenants")
+    check_unique_names(plan.streams, "streams")
 
     def known(what, names, where):
         for name in names:
             if name not in what:
-                raise BadPlan(f"{where}: unknown {name!r}; there are {', '.join(sorted(what)) or 'none'}")
+                raise InvalidPlanError(f"{where}: unknown {name!r}; there are {', '.join(sorted(what)) or 'none'}")
 
     if plan.warmup_s >= plan.duration_s:
-        raise BadPlan(f"warmup_s: {plan.warmup_s:g} leaves nothing of duration_s {plan.duration_s:g}")
+        raise InvalidPlanError(f"warmup_s: {plan.warmup_s:g} leaves nothing of duration_s {plan.duration_s:g}")
     for k, group in enumerate(plan.pilots):
         known(plan.zones, [group.zone], f"pilots[{k}].zone")
     if not any(disk for _, disk in places(plan)):
-        raise BadPlan("pilots: none has a disk, so there is no core")
+        raise InvalidPlanError("pilots: none has a disk, so there is no core")
     for k, service in enumerate(plan.services):
         known(plan.zones, service.servers, f"services[{k}].servers")
         known(RESPONSE_FAULTS, service.spoils, f"services[{k}].spoils")
     for k, route in enumerate(plan.routes):
         if bool(route.service) == bool(route.shares):
-            raise BadPlan(f"routes[{k}].service: should stand there, or shares instead")
+            raise InvalidPlanError(f"routes[{k}].service: should stand there, or shares instead")
         known(services, [route.service] if route.service else route.shares, f"routes[{k}]")
     for k, stream in enumerate(plan.streams):
         known(routes, [stream.route], f"streams[{k}].route")
         known(tenants, stream.tenants, f"streams[{k}].tenants")
         known(plan.zones, stream.zones, f"streams[{k}].zones")
         if (stream.until_s or plan.duration_s) <= stream.from_s:
-            raise BadPlan(f"streams[{k}].until_s: not after from_s {stream.from_s:g}")
+            raise InvalidPlanError(f"streams[{k}].until_s: not after from_s {stream.from_s:g}")
     for k, order in enumerate(plan.orders):
         where = f"orders[{k}]"
         known(routes, [*order.move, *order.drop], where)
@@ -240,25 +242,25 @@
         if order.kind in ("empty", "return"):
             known(plan.zones, [order.zone], f"{where}.zone")
         if any(len(limit) != 2 for limit in order.limits.values()):
-            raise BadPlan(f"{where}.limits: each should be [per_s, burst]")
+            raise InvalidPlanError(f"{where}.limits: each should be [per_s, burst]")
     for k, fault in enumerate(plan.faults):
         where = f"faults[{k}]"
         try:
             kind, _ = targets(plan, fault.target, Random(0))
-        except BadPlan as trouble:
-            raise BadPlan(f"{where}.target: {trouble}") from None
+        except InvalidPlanError as trouble:
+            raise InvalidPlanError(f"{where}.target: {trouble}") from None
         knows = {"node": NODE_FAULTS, "server": SERVER_FAULTS, "platform": PLATFORM_FAULTS}[kind]
         if fault.kind not in knows:
-            raise BadPlan(f"{where}.kind: {fault.target} knows no {fault.kind!r}, only {', '.join(knows)}")
+            raise InvalidPlanError(f"{where}.kind: {fault.target} knows no {fault.kind!r}, only {', '.join(knows)}")
         if (fault.at_s if isinstance(fault.at_s, (int, float)) else fault.at_s[1]) >= plan.duration_s:
-            raise BadPlan(f"{where}.at_s: not before the end at {plan.duration_s:g} s")
+            raise InvalidPlanError(f"{where}.at_s: not before the end at {plan.duration_s:g} s")
     try:
         ip(plan.base)
     except ValueError as trouble:
-        raise BadPlan(f"base: {trouble}") from None
+        raise InvalidPlanError(f"base: {trouble}") from None
     read = configuration_reader.read(json.dumps(configuration(plan, 1)).encode())
     if read.is_err():
-        raise BadPlan(f"its configuration is not valid: {read.err_value}")
+        raise InvalidPlanError(f"its configuration is not valid: {read.err_value}")
     terms(plan)
     return plan
 
@@ -268,15 +270,15 @@
         return check(msgspec.convert(table, Experiment))
     except msgspec.ValidationError as trouble:
         where, reason = split_validation_error(trouble)
-        raise BadPlan(f"{where or 'the file'}: {reason}") from None
+        raise InvalidPlanError(f"{where or 'the file'}: {reason}") from None
 
 
 def read_plan(path):
     table = read_table(path)
     try:
         return parse(table)
-    except BadPlan as trouble:
-        raise BadPlan(f"{path}: {trouble}") from None
+    except InvalidPlanError as trouble:
+        raise InvalidPlanError(f"{path}: {trouble}") from None
 
 
 def terms(plan):
@@ -290,7 +292,7 @@
         }
     )
     if read.is_err():
-        raise BadPlan(f"guarantees: {read.err_value}")
+        raise InvalidPlanError(f"guarantees: {read.err_value}")
     return read.ok_value.guarantees
 
 
--- a/rampfront/lab/system/report.py
+++ b/rampfront/lab/system/report.py
@@ -9,7 +9,7 @@
 from ...settings import configuration_reader
 from .. import report as those
 from ..client import DECLINED, LOST, SETTLED
-from ..tally import Bucket
+from ..tally import TokenBucket
 from . import judge as judges
 
 MS, SEC = 10**6, 10**9
@@ -75,7 +75,7 @@
             rate, burst = told[now][1].get(one.tenant, (0.0, 0.0))
             if rate:
                 limited[number] = True
-                store = stores.setdefault(one.tenant, Bucket(rate, max(1.0, burst + rate / 10)))
+                store = stores.setdefault(one.tenant, TokenBucket(rate, max(1.0, burst + rate / 10)))
                 store.at, store.rate, store.burst = store.at or start, rate, max(1.0, burst + rate / 10)
                 if not store.take(1.0, at):
                     continue
@@ -207,7 +207,7 @@
         some = rows[mask]
         return {
             "offered": int(mask.sum()),
-            **those.counted(some["outcome"]),
+            **those.count_outcomes(some["outcome"]),
             "tries": int(some["tries"].sum()),
             "owed": int((mask & right).sum()),
             "worth": worth(mask),
@@ -223,7 +223,7 @@
         "seconds": plan.duration_s,
         "lag_ms": behind,
         "offered": int(steady.sum()),
-        **those.counted(rows["outcome"][steady]),
+        **those.count_outcomes(rows["outcome"][steady]),
         "worth": worth(steady),
         "refused_below_limit": below(rows, steady, right, limited),
         "refused": lagging(behind, plan),
--- a/rampfront/lab/system/request_cost.py
+++ b/rampfront/lab/system/request_cost.py
@@ -43,7 +43,7 @@
 
 
 def experiment(case: Case, rates: tuple[float, ...] = RATES, seconds: float = SECONDS) -> Experiment:
-    """One node, the case's servers, all with room, and a stream on the last route. Raises BadPlan."""
+    """One node, the case's servers, all with room, and a stream on the last route. Raises InvalidPlanError."""
     services = [f"service-{number}" for number in range(case.services)]
     each = case.servers // case.services // len(ZONES)
     return plans.parse(
--- a/rampfront/lab/system/run.py
+++ b/rampfront/lab/system/run.py
@@ -22,7 +22,7 @@
 from ...operator_cli.local_layout import Environment, LocalSystemError, Node, node_settings
 from ...operator_cli.local_system import LocalSystem, SystemSize
 from ...settings.scalars import parse_address
-from ..nodes import RunFailed, usage
+from ..nodes import RunFailedError, process_usage
 from ..platform import Platform, open_platform
 from ..simulated_servers import RESPONSE_FAULTS, Fleet, ServerProfile
 from . import plan as plans
@@ -138,7 +138,7 @@
 
     def fault(self, event):
         now = time.monotonic_ns()
-        self.told.append({**event.said(), "late_ms": round((now - self.begun - event.at) / MS, 1)})
+        self.told.append({**event.as_log_row(), "late_ms": round((now - self.begun - event.at) / MS, 1)})
         head, _, number = event.target.partition(":")
         if head == "node":
             self.at_node(event, self.nodes[int(number)], now)
@@ -156,7 +156,7 @@
             self.seen.troubles.append((self.since.pop(key, now), now))
         if event.kind in ("kill", "wipe", "stop"):
             if event.on:
-                self.spent[node.name] += usage(child.pid)[0]
+                self.spent[node.name] += process_usage(child.pid)[0]
                 child.send_signal(signal.SIGTERM if event.kind == "stop" else signal.SIGKILL)
                 self.down.add(node.name)
                 if event.kind == "stop":
@@ -272,7 +272,7 @@
             for box in self.fleet.servers.values()
         ]
         if self.defect is not None:
-            raise RunFailed(f"the laboratory failed: {self.defect!r}")
+            raise RunFailedError(f"the laboratory failed: {self.defect!r}")
         return crowd
 
     async def sample(self):
@@ -282,14 +282,14 @@
             for box in self.fleet.servers.values():
                 box.close_idle_connections()
             for name, child in self.children.items():
-                self.memory[name] = max(self.memory[name], usage(child.pid)[1])
+                self.memory[name] = max(self.memory[name], process_usage(child.pid)[1])
             await asyncio.sleep(0.5)
 
     def used(self, now):
         span = (now - self.begun) / SEC
         return {
             name: {
-                "cores": round((self.spent[name] + usage(child.pid)[0]) / span, 3),
+                "cores": round((self.spent[name] + process_usage(child.pid)[0]) / span, 3),
                 "mb_most": round(self.memory[name] / 1e6, 1),
             }
             for name, child in self.children.items()
@@ -311,7 +311,7 @@
     """`what(world)` in a loop of its own; everything that was started is ended behind it."""
     folder = Path(folder)
     if (folder / "report.json").exists():
-        raise RunFailed(f"{folder} holds a run already")
+        raise RunFailedError(f"{folder} holds a run already")
     folder.mkdir(parents=True, exist_ok=True)
     (folder / "plan.json").write_bytes(msgspec.json.format(msgspec.json.encode(plan)))
 
@@ -325,10 +325,12 @@
     try:
         return uvloop.run(act())
     except LocalSystemError as trouble:
-        raise RunFailed(str(trouble)) from None
+        raise RunFailedError(str(trouble)) from None
     except OSError as trouble:
         if trouble.errno == errno.EADDRINUSE:
-            raise RunFailed(f"an address is taken: another run at {plan.base}? `base` names other addresses") from None
+            raise RunFailedError(
+                f"an address is taken: another run at {plan.base}? `base` names other addresses"
+            ) from None
         raise
 
 
@@ -347,14 +349,16 @@
 
 async def phase(world, due, length, places):
     """One way at one rate: (rows, cores of each pilot)."""
-    before = [usage(child.pid)[0] for child in world.children.values()]
+    before = [process_usage(child.pid)[0] for child in world.children.values()]
     crowd = Crowd(world, due, time.monotonic_ns() + SEC // 4, [[Fixed(world, places)]])
     await asyncio.sleep(0.25 + length)
-    cores = [(usage(child.pid)[0] - was) / (length + 0.25) for child, was in zip(world.children.values(), before)]
+    cores = [
+        (process_usage(child.pid)[0] - was) / (length + 0.25) for child, was in zip(world.children.values(), before)
+    ]
     await crowd.over()
     crowd.pacer.end()
     if world.defect is not None:
-        raise RunFailed(f"the laboratory failed: {world.defect!r}")
+        raise RunFailedError(f"the laboratory failed: {world.defect!r}")
     await asyncio.sleep(0.3)
     return crowd.rows, cores
 
--- a/rampfront/lab/system/schedule.py
+++ b/rampfront/lab/system/schedule.py
@@ -9,7 +9,7 @@
 import numpy as np
 
 from .. import faults as those
-from ..schedule import SEC, moments
+from ..schedule import SEC, arrival_times
 from . import plan as plans
 
 
@@ -32,7 +32,9 @@
     parts = []
     for index, stream in enumerate(plan.streams):
         rng = np.random.Generator(np.random.PCG64([seed, index]))
-        at = moments(stream, stream.rate, stream.from_s, min(stream.until_s or plan.duration_s, plan.duration_s), rng)
+        at = arrival_times(
+            stream, stream.rate, stream.from_s, min(stream.until_s or plan.duration_s, plan.duration_s), rng
+        )
         n = len(at)
         public = next(route for route in plan.routes if route.name == stream.route).public
         tenants = [] if public and not stream.tenants else [tenant.name for tenant in plan.tenants]
@@ -97,7 +99,7 @@
     """Events in order of time: starts and ends, at every node or server that a fault's target names."""
     rng, events = Random(f"{seed}/faults"), []
     for number, fault in enumerate(plan.faults):
-        at, length, size = (those.draw(span, rng) for span in (fault.at_s, fault.for_s, fault.size))
+        at, length, size = (those.draw_value(span, rng) for span in (fault.at_s, fault.for_s, fault.size))
         head, some = plans.targets(plan, fault.target, rng)
         for k in some:
             name = f"{head}:{k}" if head != "platform" else head
--- a/rampfront/lab/tally.py
+++ b/rampfront/lab/tally.py
@@ -1,6 +1,6 @@
 """What the emulator counts: executions of txns, units let in by account, the counter's numbers. No I/O, no clock.
 
-`Runs` and `Admissions` are the ground truth that reports go by; they grow with the txns of a run, which ends.
+`Executions` and `Admissions` are the ground truth that reports go by; they grow with the txns of a run, which ends.
 """
 
 from array import array
@@ -9,26 +9,26 @@
 INQUIRY, REFERENCED, ONCE_ONLY = range(3)
 
 
-class Runs:
+class Executions:
     """How often each txn ran. `txn` is the client's own txn, the same over all of its tries."""
 
     def __init__(self):
-        self.once, self.kept, self.repeats = {}, {}, 0
+        self.once_only_counts, self.last_run_by_key, self.repeats = {}, {}, 0
 
-    def ran(self, effect, txn, key, window, now):
+    def record(self, effect, txn, key, window, now):
         """Counts one run. A referenced txn whose key ended well within its window is dropped as a repeat."""
         if effect == ONCE_ONLY:
-            self.once[txn] = self.once.get(txn, 0) + 1
+            self.once_only_counts[txn] = self.once_only_counts.get(txn, 0) + 1
         elif effect == REFERENCED:
-            if key in self.kept and now - self.kept[key] < window:
+            if key in self.last_run_by_key and now - self.last_run_by_key[key] < window:
                 self.repeats += 1
                 return False
-            self.kept[key] = now
+            self.last_run_by_key[key] = now
         return True
 
-    def twice(self):
+    def executed_more_than_once(self):
         """Once-only txns that ran more than once, with how often."""
-        return {txn: times for txn, times in self.once.items() if times > 1}
+        return {txn: times for txn, times in self.once_only_counts.items() if times > 1}
 
 
 class Admissions:
@@ -36,20 +36,20 @@
     X-Request-Id is of the same try and takes nothing."""
 
     def __init__(self):
-        self.when, self.account, self.units, self.seen, self.again = array("q"), array("l"), array("d"), set(), 0
+        self.times, self.account, self.units, self.seen, self.repeated = array("q"), array("l"), array("d"), set(), 0
 
-    def came(self, request, account, units, now):
+    def record(self, request, account, units, now):
         if request in self.seen:
-            self.again += 1
+            self.repeated += 1
             return False
         self.seen.add(request)
-        self.when.append(now)
+        self.times.append(now)
         self.account.append(account)
         self.units.append(units)
         return True
 
 
-class Store:
+class CounterStore:
     """The counter's numbers by name, each with its life. Emptied of what has run out as it is asked, and swept."""
 
     def __init__(self):
@@ -63,11 +63,11 @@
         row[0] += amount
         if now - self.swept > SEC:
             self.swept = now
-            self.rows = {key: kept for key, kept in self.rows.items() if kept[1] > now}
+            self.rows = {key: last_run_by_key for key, last_run_by_key in self.rows.items() if last_run_by_key[1] > now}
         return row[0]
 
 
-class Queue:
+class RateLimitedQueue:
     """Calls served in turn at a fixed rate: when a call that comes now is answered; None if it is turned away."""
 
     def __init__(self, per_s, longest_wait_ms):
@@ -81,12 +81,12 @@
         return self.free
 
 
-def total(number):
+def format_total(number):
     """A total as the counter words it: exact to ten digits."""
     return b"%.10g" % number
 
 
-class Bucket:
+class TokenBucket:
     """A quota's true store: starts full, fills at `rate`, holds `burst`. A try that fits takes its units; one that
     does not is beyond the quota and takes nothing."""
 
--- a/tests/helper.py
+++ b/tests/helper.py
@@ -122,7 +122,7 @@
         run = Repeat(told, told.seed if seed is None else seed, folder / f"run-{turn}").play()
         try:
             return report.write(run), run
-        except report.RunRefused:
+        except report.RunRefusedError:
             if turn == tries - 1:
                 raise
 
--- a/tests/journal/test_node_crashes.py
+++ b/tests/journal/test_node_crashes.py
@@ -41,7 +41,7 @@
 def test_a_full_disk_declines_once_only_transactions_serves_the_others_and_recovers(tmp_path):
     harness = Harness(tmp_path, 3)
     thread = threading.Thread(target=harness.loop.run_forever)
-    node = harness.node.start().ready()
+    node = harness.node.start().wait_until_ready()
     thread.start()
     try:
         call = http.client.HTTPConnection(node.listen, timeout=5)
@@ -51,7 +51,7 @@
         refused = [answer for answer in answers if answer.status == 429]
         assert len(refused) > 10 and {answer.status for answer in answers} == {200, 429}
         assert answers[-1].getheader("Retry-After") and answers[-1].status == 429
-        ran = dict(harness.lab.runs.once)
+        ran = dict(harness.emulator.executions.once_only_counts)
         assert all(f"b{number}" not in ran for number, answer in enumerate(answers) if answer.status == 429)
         resource.prlimit(node.process.pid, resource.RLIMIT_FSIZE, (resource.RLIM_INFINITY, resource.RLIM_INFINITY))
         until = time.monotonic() + 5
@@ -59,11 +59,11 @@
             assert time.monotonic() < until
             time.sleep(0.1)
         node.end()
-        assert max(harness.lab.runs.once.values()) == 1 and node.totals()["journal_refused"] >= 1
+        assert max(harness.emulator.executions.once_only_counts.values()) == 1 and node.totals()["journal_refused"] >= 1
         found = read_journal(tmp_path / "journal-0")
         assert not found.damage
         recorded = {entry.intent.transaction_id for entry in found.entries.values()}
-        assert recorded >= set(harness.lab.runs.once)
+        assert recorded >= set(harness.emulator.executions.once_only_counts)
     finally:
         node.end()
         harness.loop.call_soon_threadsafe(harness.loop.stop)
--- a/tests/syslog_messages/test_collector_outages.py
+++ b/tests/syslog_messages/test_collector_outages.py
@@ -51,16 +51,16 @@
     async def script(sender, collector):
         await decline_steadily(sender, 500, 0.5)
         await all_delivered(sender, collector, 300)
-        collector.leave(abort)
+        collector.disconnect(abort)
         await decline_steadily(sender, 3000, 3.0)
         assert sender.state()["disk_bytes"] > 0
-        await collector.back()
+        await collector.listen_again()
         await decline_steadily(sender, 500, 0.5)
         await all_delivered(sender, collector, 4000)
         return sender.state(), collector
 
     state, collector = play(script, buffer_folder=tmp_path / "spill", max_queued_messages=400)
-    assert state["dropped"] == 0 and collector.counts["malformed"] == 0, (state, collector.troubles)
+    assert state["dropped"] == 0 and collector.counts["malformed"] == 0, (state, collector.errors)
     element = f"decision@{DOCUMENTATION_ENTERPRISE_NUMBER}"
     received = [dict(message.structured_data[element]) for message in collector.messages]
     numbers = [int(decision["txn"][1:]) for decision in received]
@@ -91,12 +91,12 @@
 @pytest.mark.slow(5)
 def test_messages_that_do_not_fit_are_counted_as_dropped(tmp_path, play):
     async def script(sender, collector):
-        collector.leave()
+        collector.disconnect()
         await asyncio.sleep(0.1)
         await decline_steadily(sender, 2000, 1.0)
         await asyncio.sleep(0.2)
         before = sender.state()
-        await collector.back()
+        await collector.listen_again()
         await all_delivered(sender, collector, before["offered"] - before["dropped"])
         return before, collector
 
--- a/tests/test_epoch.py
+++ b/tests/test_epoch.py
@@ -10,7 +10,7 @@
 from rampfront import epoch
 from rampfront.lab import report
 from rampfront.lab.plan import changed, read_plan
-from rampfront.lab.tally import Store
+from rampfront.lab.tally import CounterStore
 from rampfront.state import Account, RateCounts, Window
 
 SEC = 10**9
@@ -21,7 +21,7 @@
 
     def __init__(self, nodes):
         self.marks = [epoch.Marks(nodes, lambda low, high, k=k: 0.1 + 0.1 * k, k) for k in range(nodes)]
-        self.stores, self.said, self.second = [Store()] * nodes, [[] for _ in range(nodes)], 100
+        self.stores, self.said, self.second = [CounterStore()] * nodes, [[] for _ in range(nodes)], 100
 
     def slices(self, count, alive=None, silent=False):
         for _ in range(count):
@@ -45,7 +45,7 @@
 
 def test_a_new_counter_is_known_by_every_node_within_a_slice():
     fleet = Fleet(3).slices(5)
-    fleet.stores = [Store()] * 3
+    fleet.stores = [CounterStore()] * 3
     fleet.slices(1)
     assert fleet.said == [[(epoch.NEW, 3)]] * 3  # and not taken for a split
     fleet.slices(10)
@@ -56,14 +56,14 @@
     fleet = Fleet(2)
     fleet.second = 30 * 5 - 4
     fleet.slices(3)  # the next slice is the first of a term
-    fleet.stores = [Store()] * 2
+    fleet.stores = [CounterStore()] * 2
     fleet.slices(4)
     assert fleet.said == [[(epoch.NEW, 2)]] * 2
 
 
 def test_a_split_leaves_each_half_its_nodes_part_and_repair_takes_it_back():
     fleet = Fleet(3).slices(5)
-    whole, twin = fleet.stores[0], Store()
+    whole, twin = fleet.stores[0], CounterStore()
     twin.rows = {name: list(row) for name, row in whole.rows.items()}
     fleet.stores = [whole, twin, whole]
     fleet.slices(3)
@@ -126,11 +126,13 @@
     )
     done, folder = experiment(told, tmp_path, 1)
     admitted = np.load(folder / "admissions.npy")
-    strict = report.between(admitted, told, "flood-0", at, at + length)
-    over = report.between(
+    strict = report.overshoot_between(admitted, told, "flood-0", at, at + length)
+    over = report.overshoot_between(
         admitted, told, "flood-0", at, at + length, burst=True
     )  # of its allowance: burst + rate * time
-    after = report.between(admitted, told, "flood-0", duration - 5.0, duration, burst=True)  # what it left unused
+    after = report.overshoot_between(
+        admitted, told, "flood-0", duration - 5.0, duration, burst=True
+    )  # what it left unused
     print(
         f"\ncounter {name}: overshoot of flood-0 {over:.2f} % of its allowance while the fault stood ({strict:.2f} % of its rate "
         f"alone), {after:.2f} % at the end (emulated)"
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -10,9 +10,9 @@
 
 from rampfront.cli import app
 from rampfront.lab import compare, faults, nodes, plots, report, schedule, tally
-from rampfront.lab.emulator import parse
-from rampfront.lab.nodes import RunFailed
-from rampfront.lab.plan import BadPlan, changed, lay_over, parse_plan, read_plan
+from rampfront.lab.emulator import parse_resp_array
+from rampfront.lab.nodes import RunFailedError
+from rampfront.lab.plan import InvalidPlanError, changed, merge_tables, parse_plan, read_plan
 from rampfront.lab.run import Repeat
 from rampfront.lab.server_model import SEC, Job, ServerModel
 
@@ -75,13 +75,13 @@
 )
 def test_a_faulty_file_is_named_by_key(old, new, said):
     text = BASE.replace(old, new, 1) if old else BASE + new
-    with pytest.raises(BadPlan) as trouble:
+    with pytest.raises(InvalidPlanError) as trouble:
         parse_plan(text)
     assert said in str(trouble.value)
 
 
 def test_settings_are_laid_over_key_by_key():
-    assert lay_over({"a": {"b": 1, "c": 2}, "d": 3}, {"a": {"c": 4}}) == {"a": {"b": 1, "c": 4}, "d": 3}
+    assert merge_tables({"a": {"b": 1, "c": 2}, "d": 3}, {"a": {"c": 4}}) == {"a": {"b": 1, "c": 4}, "d": 3}
 
 
 def test_same_seed_same_fault_timeline():
@@ -112,22 +112,22 @@
 
 
 def test_the_counter_forgets_names_and_turns_calls_away():
-    store = tally.Store()
+    store = tally.CounterStore()
     assert [store.add(b"n", 2.5, SEC, t) for t in (0, SEC - 1)] == [2.5, 5.0]
     assert store.add(b"n", 1.0, SEC, 2 * SEC) == 1.0
-    queue = tally.Queue(10.0, 150.0)
+    queue = tally.RateLimitedQueue(10.0, 150.0)
     assert [queue.take(0) for _ in range(4)] == [SEC / 10, SEC / 5, None, None]
-    assert parse(b"*2\r\n$4\r\nPING\r\n$1\r\nx\r\n*1\r\n$", 0) == ([b"PING", b"x"], 21)
-    assert parse(b"*1\r\n$4\r\nPI", 0) == (None, 0)
+    assert parse_resp_array(b"*2\r\n$4\r\nPING\r\n$1\r\nx\r\n*1\r\n$", 0) == ([b"PING", b"x"], 21)
+    assert parse_resp_array(b"*1\r\n$4\r\nPI", 0) == (None, 0)
 
 
 def test_runs_tell_a_second_run_from_a_dropped_repeat():
-    runs = tally.Runs()
-    runs.ran(tally.ONCE_ONLY, "a", None, 0, 0)
-    assert runs.twice() == {}
-    runs.ran(tally.ONCE_ONLY, "a", None, 0, 1)
-    assert runs.twice() == {"a": 2}
-    assert [runs.ran(tally.REFERENCED, "b", b"k", SEC, t) for t in (0, SEC // 2, 2 * SEC)] == [True, False, True]
+    runs = tally.Executions()
+    runs.record(tally.ONCE_ONLY, "a", None, 0, 0)
+    assert runs.executed_more_than_once() == {}
+    runs.record(tally.ONCE_ONLY, "a", None, 0, 1)
+    assert runs.executed_more_than_once() == {"a": 2}
+    assert [runs.record(tally.REFERENCED, "b", b"k", SEC, t) for t in (0, SEC // 2, 2 * SEC)] == [True, False, True]
 
 
 def test_workers_share_an_open_loop_schedule():
@@ -153,7 +153,7 @@
     row = report.overshoot(admitted, told, 10.0)[0]
     assert (row["units"], row["allowance"], row["overshoot_pct"]) == (40.0, 30.0, pytest.approx(33.333, abs=1e-3))
     assert row["beyond_store"] == 11  # a bucket holds 10 and 2 a second from the first txn on
-    assert report.between(admitted, told, "ordinary-0", 5, 10) == pytest.approx(100.0)
+    assert report.overshoot_between(admitted, told, "ordinary-0", 5, 10) == pytest.approx(100.0)
 
 
 def said(settled, p99, seed):
@@ -183,7 +183,7 @@
     assert rows["p99 ms"]["verdict"] == "no difference shown" and rows["p99 ms"]["half"] > 5
     assert compare.compare_reports(first[:1], second[:1])["rows"][0]["verdict"] == "one repeat, no interval"
     assert plots.comparison(done, tmp_path / "c.png").stat().st_size > 5000
-    with pytest.raises(RunFailed, match="no seed"):
+    with pytest.raises(RunFailedError, match="no seed"):
         compare.compare_reports(first[:1], second[1:])
 
 
@@ -242,7 +242,7 @@
         sock.bind(("127.0.0.1", 0))
         port = sock.getsockname()[1]
     assert nodes.free_port(low=port, high=port + 1) == port
-    with pytest.raises(RunFailed, match=f"no port between {port} and {port + 1}"):
+    with pytest.raises(RunFailedError, match=f"no port between {port} and {port + 1}"):
         nodes.free_port(low=port, high=port + 1)
 
 
@@ -253,7 +253,9 @@
     monkeypatch.setattr(nodes, "free_port", lambda: port)
     told = plan(duration_s=1.0)
     told = changed(told, topology=type(told.topology)(nodes=2, boxes=told.topology.boxes))
-    with pytest.raises(RunFailed, match=r"(?s)node \d (ended by itself with status 1|did not become).*cannot listen"):
+    with pytest.raises(
+        RunFailedError, match=r"(?s)node \d (ended by itself with status 1|did not become).*cannot listen"
+    ):
         Repeat(told, told.seed, tmp_path).play()
 
 
@@ -301,7 +303,7 @@
     told = plan(duration_s=1.0)
     told = changed(told, load=type(told.load)(streams=told.load.streams, most_lag_ms=0.001))
     folder = Repeat(told, 1, tmp_path / "run").play()
-    with pytest.raises(report.RunRefused, match="most_lag_ms 0.001"):
+    with pytest.raises(report.RunRefusedError, match="most_lag_ms 0.001"):
         report.summarize(folder)
     assert CliRunner().invoke(app, ["report", "show", str(folder)]).exit_code == 3
 
@@ -321,5 +323,5 @@
     told = read_plan(tmp_path / "more.toml")
     assert (told.seed, told.topology.nodes, told.topology.boxes[0].count) == (9, 2, 3)
     (tmp_path / "ring.toml").write_text('extends = "ring.toml"\n')
-    with pytest.raises(BadPlan, match="four deep"):
+    with pytest.raises(InvalidPlanError, match="four deep"):
         read_plan(tmp_path / "ring.toml")
--- a/tests/test_lab_system.py
+++ b/tests/test_lab_system.py
@@ -12,7 +12,7 @@
 from rampfront.cli import app
 from rampfront.consensus.record_store import RecordStore
 from rampfront.lab.client import DECLINED, ROW, SETTLED
-from rampfront.lab.plan import BadPlan
+from rampfront.lab.plan import InvalidPlanError
 from rampfront.lab.simulated_servers import ExecutedRequest, ServerProfile, expected_response
 from rampfront.lab.system import machine, report, run, schedule
 from rampfront.lab.system import plan as plans
@@ -56,7 +56,7 @@
     ],
 )
 def test_a_faulty_experiment_is_named_by_its_key(more, said):
-    with pytest.raises(BadPlan) as trouble:
+    with pytest.raises(InvalidPlanError) as trouble:
         plan(**more)
     assert said in str(trouble.value)
 
--- a/tests/test_mqtt.py
+++ b/tests/test_mqtt.py
@@ -22,7 +22,7 @@
 from rampfront.config import ConfigFileError, parse_toml
 from rampfront.edge.configuration import read_configuration
 from rampfront.edge.configuration_checks import ConfigurationError
-from rampfront.lab.emulator import Lab
+from rampfront.lab.emulator import Emulator
 from rampfront.lab.nodes import Node
 from rampfront.lab.plan import changed, read_plan
 from rampfront.mqtt import codec as c
@@ -214,7 +214,7 @@
         self.loop, up, self.clients = uvloop.new_event_loop(), threading.Event(), []
 
         def serve():
-            self.lab = self.loop.run_until_complete(Lab(self.loop, self.plan, 1, open("/dev/null", "wb")).listen())
+            self.lab = self.loop.run_until_complete(Emulator(self.loop, self.plan, 1, open("/dev/null", "wb")).listen())
             up.set()
             self.loop.run_forever()
 
@@ -223,10 +223,10 @@
         up.wait()
         self.nodes = [Node(self.plan, k, self.lab.addresses(), 1, folder) for k in range(nodes)]
         for node in self.nodes:
-            node.start().ready()
+            node.start().wait_until_ready()
 
     def fault(self, **more):
-        for box in self.lab.boxes:
+        for box in self.lab.servers:
             for key, value in more.items():
                 self.loop.call_soon_threadsafe(setattr, box, key, value)
 
@@ -377,7 +377,7 @@
         client.publish(f"{what}/0/{k}", b"" if what == "fetch" else b"x", qos=1 + k % 2).mid
         for k, what in enumerate(("ledger-entry", "ledger-entry", "publish", "fetch"))
     ]
-    until(lambda: sum(box.counts["hung"] for box in f.lab.boxes) >= 4)
+    until(lambda: sum(box.counts["hung"] for box in f.lab.servers) >= 4)
     f.nodes[0].process.send_signal(signal.SIGKILL)
     f.nodes[0].process.wait()
     f.fault(hang=False)
@@ -468,7 +468,7 @@
     mids = [client.publish(f"ledger-entry/0/{k}", b"x", qos=k % 2).mid for k in range(300)]
     until(lambda: len(client.acks) == 300)
     assert f.lab.state()["once_only"] == {"txns": 300, "runs": 300, "twice": {}} and len(mids) == 300
-    assert max(box.server_model.most_working for box in f.lab.boxes) <= 4
+    assert max(box.server_model.most_working for box in f.lab.servers) <= 4
     f.nodes[0].end()
     assert f.nodes[0].process.returncode == 0
     until(lambda: client.gone)
--- a/tests/test_storm.py
+++ b/tests/test_storm.py
@@ -151,15 +151,15 @@
 def test_a_reconnect_wave_is_survived_within_descriptors(tmp_path):
     import uvloop
 
-    from rampfront.lab.emulator import Lab
-    from rampfront.lab.nodes import Node, descriptors, get
+    from rampfront.lab.emulator import Emulator
+    from rampfront.lab.nodes import Node, http_request, open_descriptors
 
     told = read_plan(EXPERIMENTS / "storm-30.toml")
     told = changed(told, topology=msgspec.structs.replace(told.topology, nodes=1), faults=[])
     loop = uvloop.new_event_loop()
-    lab = loop.run_until_complete(Lab(loop, told, 1, open("/dev/null", "wb")).listen())
+    lab = loop.run_until_complete(Emulator(loop, told, 1, open("/dev/null", "wb")).listen())
     node = Node(told, 0, lab.addresses(), 1, tmp_path)
-    node.told["limits"]["sockets"] = 1024
+    node.configuration["limits"]["sockets"] = 1024
     node.start()
 
     async def wave():
@@ -186,7 +186,7 @@
         said, most = [], 0
         tasks = [loop.create_task(one(k)) for k in range(3000)]
         while not all(task.done() for task in tasks):
-            most = max(most, descriptors(node.process.pid))
+            most = max(most, open_descriptors(node.process.pid))
             await asyncio.sleep(0.02)
         said = [task.result() for task in tasks]
         await asyncio.sleep(1.5)
@@ -194,7 +194,7 @@
 
     def ready():
         try:
-            return get(node.listen, "/-/ready", wait=0.5)[0] == 200
+            return http_request(node.listen, "/-/ready", wait=0.5)[0] == 200
         except OSError:
             return False
 
