--- a/rampfront/lab/emulator.py
+++ b/rampfront/lab/emulator.py
@@ -21,7 +21,7 @@
 from . import tally
 from .collector import Collector
 from .faults import Event, timeline
-from .http import Listener, Request, Side, StandIn, Worker, reset, run_until_stopped
+from .http import AppServerBase, Connection, HttpServerBase, Listener, Request, reset, run_until_stopped
 from .plan import named_servers
 from .server_model import GONE, MS, SEC, Job, ServerModel
 
@@ -42,7 +42,7 @@
 )
 
 
-class EmulatedServer(Worker):
+class EmulatedServer(AppServerBase):
     """One registry box: a listener, a station, and the faults that stand."""
 
     def __init__(self, emulator, number, uid, group):
@@ -50,14 +50,14 @@
         self.clock, self.timers = emulator.clock, emulator.timers
         self.rng = Random(f"{emulator.seed}/box/{number}")
         super().__init__(ServerModel(group, self.rng, self.clock()), dict.fromkeys(COUNTED, 0))
-        self.boot, self.state = 0, "in_service"
-        self.listener = Listener(emulator.loop, lambda: Side(self), emulator.host)
+        self.started_at_ms, self.state = 0, "in_service"
+        self.listener = Listener(emulator.loop, lambda: Connection(self), emulator.host)
         self.hang = self.down = False
-        self.error_share = self.away_share = self.drop_after = 0.0
+        self.error_share = self.turn_away_share = self.drop_after_s = 0.0
         self.drained_at = None
         self.last_drained_arrival = None
 
-    def row(self):
+    def as_listing_entry(self):
         return {
             "uid": self.uid,
             "endpoint": self.listener.address,
@@ -66,26 +66,30 @@
             "pod_group": 0,
             "state": self.state,
             "capacity_hint": 1.0,
-            "boot_ms": self.boot,
+            "boot_ms": self.started_at_ms,
         }
 
     # ---- connections
 
-    def refuses(self) -> bool:
+    def refuses_connections(self) -> bool:
         """Whether a connection that comes now is reset."""
         return self.down
 
-    def sweep(self) -> None:
+    def close_idle_connections(self) -> None:
         """Ends idle connections, or forgets them, as the fault that stands asks."""
         now = self.clock()
-        for side in list(self.sides):
-            if side.busy is None and now - side.since > self.group.idle_s * SEC:
-                side.transport.close()
-            elif self.drop_after and side.busy is None and now - side.since > abs(self.drop_after) * SEC:
-                if self.drop_after > 0:
-                    side.dropped = True  # silently: the far end is not told
+        for connection in list(self.connections):
+            if connection.pending_request is None and now - connection.last_active_at > self.group.idle_s * SEC:
+                connection.transport.close()
+            elif (
+                self.drop_after_s
+                and connection.pending_request is None
+                and now - connection.last_active_at > abs(self.drop_after_s) * SEC
+            ):
+                if self.drop_after_s > 0:
+                    connection.dropped = True  # silently: the far end is not told
                 else:
-                    side.transport.close()
+                    connection.transport.close()
 
     # ---- txns
 
@@ -95,129 +99,135 @@
             if self.hang:
                 return None
             load = {"inflight": self.server_model.working, "queue": len(self.server_model.queue)}
-            return request.side.answer(200, orjson.dumps(load))
+            return request.connection.respond(200, orjson.dumps(load))
         now, counts = self.clock(), self.counts
         request_id = request.fields.get(b"x-request-id")
         if not request_id:
-            return request.side.answer(404)
+            return request.connection.respond(404)
         counts["arrived"] += 1
         if self.drained_at is not None:
             counts["after_drain"] += 1
             self.last_drained_arrival = now - self.drained_at
-        self.emulator.admit(request, request_id, now)
-        if len(self.sides) > self.group.connections or self.away_share and self.rng.random() < self.away_share:
+        self.emulator.record_admission(request, request_id, now)
+        if (
+            len(self.connections) > self.group.connections
+            or self.turn_away_share
+            and self.rng.random() < self.turn_away_share
+        ):
             counts["turned_away"] += 1
-            return request.side.answer(503, b"", NOT_RUN)
+            return request.connection.respond(503, b"", NOT_RUN)
         if self.error_share and self.rng.random() < self.error_share:
             counts["errors"] += 1  # it may have run: it did
-            self.emulator.run(request, now)
-            return request.side.answer(500)
-        job = request.side.mark = Job(request)
-        begun = self.server_model.arrive(job, now)
-        if begun is None:
+            self.emulator.record_execution(request, now)
+            return request.connection.respond(500)
+        job = request.connection.job = Job(request)
+        started = self.server_model.arrive(job, now)
+        if started is None:
             counts["turned_away"] += 1
-            return request.side.answer(503, b"", NOT_RUN)
-        self.work(begun, now)
+            return request.connection.respond(503, b"", NOT_RUN)
+        self.start_jobs(started, now)
 
-    def work(self, jobs, now):
+    def start_jobs(self, jobs, now):
         for job in jobs:
-            self.emulator.run(job.about, now)  # from here on it has run, whatever becomes of its answer
-            if job.due - now < MS // 4:
-                self.finish(job)
+            self.emulator.record_execution(job.payload, now)  # from here on it has run, whatever becomes of its answer
+            if job.completes_at - now < MS // 4:
+                self.finish_job(job)
             else:
-                self.timers.at(job.due, self.finish, job)
+                self.timers.at(job.completes_at, self.finish_job, job)
 
-    def finish(self, job):
+    def finish_job(self, job):
         if job.state == GONE:
             return
         now = self.clock()
-        following = self.server_model.finish(job, now)
-        side = job.about.side
+        started = self.server_model.finish(job, now)
+        connection = job.payload.connection
         if self.hang:
             self.counts["hung"] += 1
-        elif side.busy is job.about:
+        elif connection.pending_request is job.payload:
             self.counts["answered"] += 1
-            side.mark = None
-            side.answer(200, self.emulator.body(self.group.body_bytes))
-        self.work(following, now)
+            connection.job = None
+            connection.respond(200, self.emulator.body_of_size(self.group.body_bytes))
+        self.start_jobs(started, now)
 
     # ---- faults
 
     def fault(self, event):
         on = event.on
         if event.kind == "slow":
-            self.server_model.factor = event.size or 4.0 if on else 1.0
+            self.server_model.slow_factor = event.size or 4.0 if on else 1.0
         elif event.kind == "hang":
             self.hang = on
             if not on:  # what it held is never answered: a hung process was replaced
-                for side in [side for side in self.sides if side.busy is not None]:
-                    reset(side.transport)
+                for connection in [
+                    connection for connection in self.connections if connection.pending_request is not None
+                ]:
+                    reset(connection.transport)
         elif event.kind == "errors":
             self.error_share = (event.size or 1.0) if on else 0.0
         elif event.kind == "turn_away":
-            self.away_share = (event.size or 1.0) if on else 0.0
+            self.turn_away_share = (event.size or 1.0) if on else 0.0
         elif event.kind in ("drop_idle", "close_idle"):
             sign = 1.0 if event.kind == "drop_idle" else -1.0
-            self.drop_after = sign * (event.size or 0.5) if on else 0.0
+            self.drop_after_s = sign * (event.size or 0.5) if on else 0.0
         elif event.kind == "drain":
             self.state = "terminating" if on else "in_service"
             self.drained_at = None
-            self.emulator.discovery.change(self, self.emulator.plan.topology.discovery.notice_s)
+            self.emulator.discovery.announce_change(self, self.emulator.plan.topology.discovery.notice_s)
             if on:
-                self.timers.after(round(self.emulator.plan.topology.discovery.notice_s * SEC), self.drained)
+                self.timers.after(round(self.emulator.plan.topology.discovery.notice_s * SEC), self.on_notice_elapsed)
         elif event.kind in ("refuse", "crash"):
             self.down = on
             if on:
                 self.listener.close()
                 for job in self.server_model.crash(self.clock()) if event.kind == "crash" else ():
                     self.counts["lost"] += 1
-                self.cut()
+                self.reset_connections()
             else:
-                self.emulator.loop.create_task(self.back(event.kind == "crash"))
+                self.emulator.loop.create_task(self.reopen(event.kind == "crash"))
 
-    def drained(self):
+    def on_notice_elapsed(self):
         if self.state == "terminating":
             self.drained_at = self.clock()
 
-    async def back(self, cold):
+    async def reopen(self, cold):
         if cold:
             self.server_model = ServerModel(self.group, self.rng, self.clock(), warm=False)
-            self.boot = self.clock() // MS
-            self.emulator.discovery.change(self, self.emulator.plan.topology.discovery.notice_s)
+            self.started_at_ms = self.clock() // MS
+            self.emulator.discovery.announce_change(self, self.emulator.plan.topology.discovery.notice_s)
         await self.listener.open()
 
 
-class CounterSide(asyncio.Protocol):
+class CounterConnection(asyncio.Protocol):
     """One connection of a node to the counter: RESP2 arrays in, answers in their order."""
 
-    def __init__(self, counter, node):
-        self.counter, self.node, self.rest, self.transport = counter, node, b"", None
-        self.tail = 0  # when the last answer on this connection is due
+    def __init__(self, counter, node_index):
+        self.counter, self.node_index, self.unparsed, self.transport = counter, node_index, b"", None
+        self.last_reply_at = 0  # when the last answer on this connection is due
 
     def connection_made(self, transport):
         self.transport = transport
-        self.counter.sides[self] = None
+        self.counter.connections[self] = None
         if self.counter.down:
             reset(transport)
 
-    def connection_lost(self, trouble):
-        self.counter.sides.pop(self, None)
+    def connection_lost(self, error):
+        self.counter.connections.pop(self, None)
 
     def data_received(self, data):
-        data, at = self.rest + data, 0
+        data, at = self.unparsed + data, 0
         while at < len(data):
             try:
-                parts, at = parse_resp_array(data, at)
+                arguments, at = parse_resp_array(data, at)
             except ValueError:
                 return reset(self.transport)
-            if parts is None:
+            if arguments is None:
                 break
-            self.counter.call(self, parts)
-        self.rest = data[at:]
+            self.counter.execute(self, arguments)
+        self.unparsed = data[at:]
 
-    def say(self, text):
+    def reply(self, response):
         if not self.transport.is_closing():
-            self.transport.write(text)
+            self.transport.write(response)
 
 
 def parse_resp_array(data, at):
@@ -227,7 +237,7 @@
         return None, at
     if data[at : at + 1] != b"*":
         raise ValueError("no array")
-    parts, here = [], end + 2
+    arguments, here = [], end + 2
     for _ in range(int(data[at + 1 : end])):
         end = data.find(b"\r\n", here)
         if end < 0:
@@ -237,9 +247,9 @@
         length = int(data[here + 1 : end])
         if len(data) < end + 4 + length:
             return None, at
-        parts.append(data[end + 2 : end + 2 + length])
+        arguments.append(data[end + 2 : end + 2 + length])
         here = end + 4 + length
-    return parts, here
+    return arguments, here
 
 
 class Counter:
@@ -251,39 +261,43 @@
         self.model = emulator.plan.topology.counter_model
         self.stores, self.halves = [tally.CounterStore()], ()
         self.queue = tally.RateLimitedQueue(self.model.per_s, self.model.longest_wait_ms)
-        self.sides, self.down, self.silent, self.extra = {}, False, False, 0
+        self.connections, self.down, self.silent, self.extra_delay_ns = {}, False, False, 0
         self.counts = dict.fromkeys(("calls", "busy", "unheard", "odd"), 0)
         self.listeners = [
-            Listener(emulator.loop, lambda k=k: CounterSide(self, k), emulator.host)
+            Listener(emulator.loop, lambda k=k: CounterConnection(self, k), emulator.host)
             for k in range(emulator.plan.topology.nodes)
         ]
 
-    def call(self, side, parts):
-        now, word = self.clock(), parts[0].upper()
-        if word == b"ADDGET" and len(parts) == 4:
+    def execute(self, connection, arguments):
+        now, command = self.clock(), arguments[0].upper()
+        if command == b"ADDGET" and len(arguments) == 4:
             self.counts["calls"] += 1
             if self.silent:
                 self.counts["unheard"] += 1
                 return
             try:
-                amount, life = float(parts[2]), int(parts[3]) * MS
+                amount, life = float(arguments[2]), int(arguments[3]) * MS
             except ValueError:
                 self.counts["odd"] += 1
-                return side.say(b"-ERR odd number\r\n")
+                return connection.reply(b"-ERR odd number\r\n")
             due = self.queue.take(now)
             if due is None:
                 self.counts["busy"] += 1
-                text, due = b"-BUSY\r\n", now
+                response, due = b"-BUSY\r\n", now
             else:
-                store = self.stores[self.halves[side.node] if self.halves else 0]
-                said = tally.format_total(store.add(parts[1], amount, life, now))
-                text = b"$%d\r\n%s\r\n" % (len(said), said)
-            due = side.tail = max(side.tail, round(due + self.model.latency_ms * MS) + self.extra)
-            return self.timers.at(due, side.say, text)
+                store = self.stores[self.halves[connection.node_index] if self.halves else 0]
+                total = tally.format_total(store.add(arguments[1], amount, life, now))
+                response = b"$%d\r\n%s\r\n" % (len(total), total)
+            due = connection.last_reply_at = max(
+                connection.last_reply_at, round(due + self.model.latency_ms * MS) + self.extra_delay_ns
+            )
+            return self.timers.at(due, connection.reply, response)
         if not self.silent:
             known = {b"PING": b"+PONG\r\n", b"CLIENT": b"+OK\r\n", b"SELECT": b"+OK\r\n"}
-            text = known.get(word, b"-ERR unknown call\r\n")
-            side.say(text) if side.tail <= now else self.timers.at(side.tail, side.say, text)
+            response = known.get(command, b"-ERR unknown call\r\n")
+            connection.reply(response) if connection.last_reply_at <= now else self.timers.at(
+                connection.last_reply_at, connection.reply, response
+            )
 
     def fault(self, event):
         on = event.on
@@ -292,99 +306,103 @@
             if on:
                 for listener in self.listeners:
                     listener.close()
-                self.cut()
+                self.reset_connections()
             else:
                 for listener in self.listeners:
                     self.emulator.loop.create_task(listener.open())
         elif event.kind == "silent":
             self.silent = on
         elif event.kind == "slow":
-            self.extra = round((event.size or 200.0) * MS) if on else 0
+            self.extra_delay_ns = round((event.size or 200.0) * MS) if on else 0
         elif event.kind == "restart":
             self.stores = [tally.CounterStore() for _ in self.stores]
-            self.cut()
+            self.reset_connections()
         elif event.kind == "split":
             if on:
-                twin = tally.CounterStore()
-                twin.rows = {name: list(row) for name, row in self.stores[0].rows.items()}
-                self.stores, self.halves = [self.stores[0], twin], event.halves
+                copy = tally.CounterStore()
+                copy.rows = {name: list(row) for name, row in self.stores[0].rows.items()}
+                self.stores, self.halves = [self.stores[0], copy], event.halves
             else:
                 self.stores, self.halves = self.stores[:1], ()
 
-    def cut(self):
-        for side in list(self.sides):
-            reset(side.transport)
+    def reset_connections(self):
+        for connection in list(self.connections):
+            reset(connection.transport)
 
 
-class Discovery(StandIn):
+class Discovery(HttpServerBase):
     """The server list: whole on request, and a watch. `stale` freezes what it tells; `down` and `silent` say nothing."""
 
     def __init__(self, emulator):
         super().__init__()
         self.emulator, self.clock, self.timers = emulator, emulator.clock, emulator.timers
-        self.listener = Listener(emulator.loop, lambda: Side(self), emulator.host)
-        self.rev, self.told, self.changes = 1, {}, []  # rows as told by uid; (rev, row), bounded
+        self.listener = Listener(emulator.loop, lambda: Connection(self), emulator.host)
+        self.revision, self.listed_rows, self.recent_changes = 1, {}, []  # rows as told by uid; (rev, row), bounded
         self.watches = {}
         self.down = self.silent = self.stale = False
-        self.waiting = []  # boxes that changed while the list was frozen
+        self.pending_servers = []  # boxes that changed while the list was frozen
 
     def start(self):
-        self.told = {server.uid: server.row() for server in self.emulator.servers}
-        self.beat()
+        self.listed_rows = {server.uid: server.as_listing_entry() for server in self.emulator.servers}
+        self.send_heartbeat()
 
-    def refuses(self) -> bool:
+    def refuses_connections(self) -> bool:
         """Whether a connection that comes now is reset."""
         return self.down
 
-    def parted(self, side: Side, busy: Request | None) -> None:
+    def on_connection_closed(self, connection: Connection, pending_request: Request | None) -> None:
         """A connection ended, and the watch on it."""
-        super().parted(side, busy)
-        self.watches.pop(side, None)
+        super().on_connection_closed(connection, pending_request)
+        self.watches.pop(connection, None)
 
-    def listing(self, rows, whole):
-        return orjson.dumps({"rev": self.rev, "all": whole, "targets": rows}) + b"\n"
+    def encode_listing(self, rows, complete):
+        return orjson.dumps({"rev": self.revision, "all": complete, "targets": rows}) + b"\n"
 
     def handle(self, request):
         if self.silent:
             return None
         if request.path != "/api/targets":
-            return request.side.answer(404)
+            return request.connection.respond(404)
         if "watch" not in request.query:
-            return request.side.answer(200, self.listing(list(self.told.values()), True))
-        side = request.side
-        side.transport.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-        self.watches[side] = None
-        after = request.query.get("after", "0")
-        after = int(after) if after.isdigit() else 0
-        if self.changes and self.changes[0][0] <= after + 1 <= self.rev + 1 or after == self.rev:
-            rows = {row["uid"]: row for rev, row in self.changes if rev > after}
-            self.push(side, self.listing(list(rows.values()), False) if rows else b"\n")
+            return request.connection.respond(200, self.encode_listing(list(self.listed_rows.values()), True))
+        connection = request.connection
+        connection.transport.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+        self.watches[connection] = None
+        after_revision = request.query.get("after", "0")
+        after_revision = int(after_revision) if after_revision.isdigit() else 0
+        if (
+            self.recent_changes
+            and self.recent_changes[0][0] <= after_revision + 1 <= self.revision + 1
+            or after_revision == self.revision
+        ):
+            rows = {row["uid"]: row for revision, row in self.recent_changes if revision > after_revision}
+            self.push(connection, self.encode_listing(list(rows.values()), False) if rows else b"\n")
         else:
-            self.push(side, self.listing(list(self.told.values()), True))
+            self.push(connection, self.encode_listing(list(self.listed_rows.values()), True))
 
     @staticmethod
-    def push(side, line):
-        if not side.transport.is_closing():
-            side.transport.write(b"%x\r\n%s\r\n" % (len(line), line))
+    def push(connection, line):
+        if not connection.transport.is_closing():
+            connection.transport.write(b"%x\r\n%s\r\n" % (len(line), line))
 
-    def beat(self):
-        self.timers.after(2 * SEC, self.beat)
+    def send_heartbeat(self):
+        self.timers.after(2 * SEC, self.send_heartbeat)
         if not self.silent:
-            for side in self.watches:
-                self.push(side, b"\n")
+            for connection in self.watches:
+                self.push(connection, b"\n")
 
-    def change(self, server, notice):
-        self.timers.after(round(notice * SEC), self.tell, server)
+    def announce_change(self, server, notice_s):
+        self.timers.after(round(notice_s * SEC), self.publish_change, server)
 
-    def tell(self, server):
+    def publish_change(self, server):
         if self.stale or self.silent:
-            self.waiting.append(server)
+            self.pending_servers.append(server)
             return
-        self.rev += 1
-        row = self.told[server.uid] = server.row()
-        self.changes = [*self.changes[-255:], (self.rev, row)]
-        for side in list(self.watches):
-            self.push(side, self.listing([row], False))
+        self.revision += 1
+        row = self.listed_rows[server.uid] = server.as_listing_entry()
+        self.recent_changes = [*self.recent_changes[-255:], (self.revision, row)]
+        for connection in list(self.watches):
+            self.push(connection, self.encode_listing([row], False))
 
     def fault(self, event):
         if event.kind == "stale":
@@ -395,13 +413,13 @@
             self.down = event.on
             if event.on:
                 self.listener.close()
-                self.cut()
+                self.reset_connections()
             else:
                 self.emulator.loop.create_task(self.listener.open())
         if not (self.stale or self.silent):
-            waiting, self.waiting = self.waiting, []
-            for server in waiting:
-                self.tell(server)
+            pending_servers, self.pending_servers = self.pending_servers, []
+            for server in pending_servers:
+                self.publish_change(server)
 
 
 class RunCollector(Collector):
@@ -413,7 +431,7 @@
         else:
             self.loop.create_task(self.listen_again())
 
-    def told(self):
+    def summary(self):
         for message in self.messages:
             key = f"msgid_{message.message_id}"
             self.counts[key] = self.counts.get(key, 0) + 1
@@ -421,7 +439,7 @@
         return {**self.counts, "missing": sum(self.missing().values()), "troubles": self.errors[:5]}
 
 
-class Control(StandIn):
+class Control(HttpServerBase):
     """The emulator's own address."""
 
     def __init__(self, emulator):
@@ -429,20 +447,20 @@
         self.emulator, self.clock, self.listener = (
             emulator,
             emulator.clock,
-            Listener(emulator.loop, lambda: Side(self), emulator.host),
+            Listener(emulator.loop, lambda: Connection(self), emulator.host),
         )
 
     def handle(self, request):
-        query, answer = request.query, request.side.answer
+        query, respond = request.query, request.connection.respond
         try:
             if request.path == "/state":
-                return answer(200, orjson.dumps(self.emulator.state()))
+                return respond(200, orjson.dumps(self.emulator.state()))
             if request.method == b"POST" and request.path == "/begin":
-                self.emulator.begin(int(query["at"]))
+                self.emulator.start_run(int(query["at"]))
             elif request.method == b"POST" and request.path == "/fault":
                 self.emulator.carry_out(
                     Event(
-                        self.clock() - (self.emulator.began or self.clock()),
+                        self.clock() - (self.emulator.started_at or self.clock()),
                         -1,
                         query.get("on") != "0",
                         query["target"],
@@ -453,10 +471,10 @@
             elif request.method == b"POST" and request.path == "/dump":
                 self.emulator.dump(Path(query["dir"]))
             else:
-                return answer(404)
-        except (KeyError, ValueError, IndexError, OSError) as trouble:
-            return answer(400, f"{type(trouble).__name__}: {trouble}\n".encode())
-        answer(204)
+                return respond(404)
+        except (KeyError, ValueError, IndexError, OSError) as error:
+            return respond(400, f"{type(error).__name__}: {error}\n".encode())
+        respond(204)
 
 
 class Emulator:
@@ -471,12 +489,12 @@
         self.servers = [EmulatedServer(self, k, uid, group) for k, (uid, group) in enumerate(named_servers(plan))]
         self.counter, self.discovery, self.control = Counter(self), Discovery(self), Control(self)
         self.collector = RunCollector(loop, host) if plan.topology.collector else None
-        self.events, self.began, self.odd = timeline(plan, seed), None, 0
+        self.events, self.started_at, self.unknown_requests = timeline(plan, seed), None, 0
         self.bodies = {}
 
     async def listen(self):
-        for part in [*self.servers, self.discovery, self.control]:
-            await part.listener.open()
+        for target in [*self.servers, self.discovery, self.control]:
+            await target.listener.open()
         for listener in self.counter.listeners:
             await listener.open()
         if self.collector:
@@ -491,29 +509,29 @@
             "discovery": self.discovery.listener.address,
             "counter": [listener.address for listener in self.counter.listeners],
             "collector": self.collector.listener.address if self.collector else None,
-            "boxes": [server.row() for server in self.servers],
+            "boxes": [server.as_listing_entry() for server in self.servers],
         }
 
     def sweep(self):
         self.timers.after(SEC // 10, self.sweep)
         for server in self.servers:
-            server.sweep()
+            server.close_idle_connections()
 
-    def body(self, size):
+    def body_of_size(self, size):
         if size not in self.bodies:
             self.bodies[size] = b"y" * size
         return self.bodies[size]
 
     # ---- what happened
 
-    def admit(self, request, request_id, now):
+    def record_admission(self, request, request_id, now):
         query = request.query
         try:
             self.admissions.record(request_id, int(query["a"]), float(query["u"]), now)
         except (KeyError, ValueError):
-            self.odd += 1  # not of our load tool: nothing is known of whose it is
+            self.unknown_requests += 1  # not of our load tool: nothing is known of whose it is
 
-    def run(self, request, now):
+    def record_execution(self, request, now):
         query = request.query
         try:
             effect, window = self.products[int(query["p"])]
@@ -523,29 +541,29 @@
 
     # ---- faults
 
-    def begin(self, at):
+    def start_run(self, at):
         """The run starts at `at`, Unix time in ns."""
-        self.began = at
+        self.started_at = at
         for event in self.events:
             if not event.target.startswith("node:"):
                 self.timers.at(at + event.at, self.carry_out, event)
 
     def carry_out(self, event):
-        head, _, number = event.target.partition(":")
-        if head == "box":
-            part = self.servers[int(number)]
-        elif head in ("counter", "discovery", "collector"):
-            part = getattr(self, head)
+        target_kind, _, number = event.target.partition(":")
+        if target_kind == "box":
+            target = self.servers[int(number)]
+        elif target_kind in ("counter", "discovery", "collector"):
+            target = getattr(self, target_kind)
         else:
             raise ValueError(f"no target {event.target!r}")
-        late = self.clock() - (self.began or self.clock()) - event.at
-        self.log.write(orjson.dumps({**event.as_log_row(), "late_ms": round(late / MS, 3)}) + b"\n")
+        late_ns = self.clock() - (self.started_at or self.clock()) - event.at
+        self.log.write(orjson.dumps({**event.as_log_row(), "late_ms": round(late_ns / MS, 3)}) + b"\n")
         self.log.flush()
-        part.fault(event)
+        target.fault(event)
 
     def state(self):
         return {
-            "began": self.began,
+            "began": self.started_at,
             "boxes": {
                 server.uid: {
                     **server.counts,
@@ -553,7 +571,7 @@
                     "queued": len(server.server_model.queue),
                     "most_working": server.server_model.most_working,
                     "most_queued": server.server_model.most_queued,
-                    "open": len(server.sides),
+                    "open": len(server.connections),
                     "state": server.state,
                     "last_drained_arrival_ms": None
                     if server.last_drained_arrival is None
@@ -567,11 +585,14 @@
                 "runs": sum(self.executions.once_only_counts.values()),
                 "twice": self.executions.executed_more_than_once(),
             },
-            "referenced": {"keys": len(self.executions.last_run_by_key), "repeats_dropped": self.executions.repeats},
-            "collector": self.collector.told() if self.collector else None,
+            "referenced": {
+                "keys": len(self.executions.last_run_by_key),
+                "repeats_dropped": self.executions.dropped_repeats,
+            },
+            "collector": self.collector.summary() if self.collector else None,
             "admitted": len(self.admissions.times),
             "again": self.admissions.repeated,
-            "odd": self.odd,
+            "odd": self.unknown_requests,
         }
 
     def dump(self, folder):
@@ -579,18 +600,18 @@
         folder.mkdir(parents=True, exist_ok=True)
         (folder / "emulator.json").write_bytes(orjson.dumps(self.state(), option=orjson.OPT_INDENT_2))
         rows = np.empty(len(self.admissions.times), dtype=[("at", "i8"), ("account", "i4"), ("units", "f8")])
-        rows["at"] = np.asarray(self.admissions.times, dtype="i8") - (self.began or 0)
+        rows["at"] = np.asarray(self.admissions.times, dtype="i8") - (self.started_at or 0)
         rows["account"] = np.asarray(self.admissions.account)
         rows["units"] = np.asarray(self.admissions.units)
         np.save(folder / "admissions.npy", rows)
 
 
-def serve(plan, seed, log_path=None, say=print):
+def serve(plan, seed, log_path=None, print_line=print):
     """Runs the emulator until SIGTERM or SIGINT; says its addresses as one JSON line once it listens."""
     loop = uvloop.new_event_loop()
     with open(log_path or "/dev/null", "ab") as log:
         emulator = loop.run_until_complete(Emulator(loop, plan, seed, log).listen())
-        run_until_stopped(loop, orjson.dumps(emulator.addresses()).decode(), say)
+        run_until_stopped(loop, orjson.dumps(emulator.addresses()).decode(), print_line)
 
 
 def account_key(name):
--- a/rampfront/lab/http.py
+++ b/rampfront/lab/http.py
@@ -1,7 +1,7 @@
 """The server side of HTTP/1.1 for the laboratory's stand-ins: one request at a time, parsed by httptools.
 
 It owns connections and framing, and hands whole requests to `handle(request)`. Whoever handles one answers it with
-`Side.answer` whenever it likes, or never. `Listener` binds, stops and cuts, as faults ask.
+`Connection.respond` whenever it likes, or never. `Listener` binds, stops and cuts, as faults ask.
 """
 
 import asyncio
@@ -33,134 +33,134 @@
     transport.abort()
 
 
-def run_until_stopped(loop, ready, say):
-    """Says `ready` and runs the loop until SIGTERM or SIGINT."""
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, loop.stop)
-    say(ready, flush=True)
+def run_until_stopped(loop, message, print_line):
+    """Says `message` and runs the loop until SIGTERM or SIGINT."""
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, loop.stop)
+    print_line(message, flush=True)
     loop.run_forever()
 
 
 class Request:
-    __slots__ = ("side", "method", "path", "query", "fields", "body")
+    __slots__ = ("connection", "method", "path", "query", "fields", "body")
 
-    def __init__(self, side, method, url, fields, body):
+    def __init__(self, connection, method, url, fields, body):
         parts = urlsplit(url.decode("latin-1"))
-        self.side, self.method, self.path, self.fields, self.body = side, method, parts.path, fields, body
+        self.connection, self.method, self.path, self.fields, self.body = connection, method, parts.path, fields, body
         self.query = dict(parse_qsl(parts.query))
 
 
-class Side(asyncio.Protocol):
-    """One connection. `busy` is the request that is owed an answer; `dead_from`: the time from which whatever
+class Connection(asyncio.Protocol):
+    """One connection. `pending_request` is the request that is owed an answer; `dead_from`: the time from which whatever
     comes is answered with a reset (an idle connection dropped silently)."""
 
     def __init__(self, owner):
-        self.owner, self.transport, self.busy, self.mark = owner, None, None, None
+        self.owner, self.transport, self.pending_request, self.job = owner, None, None, None
         self.parser = httptools.HttpRequestParser(self)
-        self.whole, self.since, self.dropped, self.new = [], 0, False, True
+        self.complete_requests, self.last_active_at, self.dropped, self.is_new = [], 0, False, True
 
     def connection_made(self, transport):
-        self.transport, self.since = transport, self.owner.clock()
-        self.owner.joined(self)
+        self.transport, self.last_active_at = transport, self.owner.clock()
+        self.owner.on_connection_opened(self)
 
-    def connection_lost(self, trouble):
-        busy, self.busy = self.busy, None
-        self.owner.parted(self, busy)
+    def connection_lost(self, error):
+        pending_request, self.pending_request = self.pending_request, None
+        self.owner.on_connection_closed(self, pending_request)
 
     def eof_received(self):
         return False
 
     def data_received(self, data):
         if self.dropped:  # the state of this connection was forgotten: nothing of it is read
-            self.owner.dropped_used(self)
+            self.owner.on_dropped_connection_used(self)
             return reset(self.transport)
-        self.since = self.owner.clock()
+        self.last_active_at = self.owner.clock()
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError:
             return self.transport.abort()
-        whole, self.whole = self.whole, []
-        for request in whole:
-            if self.busy is not None:  # one at a time; a second one is no good client
+        complete_requests, self.complete_requests = self.complete_requests, []
+        for request in complete_requests:
+            if self.pending_request is not None:  # one at a time; a second one is no good client
                 return self.transport.abort()
-            self.busy = request
+            self.pending_request = request
             self.owner.handle(request)
 
     def on_message_begin(self):
         self.url, self.fields, self.body = b"", {}, b""
 
-    def on_url(self, part):
-        self.url += part
+    def on_url(self, data):
+        self.url += data
 
     def on_header(self, name, value):
         self.fields[name.lower()] = value
 
-    def on_body(self, part):
-        self.body += part
+    def on_body(self, data):
+        self.body += data
 
     def on_message_complete(self):
-        self.whole.append(Request(self, self.parser.get_method(), self.url, self.fields, self.body))
+        self.complete_requests.append(Request(self, self.parser.get_method(), self.url, self.fields, self.body))
 
-    def answer(self, status, body=b"", more=b""):
-        self.busy, self.since, self.new = None, self.owner.clock(), False
+    def respond(self, status, body=b"", extra_headers=b""):
+        self.pending_request, self.last_active_at, self.is_new = None, self.owner.clock(), False
         if not self.transport.is_closing():
             self.transport.write(
                 b"HTTP/1.1 %d %s\r\nContent-Length: %d\r\n%s\r\n%s"
-                % (status, REASONS.get(status, "Said").encode(), len(body), more, body)
+                % (status, REASONS.get(status, "Said").encode(), len(body), extra_headers, body)
             )
 
 
-class StandIn:
-    """Whoever `Side`s belong to: it keeps those that are open. `handle(request)` and `clock()` are a stand-in's own."""
+class HttpServerBase:
+    """Whoever `Connection`s belong to: it keeps those that are open. `handle(request)` and `clock()` are a stand-in's own."""
 
     def __init__(self) -> None:
         """No connection is open."""
-        self.sides: dict[Side, None] = {}  # emptied as connections end
+        self.connections: dict[Connection, None] = {}  # emptied as connections end
 
-    def refuses(self) -> bool:
+    def refuses_connections(self) -> bool:
         """Whether a connection that comes now is reset."""
         return False
 
-    def joined(self, side: Side) -> None:
+    def on_connection_opened(self, connection: Connection) -> None:
         """A connection came."""
-        self.sides[side] = None
-        if self.refuses():
-            reset(side.transport)
+        self.connections[connection] = None
+        if self.refuses_connections():
+            reset(connection.transport)
 
-    def parted(self, side: Side, busy: Request | None) -> None:
-        """A connection ended; `busy`: the request that was owed an answer."""
-        self.sides.pop(side, None)
+    def on_connection_closed(self, connection: Connection, pending_request: Request | None) -> None:
+        """A connection ended; `pending_request`: the request that was owed an answer."""
+        self.connections.pop(connection, None)
 
-    def dropped_used(self, side: Side) -> None:
+    def on_dropped_connection_used(self, connection: Connection) -> None:
         """A connection that was forgotten silently is used again."""
 
-    def cut(self) -> None:
+    def reset_connections(self) -> None:
         """Resets all connections."""
-        for side in list(self.sides):
-            reset(side.transport)
+        for connection in list(self.connections):
+            reset(connection.transport)
 
 
-class Worker(StandIn):
+class AppServerBase(HttpServerBase):
     """A stand-in that runs requests by a model of its work; what it counts is in `counts`."""
 
     def __init__(self, server_model: ServerModel, counts: MutableMapping[str, int]) -> None:
-        """`counts` has `connections`, `abandoned` and `dropped_used`, or gives 0 for them."""
+        """`counts` has `connections`, `abandoned` and `on_dropped_connection_used`, or gives 0 for them."""
         super().__init__()
         self.server_model = server_model
         self.counts = counts
 
-    def joined(self, side: Side) -> None:
+    def on_connection_opened(self, connection: Connection) -> None:
         """A connection came."""
         self.counts["connections"] += 1
-        super().joined(side)
+        super().on_connection_opened(connection)
 
-    def parted(self, side: Side, busy: Request | None) -> None:
+    def on_connection_closed(self, connection: Connection, pending_request: Request | None) -> None:
         """A connection ended: the work that it waited for is given up, where that can be."""
-        super().parted(side, busy)
-        if busy is not None and side.mark is not None and self.server_model.abandon(side.mark):
+        super().on_connection_closed(connection, pending_request)
+        if pending_request is not None and connection.job is not None and self.server_model.abandon(connection.job):
             self.counts["abandoned"] += 1
 
-    def dropped_used(self, side: Side) -> None:
+    def on_dropped_connection_used(self, connection: Connection) -> None:
         """A connection that was forgotten silently is used again."""
         self.counts["dropped_used"] += 1
 
@@ -168,8 +168,8 @@
 class Listener:
     """One listening address that can be closed and opened again at the same port."""
 
-    def __init__(self, loop, make, host, port=0):
-        self.loop, self.make, self.host, self.port, self.server = loop, make, host, port, None
+    def __init__(self, loop, protocol_factory, host, port=0):
+        self.loop, self.protocol_factory, self.host, self.port, self.server = loop, protocol_factory, host, port, None
 
     @property
     def address(self):
@@ -182,7 +182,7 @@
             sock.bind((self.host, self.port))
             sock.setblocking(False)
             self.port = sock.getsockname()[1]
-            self.server = await self.loop.create_server(self.make, sock=sock, backlog=1024)
+            self.server = await self.loop.create_server(self.protocol_factory, sock=sock, backlog=1024)
         return self
 
     def close(self):
--- a/rampfront/lab/tally.py
+++ b/rampfront/lab/tally.py
@@ -13,15 +13,15 @@
     """How often each txn ran. `txn` is the client's own txn, the same over all of its tries."""
 
     def __init__(self):
-        self.once_only_counts, self.last_run_by_key, self.repeats = {}, {}, 0
+        self.once_only_counts, self.last_run_by_key, self.dropped_repeats = {}, {}, 0
 
-    def record(self, effect, txn, key, window, now):
+    def record(self, effect, txn, key, window_ns, now):
         """Counts one run. A referenced txn whose key ended well within its window is dropped as a repeat."""
         if effect == ONCE_ONLY:
             self.once_only_counts[txn] = self.once_only_counts.get(txn, 0) + 1
         elif effect == REFERENCED:
-            if key in self.last_run_by_key and now - self.last_run_by_key[key] < window:
-                self.repeats += 1
+            if key in self.last_run_by_key and now - self.last_run_by_key[key] < window_ns:
+                self.dropped_repeats += 1
                 return False
             self.last_run_by_key[key] = now
         return True
@@ -36,13 +36,19 @@
     X-Request-Id is of the same try and takes nothing."""
 
     def __init__(self):
-        self.times, self.account, self.units, self.seen, self.repeated = array("q"), array("l"), array("d"), set(), 0
+        self.times, self.account, self.units, self.seen_requests, self.repeated = (
+            array("q"),
+            array("l"),
+            array("d"),
+            set(),
+            0,
+        )
 
     def record(self, request, account, units, now):
-        if request in self.seen:
+        if request in self.seen_requests:
             self.repeated += 1
             return False
-        self.seen.add(request)
+        self.seen_requests.add(request)
         self.times.append(now)
         self.account.append(account)
         self.units.append(units)
@@ -53,16 +59,16 @@
     """The counter's numbers by name, each with its life. Emptied of what has run out as it is asked, and swept."""
 
     def __init__(self):
-        self.rows, self.swept = {}, 0
+        self.rows, self.swept_at = {}, 0
 
-    def add(self, name, amount, life, now):
-        """The total behind an add. `life` in ns counts for a new name; 60 s at most."""
+    def add(self, name, amount, lifetime_ns, now):
+        """The total behind an add. `lifetime_ns` in ns counts for a new name; 60 s at most."""
         row = self.rows.get(name)
         if row is None or row[1] <= now:
-            row = self.rows[name] = [0.0, now + min(max(life, MS), 60 * SEC)]
+            row = self.rows[name] = [0.0, now + min(max(lifetime_ns, MS), 60 * SEC)]
         row[0] += amount
-        if now - self.swept > SEC:
-            self.swept = now
+        if now - self.swept_at > SEC:
+            self.swept_at = now
             self.rows = {key: last_run_by_key for key, last_run_by_key in self.rows.items() if last_run_by_key[1] > now}
         return row[0]
 
@@ -71,14 +77,14 @@
     """Calls served in turn at a fixed rate: when a call that comes now is answered; None if it is turned away."""
 
     def __init__(self, per_s, longest_wait_ms):
-        self.gap, self.longest, self.free = SEC / per_s, longest_wait_ms * MS, 0.0
+        self.interval_ns, self.longest_wait_ns, self.next_free_at = SEC / per_s, longest_wait_ms * MS, 0.0
 
     def take(self, now):
-        start = max(now, self.free)
-        if start - now > self.longest:
+        start = max(now, self.next_free_at)
+        if start - now > self.longest_wait_ns:
             return None
-        self.free = start + self.gap
-        return self.free
+        self.next_free_at = start + self.interval_ns
+        return self.next_free_at
 
 
 def format_total(number):
@@ -91,11 +97,11 @@
     does not is beyond the quota and takes nothing."""
 
     def __init__(self, rate, burst):
-        self.rate, self.burst, self.level, self.at = rate, burst, burst, 0
+        self.rate, self.burst, self.level, self.updated_at = rate, burst, burst, 0
 
     def take(self, units, now):
-        self.level = min(self.burst, self.level + (now - self.at) / SEC * self.rate)
-        self.at = now
+        self.level = min(self.burst, self.level + (now - self.updated_at) / SEC * self.rate)
+        self.updated_at = now
         if self.level + 1e-9 < units:
             return False
         self.level -= units
--- a/tests/lab/test_stand_in_servers.py
+++ b/tests/lab/test_stand_in_servers.py
@@ -52,7 +52,7 @@
     assert run(tell()).ok_value.headers[b"not-run"] == b"1" and len(box.runs) == 10
     assert run(tell(target="/health")).ok_value.headers[b"server-id"] == box.uid.encode()
 
-    box.server_model.draw = lambda: 100 * SEC
+    box.server_model.draw_service_time_ns = lambda: 100 * SEC
 
     async def crowd(count, turned):
         calls = [
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -103,12 +103,12 @@
     group = type(group)(count=1, slots=1, queue=1, latency=group.latency, cold_share=0.25, warm_s=4.0)
     box, now = ServerModel(group, Random(1), 0, warm=False), 0
     first, second, third = Job(), Job(), Job()
-    assert box.arrive(first, now) == [first] and first.due == 20 * 10**6  # cold: a quarter of its speed
+    assert box.arrive(first, now) == [first] and first.completes_at == 20 * 10**6  # cold: a quarter of its speed
     assert box.arrive(second, now) == [] and box.arrive(third, now) is None
-    assert box.finish(first, 4 * SEC) == [second] and second.due - 4 * SEC == 5 * 10**6  # warm
+    assert box.finish(first, 4 * SEC) == [second] and second.completes_at - 4 * SEC == 5 * 10**6  # warm
     assert box.crash(5 * SEC) == [second] and box.working == 0
     assert box.finish(second, 6 * SEC) == [] and box.working == 0  # its timer finds nothing
-    assert box.ready(5 * SEC) == 0.25 and box.arrive(Job(), 5 * SEC)[0].due == 5 * SEC + 20 * 10**6
+    assert box.speed_share(5 * SEC) == 0.25 and box.arrive(Job(), 5 * SEC)[0].completes_at == 5 * SEC + 20 * 10**6
 
 
 def test_the_counter_forgets_names_and_turns_calls_away():
