--- a/rampfront/lab/child.py
+++ b/rampfront/lab/child.py
@@ -13,23 +13,31 @@
 
 
 def main(args):
-    what, path, seed, *rest = args
+    command, path, seed, *arguments = args
     plan = msgspec.json.decode(Path(path).read_bytes(), type=Experiment)
-    if what == "emulate":
+    if command == "emulate":
         from .emulator import serve
 
-        return serve(plan, int(seed), rest[0])
+        return serve(plan, int(seed), arguments[0])
     from .client import run_worker
     from .schedule import arrivals
 
-    worker, targets, out = int(rest[0]), rest[1].split(","), rest[2]
-    due = arrivals(plan, int(seed), worker, plan.load.workers)
+    worker, targets, out = int(arguments[0]), arguments[1].split(","), arguments[2]
+    schedule = arrivals(plan, int(seed), worker, plan.load.workers)
     print("drawn", flush=True)
     start = int(sys.stdin.readline())
-    done = run_worker(
-        {"plan": plan, "seed": int(seed), "worker": worker, "due": due, "targets": targets, "start": start, "out": out}
+    result = run_worker(
+        {
+            "plan": plan,
+            "seed": int(seed),
+            "worker": worker,
+            "due": schedule,
+            "targets": targets,
+            "start": start,
+            "out": out,
+        }
     )
-    print(msgspec.json.encode(done).decode(), flush=True)
+    print(msgspec.json.encode(result).decode(), flush=True)
 
 
 if __name__ == "__main__":
--- a/rampfront/lab/client.py
+++ b/rampfront/lab/client.py
@@ -43,7 +43,7 @@
 )
 
 
-class Txn:
+class Transaction:
     __slots__ = (
         "number",
         "stream",
@@ -53,130 +53,146 @@
         "tries",
         "node",
         "deadline",
-        "link",
+        "connection",
         "timer",
         "lag",
         "advised",
-        "first",
+        "first_outcome",
         "resent",
     )
 
     def __init__(self, number, stream, account, product, at):
         self.number, self.stream, self.account, self.product, self.at = number, stream, account, product, at
-        self.tries, self.lag, self.advised, self.first, self.resent = 0, -1, -1.0, -1, False
-        self.link = self.timer = None
+        self.tries, self.lag, self.advised, self.first_outcome, self.resent = 0, -1, -1.0, -1, False
+        self.connection = self.timer = None
 
 
-class Link(asyncio.Protocol):
+class PooledConnection(asyncio.Protocol):
     """One connection to one node: one txn at a time."""
 
-    __slots__ = ("pool", "transport", "parser", "txn", "since", "used", "heard", "status", "advice", "keep", "whole")
+    __slots__ = (
+        "pool",
+        "transport",
+        "parser",
+        "txn",
+        "idle_since",
+        "reused",
+        "received_any",
+        "status",
+        "retry_after_s",
+        "keep_alive",
+        "complete",
+    )
 
     def __init__(self, pool):
         self.pool, self.transport, self.txn = pool, None, None
-        self.since, self.used, self.whole = 0, False, False
+        self.idle_since, self.reused, self.complete = 0, False, False
 
     def connection_made(self, transport):
         self.transport = transport
         self.parser = httptools.HttpResponseParser(self)
         if self.txn is not None:
             return self.send()
-        self.since = self.pool.client.clock()  # its txn gave up while it was opened
+        self.idle_since = self.pool.client.clock()  # its txn gave up while it was opened
         self.pool.idle.append(self)
 
-    def connection_lost(self, trouble):
+    def connection_lost(self, error):
         txn, self.txn, self.transport = self.txn, None, None
-        self.pool.parted(self)
+        self.pool.on_connection_closed(self)
         if txn is not None:
-            self.pool.client.cut(txn, self.used and not self.heard)
+            self.pool.client.on_connection_failed(txn, self.reused and not self.received_any)
 
     def eof_received(self):
         return False
 
     def send(self):
-        self.heard, self.whole = False, False
-        self.transport.write(self.pool.client.text(self.txn))
+        self.received_any, self.complete = False, False
+        self.transport.write(self.pool.client.encode_request(self.txn))
 
     def data_received(self, data):
-        self.heard = True
+        self.received_any = True
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError:
             return self.transport.abort()
-        if self.whole:
-            self.whole, self.used = False, True
+        if self.complete:
+            self.complete, self.reused = False, True
             txn, self.txn = self.txn, None
-            if self.keep:
-                self.since = self.pool.client.clock()
+            if self.keep_alive:
+                self.idle_since = self.pool.client.clock()
                 self.pool.idle.append(self)
             else:
                 self.transport.close()
             if txn is not None:
-                self.pool.client.answered(txn, self.status, self.advice)
+                self.pool.client.on_answered(txn, self.status, self.retry_after_s)
 
     def on_message_begin(self):
-        self.advice = None
+        self.retry_after_s = None
 
     def on_header(self, name, value):
         if name.lower() == b"retry-after":
             try:
-                self.advice = float(value)
+                self.retry_after_s = float(value)
             except ValueError:
                 pass
 
     def on_message_complete(self):
-        self.status, self.keep, self.whole = self.parser.get_status_code(), self.parser.should_keep_alive(), True
+        self.status, self.keep_alive, self.complete = (
+            self.parser.get_status_code(),
+            self.parser.should_keep_alive(),
+            True,
+        )
 
 
 class Pool:
-    """Connections to one node. Past `most`, txns wait in line; their latency runs on."""
+    """Connections to one node. Past `max_connections`, txns wait in line; their latency runs on."""
 
-    def __init__(self, client, address, most):
+    def __init__(self, client, address, max_connections):
         host, _, port = address.rpartition(":")
-        self.client, self.host, self.port, self.most = client, host, int(port), most
-        self.idle, self.links, self.line, self.opened = deque(), 0, deque(), 0
+        self.client, self.host, self.port, self.max_connections = client, host, int(port), max_connections
+        self.idle, self.open_connections, self.waiting, self.opened_connections = deque(), 0, deque(), 0
 
     def submit(self, txn):
         while self.idle:
-            link = self.idle.pop()
-            if link.transport is not None and not link.transport.is_closing():
-                return self.use(link, txn)
-        if self.links < self.most:
-            link = Link(self)
-            link.heard = False
-            self.links, self.opened = self.links + 1, self.opened + 1
-            txn.link, link.txn = link, txn
-            self.client.loop.create_task(self.open(link))
-            return self.client.sent(txn)
-        self.line.append(txn)
-
-    def use(self, link, txn):
-        txn.link, link.txn = link, txn
-        self.client.sent(txn)
-        link.send()
-
-    async def open(self, link):
+            connection = self.idle.pop()
+            if connection.transport is not None and not connection.transport.is_closing():
+                return self.send_on(connection, txn)
+        if self.open_connections < self.max_connections:
+            connection = PooledConnection(self)
+            connection.received_any = False
+            self.open_connections, self.opened_connections = self.open_connections + 1, self.opened_connections + 1
+            txn.connection, connection.txn = connection, txn
+            self.client.loop.create_task(self.open(connection))
+            return self.client.record_first_send(txn)
+        self.waiting.append(txn)
+
+    def send_on(self, connection, txn):
+        txn.connection, connection.txn = connection, txn
+        self.client.record_first_send(txn)
+        connection.send()
+
+    async def open(self, connection):
         try:
-            await self.client.loop.create_connection(lambda: link, self.host, self.port)
+            await self.client.loop.create_connection(lambda: connection, self.host, self.port)
         except OSError:
-            txn, link.txn = link.txn, None
-            self.parted(link)
+            txn, connection.txn = connection.txn, None
+            self.on_connection_closed(connection)
             if txn is not None:
-                self.client.cut(txn, False, refused=True)
+                self.client.on_connection_failed(txn, False, refused=True)
 
-    def parted(self, link):
-        self.links -= 1
-        if link in self.idle:
-            self.idle.remove(link)
+    def on_connection_closed(self, connection):
+        self.open_connections -= 1
+        if connection in self.idle:
+            self.idle.remove(connection)
 
-    def serve_line(self):
-        while self.line and (self.idle or self.links < self.most):
-            txn = self.line.popleft()
-            if txn.link is None and txn.timer is not None:
+    def dispatch_waiting(self):
+        while self.waiting and (self.idle or self.open_connections < self.max_connections):
+            txn = self.waiting.popleft()
+            if txn.connection is None and txn.timer is not None:
                 self.submit(txn)
 
-    def sweep(self, oldest):
-        while self.idle and self.idle[0].since < oldest:
+    def close_idle(self, idle_before):
+        while self.idle and self.idle[0].idle_since < idle_before:
             self.idle.popleft().transport.close()
 
 
@@ -184,8 +200,8 @@
     """Wakes the loop at given moments to within some tens of us, where the loop's own timers round to whole ms: a
     thread sleeps and writes to an eventfd."""
 
-    def __init__(self, loop, moments, start, what):
-        self.loop, self.moments, self.start, self.what, self.ended = loop, moments, start, what, False
+    def __init__(self, loop, moments, start, callback):
+        self.loop, self.moments, self.start, self.callback, self.stopped = loop, moments, start, callback, False
         self.fd = os.eventfd(0, os.EFD_NONBLOCK)
         loop.add_reader(self.fd, self.wake)
         threading.Thread(target=self.run, daemon=True).start()
@@ -201,7 +217,7 @@
                 time.sleep(wait / SEC)
             last = int(at)
             os.eventfd_write(self.fd, 1)
-        while not self.ended:  # what came within the last gap
+        while not self.stopped:  # what came within the last gap
             time.sleep(0.001)
             os.eventfd_write(self.fd, 1)
         os.close(self.fd)
@@ -209,14 +225,14 @@
     def end(self):
         """For those who need no more of it before their process ends."""
         self.loop.remove_reader(self.fd)
-        self.ended = True
+        self.stopped = True
 
     def wake(self):
         try:
             os.eventfd_read(self.fd)
         except BlockingIOError:
             pass
-        self.what()
+        self.callback()
 
 
 class Clients:
@@ -229,7 +245,7 @@
         self.rng = Random(f"{seed}/clients/{worker}")
         self.due = due
         self.rows = np.zeros(len(self.due), ROW)
-        self.next, self.open, self.worker, self.over = 0, 0, worker, None
+        self.next_index, self.unfinished, self.worker, self.on_finished = 0, 0, worker, None
         targets = [address.partition("/") for address in targets]  # a node's address, and behind a / that for MQTT
         self.pools = [Pool(self, address, plan.load.connections) for address, _, _ in targets]
         self.publishers = []
@@ -237,123 +253,134 @@
             from .publishers import Publishers
 
             self.publishers = [Publishers(self, address) for _, _, address in targets]
-        self.heads, self.sets = [], []
+        self.account_headers, self.node_choices = [], []
         nodes = max(1, plan.topology.nodes)
         for index, (name, stream) in enumerate(accounts(plan)):
             key, stream = account_key(name), plan.load.streams[stream]
             spread = stream.spread or nodes
             first = int(key[-4:], 16) % nodes
-            self.sets.append(
+            self.node_choices.append(
                 [(first + k) % nodes for k in range(spread)] if plan.topology.nodes else list(range(len(targets)))
             )
-            self.heads.append(
+            self.account_headers.append(
                 (f"X-Tier: {stream.plan}\r\nCookie: key={key}\r\n".encode(), f"spread={spread},first={first}".encode())
             )
         self.at = self.due.at.tolist()
-        self.which = list(zip(self.due.stream.tolist(), self.due.account.tolist(), self.due.product.tolist()))
-        self.pacer = Pacer(loop, self.due.at, start, self.fire)
-        self.sweep()
+        self.attributes = list(zip(self.due.stream.tolist(), self.due.account.tolist(), self.due.product.tolist()))
+        self.pacer = Pacer(loop, self.due.at, start, self.send_due)
+        self.close_idle()
 
-    def sweep(self):
-        self.timers.after(SEC // 4, self.sweep)
+    def close_idle(self):
+        self.timers.after(SEC // 4, self.close_idle)
         for pool in self.pools:
-            pool.sweep(self.clock() - round(self.plan.load.hold_idle_s * SEC))
-            pool.serve_line()
+            pool.close_idle(self.clock() - round(self.plan.load.hold_idle_s * SEC))
+            pool.dispatch_waiting()
 
-    def fire(self):
+    def send_due(self):
         now = self.clock() - self.start
-        while self.next < len(self.at) and self.at[self.next] <= now:
-            number, self.next = self.next, self.next + 1
-            self.open += 1
-            self.attempt(Txn(number, *self.which[number], self.at[number]))
-        self.check_over()
+        while self.next_index < len(self.at) and self.at[self.next_index] <= now:
+            number, self.next_index = self.next_index, self.next_index + 1
+            self.unfinished += 1
+            self.start_try(Transaction(number, *self.attributes[number], self.at[number]))
+        self.check_finished()
 
-    def attempt(self, txn):
+    def start_try(self, txn):
         """One try: a new X-Request-Id, and its own expiry."""
         txn.tries, txn.resent = txn.tries + 1, False
-        txn.node = self.rng.choice(self.sets[txn.account])
+        txn.node = self.rng.choice(self.node_choices[txn.account])
         txn.deadline = self.clock() + round(self.plan.products[txn.product].expiry_ms * MS)
-        txn.timer = self.timers.at(txn.deadline, self.expired, txn)
+        txn.timer = self.timers.at(txn.deadline, self.on_expired, txn)
         front = self.plan.load.streams[txn.stream].front
         mqtt = front == "mqtt" or front == "both" and txn.number % 2
         (self.publishers if mqtt else self.pools)[txn.node].submit(txn)
 
-    def sent(self, txn):
+    def record_first_send(self, txn):
         if txn.tries == 1 and txn.lag < 0:
             txn.lag = self.clock() - self.start - txn.at
 
-    def text(self, txn):
+    def encode_request(self, txn):
         product = self.plan.products[txn.product]
-        tier, terms = self.heads[txn.account]
-        mark = b"%d-%d" % (self.worker, txn.number)
-        left = max(1, (txn.deadline - self.clock()) // MS)
-        url = b"/api?a=%d&u=%g&p=%d&x=%s" % (txn.account, product.units, txn.product, mark)
+        headers, terms = self.account_headers[txn.account]
+        transaction_id = b"%d-%d" % (self.worker, txn.number)
+        time_left_ms = max(1, (txn.deadline - self.clock()) // MS)
+        url = b"/api?a=%d&u=%g&p=%d&x=%s" % (txn.account, product.units, txn.product, transaction_id)
         method = b"GET" if product.effect == "inquiry" else b"POST"
-        more = b"Idempotency-Key: k%s\r\n" % mark if product.effect == "referenced" else b""
+        extra_headers = b"Idempotency-Key: k%s\r\n" % transaction_id if product.effect == "referenced" else b""
         if method == b"POST":
-            more += b"Content-Length: 0\r\n"
+            extra_headers += b"Content-Length: 0\r\n"
         if txn.tries > 1:
-            more += b"X-Retry: 1\r\n"
+            extra_headers += b"X-Retry: 1\r\n"
         return (
             b"%s %s HTTP/1.1\r\nHost: app.svc\r\nX-Request-Id: %s-%d\r\nX-Class: %s\r\n%sX-Deadline-Ms: %d\r\n"
             b"X-Call-Terms: units=%g,%s\r\n%s\r\n"
-            % (method, url, mark, txn.tries, product.name.encode(), tier, left, product.units, terms, more)
+            % (
+                method,
+                url,
+                transaction_id,
+                txn.tries,
+                product.name.encode(),
+                headers,
+                time_left_ms,
+                product.units,
+                terms,
+                extra_headers,
+            )
         )
 
     # ---- ends of a try
 
-    def answered(self, txn, status, advice):
+    def on_answered(self, txn, status, retry_after_s):
         outcome = SETTLED if status == 200 else DECLINED if status in (429, 503) else VOIDED
-        self.ended(txn, outcome, advice)
+        self.finish_try(txn, outcome, retry_after_s)
 
-    def cut(self, txn, unread, refused=False):
+    def on_connection_failed(self, txn, nothing_received, refused=False):
         """Its connection ended without an answer, or never came up."""
         once = self.plan.products[txn.product].effect == "once_only"
         if txn.timer is None:
             return
-        if not txn.resent and (unread and not once):
+        if not txn.resent and (nothing_received and not once):
             txn.resent = True
             return self.pools[txn.node].submit(txn)
-        self.ended(txn, BROKEN, None, refused)
+        self.finish_try(txn, BROKEN, None, refused)
 
-    def expired(self, txn):
+    def on_expired(self, txn):
         """No answer by the expiry: the client goes away."""
         txn.timer = None
-        link, txn.link = txn.link, None
-        if link is not None and link.txn is txn:
-            link.txn = None
-            if link.transport is not None:
-                link.transport.abort()
-        self.ended(txn, LOST, None)
-
-    def ended(self, txn, outcome, advice, unsent=False):
+        connection, txn.connection = txn.connection, None
+        if connection is not None and connection.txn is txn:
+            connection.txn = None
+            if connection.transport is not None:
+                connection.transport.abort()
+        self.finish_try(txn, LOST, None)
+
+    def finish_try(self, txn, outcome, retry_after_s, unsent=False):
         if txn.timer is not None:
             self.timers.cancel(txn.timer)
             txn.timer = None
-        txn.link = None
-        if txn.first < 0:
-            txn.first = outcome
-        if advice is not None:
-            txn.advised = advice * 1000.0
+        txn.connection = None
+        if txn.first_outcome < 0:
+            txn.first_outcome = outcome
+        if retry_after_s is not None:
+            txn.advised = retry_after_s * 1000.0
         product, retries = self.plan.products[txn.product], self.plan.load.streams[txn.stream].retries
-        harmless = outcome == DECLINED or unsent or outcome != SETTLED and product.effect != "once_only"
-        if harmless:
-            wait = retry_wait(retries, txn.tries, advice, self.rng.random())
+        may_retry = outcome == DECLINED or unsent or outcome != SETTLED and product.effect != "once_only"
+        if may_retry:
+            wait = retry_wait(retries, txn.tries, retry_after_s, self.rng.random())
             if wait is not None:
-                return self.timers.after(round(wait * SEC), self.attempt, txn)
+                return self.timers.after(round(wait * SEC), self.start_try, txn)
         row = self.rows[txn.number]
         row["at"], row["lag"], row["took"] = txn.at, txn.lag, self.clock() - self.start - txn.at
         row["stream"], row["product"], row["account"], row["node"] = txn.stream, txn.product, txn.account, txn.node
-        row["outcome"], row["tries"], row["advised"], row["first"] = outcome, txn.tries, txn.advised, txn.first
-        self.open -= 1
+        row["outcome"], row["tries"], row["advised"], row["first"] = outcome, txn.tries, txn.advised, txn.first_outcome
+        self.unfinished -= 1
         for pool in self.pools:
-            if pool.line:
-                pool.serve_line()
-        self.check_over()
+            if pool.waiting:
+                pool.dispatch_waiting()
+        self.check_finished()
 
-    def check_over(self):
-        if self.next >= len(self.at) and not self.open and self.over:
-            self.over()
+    def check_finished(self):
+        if self.next_index >= len(self.at) and not self.unfinished and self.on_finished:
+            self.on_finished()
 
 
 def run_worker(job):
@@ -363,7 +390,7 @@
     loop = uvloop.new_event_loop()
     start = job["start"] - time.time_ns() + time.monotonic_ns()
     clients = Clients(loop, plan, job["seed"], job["worker"], job["due"], job["targets"], start)
-    clients.over = loop.stop
+    clients.on_finished = loop.stop
     longest = max(p.expiry_ms for p in plan.products) / 1000.0
     limit = start / SEC + plan.duration_s + 3 * longest + 30.0
     loop.call_later(max(0.0, limit - time.monotonic()), loop.stop)
@@ -371,11 +398,11 @@
     gc.freeze()
     gc.disable()
     loop.run_forever()
-    rows = clients.rows[: clients.next]
+    rows = clients.rows[: clients.next_index]
     np.save(job["out"], rows[rows["tries"] > 0])
     return {
-        "sent": int(clients.next),
+        "sent": int(clients.next_index),
         "ended": int((rows["tries"] > 0).sum()),
-        "open": clients.open,
-        "connections": sum(pool.opened for pool in clients.pools + clients.publishers),
+        "open": clients.unfinished,
+        "connections": sum(pool.opened_connections for pool in clients.pools + clients.publishers),
     }
--- a/rampfront/lab/collector.py
+++ b/rampfront/lab/collector.py
@@ -16,7 +16,7 @@
 
 class CollectorConnection(asyncio.Protocol):
     def __init__(self, collector):
-        self.collector, self.frames, self.transport = collector, FrameDecoder(), None
+        self.collector, self.frame_decoder, self.transport = collector, FrameDecoder(), None
 
     def connection_made(self, transport):
         self.transport = transport
@@ -26,7 +26,7 @@
 
     def connection_lost(self, error):
         self.collector.connections.pop(self, None)
-        if self.frames.has_incomplete_frame:
+        if self.frame_decoder.has_incomplete_frame:
             self.collector.counts["torn"] += 1
 
     def eof_received(self):
@@ -34,8 +34,8 @@
 
     def data_received(self, data):
         try:
-            for said in self.frames.feed(data):
-                self.collector.on_message(said)
+            for frame in self.frame_decoder.feed(data):
+                self.collector.on_message(frame)
         except FramingError as error:
             self.collector.count_malformed(error)
             reset(self.transport)
@@ -52,20 +52,20 @@
         await self.listener.open()
         return self
 
-    def on_message(self, said):
+    def on_message(self, frame):
         try:
-            message = parse_message(said)
+            message = parse_message(frame)
         except MessageParseError as error:
             return self.count_malformed(error)
-        number = next(
+        sequence_id = next(
             (int(value) for key, value in message.structured_data.get("meta", ()) if key == "sequenceId"), None
         )
-        if number is not None:
-            mine = self.seen_ids.setdefault((message.hostname, message.app_name, message.process_id), set())
-            if number in mine:
+        if sequence_id is not None:
+            received_ids = self.seen_ids.setdefault((message.hostname, message.app_name, message.process_id), set())
+            if sequence_id in received_ids:
                 self.counts["repeats"] += 1
                 return
-            mine.add(number)
+            received_ids.add(sequence_id)
         self.counts["messages"] += 1
         self.messages.append(message)
         if self.out:
@@ -76,7 +76,7 @@
                         "msgid": message.message_id,
                         "host": message.hostname,
                         "data": message.structured_data,
-                        "text": message.text,
+                        "text": message.value,
                     }
                 )
                 + b"\n"
@@ -88,22 +88,26 @@
 
     def missing(self):
         """Numbers between 1 and the highest of each sender that never came."""
-        return {sender: max(mine) - len(mine) for sender, mine in self.seen_ids.items() if len(mine) < max(mine)}
+        return {
+            sender: max(received_ids) - len(received_ids)
+            for sender, received_ids in self.seen_ids.items()
+            if len(received_ids) < max(received_ids)
+        }
 
     def disconnect(self, abort=False):
         self.listener.close()
-        for side in list(self.connections):
-            reset(side.transport) if abort else side.transport.close()
+        for connection in list(self.connections):
+            reset(connection.transport) if abort else connection.transport.close()
 
     async def listen_again(self):
         await self.listener.open()
 
 
-def serve(address, out_path, say=print):
+def serve(address, out_path, print_line=print):
     """Collects until SIGTERM or SIGINT, then says its counts as one JSON line."""
     host, _, port = address.rpartition(":")
     loop = uvloop.new_event_loop()
     with open(out_path, "ab") as out:
         collector = loop.run_until_complete(Collector(loop, host, int(port), out).listen())
-        run_until_stopped(loop, collector.listener.address, say)
-    say(orjson.dumps({**collector.counts, "missing": sum(collector.missing().values())}).decode(), flush=True)
+        run_until_stopped(loop, collector.listener.address, print_line)
+    print_line(orjson.dumps({**collector.counts, "missing": sum(collector.missing().values())}).decode(), flush=True)
--- a/rampfront/lab/compare.py
+++ b/rampfront/lab/compare.py
@@ -34,18 +34,18 @@
     mean = float(values.mean())
     if len(values) < 2:
         return mean, None
-    half = stats.t.ppf(0.5 + confidence / 2, len(values) - 1) * values.std(ddof=1) / sqrt(len(values))
-    return mean, float(half)
+    half_width = stats.t.ppf(0.5 + confidence / 2, len(values) - 1) * values.std(ddof=1) / sqrt(len(values))
+    return mean, float(half_width)
 
 
-def verdict(mean, half, better):
-    if half is None:
+def verdict(mean, half_width, more_is_better):
+    if half_width is None:
         return "one repeat, no interval"
-    if abs(mean) <= half or mean == 0:
+    if abs(mean) <= half_width or mean == 0:
         return "no difference shown"
-    if better is None:
+    if more_is_better is None:
         return "higher" if mean > 0 else "lower"
-    return "better" if (mean > 0) == better else "worse"
+    return "better" if (mean > 0) == more_is_better else "worse"
 
 
 def compare_reports(first, second, confidence=0.95):
@@ -53,10 +53,10 @@
     seeds = sorted({r["seed"] for r in first} & {r["seed"] for r in second})
     if not seeds:
         raise RunFailedError("the two runs share no seed: nothing can be paired")
-    one, two = ({r["seed"]: r for r in side} for side in (first, second))
+    first_by_seed, second_by_seed = ({r["seed"]: r for r in side} for side in (first, second))
     rows = []
-    for name, better, read in FIGURES:
-        pairs = [(read(one[s]), read(two[s])) for s in seeds]
+    for name, more_is_better, read_figure in FIGURES:
+        pairs = [(read_figure(first_by_seed[s]), read_figure(second_by_seed[s])) for s in seeds]
         pairs = [(a, b) for a, b in pairs if a is not None and b is not None]
         if not pairs:
             continue
@@ -72,7 +72,7 @@
                 "difference": difference[0],
                 "half": difference[1],
                 "repeats": len(pairs),
-                "verdict": verdict(*difference, better),
+                "verdict": verdict(*difference, more_is_better),
             }
         )
     return {
@@ -87,19 +87,19 @@
 
 def compare(a, b, confidence=0.95):
     """`a`, `b`: folders of runs. Returns the comparison and both sides' reports."""
-    sides = [[reports.summarize(folder) for folder in reports.repeats(out)] for out in (a, b)]
-    return compare_reports(*sides, confidence), sides
+    reports_by_run = [[reports.summarize(folder) for folder in reports.repeats(out)] for out in (a, b)]
+    return compare_reports(*reports_by_run, confidence), reports_by_run
 
 
-def text(said):
-    def figure(mean, half):
-        return f"{mean:.4g}" if half is None else f"{mean:.4g} ± {half:.2g}"
+def text(comparison):
+    def figure(mean, half_width):
+        return f"{mean:.4g}" if half_width is None else f"{mean:.4g} ± {half_width:.2g}"
 
     lines = [
-        f"{said['a']} against {said['b']}, {len(said['seeds'])} paired repeats, "
-        f"{said['confidence']:.0%} intervals (emulated)"
+        f"{comparison['a']} against {comparison['b']}, {len(comparison['seeds'])} paired repeats, "
+        f"{comparison['confidence']:.0%} intervals (emulated)"
     ]
-    for row in said["rows"]:
+    for row in comparison["rows"]:
         lines.append(
             f"  {row['figure']:20} {figure(row['a'], row['a_half']):>22} {figure(row['b'], row['b_half']):>22}"
             f"   {figure(row['difference'], row['half']):>22}  {row['verdict']}"
--- a/rampfront/lab/crash.py
+++ b/rampfront/lab/crash.py
@@ -27,7 +27,7 @@
 SETTLED, IN_DOUBT, LOST = 200, 409, 0
 
 
-def plan(journal):
+def crash_experiment(journal):
     return Experiment(
         name="crash",
         duration_s=1.0,
@@ -42,20 +42,20 @@
     )
 
 
-async def ask(address, mark):
+async def send_transaction(address, txn_id):
     """The status of one txn, 0 where its connection ended first."""
     host, _, port = address.rpartition(":")
     try:
-        reader_, writer = await asyncio.open_connection(host, int(port))
+        reader, writer = await asyncio.open_connection(host, int(port))
     except OSError:
         return LOST
     try:
         writer.write(
-            f"POST /api?a=0&u=1&p=0&x={mark} HTTP/1.1\r\nX-Request-Id: {mark}\r\nX-Class: ledger-entry\r\n"
+            f"POST /api?a=0&u=1&p=0&x={txn_id} HTTP/1.1\r\nX-Request-Id: {txn_id}\r\nX-Class: ledger-entry\r\n"
             f"X-Tier: open\r\nCookie: key={account_key('s-0')}\r\nX-Deadline-Ms: 3000\r\nContent-Length: 0\r\n"
             "X-Call-Terms: units=1,spread=1,first=0\r\n\r\n".encode()
         )
-        head = await asyncio.wait_for(reader_.readuntil(b"\r\n\r\n"), 5)
+        head = await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), 5)
         return int(head[9:12])
     except (OSError, asyncio.IncompleteReadError, asyncio.TimeoutError):
         return LOST
@@ -63,91 +63,95 @@
         writer.close()
 
 
-def disagreements(found, ran, told):
-    """What the journal `found`, the boxes `ran` (txn to times) and clients were `told` (txn to status) say apart."""
+def find_disagreements(journal, run_counts, client_statuses):
+    """What the journal `journal`, the boxes `run_counts` (txn to times) and clients were `client_statuses` (txn to status) say apart."""
     by_txn = {}
-    for entry in found.entries.values():
+    for entry in journal.entries.values():
         by_txn.setdefault(entry.intent.transaction_id, []).append(entry)
-    odd = [f"{txn} ran {times} times" for txn, times in ran.items() if times > 1]
-    odd += [f"{txn} ran without an intent" for txn in ran if txn not in by_txn]
-    for txn, entries in by_txn.items():
-        words = [entry.outcome and entry.outcome.ending for entry in entries]
-        if Ending.SUCCEEDED in words and ran.get(txn) != 1:
-            odd.append(f"{txn} is settled in the journal and ran {ran.get(txn, 0)} times")
-        if all(word == Ending.NOT_RUN for word in words) and ran.get(txn):
-            odd.append(f"{txn} is not run in the journal and ran")
-    odd += [
-        f"{txn} was settled for its client and ran {ran.get(txn, 0)} times"
-        for txn, status in told.items()
-        if status == SETTLED and ran.get(txn) != 1
+    found = [f"{txn_id} ran {times} times" for txn_id, times in run_counts.items() if times > 1]
+    found += [f"{txn_id} ran without an intent" for txn_id in run_counts if txn_id not in by_txn]
+    for txn_id, entries in by_txn.items():
+        endings = [entry.outcome and entry.outcome.ending for entry in entries]
+        if Ending.SUCCEEDED in endings and run_counts.get(txn_id) != 1:
+            found.append(f"{txn_id} is settled in the journal and ran {run_counts.get(txn_id, 0)} times")
+        if all(ending == Ending.NOT_RUN for ending in endings) and run_counts.get(txn_id):
+            found.append(f"{txn_id} is not run in the journal and ran")
+    found += [
+        f"{txn_id} was settled for its client and ran {run_counts.get(txn_id, 0)} times"
+        for txn_id, status in client_statuses.items()
+        if status == SETTLED and run_counts.get(txn_id) != 1
     ]
-    return odd
+    return found
 
 
 class Harness:
     def __init__(self, folder, seed, journal=None, clients=8):
         self.folder, self.rng, self.clients = Path(folder), Random(seed), clients
         self.folder.mkdir(parents=True, exist_ok=True)
-        self.plan = plan(journal if journal is not None else {"batch_ms": 1.0})
+        self.plan = crash_experiment(journal if journal is not None else {"batch_ms": 1.0})
         self.loop = uvloop.new_event_loop()
         self.emulator = self.loop.run_until_complete(
             Emulator(self.loop, self.plan, seed, open("/dev/null", "wb")).listen()
         )
         self.node = Node(self.plan, 0, self.emulator.addresses(), seed, self.folder)
-        self.told, self.doubts, self.refused, self.sent = {}, 0, 0, 0
-        self.left = []  # what the last life left in doubt
+        self.client_statuses, self.in_doubt_total, self.refused_total, self.sent_total = {}, 0, 0, 0
+        self.in_doubt_ids = []  # what the last life left in doubt
 
-    async def client(self, run, number):
+    async def run_client(self, run, number):
         for k in range(10**6):
-            mark = f"r{run}-{number}-{k}"
-            self.sent += 1
-            self.told[mark] = await ask(self.node.listen, mark)
-            if self.told[mark] == LOST:
+            txn_id = f"r{run}-{number}-{k}"
+            self.sent_total += 1
+            self.client_statuses[txn_id] = await send_transaction(self.node.listen, txn_id)
+            if self.client_statuses[txn_id] == LOST:
                 return
 
     async def run(self, run):
         """One life of the node; returns what disagrees."""
         await self.loop.run_in_executor(None, lambda: self.node.start().wait_until_ready())
         # It is asked for again under its id: none of it may run now.
-        again = [await ask(self.node.listen, mark) for mark in self.left[:20]]
-        odd = [
-            f"{mark} was in doubt and answered {status}" for mark, status in zip(self.left, again) if status != IN_DOUBT
+        again = [await send_transaction(self.node.listen, txn_id) for txn_id in self.in_doubt_ids[:20]]
+        found = [
+            f"{txn_id} was in doubt and answered {status}"
+            for txn_id, status in zip(self.in_doubt_ids, again)
+            if status != IN_DOUBT
         ]
-        self.refused += again.count(IN_DOUBT)
-        tasks = [self.loop.create_task(self.client(run, number)) for number in range(self.clients)]
+        self.refused_total += again.count(IN_DOUBT)
+        tasks = [self.loop.create_task(self.run_client(run, number)) for number in range(self.clients)]
         await asyncio.sleep(self.rng.uniform(0.0, 0.25))
         self.node.process.send_signal(signal.SIGKILL)
         await self.loop.run_in_executor(None, self.node.process.wait)
         await asyncio.gather(*tasks)
         await asyncio.sleep(0.03)  # what had left by then has reached the boxes and runs
-        found = read_journal(self.folder / "journal-0")
-        odd += disagreements(found, dict(self.emulator.executions.once_only_counts), self.told)
-        odd += [f"damage that is no torn tail: {row}" for row in found.damage if not row.reason.startswith("torn")]
-        doubts = [e.intent.transaction_id for e in found.select(EntryFilter(in_doubt=True))]
-        self.left = [mark for mark in doubts if mark.startswith(f"r{run}-")]
-        self.doubts += len(self.left)
-        return odd
-
-    def play(self, runs, say=lambda text: None):
+        journal = read_journal(self.folder / "journal-0")
+        found += find_disagreements(journal, dict(self.emulator.executions.once_only_counts), self.client_statuses)
+        found += [f"damage that is no torn tail: {row}" for row in journal.damage if not row.reason.startswith("torn")]
+        in_doubt_ids = [e.intent.transaction_id for e in journal.select(EntryFilter(in_doubt=True))]
+        self.in_doubt_ids = [txn_id for txn_id in in_doubt_ids if txn_id.startswith(f"r{run}-")]
+        self.in_doubt_total += len(self.in_doubt_ids)
+        return found
+
+    def play(self, runs, report_progress=lambda text: None):
         """(runs, txns sent, left in doubt, refused again, disagreements)"""
-        odd = []
+        found = []
         try:
             for run in range(runs):
-                odd += [f"run {run}: {what}" for what in self.loop.run_until_complete(self.run(run))]
+                found += [f"run {run}: {disagreement}" for disagreement in self.loop.run_until_complete(self.run(run))]
                 if (run + 1) % 50 == 0:
-                    say(f"{run + 1} runs, {self.sent} txns, {self.doubts} in doubt, {len(odd)} disagreements")
+                    report_progress(
+                        f"{run + 1} runs, {self.sent_total} txns, {self.in_doubt_total} in doubt, {len(found)} disagreements"
+                    )
         finally:
             self.node.end()
             self.loop.close()
         return {
             "runs": runs,
-            "txns": self.sent,
-            "settled": list(self.told.values()).count(SETTLED),
-            "in_doubt": self.doubts,
-            "refused_again": self.refused,
-            "disagreements": odd,
+            "txns": self.sent_total,
+            "settled": list(self.client_statuses.values()).count(SETTLED),
+            "in_doubt": self.in_doubt_total,
+            "refused_again": self.refused_total,
+            "disagreements": found,
         }
 
 
-def save(done, path):
-    Path(path).write_bytes(msgspec.json.format(msgspec.json.encode(done)))
+def save(result, path):
+    Path(path).write_bytes(msgspec.json.format(msgspec.json.encode(result)))
--- a/rampfront/lab/faults.py
+++ b/rampfront/lab/faults.py
@@ -27,37 +27,41 @@
         return {**asdict(self), "at": round(self.at / SEC, 3)}
 
 
-def draw_value(span, rng):
-    return float(span) if isinstance(span, (int, float)) else rng.uniform(*span)
+def draw_value(value_or_range, rng):
+    return float(value_or_range) if isinstance(value_or_range, (int, float)) else rng.uniform(*value_or_range)
 
 
 def resolve_targets(fault, plan, rng):
-    head, _, number = fault.target.partition(":")
-    boxes = named_servers(plan)
+    target_kind, _, number = fault.target.partition(":")
+    servers = named_servers(plan)
     if number == "any":
-        return [f"{head}:{rng.randrange(len(boxes) if head == 'box' else plan.topology.nodes)}"]
+        return [f"{target_kind}:{rng.randrange(len(servers) if target_kind == 'box' else plan.topology.nodes)}"]
     if fault.target == "boxes":
-        return [f"box:{k}" for k in range(len(boxes))]
-    if number or head in ("counter", "discovery", "collector"):
+        return [f"box:{k}" for k in range(len(servers))]
+    if number or target_kind in ("counter", "discovery", "collector"):
         return [fault.target]
-    return [f"box:{k}" for k, (_, group) in enumerate(boxes) if group.name == head]
+    return [f"box:{k}" for k, (_, group) in enumerate(servers) if group.name == target_kind]
 
 
 def halves(fault, nodes):
     """Which half of a split counter each node sees."""
     if not fault.halves:
         return tuple(k % 2 for k in range(nodes))
-    return tuple(next((h for h, part in enumerate(fault.halves) if k in part), 0) for k in range(nodes))
+    return tuple(
+        next((half for half, node_indexes in enumerate(fault.halves) if k in node_indexes), 0) for k in range(nodes)
+    )
 
 
 def timeline(plan, seed):
     rng = Random(f"{seed}/faults")
     events = []
     for number, fault in enumerate(plan.faults):
-        at, length, size = draw_value(fault.at_s, rng), draw_value(fault.for_s, rng), draw_value(fault.size, rng)
-        split = halves(fault, plan.topology.nodes) if fault.kind == "split" else ()
+        at, duration_s, size = draw_value(fault.at_s, rng), draw_value(fault.for_s, rng), draw_value(fault.size, rng)
+        node_halves = halves(fault, plan.topology.nodes) if fault.kind == "split" else ()
         for target in resolve_targets(fault, plan, rng):
-            events.append(Event(round(at * SEC), number, True, target, fault.kind, size, split))
-            if length and (target, fault.kind) != ("counter", "restart"):
-                events.append(Event(round((at + length) * SEC), number, False, target, fault.kind, size, split))
-    return sorted(events, key=lambda e: (e.at, e.on, e.number, e.target))
+            events.append(Event(round(at * SEC), number, True, target, fault.kind, size, node_halves))
+            if duration_s and (target, fault.kind) != ("counter", "restart"):
+                events.append(
+                    Event(round((at + duration_s) * SEC), number, False, target, fault.kind, size, node_halves)
+                )
+    return sorted(events, key=lambda event: (event.at, event.on, event.number, event.target))
--- a/rampfront/lab/journals.py
+++ b/rampfront/lab/journals.py
@@ -27,33 +27,33 @@
     """Closed loop: `waiting` txns at a time, each noted, durable, ended, and the next. Intents made durable a second, and
     how long they waited (ms)."""
     shutil.rmtree(folder, ignore_errors=True)
-    loop, clock, waits = uvloop.new_event_loop(), Clock(), []
+    loop, clock, waits_ms = uvloop.new_event_loop(), Clock(), []
     log = Log("lab", 10**10, open("/dev/null", "wb"))
     settings = JournalSettings(Path(folder), "lab", batch_delay_ns=round(batch_ms * MS))
-    keeper = DurableIntentJournal(loop, TimerQueue(loop, clock), log, settings, ["ledger-entry"])
+    journal = DurableIntentJournal(loop, TimerQueue(loop, clock), log, settings, ["ledger-entry"])
     end = clock() + round(seconds * SEC)
 
-    def begin():
-        keeper.record_intent(Exchange, 0, "box-1", clock())
+    def record_intent():
+        journal.record_intent(Exchange, 0, "box-1", clock())
 
-    def sent(number, since):
+    def on_durable(number, since):
         now = clock()
-        waits.append((now - since) / MS)
-        keeper.record_outcome(number, 0)
-        begin() if now < end else loop.stop()
+        waits_ms.append((now - since) / MS)
+        journal.record_outcome(number, 0)
+        record_intent() if now < end else loop.stop()
 
-    keeper.send, keeper.refuse = sent, lambda since: loop.stop()
+    journal.send, journal.refuse = on_durable, lambda since: loop.stop()
     for _ in range(waiting):
-        begin()
+        record_intent()
     loop.run_forever()
     writes = log.counts["journal_writes"]
-    keeper.close()
+    journal.close()
     loop.close()
-    p50, p99 = np.percentile(waits, (50, 99))
+    p50, p99 = np.percentile(waits_ms, (50, 99))
     return {
         "batch_ms": batch_ms,
         "waiting": waiting,
-        "appends_per_s": round(len(waits) / seconds),
+        "appends_per_s": round(len(waits_ms) / seconds),
         "records_per_write": round(log.counts["journal_records"] / max(1, writes), 1),
         "p50_ms": round(float(p50), 2),
         "p99_ms": round(float(p99), 2),
@@ -65,10 +65,10 @@
     with synchronous=FULL."""
     shutil.rmtree(folder, ignore_errors=True)
     store = SegmentStore(JournalSettings(Path(folder) / "own", "lab"))
-    base = sqlite3.connect(Path(folder) / "journal.db", isolation_level=None)
-    base.execute("PRAGMA journal_mode=WAL")
-    base.execute("PRAGMA synchronous=FULL")
-    base.execute(
+    database = sqlite3.connect(Path(folder) / "journal.db", isolation_level=None)
+    database.execute("PRAGMA journal_mode=WAL")
+    database.execute("PRAGMA synchronous=FULL")
+    database.execute(
         "CREATE TABLE intent (number INTEGER PRIMARY KEY, at INTEGER, txn TEXT, product TEXT, account TEXT, "
         "box TEXT, attempt INTEGER, ended INTEGER, how INTEGER)"
     )
@@ -78,27 +78,27 @@
         store.append([encode_record(Intent(k * size + row[0], *row[1:])) for row in rows])
 
     def sqlite(k):
-        base.execute("BEGIN")
-        base.executemany(
+        database.execute("BEGIN")
+        database.executemany(
             "INSERT INTO intent VALUES (?, ?, ?, ?, ?, ?, ?, NULL, NULL)",
             [(k * size + row[0], *row[1:]) for row in rows],
         )
-        base.execute("COMMIT")
+        database.execute("COMMIT")
 
-    said = {"batch": size}
-    for what in (own, sqlite):
-        begun, k = time.perf_counter(), 0
-        while time.perf_counter() - begun < seconds:
-            what(k)
+    result = {"batch": size}
+    for append in (own, sqlite):
+        started_at, k = time.perf_counter(), 0
+        while time.perf_counter() - started_at < seconds:
+            append(k)
             k += 1
-        said[what.__name__ + "_per_s"] = round(k / (time.perf_counter() - begun))
+        result[append.__name__ + "_per_s"] = round(k / (time.perf_counter() - started_at))
     store.close()
-    base.close()
-    return said
+    database.close()
+    return result
 
 
-def start_time(folder, count, doubts=100):
-    """Seconds that a start reads a journal of `count` records; `doubts` of them intents without an outcome."""
+def start_time(folder, count, in_doubt=100):
+    """Seconds that a start reads a journal of `count` records; `in_doubt` of them intents without an outcome."""
     shutil.rmtree(folder, ignore_errors=True)
     settings = JournalSettings(Path(folder), "lab", max_total_bytes=1 << 40)
     store = SegmentStore(settings)
@@ -110,13 +110,13 @@
                     Intent(number, number, Exchange.id.decode(), "ledger-entry", Exchange.account, "box-1", 0)
                 )
             )
-            if number >= doubts:
+            if number >= in_doubt:
                 packed.append(encode_record(Outcome(number, number + MS, Ending.SUCCEEDED)))
         store.append(packed)
     store.close()
-    size, begun = sum(path.stat().st_size for path in Path(folder).iterdir()), time.perf_counter()
-    again = SegmentStore(settings)
-    took = time.perf_counter() - begun
-    assert len(again.index.in_doubt) == min(doubts, count // 2)
-    again.close()
-    return {"records": count, "mb": round(size / 1e6, 1), "start_s": round(took, 3)}
+    size, started_at = sum(path.stat().st_size for path in Path(folder).iterdir()), time.perf_counter()
+    reopened = SegmentStore(settings)
+    duration_s = time.perf_counter() - started_at
+    assert len(reopened.index.in_doubt) == min(in_doubt, count // 2)
+    reopened.close()
+    return {"records": count, "mb": round(size / 1e6, 1), "start_s": round(duration_s, 3)}
--- a/rampfront/lab/nodes.py
+++ b/rampfront/lab/nodes.py
@@ -19,9 +19,9 @@
 
 from . import plan as plans
 
-TICKS = os.sysconf("SC_CLK_TCK")
-PAGE = os.sysconf("SC_PAGE_SIZE")
-MAX_PORT_DRAWS = 10_000  # before it is said that none is free
+CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
+PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
+MAX_PORT_TRIES = 10_000  # before it is said that none is free
 _recent_ports: deque[int] = deque(maxlen=500)  # handed out last; their nodes may not have bound them yet
 
 
@@ -33,7 +33,7 @@
     """A port below those that the system hands to outgoing connections. Guards against one that a connection of
     another run, or of this one, takes between here and the node's start, and against one port for two nodes: the first
     has not bound it yet when the second one's is drawn. Raises RunFailedError if none is found."""
-    for _ in range(MAX_PORT_DRAWS):
+    for _ in range(MAX_PORT_TRIES):
         port = low + secrets.randbelow(high - low)
         if port in _recent_ports:
             continue
@@ -52,7 +52,7 @@
     try:
         with open(f"/proc/{pid}/stat") as file:
             fields = file.read().rpartition(")")[2].split()
-        return (int(fields[11]) + int(fields[12])) / TICKS, int(fields[21]) * PAGE
+        return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_S, int(fields[21]) * PAGE_BYTES
     except (OSError, IndexError):
         return 0.0, 0
 
@@ -64,18 +64,18 @@
         return 0
 
 
-def http_request(address, path, method="GET", wait=2.0):
+def http_request(address, path, method="GET", timeout_s=2.0):
     """One HTTP call on loopback: status and body; `OSError` where nobody answers."""
     host, _, port = address.rpartition(":")
-    call = http.client.HTTPConnection(host, int(port), timeout=wait)
+    connection = http.client.HTTPConnection(host, int(port), timeout=timeout_s)
     try:
-        call.request(method, path)
-        answer = call.getresponse()
-        return answer.status, answer.read()
-    except http.client.HTTPException as trouble:
-        raise OSError(f"{type(trouble).__name__} from {address}") from None
+        connection.request(method, path)
+        response = connection.getresponse()
+        return response.status, response.read()
+    except http.client.HTTPException as error:
+        raise OSError(f"{type(error).__name__} from {address}") from None
     finally:
-        call.close()
+        connection.close()
 
 
 def with_cpu_affinity(command, cores):
@@ -88,11 +88,11 @@
     def __init__(self, plan, number, addresses, seed, folder):
         self.plan, self.number, self.folder, self.seed = plan, number, folder, seed
         self.listen = f"127.0.0.1:{free_port()}"
-        self.root = Path(plan.topology.root or Path(__file__).parents[2]).resolve()
-        python = self.root / ".venv/bin/python"
+        self.checkout = Path(plan.topology.root or Path(__file__).parents[2]).resolve()
+        python = self.checkout / ".venv/bin/python"
         self.python = str(python) if plan.topology.root and python.exists() else sys.executable
-        self.config = folder / f"node-{number}.json"
-        self.process, self.starts, self.spent = None, 0, 0.0
+        self.config_path = folder / f"node-{number}.json"
+        self.process, self.starts, self.cpu_s_of_ended_processes = None, 0, 0.0
         self.stopped_by_fault = False  # by a fault, and not started again yet
         self.configuration = {
             "name": f"n{number}",
@@ -123,7 +123,7 @@
         self.starts += 1
         self.stopped_by_fault = False
         self.configuration["seed"] = "%x" % (self.seed * 1000 + self.number * 50 + self.starts)
-        self.config.write_bytes(orjson.dumps(self.configuration, option=orjson.OPT_INDENT_2))
+        self.config_path.write_bytes(orjson.dumps(self.configuration, option=orjson.OPT_INDENT_2))
         cores = self.plan.pin.nodes
         command = with_cpu_affinity(
             [self.python, "-m", "rampfront"], [cores[self.number % len(cores)]] if cores else []
@@ -131,20 +131,20 @@
         with open(self.folder / f"node-{self.number}.log", "ab") as log:
             self.process = subprocess.Popen(
                 command,
-                cwd=self.root,
+                cwd=self.checkout,
                 stdout=log,
                 stderr=log,
                 stdin=subprocess.DEVNULL,
-                env={**os.environ, "RELAY_CONFIG": str(self.config), "UV_USE_IO_URING": "0"},
+                env={**os.environ, "RELAY_CONFIG": str(self.config_path), "UV_USE_IO_URING": "0"},
             )
         return self
 
-    def wait_until_ready(self, wait=10.0):
+    def wait_until_ready(self, timeout_s=10.0):
         """Waits until it says that it is ready; `RunFailedError` tells what its log said last."""
-        until = time.monotonic() + wait
-        while time.monotonic() < until and self.process.poll() is None:
+        deadline = time.monotonic() + timeout_s
+        while time.monotonic() < deadline and self.process.poll() is None:
             try:
-                if http_request(self.listen, "/-/ready", wait=0.5)[0] == 200:
+                if http_request(self.listen, "/-/ready", timeout_s=0.5)[0] == 200:
                     return self
             except OSError:
                 pass
@@ -161,13 +161,13 @@
         if status is not None and not self.stopped_by_fault:
             raise RunFailedError(f"node {self.number} ended by itself with status {status}: {self.log_tail()}")
 
-    def fault(self, kind, on):
+    def apply_fault(self, kind, on):
         """kill: SIGKILL, back at the end; stop: SIGSTOP until the end; restart: SIGTERM, then started anew."""
         if kind == "stop":
             return self.process.send_signal(signal.SIGSTOP if on else signal.SIGCONT)
         if on:
             self.stopped_by_fault = True
-            self.spent += process_usage(self.process.pid)[0]
+            self.cpu_s_of_ended_processes += process_usage(self.process.pid)[0]
             self.process.send_signal(signal.SIGKILL if kind == "kill" else signal.SIGTERM)
         else:
             if self.process.poll() is None:
@@ -178,8 +178,8 @@
                     self.process.wait()
             self.start()
 
-    def cpu(self):
-        return self.spent + process_usage(self.process.pid)[0]
+    def cpu_seconds(self):
+        return self.cpu_s_of_ended_processes + process_usage(self.process.pid)[0]
 
     def end(self):
         if self.process and self.process.poll() is None:
@@ -195,9 +195,9 @@
         """The counters that it logged last, over its last start; empty where it logged none."""
         for line in reversed((self.folder / f"node-{self.number}.log").read_bytes().splitlines()):
             try:
-                said = orjson.loads(line)
+                record = orjson.loads(line)
             except ValueError:
                 continue
-            if said.get("event") == "totals":
-                return {key: value for key, value in said.items() if isinstance(value, int)}
+            if record.get("event") == "totals":
+                return {key: value for key, value in record.items() if isinstance(value, int)}
         return {}
--- a/rampfront/lab/plan.py
+++ b/rampfront/lab/plan.py
@@ -184,102 +184,104 @@
     pin: Pin = Pin()
 
 
-def check_unique_names(rows, where):
-    seen = set()
+def check_unique_names(rows, key_path):
+    names = set()
     for k, row in enumerate(rows):
-        if row.name in seen:
-            raise InvalidPlanError(f"{where}[{k}].name: {row.name!r} is taken already")
-        seen.add(row.name)
-    return seen
+        if row.name in names:
+            raise InvalidPlanError(f"{key_path}[{k}].name: {row.name!r} is taken already")
+        names.add(row.name)
+    return names
 
 
-def fault_kinds(target, groups, nodes, boxes, where):
+def fault_kinds(target, group_names, nodes, server_count, key_path):
     """The fault kinds that a target knows; raises `InvalidPlanError` for a target that is not there."""
-    head, _, number = target.partition(":")
+    target_kind, _, number = target.partition(":")
     if target in ("counter", "discovery", "collector"):
         return {"counter": COUNTER_FAULTS, "discovery": DISCOVERY_FAULTS, "collector": COLLECTOR_FAULTS}[target]
-    if head in ("box", "node") and number:
-        there = boxes if head == "box" else nodes
-        if number != "any" and not (number.isdigit() and int(number) < there):
+    if target_kind in ("box", "node") and number:
+        count = server_count if target_kind == "box" else nodes
+        if number != "any" and not (number.isdigit() and int(number) < count):
             raise InvalidPlanError(
-                f"{where}.target: there is no {target!r}; {head}s are numbered from 0 to {there - 1}"
+                f"{key_path}.target: there is no {target!r}; {target_kind}s are numbered from 0 to {count - 1}"
             )
-        if not there:
-            raise InvalidPlanError(f"{where}.target: there are no {head}s")
-        return BOX_FAULTS if head == "box" else NODE_FAULTS
-    if target == "boxes" or target in groups:
+        if not count:
+            raise InvalidPlanError(f"{key_path}.target: there are no {target_kind}s")
+        return BOX_FAULTS if target_kind == "box" else NODE_FAULTS
+    if target == "boxes" or target in group_names:
         return BOX_FAULTS
-    raise InvalidPlanError(f"{where}.target: {target!r} is no box, group, node, counter or discovery")
+    raise InvalidPlanError(f"{key_path}.target: {target!r} is no box, group, node, counter or discovery")
 
 
 def check(plan):
     """The checks between keys. Returns the plan."""
     products, plans = check_unique_names(plan.products, "products"), check_unique_names(plan.plans, "plans")
     check_unique_names(plan.load.streams, "load.streams")
-    groups = check_unique_names(plan.topology.boxes, "topology.boxes")
+    group_names = check_unique_names(plan.topology.boxes, "topology.boxes")
     if plan.warmup_s >= plan.duration_s:
         raise InvalidPlanError(f"warmup_s: {plan.warmup_s:g} leaves nothing of duration_s {plan.duration_s:g}")
-    for k, one in enumerate(plan.plans):
-        if one.rate > 0 and one.burst <= 0:
+    for k, quota in enumerate(plan.plans):
+        if quota.rate > 0 and quota.burst <= 0:
             raise InvalidPlanError(f"plans[{k}].burst: a plan with a rate needs one above 0")
     for k, stream in enumerate(plan.load.streams):
-        where = f"load.streams[{k}]"
+        key_path = f"load.streams[{k}]"
         if stream.front != "http" and (plan.topology.mqtt is None or not plan.topology.nodes):
-            raise InvalidPlanError(f"{where}.front: no node has an MQTT front without topology.mqtt")
+            raise InvalidPlanError(f"{key_path}.front: no node has an MQTT front without topology.mqtt")
         if stream.plan not in plans:
-            raise InvalidPlanError(f"{where}.plan: unknown plan {stream.plan!r}")
+            raise InvalidPlanError(f"{key_path}.plan: unknown plan {stream.plan!r}")
         for name in stream.products:
             if name not in products:
-                raise InvalidPlanError(f"{where}.products: unknown product {name!r}")
+                raise InvalidPlanError(f"{key_path}.products: unknown product {name!r}")
         if stream.spread > max(1, plan.topology.nodes):
-            raise InvalidPlanError(f"{where}.spread: {stream.spread} of {plan.topology.nodes} nodes")
+            raise InvalidPlanError(f"{key_path}.spread: {stream.spread} of {plan.topology.nodes} nodes")
         if stream.shape.kind == "bursts" and stream.shape.on_s > stream.shape.every_s:
-            raise InvalidPlanError(f"{where}.shape.on_s: longer than every_s")
+            raise InvalidPlanError(f"{key_path}.shape.on_s: longer than every_s")
         if (stream.until_s or plan.duration_s) <= stream.from_s:
-            raise InvalidPlanError(f"{where}.until_s: not after from_s {stream.from_s:g}")
-    boxes = sum(group.count for group in plan.topology.boxes)
+            raise InvalidPlanError(f"{key_path}.until_s: not after from_s {stream.from_s:g}")
+    server_count = sum(group.count for group in plan.topology.boxes)
     for k, fault in enumerate(plan.faults):
-        where = f"faults[{k}]"
-        known = fault_kinds(fault.target, groups, plan.topology.nodes, boxes, where)
-        if fault.kind not in known:
-            raise InvalidPlanError(f"{where}.kind: {fault.target} knows no {fault.kind!r}, only {', '.join(known)}")
+        key_path = f"faults[{k}]"
+        allowed_kinds = fault_kinds(fault.target, group_names, plan.topology.nodes, server_count, key_path)
+        if fault.kind not in allowed_kinds:
+            raise InvalidPlanError(
+                f"{key_path}.kind: {fault.target} knows no {fault.kind!r}, only {', '.join(allowed_kinds)}"
+            )
         for key in ("at_s", "for_s", "size"):
             span = getattr(fault, key)
             if isinstance(span, list) and span[0] > span[1]:
-                raise InvalidPlanError(f"{where}.{key}: [low, high] with low above high")
+                raise InvalidPlanError(f"{key_path}.{key}: [low, high] with low above high")
         if (fault.at_s if isinstance(fault.at_s, (int, float)) else fault.at_s[1]) >= plan.duration_s:
-            raise InvalidPlanError(f"{where}.at_s: not before the end at {plan.duration_s:g} s")
+            raise InvalidPlanError(f"{key_path}.at_s: not before the end at {plan.duration_s:g} s")
         if fault.target in ("counter", "collector") and not getattr(plan.topology, fault.target):
-            raise InvalidPlanError(f"{where}.target: this topology has no {fault.target}")
+            raise InvalidPlanError(f"{key_path}.target: this topology has no {fault.target}")
         if any(not 0 <= node < plan.topology.nodes for half in fault.halves for node in half):
-            raise InvalidPlanError(f"{where}.halves: names a node that is not there")
+            raise InvalidPlanError(f"{key_path}.halves: names a node that is not there")
     return plan
 
 
 def convert(table):
     try:
         return check(msgspec.convert(table, Experiment))
-    except msgspec.ValidationError as trouble:
-        where, reason = split_validation_error(trouble)
-        raise InvalidPlanError(f"{where or 'the file'}: {reason}") from None
+    except msgspec.ValidationError as error:
+        key_path, reason = split_validation_error(error)
+        raise InvalidPlanError(f"{key_path or 'the file'}: {reason}") from None
 
 
 def parse_plan(text):
     """An `Experiment` from TOML text; `InvalidPlanError` names the key (or the line, where it is no TOML)."""
     try:
         return convert(tomllib.loads(text))
-    except tomllib.TOMLDecodeError as trouble:
-        raise InvalidPlanError(f"no TOML: {trouble}") from None
+    except tomllib.TOMLDecodeError as error:
+        raise InvalidPlanError(f"no TOML: {error}") from None
 
 
 def read_table(path, depth=0):
     """The file's TOML, laid over that of the file its `extends` names, if it names one."""
     try:
         table = tomllib.loads(Path(path).read_text(encoding="utf-8"))
-    except OSError as trouble:
-        raise InvalidPlanError(f"{path}: {trouble.strerror}") from None
-    except (UnicodeDecodeError, tomllib.TOMLDecodeError) as trouble:
-        raise InvalidPlanError(f"{path}: no TOML: {trouble}") from None
+    except OSError as error:
+        raise InvalidPlanError(f"{path}: {error.strerror}") from None
+    except (UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
+        raise InvalidPlanError(f"{path}: no TOML: {error}") from None
     base = table.pop("extends", None)
     if base is None:
         return table
@@ -292,8 +294,8 @@
     table = read_table(path)
     try:
         return convert(table)
-    except InvalidPlanError as trouble:
-        raise InvalidPlanError(f"{path}: {trouble}") from None
+    except InvalidPlanError as error:
+        raise InvalidPlanError(f"{path}: {error}") from None
 
 
 def changed(plan, **parts):
@@ -306,15 +308,15 @@
     return [(f"{group.name}-{k}", group) for group in plan.topology.boxes for k in range(group.count)]
 
 
-def merge_tables(base, more):
-    """`more` laid over `base`, objects key by key; neither is changed."""
+def merge_tables(base, overrides):
+    """`overrides` laid over `base`, objects key by key; neither is changed."""
     return {
         **base,
         **{
             key: merge_tables(base[key], value)
             if isinstance(value, dict) and isinstance(base.get(key), dict)
             else value
-            for key, value in more.items()
+            for key, value in overrides.items()
         },
     }
 
--- a/rampfront/lab/platform.py
+++ b/rampfront/lab/platform.py
@@ -19,14 +19,14 @@
 
 
 class Platform:
-    """`lag`: ns by which the list is behind; `per_s`: calls a second, with one second's worth at once; `page`: rows.
+    """`lag_ns`: ns by which the list is behind; `per_s`: calls a second, with one second's worth at once; `page`: rows.
     `fault`: None, or what calls get instead: "silent", "garbled", "cut" (half a page that is no JSON), a status."""
 
-    def __init__(self, clock, page=50, lag=0, per_s=1000.0):
-        self.clock, self.page, self.lag, self.per_s = clock, page, lag, per_s
+    def __init__(self, clock, page=50, lag_ns=0, per_s=1000.0):
+        self.clock, self.page, self.lag_ns, self.per_s = clock, page, lag_ns, per_s
         self.versions = deque([(clock(), {})])  # (since, {id: (entry, cold until)}), no older than the lag needs
-        self.tokens, self.filled, self.fault = per_s, clock(), None
-        self.counts, self.held = Counter(), []
+        self.tokens, self.refilled_at, self.fault = per_s, clock(), None
+        self.counts, self.unanswered_requests = Counter(), []
 
     def put(self, uid, service, address, zone, capacity=2, state="ready", cold=0, revision="v1"):
         entry = {
@@ -37,45 +37,45 @@
             "Capacity": capacity,
             "State": state,
         }
-        self.change({**self.versions[-1][1], uid: (entry, self.clock() + cold if cold else 0)})
+        self.replace_entries({**self.versions[-1][1], uid: (entry, self.clock() + cold if cold else 0)})
 
     def set_state(self, uid, state):
         entry, cold = self.versions[-1][1][uid]
-        self.change({**self.versions[-1][1], uid: ({**entry, "State": state}, cold)})
+        self.replace_entries({**self.versions[-1][1], uid: ({**entry, "State": state}, cold)})
 
     def remove(self, uid):
-        self.change({key: row for key, row in self.versions[-1][1].items() if key != uid})
+        self.replace_entries({key: row for key, row in self.versions[-1][1].items() if key != uid})
 
-    def change(self, rows):
+    def replace_entries(self, rows):
         now = self.clock()
         self.versions.append((now, rows))
-        while len(self.versions) > 1 and self.versions[1][0] <= now - self.lag:
+        while len(self.versions) > 1 and self.versions[1][0] <= now - self.lag_ns:
             self.versions.popleft()
 
     def visible_entries(self, now):
         """What the list shows by now."""
-        shown = {}
+        entries = {}
         for since, rows in self.versions:
-            if since <= now - self.lag:
-                shown = rows
-        return shown
+            if since <= now - self.lag_ns:
+                entries = rows
+        return entries
 
     @endpoint("GET", "/servers")
-    def servers(self, asked):
+    def servers(self, request):
         now = self.clock()
         self.counts["calls"] += 1
-        self.tokens = min(self.per_s, self.tokens + (now - self.filled) * self.per_s / SEC)
-        self.filled = now
+        self.tokens = min(self.per_s, self.tokens + (now - self.refilled_at) * self.per_s / SEC)
+        self.refilled_at = now
         if self.tokens < 1:
             self.counts["over"] += 1
             return error_response(429, "too many calls")
         self.tokens -= 1
         if self.fault == "silent":
-            self.held.append(asked)
+            self.unanswered_requests.append(request)
             return None
         if type(self.fault) is int:
             return error_response(self.fault, "ill")
-        token, zone = asked.query.get("PageToken", "p-0"), asked.query.get("Zone")
+        token, zone = request.query.get("PageToken", "p-0"), request.query.get("Zone")
         if not token.startswith("p-") or not token[2:].isdecimal():
             return error_response(400, "PageToken: none of ours")
         start = int(token[2:])
@@ -96,6 +96,6 @@
 
 async def open_platform(loop, platform, host="127.0.0.1", port=0):
     """Returns the listener; `listener.address` is where it is."""
-    calls = HttpServer(loop, platform.clock, [platform], HttpServerLimits())
-    await calls.listen(host, port)
-    return calls
+    server = HttpServer(loop, platform.clock, [platform], HttpServerLimits())
+    await server.listen(host, port)
+    return server
--- a/rampfront/lab/plots.py
+++ b/rampfront/lab/plots.py
@@ -10,7 +10,7 @@
 from hdrh.histogram import HdrHistogram  # noqa: E402
 from matplotlib import pyplot as plt  # noqa: E402
 
-COLOURS = {
+OUTCOME_COLOURS = {
     "settled": "tab:green",
     "declined": "tab:orange",
     "voided": "tab:red",
@@ -18,10 +18,10 @@
     "broken": "tab:purple",
 }
 # Where a percentile stands on the axis of an HDR plot: by the share of txns above it.
-SHARES = np.concatenate(([0.0], 1.0 - np.logspace(0, -4, 120)[1:]))
+PERCENTILE_SHARES = np.concatenate(([0.0], 1.0 - np.logspace(0, -4, 120)[1:]))
 
 
-def finish(figure, path):
+def save_figure(figure, path):
     path = Path(path)
     path.parent.mkdir(parents=True, exist_ok=True)
     figure.text(0.995, 0.005, "emulated, loopback", ha="right", va="bottom", fontsize=7, color="grey")
@@ -31,7 +31,7 @@
     return path
 
 
-def shade(axes, faults, until):
+def shade_faults(axes, faults, until):
     """Grey bands where a fault stands."""
     started = {}
     for row in faults:
@@ -50,32 +50,36 @@
     """Outcomes a second, and latency a second, with the faults behind them."""
     series = report["series"]
     seconds = np.arange(len(series["offered"])) + 0.5
-    figure, (above, below) = plt.subplots(2, 1, figsize=(9, 6), sharex=True)
-    above.plot(seconds, series["offered"], color="tab:blue", lw=1, label="offered")
-    for name, colour in COLOURS.items():
+    figure, (upper_axes, lower_axes) = plt.subplots(2, 1, figsize=(9, 6), sharex=True)
+    upper_axes.plot(seconds, series["offered"], color="tab:blue", lw=1, label="offered")
+    for name, colour in OUTCOME_COLOURS.items():
         if any(series[name]):
-            above.plot(seconds, series[name], color=colour, lw=1.4, label=name)
-    above.set_ylabel("txns a second")
-    above.legend(fontsize=8, ncols=3)
-    above.set_title(f"{report['name']}, seed {report['seed']}")
+            upper_axes.plot(seconds, series[name], color=colour, lw=1.4, label=name)
+    upper_axes.set_ylabel("txns a second")
+    upper_axes.legend(fontsize=8, ncols=3)
+    upper_axes.set_title(f"{report['name']}, seed {report['seed']}")
     for name, colour in (("p50", "tab:blue"), ("p99", "tab:red")):
-        below.plot(seconds, [np.nan if v is None else v for v in series[name]], color=colour, label=name)
-    below.set_yscale("log")
-    below.set_ylabel("settled after, ms")
-    below.set_xlabel("seconds")
-    below.legend(fontsize=8)
-    for axes in (above, below):
-        shade(axes, report["faults"], len(seconds))
+        lower_axes.plot(seconds, [np.nan if v is None else v for v in series[name]], color=colour, label=name)
+    lower_axes.set_yscale("log")
+    lower_axes.set_ylabel("settled after, ms")
+    lower_axes.set_xlabel("seconds")
+    lower_axes.legend(fontsize=8)
+    for axes in (upper_axes, lower_axes):
+        shade_faults(axes, report["faults"], len(seconds))
         axes.grid(alpha=0.3)
-    return finish(figure, path)
+    return save_figure(figure, path)
 
 
-def percentiles(sides, path, title=""):
-    """HDR plot: latency against percentile. `sides`: label to the histogram's text, as reports hold it."""
+def percentiles(runs, path, title=""):
+    """HDR plot: latency against percentile. `runs`: label to the histogram's text, as reports hold it."""
     figure, axes = plt.subplots(figsize=(8, 4.5))
-    for label, said in sides.items():
-        hdr = HdrHistogram.decode(said)
-        axes.plot(1.0 / (1.0 - SHARES), [hdr.get_value_at_percentile(100.0 * s) / 1000.0 for s in SHARES], label=label)
+    for label, encoded in runs.items():
+        hdr = HdrHistogram.decode(encoded)
+        axes.plot(
+            1.0 / (1.0 - PERCENTILE_SHARES),
+            [hdr.get_value_at_percentile(100.0 * share) / 1000.0 for share in PERCENTILE_SHARES],
+            label=label,
+        )
     axes.set_xscale("log")
     axes.set_yscale("log")
     axes.set_xticks([1, 10, 100, 1000, 10000], ["0", "p90", "p99", "p99.9", "p99.99"])
@@ -83,64 +87,64 @@
     axes.set_title(title)
     axes.grid(alpha=0.3, which="both")
     axes.legend(fontsize=8)
-    return finish(figure, path)
+    return save_figure(figure, path)
 
 
-def quotas(sides, path, account, title=""):
-    """Overshoot of an account over 10 s windows, over time. `sides`: label to report."""
+def quotas(runs, path, account, title=""):
+    """Overshoot of an account over 10 s windows, over time. `runs`: label to report."""
     figure, axes = plt.subplots(figsize=(9, 3.6))
-    for label, report in sides.items():
+    for label, report in runs.items():
         rows = [row for row in report["accounts"] if row["account"] == account]
         if rows:
             axes.plot(np.arange(len(rows[0]["rolling_pct"])) + 1, rows[0]["rolling_pct"], label=label)
-    shade(axes, next(iter(sides.values()))["faults"], next(iter(sides.values()))["seconds"])
+    shade_faults(axes, next(iter(runs.values()))["faults"], next(iter(runs.values()))["seconds"])
     axes.axhline(5.0, color="tab:red", ls="--", lw=0.8)
     axes.set_xlabel("seconds")
     axes.set_ylabel(f"overshoot of {account}, %")
     axes.set_title(title)
     axes.legend(fontsize=8)
     axes.grid(alpha=0.3)
-    return finish(figure, path)
+    return save_figure(figure, path)
 
 
-def shares(sides, path, title=""):
-    """Share of the worth owed that was earned, over time, of runs of the whole system. `sides`: label to report."""
+def shares(runs, path, title=""):
+    """Share of the worth owed that was earned, over time, of runs of the whole system. `runs`: label to report."""
     figure, axes = plt.subplots(figsize=(9, 3.6))
-    for label, report in sides.items():
+    for label, report in runs.items():
         every, share = report["series"]["share_every_s"], report["series"]["share"]
         axes.plot((np.arange(len(share)) + 0.5) * every, [np.nan if v is None else v for v in share], label=label)
-    first = next(iter(sides.values()))
-    shade(axes, first["faults"], first["seconds"])
+    first = next(iter(runs.values()))
+    shade_faults(axes, first["faults"], first["seconds"])
     axes.set_ylim(0, 1.05)
     axes.set_xlabel("seconds")
     axes.set_ylabel("share of the worth owed")
     axes.set_title(title)
     axes.legend(fontsize=8)
     axes.grid(alpha=0.3)
-    return finish(figure, path)
+    return save_figure(figure, path)
 
 
-def recovery(sides, path, title=""):
-    """Share of each second's txns that were settled within their SLA time. `sides`: label to report."""
+def recovery(runs, path, title=""):
+    """Share of each second's txns that were settled within their SLA time. `runs`: label to report."""
     figure, axes = plt.subplots(figsize=(9, 3.6))
-    for label, report in sides.items():
+    for label, report in runs.items():
         series = report["series"]
         share = [on_time / max(1, offered) for on_time, offered in zip(series["on_time"], series["offered"])]
         axes.plot(np.arange(len(share)) + 0.5, share, label=label)
-    first = next(iter(sides.values()))
-    shade(axes, first["faults"], first["seconds"])
+    first = next(iter(runs.values()))
+    shade_faults(axes, first["faults"], first["seconds"])
     axes.set_ylim(0, 1.05)
     axes.set_xlabel("seconds")
     axes.set_ylabel("settled in time, share of the second")
     axes.set_title(title)
     axes.legend(fontsize=8)
     axes.grid(alpha=0.3)
-    return finish(figure, path)
+    return save_figure(figure, path)
 
 
-def comparison(said, path):
+def comparison(result, path):
     """Differences with their intervals, each over its own scale."""
-    rows = [row for row in said["rows"] if row["half"] is not None]
+    rows = [row for row in result["rows"] if row["half"] is not None]
     figure, axes = plt.subplots(figsize=(8, 0.5 + 0.42 * max(1, len(rows))))
     colours = {"better": "tab:green", "worse": "tab:red"}
     for k, row in enumerate(reversed(rows)):
@@ -155,34 +159,34 @@
         )
     axes.set_yticks(range(len(rows)), [row["figure"] for row in reversed(rows)], fontsize=8)
     axes.axvline(0, color="black", lw=0.8)
-    axes.set_xlabel(f"change from {said['a']} to {said['b']}, % of the larger side")
+    axes.set_xlabel(f"change from {result['a']} to {result['b']}, % of the larger side")
     axes.grid(alpha=0.3, axis="x")
-    return finish(figure, path)
+    return save_figure(figure, path)
 
 
 def sweep(rows, path, title=""):
     """Overhead and cores against the rate that was asked for. `rows` as `lab.sweep` gives them."""
     rate = [row["rate"] for row in rows]
-    figure, (above, below) = plt.subplots(2, 1, figsize=(8, 6.5), sharex=True)
+    figure, (upper_axes, lower_axes) = plt.subplots(2, 1, figsize=(8, 6.5), sharex=True)
     for name, colour in (("p50", "tab:blue"), ("p99", "tab:red")):
-        above.plot(
+        upper_axes.plot(
             rate,
             [row["overhead_ms"][name] if row["overhead_ms"] else np.nan for row in rows],
             "o-",
             color=colour,
             label=f"overhead {name}",
         )
-    above.axhline(1.0, color="grey", ls="--", lw=0.8)
-    above.set_yscale("log")
-    above.set_ylabel("through the node less direct, ms")
-    above.set_title(title)
-    above.legend(fontsize=8)
+    upper_axes.axhline(1.0, color="grey", ls="--", lw=0.8)
+    upper_axes.set_yscale("log")
+    upper_axes.set_ylabel("through the node less direct, ms")
+    upper_axes.set_title(title)
+    upper_axes.legend(fontsize=8)
     for name, colour in (("node", "tab:red"), ("emulator", "tab:green"), ("load", "tab:blue")):
-        below.plot(rate, [row["cores"].get(name, np.nan) for row in rows], "o-", color=colour, label=name)
-    below.axhline(1.0, color="grey", ls="--", lw=0.8)
-    below.set_ylabel("cores (busiest process of each kind)")
-    below.set_xlabel("txns a second offered")
-    below.legend(fontsize=8)
-    for axes in (above, below):
+        lower_axes.plot(rate, [row["cores"].get(name, np.nan) for row in rows], "o-", color=colour, label=name)
+    lower_axes.axhline(1.0, color="grey", ls="--", lw=0.8)
+    lower_axes.set_ylabel("cores (busiest process of each kind)")
+    lower_axes.set_xlabel("txns a second offered")
+    lower_axes.legend(fontsize=8)
+    for axes in (upper_axes, lower_axes):
         axes.grid(alpha=0.3, which="both")
-    return finish(figure, path)
+    return save_figure(figure, path)
--- a/rampfront/lab/publishers.py
+++ b/rampfront/lab/publishers.py
@@ -5,70 +5,92 @@
 
 import asyncio
 
-from ..mqtt import codec as c
+from ..mqtt import codec
 from .emulator import account_key
 from .schedule import accounts
 
-OUTCOMES = {c.OK: 200, c.QUOTA: 429}  # reason code to the status that HTTP gives for the same
+OUTCOMES = {codec.OK: 200, codec.QUOTA: 429}  # reason code to the status that HTTP gives for the same
 
 
-class Agent(asyncio.Protocol):
+class AccountConnection(asyncio.Protocol):
     """One account's connection to one node."""
 
     def __init__(self, pool, account):
-        self.pool, self.account, self.transport, self.up = pool, account, None, False
-        self.decoder, self.begun, self.pid, self.out, self.line = c.Decoder(1 << 20, c.V5), bytearray(), 0, {}, []
+        self.pool, self.account, self.transport, self.connected = pool, account, None, False
+        self.decoder, self.connack_bytes, self.packet_id, self.unacknowledged, self.waiting = (
+            codec.Decoder(1 << 20, codec.V5),
+            bytearray(),
+            0,
+            {},
+            [],
+        )
 
     def connection_made(self, transport):
         self.transport = transport
         name, stream = self.pool.accounts[self.account]
-        user = f"{self.pool.client.plan.load.streams[stream].plan}:{account_key(name)}"
+        user_name = f"{self.pool.client.plan.load.streams[stream].plan}:{account_key(name)}"
         client_id = f"w{self.pool.client.worker}-{name}"
         transport.write(
-            c.packet(c.CONNECT, 0, c.text("MQTT") + b"\x05\x82\x00\x3c\x00" + c.text(client_id) + c.text(user))
+            codec.packet(
+                codec.CONNECT,
+                0,
+                codec.text("MQTT") + b"\x05\x82\x00\x3c\x00" + codec.text(client_id) + codec.text(user_name),
+            )
         )
 
     def data_received(self, data):
-        if not self.up:
-            self.begun += data
-            if len(self.begun) < 2 or len(self.begun) < 2 + self.begun[1]:
+        if not self.connected:
+            self.connack_bytes += data
+            if len(self.connack_bytes) < 2 or len(self.connack_bytes) < 2 + self.connack_bytes[1]:
                 return
-            if self.begun[3]:
+            if self.connack_bytes[3]:
                 return self.transport.close()
-            data, self.up = bytes(self.begun[2 + self.begun[1] :]), True  # behind the CONNACK
-            for txn in self.line:
+            data, self.connected = bytes(self.connack_bytes[2 + self.connack_bytes[1] :]), True  # behind the CONNACK
+            for txn in self.waiting:
                 self.publish(txn)
-            self.line.clear()
+            self.waiting.clear()
         for packet in self.decoder.feed(data):
-            if packet.kind == c.PUBACK and (held := self.out.pop(packet.pid, None)):
-                txn, tries = held
+            if packet.kind == codec.PUBACK and (entry := self.unacknowledged.pop(packet.pid, None)):
+                txn, tries = entry
                 if txn.timer is not None and txn.tries == tries:
-                    told = dict(packet.properties.get("user", ()))
-                    back = told.get("retry-after-ms")
-                    self.pool.client.answered(txn, OUTCOMES.get(packet.code, 502), back and float(back) / 1000.0)
-
-    def connection_lost(self, trouble):
-        self.pool.agents.pop(self.account, None)
-        for txn, tries in [*self.out.values(), *((txn, txn.tries) for txn in self.line)]:
+                    user_properties = dict(packet.properties.get("user", ()))
+                    retry_after_ms = user_properties.get("retry-after-ms")
+                    self.pool.client.on_answered(
+                        txn, OUTCOMES.get(packet.code, 502), retry_after_ms and float(retry_after_ms) / 1000.0
+                    )
+
+    def connection_lost(self, error):
+        self.pool.connections.pop(self.account, None)
+        for txn, tries in [*self.unacknowledged.values(), *((txn, txn.tries) for txn in self.waiting)]:
             if txn.timer is not None and txn.tries == tries:
-                self.pool.client.cut(txn, False)
+                self.pool.client.on_connection_failed(txn, False)
 
     def submit(self, txn):
-        self.publish(txn) if self.up else self.line.append(txn)
+        self.publish(txn) if self.connected else self.waiting.append(txn)
 
     def publish(self, txn):
         client, product = self.pool.client, self.pool.client.plan.products[txn.product]
         for _ in range(65535):
-            self.pid = self.pid % 65535 + 1
-            if self.pid not in self.out:
+            self.packet_id = self.packet_id % 65535 + 1
+            if self.packet_id not in self.unacknowledged:
                 break
-        self.out[self.pid] = txn, txn.tries
-        mark = f"{client.worker}-{txn.number}"
-        client.sent(txn)
-        more = {"user": [("idempotency-key", f"k{mark}")]} if product.effect == "referenced" else {}
-        left = max(1, (txn.deadline - client.clock()) // 10**9)  # MQTT tells whole seconds
+        self.unacknowledged[self.packet_id] = txn, txn.tries
+        transaction_id = f"{client.worker}-{txn.number}"
+        client.record_first_send(txn)
+        extra_properties = (
+            {"user": [("idempotency-key", f"k{transaction_id}")]} if product.effect == "referenced" else {}
+        )
+        time_left_s = max(1, (txn.deadline - client.clock()) // 10**9)  # MQTT tells whole seconds
         self.transport.write(
-            c.publish(c.V5, f"{product.name}/{txn.account}/{mark}", b"", 1, self.pid, expiry=left, **more)
+            codec.publish(
+                codec.V5,
+                f"{product.name}/{txn.account}/{transaction_id}",
+                b"",
+                1,
+                self.packet_id,
+                expiry=time_left_s,
+                **extra_properties,
+            )
         )
 
 
@@ -77,19 +99,19 @@
 
     def __init__(self, client, address):
         host, _, port = address.rpartition(":")
-        self.client, self.host, self.port, self.agents, self.opened = client, host, int(port), {}, 0
+        self.client, self.host, self.port, self.connections, self.opened_connections = client, host, int(port), {}, 0
         self.accounts = accounts(client.plan)
 
     def submit(self, txn):
-        agent = self.agents.get(txn.account)
-        if agent is None:
-            agent = self.agents[txn.account] = Agent(self, txn.account)
-            self.opened += 1
-            self.client.loop.create_task(self.open(agent))
-        agent.submit(txn)
-
-    async def open(self, agent):
+        connection = self.connections.get(txn.account)
+        if connection is None:
+            connection = self.connections[txn.account] = AccountConnection(self, txn.account)
+            self.opened_connections += 1
+            self.client.loop.create_task(self.open(connection))
+        connection.submit(txn)
+
+    async def open(self, connection):
         try:
-            await self.client.loop.create_connection(lambda: agent, self.host, self.port)
-        except OSError as trouble:
-            agent.connection_lost(trouble)
+            await self.client.loop.create_connection(lambda: connection, self.host, self.port)
+        except OSError as error:
+            connection.connection_lost(error)
--- a/rampfront/lab/report.py
+++ b/rampfront/lab/report.py
@@ -19,34 +19,36 @@
 from .schedule import accounts
 
 MS, SEC = 10**6, 10**9
-HIGHEST = 600 * 10**6  # us
-QUANTILES = {"p50": 50.0, "p90": 90.0, "p99": 99.0, "p999": 99.9}
+MAX_LATENCY_US = 600 * 10**6
+PERCENTILES = {"p50": 50.0, "p90": 90.0, "p99": 99.0, "p999": 99.9}
 
 
 class RunRefusedError(RunFailedError):
     """The run may not be reported."""
 
 
-def histogram(ns):
+def histogram(latencies_ns):
     """An HDR histogram in us of an array of ns."""
-    hdr = HdrHistogram(1, HIGHEST, 3)
-    values, counts = np.unique(np.clip(ns // 1000, 1, HIGHEST), return_counts=True)
+    hdr = HdrHistogram(1, MAX_LATENCY_US, 3)
+    values, counts = np.unique(np.clip(latencies_ns // 1000, 1, MAX_LATENCY_US), return_counts=True)
     for value, count in zip(values.tolist(), counts.tolist()):
         hdr.record_value(value, count)
     return hdr
 
 
-def latency(ns):
+def latency(latencies_ns):
     """Percentiles in ms, the count, and the histogram itself in its interchange form."""
-    if not len(ns):
+    if not len(latencies_ns):
         return {"count": 0}
-    hdr = histogram(ns)
-    told = {name: round(hdr.get_value_at_percentile(q) / 1000.0, 3) for name, q in QUANTILES.items()}
+    hdr = histogram(latencies_ns)
+    percentiles_ms = {
+        name: round(hdr.get_value_at_percentile(percentile) / 1000.0, 3) for name, percentile in PERCENTILES.items()
+    }
     return {
-        "count": int(len(ns)),
-        **told,
-        "max": round(float(ns.max()) / MS, 3),
-        "mean": round(float(ns.mean()) / MS, 3),
+        "count": int(len(latencies_ns)),
+        **percentiles_ms,
+        "max": round(float(latencies_ns.max()) / MS, 3),
+        "mean": round(float(latencies_ns.mean()) / MS, 3),
         "hdr": hdr.encode().decode(),
     }
 
@@ -56,23 +58,25 @@
 
 
 def load_rows(folder):
-    parts = sorted(folder.glob("load-*.npy"))
-    if not parts:
+    files = sorted(folder.glob("load-*.npy"))
+    if not files:
         raise RunFailedError(f"{folder} holds no run")
-    return np.concatenate([np.load(part) for part in parts])
-
-
-def rolling_overshoot(at, units, rate, burst, length, step=1.0, span=10.0):
-    """Each second: percent by which the units let in over the last `span` seconds exceed rate * span + burst."""
-    edges = np.arange(step, length + step / 2, step)
-    total = np.concatenate(([0.0], np.cumsum(units)))
-    until = total[np.searchsorted(at, edges * SEC, "right")]
-    since = total[np.searchsorted(at, (edges - span) * SEC, "right")]
-    allowed = rate * np.minimum(edges, span) + burst
-    return [round(float(v), 2) for v in np.maximum(0.0, (until - since - allowed) / allowed * 100.0)]
+    return np.concatenate([np.load(part) for part in files])
+
+
+def rolling_overshoot(at, units, rate, burst, duration_s, step=1.0, window_s=10.0):
+    """Each second: percent by which the units let in over the last `window_s` seconds exceed rate * span + burst."""
+    edges = np.arange(step, duration_s + step / 2, step)
+    cumulative = np.concatenate(([0.0], np.cumsum(units)))
+    total_at_end = cumulative[np.searchsorted(at, edges * SEC, "right")]
+    total_at_start = cumulative[np.searchsorted(at, (edges - window_s) * SEC, "right")]
+    allowed = rate * np.minimum(edges, window_s) + burst
+    return [
+        round(float(value), 2) for value in np.maximum(0.0, (total_at_end - total_at_start - allowed) / allowed * 100.0)
+    ]
 
 
-def overshoot(admitted, plan, length):
+def overshoot(admitted, plan, duration_s):
     """For each account on a plan with a rate: units let in, its allowance over the run (burst + rate * time), the
     percent beyond it, and the units that its true store (a token bucket over all nodes) did not hold."""
     plans = {p.name: p for p in plan.plans}
@@ -80,14 +84,16 @@
     admitted, rows = admitted[order], []
     for index, (name, stream) in enumerate(accounts(plan)):
         quota = plans[plan.load.streams[stream].plan]
-        mine = admitted[admitted["account"] == index]
-        if quota.rate <= 0 or not len(mine):
+        own_rows = admitted[admitted["account"] == index]
+        if quota.rate <= 0 or not len(own_rows):
             continue
         bucket = tally.TokenBucket(quota.rate, quota.burst)
-        beyond = sum(
-            units for at, units in zip(mine["at"].tolist(), mine["units"].tolist()) if not bucket.take(units, at)
+        units_beyond_store = sum(
+            units
+            for at, units in zip(own_rows["at"].tolist(), own_rows["units"].tolist())
+            if not bucket.take(units, at)
         )
-        allowance, units = quota.burst + quota.rate * length, float(mine["units"].sum())
+        allowance, units = quota.burst + quota.rate * duration_s, float(own_rows["units"].sum())
         rows.append(
             {
                 "account": name,
@@ -97,8 +103,10 @@
                 "allowance": round(allowance, 2),
                 "used": round(units / allowance, 4),
                 "overshoot_pct": round(max(0.0, units / allowance - 1.0) * 100.0, 3),
-                "beyond_store": round(beyond, 2),
-                "rolling_pct": rolling_overshoot(mine["at"], mine["units"], quota.rate, quota.burst, length),
+                "beyond_store": round(units_beyond_store, 2),
+                "rolling_pct": rolling_overshoot(
+                    own_rows["at"], own_rows["units"], quota.rate, quota.burst, duration_s
+                ),
             }
         )
     return sorted(rows, key=lambda row: (-row["overshoot_pct"], -row["used"], row["account"]))
@@ -110,44 +118,46 @@
     index = [account for account, _ in accounts(plan)].index(name)
     stream = accounts(plan)[index][1]
     quota = next(p for p in plan.plans if p.name == plan.load.streams[stream].plan)
-    mine = admitted[(admitted["account"] == index) & (admitted["at"] >= start * SEC) & (admitted["at"] < end * SEC)]
+    own_rows = admitted[(admitted["account"] == index) & (admitted["at"] >= start * SEC) & (admitted["at"] < end * SEC)]
     allowance = quota.rate * (end - start) + (quota.burst if burst else 0.0)
-    return max(0.0, float(mine["units"].sum()) / allowance - 1.0) * 100.0
+    return max(0.0, float(own_rows["units"].sum()) / allowance - 1.0) * 100.0
 
 
-def series(rows, plan):
+def per_second_series(rows, plan):
     """Per second of intended time: offered, outcomes, p50 and p99 of what was settled (ms; None for none)."""
     second = (rows["at"] // SEC).astype(int)
-    said = {"offered": [], **{name: [] for name in OUTCOMES}, "on_time": [], "p50": [], "p99": []}
+    result = {"offered": [], **{name: [] for name in OUTCOMES}, "on_time": [], "p50": [], "p99": []}
     sla = np.array([p.sla_ms * MS for p in plan.products])
     for k in range(int(np.ceil(plan.duration_s))):
         part = rows[second == k]
-        said["offered"].append(int(len(part)))
+        result["offered"].append(int(len(part)))
         for name, count in count_outcomes(part["outcome"]).items():
-            said[name].append(count)
-        done = part[part["outcome"] == SETTLED]
-        said["on_time"].append(int((done["took"] <= sla[done["product"]]).sum()))
-        for name, q in (("p50", 50), ("p99", 99)):
-            said[name].append(round(float(np.percentile(done["took"], q)) / MS, 3) if len(done) else None)
-    return said
+            result[name].append(count)
+        settled_rows = part[part["outcome"] == SETTLED]
+        result["on_time"].append(int((settled_rows["took"] <= sla[settled_rows["product"]]).sum()))
+        for name, percentile in (("p50", 50), ("p99", 99)):
+            result[name].append(
+                round(float(np.percentile(settled_rows["took"], percentile)) / MS, 3) if len(settled_rows) else None
+            )
+    return result
 
 
-def usage(folder):
+def usage_summary(folder):
     """Mean and highest cores, highest MB and descriptors of each process, without the first and last second."""
     rows = [orjson.loads(line) for line in (folder / "usage.jsonl").read_bytes().splitlines()]
     names = sorted({name for row in rows for name in row if name != "at"})
-    middle = rows[1:-1] or rows
-    said = {}
+    steady_samples = rows[1:-1] or rows
+    result = {}
     for name in names:
-        mine = [row[name] for row in middle if name in row]
-        if mine:
-            said[name] = {
-                "cores": round(sum(r["cores"] for r in mine) / len(mine), 3),
-                "cores_most": max(r["cores"] for r in mine),
-                "mb_most": max(r["mb"] for r in mine),
-                "fds_most": max(r["fds"] for r in mine),
+        own_rows = [row[name] for row in steady_samples if name in row]
+        if own_rows:
+            result[name] = {
+                "cores": round(sum(r["cores"] for r in own_rows) / len(own_rows), 3),
+                "cores_most": max(r["cores"] for r in own_rows),
+                "mb_most": max(r["mb"] for r in own_rows),
+                "fds_most": max(r["fds"] for r in own_rows),
             }
-    return said
+    return result
 
 
 def lag(rows, plan):
@@ -170,40 +180,40 @@
     try:
         plan = msgspec.json.decode((folder / "plan.json").read_bytes(), type=Experiment)
         manifest = orjson.loads((folder / "manifest.json").read_bytes())
-    except (OSError, ValueError) as trouble:
-        raise RunFailedError(f"{folder} holds no whole run: {trouble}") from None
+    except (OSError, ValueError) as error:
+        raise RunFailedError(f"{folder} holds no whole run: {error}") from None
     rows = load_rows(folder)
-    behind = lag(rows, plan)
-    if behind["p99"] > plan.load.most_lag_ms:
+    lag_ms = lag(rows, plan)
+    if lag_ms["p99"] > plan.load.most_lag_ms:
         raise RunRefusedError(
-            f"{folder}: the load tool lagged behind its schedule by {behind['p99']:g} ms at p99, more "
+            f"{folder}: the load tool lagged behind its schedule by {lag_ms['p99']:g} ms at p99, more "
             f"than load.most_lag_ms {plan.load.most_lag_ms:g}: its latencies would tell of the tool. "
             "Give it more workers or cores, or ask for a lower rate"
         )
-    left = sum(w["sent"] - w["ended"] for w in manifest["workers"])
-    if left:
-        raise RunRefusedError(f"{folder}: {left} txns have no final row")
-    return plan, rows, manifest, behind
+    unfinished = sum(worker["sent"] - worker["ended"] for worker in manifest["workers"])
+    if unfinished:
+        raise RunRefusedError(f"{folder}: {unfinished} txns have no final row")
+    return plan, rows, manifest, lag_ms
 
 
 def summarize(folder):
     """The report of one repeat. Shape: see docs/lab.md."""
     folder = Path(folder)
-    plan, rows, manifest, behind = read_folder(folder)
+    plan, rows, manifest, lag_ms = read_folder(folder)
     emulator = orjson.loads((folder / "emulator.json").read_bytes())
     admitted = np.load(folder / "admissions.npy")
     steady = rows[rows["at"] >= plan.warmup_s * SEC]
     products = {}
     for k, product in enumerate(plan.products):
-        mine = steady[steady["product"] == k]
-        done = mine[mine["outcome"] == SETTLED]
+        own_rows = steady[steady["product"] == k]
+        settled_rows = own_rows[own_rows["outcome"] == SETTLED]
         products[product.name] = {
-            "offered": int(len(mine)),
-            **count_outcomes(mine["outcome"]),
-            "on_time": int((done["took"] <= product.sla_ms * MS).sum()),
-            "retried": int((mine["tries"] > 1).sum()),
-            "tries": int(mine["tries"].sum()),
-            "latency_ms": latency(done["took"]),
+            "offered": int(len(own_rows)),
+            **count_outcomes(own_rows["outcome"]),
+            "on_time": int((settled_rows["took"] <= product.sla_ms * MS).sum()),
+            "retried": int((own_rows["tries"] > 1).sum()),
+            "tries": int(own_rows["tries"].sum()),
+            "latency_ms": latency(settled_rows["took"]),
         }
     streams = {
         stream.name: {
@@ -214,21 +224,21 @@
         for k, stream in enumerate(plan.load.streams)
     }
     quotas = overshoot(admitted, plan, plan.duration_s)
-    done = steady[steady["outcome"] == SETTLED]
-    length = plan.duration_s - plan.warmup_s
+    settled_rows = steady[steady["outcome"] == SETTLED]
+    duration_s = plan.duration_s - plan.warmup_s
     faults = [orjson.loads(line) for line in (folder / "faults.jsonl").read_bytes().splitlines()]
     return {
         "name": plan.name,
         "seed": manifest["seed"],
         "emulated": True,
-        "seconds": length,
+        "seconds": duration_s,
         "nodes": plan.topology.nodes,
-        "lag_ms": behind,
+        "lag_ms": lag_ms,
         "offered": int(len(steady)),
-        "offered_per_s": round(len(steady) / length, 2),
+        "offered_per_s": round(len(steady) / duration_s, 2),
         **count_outcomes(steady["outcome"]),
-        "settled_per_s": round(len(done) / length, 2),
-        "latency_ms": latency(done["took"]),
+        "settled_per_s": round(len(settled_rows) / duration_s, 2),
+        "latency_ms": latency(settled_rows["took"]),
         "declined_latency_ms": latency(steady["took"][(steady["outcome"] == DECLINED) & (steady["tries"] == 1)]),
         "unanswered": int((rows["outcome"] == LOST).sum()),
         "once_only_twice": len(emulator["once_only"]["twice"]),
@@ -237,8 +247,8 @@
         "products": products,
         "streams": streams,
         "accounts": quotas[:50],
-        "series": series(rows, plan),
-        "usage": usage(folder),
+        "series": per_second_series(rows, plan),
+        "usage": usage_summary(folder),
         "emulator": emulator,
         "faults": sorted(faults, key=lambda row: row["at"]),
         "node_totals": manifest["node_totals"],
@@ -273,10 +283,10 @@
         f"voided {report['voided']}, unanswered {report['lost']}, broken {report['broken']}"
     ]
     for name, row in report["products"].items():
-        t = row["latency_ms"]
-        if t["count"]:
+        latency_ms = row["latency_ms"]
+        if latency_ms["count"]:
             lines.append(
-                f"  {name:16} p50 {t['p50']:8.2f}  p99 {t['p99']:8.2f}  p999 {t['p999']:8.2f} ms  "
+                f"  {name:16} p50 {latency_ms['p50']:8.2f}  p99 {latency_ms['p99']:8.2f}  p999 {latency_ms['p999']:8.2f} ms  "
                 f"on time {row['on_time']}/{row['offered']}  declined {row['declined']}  voided {row['voided']}"
             )
     for row in report["accounts"][:3]:
--- a/rampfront/lab/run.py
+++ b/rampfront/lab/run.py
@@ -19,16 +19,16 @@
 from .plan import changed
 
 SEC = 10**9
-LEAD = 1.0  # seconds between the last ready node and the run's start
+START_DELAY_S = 1.0  # seconds between the last ready node and the run's start
 
 
-def spawn(args, cores, log, **more):
+def spawn(args, cores, log, **options):
     return subprocess.Popen(
         with_cpu_affinity([sys.executable, "-m", "rampfront.lab.child", *args], cores),
         stderr=log,
         cwd=Path(__file__).parents[2],
         text=True,
-        **more,
+        **options,
     )
 
 
@@ -38,7 +38,7 @@
     def __init__(self, plan, seed, folder):
         self.plan, self.seed, self.folder = plan, seed, Path(folder)
         self.nodes, self.workers, self.emulator = [], [], None
-        self.samples, self.last = [], {}
+        self.samples, self.previous_usage = [], {}
 
     def play(self):
         self.folder.mkdir(parents=True, exist_ok=True)
@@ -48,9 +48,9 @@
         plan_file.write_bytes(msgspec.json.format(msgspec.json.encode(self.plan)))
         with open(self.folder / "lab.log", "ab") as log:
             try:
-                self.begin(plan_file, log)
-                self.watch()
-                return self.finish()
+                self.start_processes(plan_file, log)
+                self.run_faults_and_sample()
+                return self.collect_results()
             finally:
                 for process in [*self.workers, self.emulator]:
                     if process is not None and process.poll() is None:
@@ -59,7 +59,7 @@
                 for node in self.nodes:
                     node.end()
 
-    def begin(self, plan_file, log):
+    def start_processes(self, plan_file, log):
         plan, pin = self.plan, self.plan.pin
         self.emulator = spawn(
             ["emulate", str(plan_file), str(self.seed), str(self.folder / "faults.jsonl")],
@@ -67,10 +67,10 @@
             log,
             stdout=subprocess.PIPE,
         )
-        said = self.emulator.stdout.readline()
-        if not said:
+        line = self.emulator.stdout.readline()
+        if not line:
             raise RunFailedError(f"the emulator did not start; see {self.folder / 'lab.log'}")
-        self.addresses = json.loads(said)
+        self.addresses = json.loads(line)
         self.nodes = [Node(plan, k, self.addresses, self.seed, self.folder).start() for k in range(plan.topology.nodes)]
         for node in self.nodes:
             node.wait_until_ready()
@@ -98,19 +98,19 @@
         for process in self.workers:
             if process.stdout.readline() != "drawn\n":
                 raise RunFailedError(f"a load worker did not start; see {self.folder / 'lab.log'}")
-        self.start = time.time_ns() + int(LEAD * SEC)
-        status, why = http_request(self.addresses["control"], f"/begin?at={self.start}", "POST")
+        self.start = time.time_ns() + int(START_DELAY_S * SEC)
+        status, body = http_request(self.addresses["control"], f"/begin?at={self.start}", "POST")
         if status != 204:
-            raise RunFailedError(f"the emulator did not begin: {why.decode(errors='replace')}")
+            raise RunFailedError(f"the emulator did not begin: {body.decode(errors='replace')}")
         for process in self.workers:
             process.stdin.write(f"{self.start}\n")
             process.stdin.flush()
 
-    def watch(self):
+    def run_faults_and_sample(self):
         """Carries out the nodes' own faults and samples processes until the workers are done."""
         events = [e for e in timeline(self.plan, self.seed) if e.target.startswith("node:")]
-        due = self.start
-        limit = self.start + int(
+        next_sample_at = self.start
+        end_by = self.start + int(
             (self.plan.duration_s + 3 * max(p.expiry_ms for p in self.plan.products) / 1000 + 60) * SEC
         )
         with open(self.folder / "usage.jsonl", "wb") as file, open(self.folder / "faults.jsonl", "ab") as faults:
@@ -118,55 +118,57 @@
                 now = time.time_ns()
                 while events and now >= self.start + events[0].at:
                     event = events.pop(0)
-                    self.nodes[int(event.target.partition(":")[2])].fault(event.kind, event.on)
-                    late = (time.time_ns() - self.start - event.at) / 1e6
-                    faults.write(orjson.dumps({**event.as_log_row(), "late_ms": round(late, 3)}) + b"\n")
+                    self.nodes[int(event.target.partition(":")[2])].apply_fault(event.kind, event.on)
+                    late_ms = (time.time_ns() - self.start - event.at) / 1e6
+                    faults.write(orjson.dumps({**event.as_log_row(), "late_ms": round(late_ms, 3)}) + b"\n")
                     faults.flush()
-                if now >= due:
-                    file.write(orjson.dumps(self.sample((now - self.start) / SEC)) + b"\n")
-                    due += SEC
-                if now > limit:
+                if now >= next_sample_at:
+                    file.write(orjson.dumps(self.sample_usage((now - self.start) / SEC)) + b"\n")
+                    next_sample_at += SEC
+                if now > end_by:
                     raise RunFailedError("the load workers did not end in time")
-                following = min([due, *(self.start + e.at for e in events[:1])])
+                following = min([next_sample_at, *(self.start + e.at for e in events[:1])])
                 time.sleep(max(0.002, min(0.05, (following - time.time_ns()) / SEC)))
 
-    def sample(self, at):
+    def sample_usage(self, at):
         """CPU cores used since the last sample, resident MB and descriptors, by process."""
         row = {"at": round(at, 3)}
-        rows = [(f"node-{n.number}", n.process.pid, n.cpu()) for n in self.nodes]
+        rows = [(f"node-{n.number}", n.process.pid, n.cpu_seconds()) for n in self.nodes]
         rows += [(f"load-{k}", p.pid, process_usage(p.pid)[0]) for k, p in enumerate(self.workers)]
         rows += [("emulator", self.emulator.pid, process_usage(self.emulator.pid)[0])]
         for name, pid, cpu in rows:
-            was_at, was = self.last.get(name, (at - 1.0, cpu))
-            self.last[name] = (at, cpu)
+            previous_at, previous_cpu = self.previous_usage.get(name, (at - 1.0, cpu))
+            self.previous_usage[name] = (at, cpu)
             row[name] = {
-                "cores": round((cpu - was) / max(at - was_at, 1e-3), 3),
+                "cores": round((cpu - previous_cpu) / max(at - previous_at, 1e-3), 3),
                 "mb": round(process_usage(pid)[1] / 1e6, 1),
                 "fds": open_descriptors(pid),
             }
         return row
 
-    def drain_decisions(self, most=60.0, still=2.5):
+    def wait_for_decisions(self, max_wait_s=60.0, quiet_s=2.5):
         """Waits until the collector, where there is one, has had nothing new for a while: sinks replay behind a run."""
-        until, last, since = time.monotonic() + most, -1, time.monotonic()
-        while self.plan.topology.collector and time.monotonic() < until:
-            now = orjson.loads(http_request(self.addresses["control"], "/state", wait=10.0)[1])["collector"]["messages"]
-            if now != last:
-                last, since = now, time.monotonic()
-            elif time.monotonic() - since > still:
+        deadline, previous_count, changed_at = time.monotonic() + max_wait_s, -1, time.monotonic()
+        while self.plan.topology.collector and time.monotonic() < deadline:
+            message_count = orjson.loads(http_request(self.addresses["control"], "/state", timeout_s=10.0)[1])[
+                "collector"
+            ]["messages"]
+            if message_count != previous_count:
+                previous_count, changed_at = message_count, time.monotonic()
+            elif time.monotonic() - changed_at > quiet_s:
                 return
             time.sleep(0.2)
 
-    def finish(self):
-        ends = []
+    def collect_results(self):
+        worker_results = []
         for k, process in enumerate(self.workers):
             if process.wait():
                 raise RunFailedError(
                     f"load worker {k} ended with status {process.returncode}; see {self.folder / 'lab.log'}"
                 )
-            ends.append(json.loads(process.stdout.read()))
-        self.drain_decisions()
-        http_request(self.addresses["control"], f"/dump?dir={self.folder.resolve()}", "POST", wait=30.0)
+            worker_results.append(json.loads(process.stdout.read()))
+        self.wait_for_decisions()
+        http_request(self.addresses["control"], f"/dump?dir={self.folder.resolve()}", "POST", timeout_s=30.0)
         for node in self.nodes:
             node.check_running()
         for node in self.nodes:
@@ -175,7 +177,7 @@
             "name": self.plan.name,
             "seed": self.seed,
             "start": self.start,
-            "workers": ends,
+            "workers": worker_results,
             "cores": os.cpu_count(),
             "node_totals": [node.totals() for node in self.nodes],
             "node_starts": [node.starts for node in self.nodes],
@@ -186,10 +188,10 @@
         return self.folder
 
 
-def play(plan, out, say=lambda text: None):
+def play(plan, out, report_progress=lambda text: None):
     """Every repeat of the plan under `out/seed-N`; returns their folders."""
     folders = []
     for seed in range(plan.seed, plan.seed + plan.repeats):
-        say(f"{plan.name}, seed {seed}: {plan.duration_s:g} s")
+        report_progress(f"{plan.name}, seed {seed}: {plan.duration_s:g} s")
         folders.append(Repeat(changed(plan, seed=seed, repeats=1), seed, Path(out) / f"seed-{seed}").play())
     return folders
--- a/rampfront/lab/schedule.py
+++ b/rampfront/lab/schedule.py
@@ -40,16 +40,16 @@
     peak = rate * (1.0 if shape.kind == "poisson" else max(1.0, shape.factor))
     at = np.sort(rng.uniform(start, end, rng.poisson(peak * length)))
     if shape.kind == "bursts":
-        now = np.where((at - start) % shape.every_s < shape.on_s, shape.factor, 1.0)
+        factors = np.where((at - start) % shape.every_s < shape.on_s, shape.factor, 1.0)
     elif shape.kind == "ramp":
-        now = shape.factor + (1.0 - shape.factor) * (at - start) / length
+        factors = shape.factor + (1.0 - shape.factor) * (at - start) / length
     else:
         return at
-    return at[rng.random(len(at)) * peak < rate * now]
+    return at[rng.random(len(at)) * peak < rate * factors]
 
 
 def arrivals(plan, seed, worker=0, workers=1):
-    parts, first = [], 0
+    parts, first_account = [], 0
     for index, stream in enumerate(plan.load.streams):
         rng = np.random.Generator(np.random.PCG64([seed, index, worker]))
         end = min(stream.until_s or plan.duration_s, plan.duration_s)
@@ -59,14 +59,16 @@
             (
                 np.round(at * SEC).astype("i8"),
                 np.full(len(at), index, "i2"),
-                (first + rng.choice(stream.accounts, len(at), p=zipf(stream.accounts, stream.skew))).astype("i4"),
+                (first_account + rng.choice(stream.accounts, len(at), p=zipf(stream.accounts, stream.skew))).astype(
+                    "i4"
+                ),
                 rng.choice(len(plan.products), len(at), p=weights / weights.sum()).astype("i2"),
             )
         )
-        first += stream.accounts
-    joined = [np.concatenate(column) for column in zip(*parts)]
-    order = np.argsort(joined[0], kind="stable")
-    return Arrivals(*(column[order] for column in joined))
+        first_account += stream.accounts
+    columns = [np.concatenate(column) for column in zip(*parts)]
+    order = np.argsort(columns[0], kind="stable")
+    return Arrivals(*(column[order] for column in columns))
 
 
 def retry_wait(retries, tries, advised, draw):
--- a/rampfront/lab/system/report.py
+++ b/rampfront/lab/system/report.py
@@ -149,7 +149,7 @@
         if tenant.per_s:
             at = np.sort(np.array(ran[tenant.name], "i8"))
             rolling = those.rolling_overshoot(
-                at, np.ones(len(at)), tenant.per_s, tenant.burst, plan.duration_s, span=span
+                at, np.ones(len(at)), tenant.per_s, tenant.burst, plan.duration_s, window_s=span
             )
             allowance = tenant.per_s * plan.duration_s + tenant.burst
             said.append(
@@ -248,7 +248,7 @@
             }
             for o in seen.orders
         ],
-        "series": {**those.series(rows, plan), "share": share, "share_every_s": BIN},
+        "series": {**those.per_second_series(rows, plan), "share": share, "share_every_s": BIN},
         "faults": faults,
         "recovery": recoveries(share, faults, lambda row: plan.faults[row["number"]].target),
         "usage": world.usage,
--- a/tests/membership/test_endpoint_list_pager.py
+++ b/tests/membership/test_endpoint_list_pager.py
@@ -150,7 +150,7 @@
 
 def test_a_platform_that_lags():
     """A change appears within lag and interval; a server that is removed without draining is kept for one round."""
-    run = PagerRun(2, lag=800 * MS)
+    run = PagerRun(2, lag_ns=800 * MS)
     run.until(3 * SEC)
     # First an empty list, then two servers; a list without changes gets no new version.
     assert run.lists[-1].servers.version == 2
--- a/tests/membership/test_endpoint_list_poller.py
+++ b/tests/membership/test_endpoint_list_poller.py
@@ -41,15 +41,15 @@
     one.fault = "garbled"
     run(until(lambda: failures))
     one.fault = "silent"
-    run(asyncio.wait_for(poll(lambda: one.held), 5))
+    run(asyncio.wait_for(poll(lambda: one.unanswered_requests), 5))
     poller.change_address(listeners[1].address)
-    held = len(one.held)
+    held = len(one.unanswered_requests)
     one.fault, count = None, len(lists)
     run(until(lambda: len(lists) > count))
     # A change of address keeps the list: the five servers are kept for a round, then removed.
     assert lists[count].endpoints[0].id == "i-0"
     run(until(lambda: len(lists) > count + 1))
-    assert [row.id for row in lists[count + 1].endpoints] == ["j"] and len(one.held) == held
+    assert [row.id for row in lists[count + 1].endpoints] == ["j"] and len(one.unanswered_requests) == held
     poller.stop()
     calls = two.counts["calls"]
     run(asyncio.wait_for(poll(lambda: not listeners[1].connections), 5))
--- a/tests/test_storm.py
+++ b/tests/test_storm.py
@@ -194,7 +194,7 @@
 
     def ready():
         try:
-            return http_request(node.listen, "/-/ready", wait=0.5)[0] == 200
+            return http_request(node.listen, "/-/ready", timeout_s=0.5)[0] == 200
         except OSError:
             return False
 
