--- a/rampfront/lab/__init__.py
+++ b/rampfront/lab/__init__.py
@@ -1,4 +1,5 @@
-"""The laboratory: stand-ins of the parties an edge node speaks with, a load tool, and reports of what a change does.
+"""The laboratory: an emulated environment of edge nodes, a load tool, and reports that compare runs.
 
-The edge node never imports this package. It drives real edge-node processes on loopback; its figures are emulated.
+The edge node never imports this package. The laboratory drives real edge node processes on loopback, against emulated
+app servers, counter, discovery and collector; its figures are marked as emulated.
 """
--- a/rampfront/lab/child.py
+++ b/rampfront/lab/child.py
@@ -1,7 +1,8 @@
-"""The laboratory's child processes, started by `run`: `emulate PLAN SEED LOG` and `load PLAN SEED WORKER TARGETS OUT`.
+"""The laboratory's child processes, which `run` starts: `emulate PLAN SEED LOG`, `load PLAN SEED WORKER TARGETS OUT`.
 
-A load worker says `drawn` once its schedule is drawn, reads the run's start from standard input (Unix ns) and says
-what it did as one JSON line at its end. Not meant to be typed; `rampfront lab` and `rampfront load` are.
+A load worker prints `drawn` when its schedule has been drawn, reads the start of the run from standard input (Unix time
+in ns) and prints its result as one JSON line at the end. The commands for users are `rampfront lab` and `rampfront
+load`.
 """
 
 import sys
@@ -13,6 +14,8 @@
 
 
 def main(args):
+    """Runs the child process that the arguments name, until it is stopped (`emulate`) or its schedule is complete
+    (`load`)."""
     command, path, seed, *arguments = args
     plan = msgspec.json.decode(Path(path).read_bytes(), type=Experiment)
     if command == "emulate":
--- a/rampfront/lab/emulator.py
+++ b/rampfront/lab/emulator.py
@@ -1,10 +1,12 @@
-"""The emulator: one process on loopback that stands in for N registry boxes, the counter and discovery.
+"""The emulator: one process on loopback that emulates N app servers (registry boxes), the counter and discovery.
 
-It speaks what the platform's pages say, carries out the fault timeline, logs each fault, and counts what really
-happened: runs of each txn, units let in by account. It must never lose such a count: reports go by them.
+It follows the platform's specification, executes the fault timeline, logs each fault, and counts what really happened:
+executions of each transaction, and admitted units by account. These counts must be complete, since reports rely on
+them.
 
-Control is HTTP/1.1: `GET /state` (counts now), `POST /begin?at=UNIX_NS` (the run's start; faults are timed from
-it), `POST /fault?target=T&kind=K&on=1&size=S` (one fault by hand), `POST /dump?dir=D` (writes the counts).
+It is controlled over HTTP/1.1: `GET /state` (the present counts), `POST /begin?at=UNIX_NS` (the start of the run, which
+faults are timed from), `POST /fault?target=T&kind=K&on=1&size=S` (a single fault by hand), `POST /dump?dir=D` (writes
+the counts).
 """
 
 import asyncio
@@ -43,9 +45,10 @@
 
 
 class EmulatedServer(AppServerBase):
-    """One registry box: a listener, a station, and the faults that stand."""
+    """One app server (registry box): a listener, a model of its work, and its active faults."""
 
     def __init__(self, emulator, number, uid, group):
+        """`number`: its index in the plan; `group`: its properties."""
         self.emulator, self.number, self.uid, self.group = emulator, number, uid, group
         self.clock, self.timers = emulator.clock, emulator.timers
         self.rng = Random(f"{emulator.seed}/box/{number}")
@@ -58,6 +61,7 @@
         self.last_drained_arrival = None
 
     def as_listing_entry(self):
+        """Returns the server as an entry of the discovery list."""
         return {
             "uid": self.uid,
             "endpoint": self.listener.address,
@@ -72,11 +76,11 @@
     # ---- connections
 
     def refuses_connections(self) -> bool:
-        """Whether a connection that comes now is reset."""
+        """Returns whether a new connection is reset at once."""
         return self.down
 
     def close_idle_connections(self) -> None:
-        """Ends idle connections, or forgets them, as the fault that stands asks."""
+        """Closes idle connections, or silently forgets them if the active fault says so."""
         now = self.clock()
         for connection in list(self.connections):
             if connection.pending_request is None and now - connection.last_active_at > self.group.idle_s * SEC:
@@ -87,13 +91,14 @@
                 and now - connection.last_active_at > abs(self.drop_after_s) * SEC
             ):
                 if self.drop_after_s > 0:
-                    connection.dropped = True  # silently: the far end is not told
+                    connection.dropped = True  # silently: the peer is not notified
                 else:
                     connection.transport.close()
 
-    # ---- txns
+    # ---- transactions
 
     def handle(self, request):
+        """Handles a probe or a transaction."""
         if request.path.startswith("/-/"):
             self.counts["probes"] += 1
             if self.hang:
@@ -117,7 +122,7 @@
             counts["turned_away"] += 1
             return request.connection.respond(503, b"", NOT_RUN)
         if self.error_share and self.rng.random() < self.error_share:
-            counts["errors"] += 1  # it may have run: it did
+            counts["errors"] += 1  # a 500 may follow an execution, and here it does
             self.emulator.record_execution(request, now)
             return request.connection.respond(500)
         job = request.connection.job = Job(request)
@@ -128,14 +133,16 @@
         self.start_jobs(started, now)
 
     def start_jobs(self, jobs, now):
+        """Executes jobs that the model has started."""
         for job in jobs:
-            self.emulator.record_execution(job.payload, now)  # from here on it has run, whatever becomes of its answer
+            self.emulator.record_execution(job.payload, now)  # it counts as executed even if its response is lost
             if job.completes_at - now < MS // 4:
                 self.finish_job(job)
             else:
                 self.timers.at(job.completes_at, self.finish_job, job)
 
     def finish_job(self, job):
+        """Responds to a completed job and starts the next one."""
         if job.state == GONE:
             return
         now = self.clock()
@@ -152,12 +159,13 @@
     # ---- faults
 
     def fault(self, event):
+        """Starts or ends a fault."""
         on = event.on
         if event.kind == "slow":
             self.server_model.slow_factor = event.size or 4.0 if on else 1.0
         elif event.kind == "hang":
             self.hang = on
-            if not on:  # what it held is never answered: a hung process was replaced
+            if not on:  # pending requests are never answered, as when a hung process is replaced
                 for connection in [
                     connection for connection in self.connections if connection.pending_request is not None
                 ]:
@@ -186,10 +194,13 @@
                 self.emulator.loop.create_task(self.reopen(event.kind == "crash"))
 
     def on_notice_elapsed(self):
+        """Called when the nodes should know that the server is draining: transactions that arrive from now on are
+        counted."""
         if self.state == "terminating":
             self.drained_at = self.clock()
 
     async def reopen(self, cold):
+        """Ends an outage. `cold`: the server was restarted."""
         if cold:
             self.server_model = ServerModel(self.group, self.rng, self.clock(), warm=False)
             self.started_at_ms = self.clock() // MS
@@ -198,22 +209,26 @@
 
 
 class CounterConnection(asyncio.Protocol):
-    """One connection of a node to the counter: RESP2 arrays in, answers in their order."""
+    """One connection of a node to the counter: RESP2 arrays in, replies in the same order."""
 
     def __init__(self, counter, node_index):
+        """`node_index`: the node that uses this connection's listener."""
         self.counter, self.node_index, self.unparsed, self.transport = counter, node_index, b"", None
-        self.last_reply_at = 0  # when the last answer on this connection is due
+        self.last_reply_at = 0  # time of the last scheduled reply on this connection
 
     def connection_made(self, transport):
+        """Called by the event loop: the connection is up."""
         self.transport = transport
         self.counter.connections[self] = None
         if self.counter.down:
             reset(transport)
 
     def connection_lost(self, error):
+        """Called by the event loop: the connection has ended."""
         self.counter.connections.pop(self, None)
 
     def data_received(self, data):
+        """Called by the event loop: bytes of calls. A malformed call resets the connection."""
         data, at = self.unparsed + data, 0
         while at < len(data):
             try:
@@ -226,12 +241,14 @@
         self.unparsed = data[at:]
 
     def reply(self, response):
+        """Sends a reply, unless the connection is closing."""
         if not self.transport.is_closing():
             self.transport.write(response)
 
 
 def parse_resp_array(data, at):
-    """One RESP2 array of bulk strings from `at`: its parts and where the next begins, or None while it is short."""
+    """Parses the RESP2 array of bulk strings at `at`. Returns its elements and the offset after it, or (None, `at`) if
+    it is incomplete. Raises ValueError if it is malformed."""
     end = data.find(b"\r\n", at)
     if end < 0:
         return None, at
@@ -253,10 +270,11 @@
 
 
 class Counter:
-    """The shared counter, at an address of its own for each node. A split gives each half a store that starts as a
-    copy; at repair the first half's store stays and what the other counted is lost."""
+    """The shared counter, with a separate address for each node. A split gives the second half of the nodes a copy of
+    the store; when it ends, the first half's store remains and what the other half counted is lost."""
 
     def __init__(self, emulator):
+        """Creates a listener for each node of the plan."""
         self.emulator, self.clock, self.timers = emulator, emulator.clock, emulator.timers
         self.model = emulator.plan.topology.counter_model
         self.stores, self.halves = [tally.CounterStore()], ()
@@ -269,6 +287,7 @@
         ]
 
     def execute(self, connection, arguments):
+        """Executes a call and schedules its reply."""
         now, command = self.clock(), arguments[0].upper()
         if command == b"ADDGET" and len(arguments) == 4:
             self.counts["calls"] += 1
@@ -300,6 +319,7 @@
             )
 
     def fault(self, event):
+        """Starts or ends a fault."""
         on = event.on
         if event.kind == "down":
             self.down = on
@@ -326,39 +346,47 @@
                 self.stores, self.halves = self.stores[:1], ()
 
     def reset_connections(self):
+        """Resets all connections."""
         for connection in list(self.connections):
             reset(connection.transport)
 
 
 class Discovery(HttpServerBase):
-    """The server list: whole on request, and a watch. `stale` freezes what it tells; `down` and `silent` say nothing."""
+    """The server list, complete on request or as a watch. `stale` freezes what it sends; `down` and `silent` stop it
+    from answering."""
 
     def __init__(self, emulator):
+        """Starts with an empty list."""
         super().__init__()
         self.emulator, self.clock, self.timers = emulator, emulator.clock, emulator.timers
         self.listener = Listener(emulator.loop, lambda: Connection(self), emulator.host)
-        self.revision, self.listed_rows, self.recent_changes = 1, {}, []  # rows as told by uid; (rev, row), bounded
+        # listed_rows: published entries by uid; recent_changes: (revision, entry), bounded.
+        self.revision, self.listed_rows, self.recent_changes = 1, {}, []
         self.watches = {}
         self.down = self.silent = self.stale = False
-        self.pending_servers = []  # boxes that changed while the list was frozen
+        self.pending_servers = []  # servers that changed while the list was frozen
 
     def start(self):
+        """Fills the list and starts the heartbeat."""
         self.listed_rows = {server.uid: server.as_listing_entry() for server in self.emulator.servers}
         self.send_heartbeat()
 
     def refuses_connections(self) -> bool:
-        """Whether a connection that comes now is reset."""
+        """Returns whether a new connection is reset at once."""
         return self.down
 
     def on_connection_closed(self, connection: Connection, pending_request: Request | None) -> None:
-        """A connection ended, and the watch on it."""
+        """Removes a connection that ended, and its watch."""
         super().on_connection_closed(connection, pending_request)
         self.watches.pop(connection, None)
 
     def encode_listing(self, rows, complete):
+        """Returns one line with the rows. `complete`: whether they are the whole list."""
         return orjson.dumps({"rev": self.revision, "all": complete, "targets": rows}) + b"\n"
 
     def handle(self, request):
+        """Handles a request for the list, or starts a watch, which continues after the given revision if that is still
+        known."""
         if self.silent:
             return None
         if request.path != "/api/targets":
@@ -382,19 +410,23 @@
 
     @staticmethod
     def push(connection, line):
+        """Sends a line to a watch, as one chunk."""
         if not connection.transport.is_closing():
             connection.transport.write(b"%x\r\n%s\r\n" % (len(line), line))
 
     def send_heartbeat(self):
+        """Sends an empty line to every watch every 2 s."""
         self.timers.after(2 * SEC, self.send_heartbeat)
         if not self.silent:
             for connection in self.watches:
                 self.push(connection, b"\n")
 
     def announce_change(self, server, notice_s):
+        """Publishes a change of a server after `notice_s` seconds."""
         self.timers.after(round(notice_s * SEC), self.publish_change, server)
 
     def publish_change(self, server):
+        """Sends a server's entry to every watch, or keeps it until the list is no longer frozen."""
         if self.stale or self.silent:
             self.pending_servers.append(server)
             return
@@ -405,6 +437,7 @@
             self.push(connection, self.encode_listing([row], False))
 
     def fault(self, event):
+        """Starts or ends a fault."""
         if event.kind == "stale":
             self.stale = event.on
         elif event.kind == "silent":
@@ -423,15 +456,17 @@
 
 
 class RunCollector(Collector):
-    """The collector of a run: counts by MSGID, and keeps no messages."""
+    """The collector of a run, which counts messages by MSGID and does not keep them."""
 
     def fault(self, event):
+        """Starts or ends an outage."""
         if event.on:
             self.disconnect(event.kind == "abort")
         else:
             self.loop.create_task(self.listen_again())
 
     def summary(self):
+        """Returns the counts and the first parse errors."""
         for message in self.messages:
             key = f"msgid_{message.message_id}"
             self.counts[key] = self.counts.get(key, 0) + 1
@@ -440,9 +475,10 @@
 
 
 class Control(HttpServerBase):
-    """The emulator's own address."""
+    """The emulator's control address."""
 
     def __init__(self, emulator):
+        """`emulator`: the emulator that it controls."""
         super().__init__()
         self.emulator, self.clock, self.listener = (
             emulator,
@@ -451,6 +487,7 @@
         )
 
     def handle(self, request):
+        """Handles a control request; the module's doc comment lists them."""
         query, respond = request.query, request.connection.respond
         try:
             if request.path == "/state":
@@ -478,9 +515,10 @@
 
 
 class Emulator:
-    """All stand-ins of one run. `log` is a binary file for the fault log, one JSON line an event."""
+    """All emulated parts of one run."""
 
     def __init__(self, loop, plan, seed, log, host="127.0.0.1"):
+        """`log`: a binary file for the fault log, with one JSON line for each event."""
         self.loop, self.plan, self.seed, self.log, self.host = loop, plan, seed, log, host
         self.clock = Clock()
         self.timers = TimerQueue(loop, self.clock)
@@ -493,6 +531,7 @@
         self.bodies = {}
 
     async def listen(self):
+        """Opens all addresses and returns the emulator."""
         for target in [*self.servers, self.discovery, self.control]:
             await target.listener.open()
         for listener in self.counter.listeners:
@@ -504,6 +543,7 @@
         return self
 
     def addresses(self):
+        """Returns the addresses of all parts."""
         return {
             "control": self.control.listener.address,
             "discovery": self.discovery.listener.address,
@@ -513,25 +553,29 @@
         }
 
     def sweep(self):
+        """Closes the servers' idle connections every 0.1 s."""
         self.timers.after(SEC // 10, self.sweep)
         for server in self.servers:
             server.close_idle_connections()
 
     def body_of_size(self, size):
+        """Returns a response body of this size."""
         if size not in self.bodies:
             self.bodies[size] = b"y" * size
         return self.bodies[size]
 
-    # ---- what happened
+    # ---- counts
 
     def record_admission(self, request, request_id, now):
+        """Records the units of a submission that arrived at a server."""
         query = request.query
         try:
             self.admissions.record(request_id, int(query["a"]), float(query["u"]), now)
         except (KeyError, ValueError):
-            self.unknown_requests += 1  # not of our load tool: nothing is known of whose it is
+            self.unknown_requests += 1  # not from the load tool, so its account is unknown
 
     def record_execution(self, request, now):
+        """Records that a server executed a transaction."""
         query = request.query
         try:
             effect, window = self.products[int(query["p"])]
@@ -542,13 +586,14 @@
     # ---- faults
 
     def start_run(self, at):
-        """The run starts at `at`, Unix time in ns."""
+        """Schedules the faults of a run that starts at `at`, Unix time in ns."""
         self.started_at = at
         for event in self.events:
             if not event.target.startswith("node:"):
                 self.timers.at(at + event.at, self.carry_out, event)
 
     def carry_out(self, event):
+        """Starts or ends a fault at its target, and logs it. Raises ValueError for an unknown target."""
         target_kind, _, number = event.target.partition(":")
         if target_kind == "box":
             target = self.servers[int(number)]
@@ -562,6 +607,7 @@
         target.fault(event)
 
     def state(self):
+        """Returns the present counts."""
         return {
             "began": self.started_at,
             "boxes": {
@@ -596,7 +642,7 @@
         }
 
     def dump(self, folder):
-        """Writes `emulator.json` and `admissions.npy` (rows of when from the start in ns, account, units)."""
+        """Writes `emulator.json` and `admissions.npy` (rows of the time since the start in ns, account, units)."""
         folder.mkdir(parents=True, exist_ok=True)
         (folder / "emulator.json").write_bytes(orjson.dumps(self.state(), option=orjson.OPT_INDENT_2))
         rows = np.empty(len(self.admissions.times), dtype=[("at", "i8"), ("account", "i4"), ("units", "f8")])
@@ -607,7 +653,7 @@
 
 
 def serve(plan, seed, log_path=None, print_line=print):
-    """Runs the emulator until SIGTERM or SIGINT; says its addresses as one JSON line once it listens."""
+    """Runs the emulator until SIGTERM or SIGINT; prints its addresses as one JSON line when it listens."""
     loop = uvloop.new_event_loop()
     with open(log_path or "/dev/null", "ab") as log:
         emulator = loop.run_until_complete(Emulator(loop, plan, seed, log).listen())
@@ -615,5 +661,5 @@
 
 
 def account_key(name):
-    """An account's key on the wire: 16 hex digits, a number under 2^33, the same wherever its name is known."""
+    """Returns an account's key on the wire: 16 hex digits for a number below 2^33, which depends on the name alone."""
     return "%016x" % (int.from_bytes(hashlib.blake2b(name.encode(), digest_size=8).digest(), "big") >> 31)
--- a/rampfront/lab/faults.py
+++ b/rampfront/lab/faults.py
@@ -1,7 +1,7 @@
-"""The fault timeline: scripted faults turned into single events, by the seed alone. No I/O, no clock.
+"""The fault timeline: scripted faults expanded into single events by the seed alone. No I/O, no clock.
 
-`timeline(plan, seed)` gives the same list for the same plan and seed, in order of time. Each event starts or ends
-one fault at one target; the emulator and the runner carry out those at their own targets.
+`timeline(plan, seed)` returns the same list in order of time for the same plan and seed. Each event starts or ends one
+fault at one target; the emulator and the runner each apply the events of their own targets.
 """
 
 from dataclasses import asdict, dataclass
@@ -14,8 +14,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    at: int  # ns from the run's start
-    number: int  # of the fault in the file; its start and end share it
+    """The start or the end of a fault at one target."""
+
+    at: int  # ns since the start of the run
+    number: int  # the fault's index in the file, the same for its start and its end
     on: bool
     target: str  # box:K, node:K, counter or discovery
     kind: str
@@ -23,15 +25,17 @@
     halves: tuple = ()
 
     def as_log_row(self):
-        """As one row of the fault log: seconds, and names."""
+        """Returns the event as a row of the fault log, with its time in seconds."""
         return {**asdict(self), "at": round(self.at / SEC, 3)}
 
 
 def draw_value(value_or_range, rng):
+    """Returns the value, or one drawn uniformly from the range [low, high]."""
     return float(value_or_range) if isinstance(value_or_range, (int, float)) else rng.uniform(*value_or_range)
 
 
 def resolve_targets(fault, plan, rng):
+    """Returns the single targets that a fault's `target` refers to."""
     target_kind, _, number = fault.target.partition(":")
     servers = named_servers(plan)
     if number == "any":
@@ -44,7 +48,7 @@
 
 
 def halves(fault, nodes):
-    """Which half of a split counter each node sees."""
+    """Returns, for each node, the half of a split counter that it is connected to."""
     if not fault.halves:
         return tuple(k % 2 for k in range(nodes))
     return tuple(
@@ -53,6 +57,7 @@
 
 
 def timeline(plan, seed):
+    """Returns the events of all faults of a plan, in order of time."""
     rng = Random(f"{seed}/faults")
     events = []
     for number, fault in enumerate(plan.faults):
--- a/rampfront/lab/nodes.py
+++ b/rampfront/lab/nodes.py
@@ -1,7 +1,7 @@
-"""Edge nodes as processes: started with a configuration of their own, watched, killed and restarted as faults ask.
+"""Edge nodes as processes: started with their own configuration, monitored, killed and restarted as faults require.
 
-It owns the processes and their files in the run's folder. It must never read what a node decided but from its log
-and its answers.
+This module owns the processes and their files in the run's folder. It learns what a node decided only from the node's
+log and responses.
 """
 
 import http.client
@@ -21,18 +21,18 @@
 
 CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
-MAX_PORT_TRIES = 10_000  # before it is said that none is free
-_recent_ports: deque[int] = deque(maxlen=500)  # handed out last; their nodes may not have bound them yet
+MAX_PORT_TRIES = 10_000  # before the search for a free port fails
+_recent_ports: deque[int] = deque(maxlen=500)  # returned last; their nodes may not have bound them yet
 
 
 class RunFailedError(Exception):
-    """A run could not be played, or may not be reported; the text says why."""
+    """A run failed, or its results may not be reported; the message says why."""
 
 
 def free_port(host="127.0.0.1", low=20000, high=32000):
-    """A port below those that the system hands to outgoing connections. Guards against one that a connection of
-    another run, or of this one, takes between here and the node's start, and against one port for two nodes: the first
-    has not bound it yet when the second one's is drawn. Raises RunFailedError if none is found."""
+    """Returns a free port below the range that the system uses for outgoing connections, where a connection of this or
+    another run could take it before the node starts. Ports returned recently are skipped, since a node that has not
+    bound its port yet would otherwise share it with the next one. Raises RunFailedError if no port is free."""
     for _ in range(MAX_PORT_TRIES):
         port = low + secrets.randbelow(high - low)
         if port in _recent_ports:
@@ -48,7 +48,7 @@
 
 
 def process_usage(pid):
-    """CPU seconds and resident bytes of a process; (0, 0) once it is gone."""
+    """Returns the CPU seconds and resident bytes of a process; (0, 0) if it has ended."""
     try:
         with open(f"/proc/{pid}/stat") as file:
             fields = file.read().rpartition(")")[2].split()
@@ -58,6 +58,7 @@
 
 
 def open_descriptors(pid):
+    """Returns the number of file descriptors that a process has open; 0 if it has ended."""
     try:
         return len(os.listdir(f"/proc/{pid}/fd"))
     except OSError:
@@ -65,7 +66,8 @@
 
 
 def http_request(address, path, method="GET", timeout_s=2.0):
-    """One HTTP call on loopback: status and body; `OSError` where nobody answers."""
+    """Sends an HTTP request on loopback and returns the status and the body. Raises OSError if there is no valid
+    response."""
     host, _, port = address.rpartition(":")
     connection = http.client.HTTPConnection(host, int(port), timeout=timeout_s)
     try:
@@ -79,13 +81,15 @@
 
 
 def with_cpu_affinity(command, cores):
+    """Returns the command pinned to these CPU cores; unchanged if there are none."""
     return ["taskset", "-c", ",".join(map(str, cores)), *command] if cores else command
 
 
 class Node:
-    """One edge node process. `folder` gets its configuration and its log."""
+    """One edge node process. `folder` holds its configuration and its log."""
 
     def __init__(self, plan, number, addresses, seed, folder):
+        """`number`: its index; `addresses`: those of the emulator, by part; `folder`: the run's folder."""
         self.plan, self.number, self.folder, self.seed = plan, number, folder, seed
         self.listen = f"127.0.0.1:{free_port()}"
         self.checkout = Path(plan.topology.root or Path(__file__).parents[2]).resolve()
@@ -93,7 +97,7 @@
         self.python = str(python) if plan.topology.root and python.exists() else sys.executable
         self.config_path = folder / f"node-{number}.json"
         self.process, self.starts, self.cpu_s_of_ended_processes = None, 0, 0.0
-        self.stopped_by_fault = False  # by a fault, and not started again yet
+        self.stopped_by_fault = False  # True from a fault that ends the process until it is started again
         self.configuration = {
             "name": f"n{number}",
             "listen": self.listen,
@@ -120,6 +124,7 @@
             self.configuration["counter"] = addresses["counter"][number]
 
     def start(self):
+        """Starts the process and returns the node."""
         self.starts += 1
         self.stopped_by_fault = False
         self.configuration["seed"] = "%x" % (self.seed * 1000 + self.number * 50 + self.starts)
@@ -140,7 +145,8 @@
         return self
 
     def wait_until_ready(self, timeout_s=10.0):
-        """Waits until it says that it is ready; `RunFailedError` tells what its log said last."""
+        """Waits until the node reports that it is ready, and returns it. Raises RunFailedError with the end of the
+        node's log."""
         deadline = time.monotonic() + timeout_s
         while time.monotonic() < deadline and self.process.poll() is None:
             try:
@@ -152,17 +158,19 @@
         raise RunFailedError(f"node {self.number} did not become ready: {self.log_tail()}")
 
     def log_tail(self):
-        """What its log said last."""
+        """Returns the end of the node's log."""
         return (self.folder / f"node-{self.number}.log").read_bytes()[-400:].decode(errors="replace")
 
     def check_running(self):
-        """Raises RunFailedError if it ended and no fault had it end: it has no totals, and others served in its place."""
+        """Raises RunFailedError if the process ended without a fault that made it end: its totals are missing, and
+        other nodes served its share of the load."""
         status = self.process.poll()
         if status is not None and not self.stopped_by_fault:
             raise RunFailedError(f"node {self.number} ended by itself with status {status}: {self.log_tail()}")
 
     def apply_fault(self, kind, on):
-        """kill: SIGKILL, back at the end; stop: SIGSTOP until the end; restart: SIGTERM, then started anew."""
+        """Starts or ends a fault. kill: SIGKILL, and started again at the end; stop: SIGSTOP until the end; restart:
+        SIGTERM, and started again at the end."""
         if kind == "stop":
             return self.process.send_signal(signal.SIGSTOP if on else signal.SIGCONT)
         if on:
@@ -179,9 +187,11 @@
             self.start()
 
     def cpu_seconds(self):
+        """Returns the CPU seconds of all its processes so far."""
         return self.cpu_s_of_ended_processes + process_usage(self.process.pid)[0]
 
     def end(self):
+        """Stops the process; kills it if it does not end within 15 s."""
         if self.process and self.process.poll() is None:
             self.process.send_signal(signal.SIGCONT)
             self.process.terminate()
@@ -192,7 +202,7 @@
                 self.process.wait()
 
     def totals(self):
-        """The counters that it logged last, over its last start; empty where it logged none."""
+        """Returns the counters that the process logged last; empty if it logged none."""
         for line in reversed((self.folder / f"node-{self.number}.log").read_bytes().splitlines()):
             try:
                 record = orjson.loads(line)
--- a/rampfront/lab/plan.py
+++ b/rampfront/lab/plan.py
@@ -1,8 +1,9 @@
-"""The experiment file: one TOML file that names topology, load, faults, settings and repeats.
+"""The experiment file: a TOML file that defines topology, load, faults, settings and repeats.
 
-`read_plan(path)` gives a checked `Experiment`, or raises `InvalidPlanError` with the key path and the reason. Times in the
-file are seconds (`_s`) or milliseconds (`_ms`), as their names say; rates are txns a second; units are quota units.
-Nothing here does I/O but `read_plan`. Validation is msgspec's, with the checks between keys below it.
+`read_plan(path)` returns a checked `Experiment`, or raises `InvalidPlanError` with the key path and the reason. Times
+in the file are seconds (`_s`) or milliseconds (`_ms`), as their names say; rates are transactions a second; units are
+quota units. Only `read_plan` and `read_table` do I/O. msgspec validates each value; `check` validates the relations
+between keys.
 """
 
 import tomllib
@@ -18,15 +19,15 @@
 Name = Annotated[str, Meta(pattern=r"^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$")]
 ValueOrRange = (
     NonNegative | Annotated[list[NonNegative], Meta(min_length=2, max_length=2)]
-)  # a value, or [low, high] to draw from
+)  # a value, or a range [low, high] that it is drawn from
 
 
 class InvalidPlanError(Exception):
-    """The experiment file does not hold what it should; the text names the key."""
+    """The experiment file is invalid; the message names the key."""
 
 
 class Latency(StrictTable, kw_only=True):
-    """How long a txn is worked on, in ms, by a warm box that works on nothing else."""
+    """The service time of a transaction in ms, at a warm server that processes nothing else."""
 
     kind: Literal["constant", "exponential", "lognormal", "pareto"] = "constant"
     mean_ms: NonNegative = 5.0
@@ -34,47 +35,55 @@
 
 
 class ServerGroup(StrictTable, kw_only=True):
-    """A group of app servers (registry boxes) that are alike."""
+    """A group of app servers (registry boxes) with the same properties."""
 
     name: Name = "box"
     count: PositiveInt = 3
     latency: Latency = Latency()
-    slots: PositiveInt = 8  # txns worked on at once
-    queue: Annotated[int, Meta(ge=0)] = 64  # txns that wait; past it a txn is turned away unrun
-    cold_share: Annotated[float, Meta(gt=0, le=1)] = 0.25  # of its speed, at its start
-    warm_s: NonNegative = 5.0  # until it has its full speed
+    slots: PositiveInt = 8  # transactions in progress at once
+    queue: Annotated[int, Meta(ge=0)] = 64  # transactions that wait; beyond that they are turned away without execution
+    cold_share: Annotated[float, Meta(gt=0, le=1)] = 0.25  # share of the full speed at the start
+    warm_s: NonNegative = 5.0  # from the start to full speed
     zone: str = "a"
-    idle_s: Positive = 30.0  # an idle connection is closed by then
-    connections: PositiveInt = 4096  # past it a txn on a new connection is turned away unrun
+    idle_s: Positive = 30.0  # after which an idle connection is closed
+    connections: PositiveInt = 4096  # with more, transactions are turned away without execution
     body_bytes: Annotated[int, Meta(ge=0, le=1 << 24)] = 64
 
 
 class CounterModel(StrictTable, kw_only=True):
+    """The properties of the emulated counter."""
+
     latency_ms: NonNegative = 0.3
-    per_s: Positive = 20000.0  # calls a second; past it calls wait
-    longest_wait_ms: Positive = 200.0  # past it they are turned away (-BUSY)
-    timeout_ms: Positive = 80.0  # the nodes' own time-out (settings.Domain.CountWait)
+    per_s: Positive = 20000.0  # calls a second; beyond that they wait
+    longest_wait_ms: Positive = 200.0  # beyond that calls are rejected (-BUSY)
+    timeout_ms: Positive = 80.0  # the time-out in the nodes (settings.Domain.CountWait)
 
 
 class DiscoveryModel(StrictTable, kw_only=True):
-    notice_s: NonNegative = 0.5  # a change reaches the nodes this much later
+    """The properties of the emulated discovery service."""
+
+    notice_s: NonNegative = 0.5  # delay until a change reaches the nodes
 
 
 class Topology(StrictTable, kw_only=True):
-    nodes: Annotated[int, Meta(ge=0, le=64)] = 1  # 0: clients speak straight to the boxes
+    """The nodes and the emulated parts around them."""
+
+    nodes: Annotated[int, Meta(ge=0, le=64)] = 1  # 0: clients connect directly to the servers
     counter: bool = True
     boxes: Annotated[list[ServerGroup], Meta(min_length=1)] = field(default_factory=lambda: [ServerGroup()])
     counter_model: CounterModel = CounterModel()
     discovery: DiscoveryModel = DiscoveryModel()
-    collector: bool = False  # a syslog collector, to which the nodes send their decisions
-    syslog: dict[str, Any] = field(default_factory=dict)  # laid over the nodes' syslog table
-    storm: dict[str, Any] | None = None  # the nodes' storm table; none: off
-    mqtt: dict[str, Any] | None = None  # the nodes' mqtt table, but for its address; none: off
-    journal: dict[str, Any] | None = None  # the nodes' journal table, but for its folder; none: off
-    root: str = ""  # the checkout whose edge nodes are run, with its .venv; empty: this one
+    collector: bool = False  # whether there is a syslog collector that the nodes send their decisions to
+    syslog: dict[str, Any] = field(default_factory=dict)  # merged over the nodes' syslog table
+    storm: dict[str, Any] | None = None  # the nodes' storm table; None: off
+    mqtt: dict[str, Any] | None = None  # the nodes' mqtt table without the address; None: off
+    journal: dict[str, Any] | None = None  # the nodes' journal table without the folder; None: off
+    root: str = ""  # the checkout whose edge nodes are run, with its .venv; empty: the present one
 
 
 class Product(StrictTable, kw_only=True):
+    """A product (class of transactions), with its effect and times."""
+
     name: Name
     effect: Literal["inquiry", "referenced", "once_only"] = "inquiry"
     sla_ms: Positive = 500.0
@@ -84,7 +93,7 @@
 
 
 class Plan(StrictTable, kw_only=True):
-    """An account's quota over all nodes. `rate` 0: no rate."""
+    """An account's quota over all nodes. `rate` 0 means that there is no rate limit."""
 
     name: Name
     rate: NonNegative = 0.0  # units a second
@@ -95,20 +104,20 @@
 
 
 class Retries(StrictTable, kw_only=True):
-    """What a client does with an answer that did not settle its txn. A later try has a new X-Request-Id, and a
-    referenced txn keeps its key. A voided once-only txn is never tried again."""
+    """What a client does after a response that did not settle its transaction. Each later try has a new X-Request-Id,
+    and a referenced transaction keeps its key. A voided once-only transaction is never retried."""
 
     most: Annotated[int, Meta(ge=0, le=100)] = 0
     wait_ms: NonNegative = 100.0
     factor: Annotated[float, Meta(ge=1, le=10)] = 2.0
-    longest_ms: Positive = 10000.0  # of a wait that no answer advised
+    longest_ms: Positive = 10000.0  # limit of a wait that was not advised by a response
     jitter: Share = 0.5
-    honours: bool = True  # waits for Retry-After where it is given
+    honours: bool = True  # whether it waits as Retry-After advises
 
 
 class Shape(StrictTable, kw_only=True):
-    """How a stream's rate moves: `poisson` is even; `bursts` multiplies it by `factor` for `on_s` of each `every_s`;
-    `ramp` goes from `factor` times the rate at its start to the rate at its end."""
+    """How a stream's rate changes: `poisson` is constant; `bursts` multiplies it by `factor` for `on_s` out of every
+    `every_s`; `ramp` changes it linearly from `factor` times the rate at the start to the rate at the end."""
 
     kind: Literal["poisson", "bursts", "ramp"] = "poisson"
     every_s: Positive = 10.0
@@ -117,52 +126,55 @@
 
 
 class Stream(StrictTable, kw_only=True):
-    """An open-loop stream of txns from a number of accounts on one plan."""
+    """An open-loop stream of transactions from a number of accounts on one plan."""
 
     name: Name
     plan: str
-    rate: Positive  # txns a second over all its accounts, first tries alone
+    rate: Positive  # transactions a second over all accounts, counting first tries only
     accounts: PositiveInt = 1
-    skew: NonNegative = 0.0  # Zipf exponent over its accounts; 0: alike
-    products: dict[str, Positive] = field(default_factory=dict)  # weights; empty: all alike
-    spread: Annotated[int, Meta(ge=0)] = 0  # nodes that an account comes in through; 0: all
+    skew: NonNegative = 0.0  # Zipf exponent over the accounts; 0: uniform
+    products: dict[str, Positive] = field(default_factory=dict)  # weights; empty: all equal
+    spread: Annotated[int, Meta(ge=0)] = 0  # number of nodes that each account connects to; 0: all
     shape: Shape = Shape()
     retries: Retries = Retries()
-    front: Literal["http", "mqtt", "both"] = "http"  # mqtt: as QoS 1 under PRODUCT/ACCOUNT/TXN; both: turn by turn
+    front: Literal["http", "mqtt", "both"] = "http"  # mqtt: QoS 1, topic PRODUCT/ACCOUNT/TXN; both: alternately
     from_s: NonNegative = 0.0
     until_s: NonNegative = 0.0  # 0: the end of the run
 
 
 class Load(StrictTable, kw_only=True):
+    """The load of an experiment and the limits of the load tool."""
+
     workers: Annotated[int, Meta(ge=1, le=64)] = 1  # load processes
     streams: Annotated[list[Stream], Meta(min_length=1)]
-    most_lag_ms: Positive = 5.0  # a run whose p99 lag from intended to real send is above is refused
-    connections: Annotated[int, Meta(ge=1, le=20000)] = 400  # a worker's connections to each node, at most
+    most_lag_ms: Positive = 5.0  # limit of the p99 lag from intended to actual send; a run above it is refused
+    connections: Annotated[int, Meta(ge=1, le=20000)] = 400  # limit of a worker's connections to each node
     hold_idle_s: Positive = 1.5
 
 
 BOX_FAULTS = ("slow", "hang", "drop_idle", "close_idle", "refuse", "crash", "drain", "errors", "turn_away")
 COUNTER_FAULTS = ("down", "silent", "slow", "restart", "split")
 DISCOVERY_FAULTS = ("down", "silent", "stale")
-COLLECTOR_FAULTS = ("away", "abort")  # it closes in good order, or resets
+COLLECTOR_FAULTS = ("away", "abort")  # closes its connections in good order, or resets them
 NODE_FAULTS = ("kill", "stop", "restart")
 
 
 class Fault(StrictTable, kw_only=True):
-    """One scripted fault. `target` is a box (`box:0`, `box:any`, a group's name for all of it, `boxes` for every
-    one), `counter`, `discovery`, or a node (`node:0`, `node:any`). `size` means: slow, times as long (counter: ms
-    more); errors and turn_away, the share; drop_idle and close_idle, idle for so many seconds."""
+    """One scripted fault. `target` is a server (`box:0`, `box:any`, the name of a group for all of its servers, `boxes`
+    for all servers), `counter`, `discovery`, `collector`, or a node (`node:0`, `node:any`). The meaning of `size`
+    depends on the kind: slow, the factor of the service time (for the counter: additional ms); errors and turn_away,
+    the share of transactions; drop_idle and close_idle, the idle time in seconds."""
 
     target: Annotated[str, Meta(min_length=1)]
     kind: str
     at_s: ValueOrRange
-    for_s: ValueOrRange = 0.0  # 0: to the end of the run; a counter's restart takes no time
+    for_s: ValueOrRange = 0.0  # 0: to the end of the run; a restart of the counter is instantaneous
     size: ValueOrRange = 0.0
-    halves: list[list[int]] = field(default_factory=list)  # split: which nodes see which half; empty: alternately
+    halves: list[list[int]] = field(default_factory=list)  # split: the nodes of each half; empty: alternating
 
 
 class Pin(StrictTable, kw_only=True):
-    """Cores for each kind of process; empty: the system chooses."""
+    """CPU cores for each kind of process; empty: the system chooses."""
 
     nodes: list[int] = field(default_factory=list)
     emulator: list[int] = field(default_factory=list)
@@ -170,9 +182,11 @@
 
 
 class Experiment(StrictTable, kw_only=True):
+    """The whole experiment file."""
+
     name: Name
     duration_s: Positive = 10.0
-    warmup_s: NonNegative = 2.0  # left out of latency figures, not of quotas
+    warmup_s: NonNegative = 2.0  # excluded from latency figures, but not from quotas
     seed: int = 1
     repeats: PositiveInt = 1  # seeds seed, seed + 1, ...
     topology: Topology = Topology()
@@ -180,11 +194,12 @@
     plans: Annotated[list[Plan], Meta(min_length=1)]
     load: Load
     faults: list[Fault] = field(default_factory=list)
-    settings: dict[str, Any] = field(default_factory=dict)  # laid over the nodes' settings, in the platform's words
+    settings: dict[str, Any] = field(default_factory=dict)  # merged over the nodes' settings, with the platform's names
     pin: Pin = Pin()
 
 
 def check_unique_names(rows, key_path):
+    """Returns the names of the rows. Raises `InvalidPlanError` if one occurs twice."""
     names = set()
     for k, row in enumerate(rows):
         if row.name in names:
@@ -194,7 +209,8 @@
 
 
 def fault_kinds(target, group_names, nodes, server_count, key_path):
-    """The fault kinds that a target knows; raises `InvalidPlanError` for a target that is not there."""
+    """Returns the kinds of faults that a target supports. Raises `InvalidPlanError` for a target that does not
+    exist."""
     target_kind, _, number = target.partition(":")
     if target in ("counter", "discovery", "collector"):
         return {"counter": COUNTER_FAULTS, "discovery": DISCOVERY_FAULTS, "collector": COLLECTOR_FAULTS}[target]
@@ -213,7 +229,7 @@
 
 
 def check(plan):
-    """The checks between keys. Returns the plan."""
+    """Checks the relations between keys, and returns the plan."""
     products, plans = check_unique_names(plan.products, "products"), check_unique_names(plan.plans, "plans")
     check_unique_names(plan.load.streams, "load.streams")
     group_names = check_unique_names(plan.topology.boxes, "topology.boxes")
@@ -259,6 +275,7 @@
 
 
 def convert(table):
+    """Returns the checked `Experiment` of a parsed TOML table."""
     try:
         return check(msgspec.convert(table, Experiment))
     except msgspec.ValidationError as error:
@@ -267,7 +284,8 @@
 
 
 def parse_plan(text):
-    """An `Experiment` from TOML text; `InvalidPlanError` names the key (or the line, where it is no TOML)."""
+    """Returns the `Experiment` in a TOML text. `InvalidPlanError` names the key, or the line if it is not valid
+    TOML."""
     try:
         return convert(tomllib.loads(text))
     except tomllib.TOMLDecodeError as error:
@@ -275,7 +293,7 @@
 
 
 def read_table(path, depth=0):
-    """The file's TOML, laid over that of the file its `extends` names, if it names one."""
+    """Returns the TOML table of a file, merged over that of the file that `extends` names, if any."""
     try:
         table = tomllib.loads(Path(path).read_text(encoding="utf-8"))
     except OSError as error:
@@ -291,6 +309,7 @@
 
 
 def read_plan(path):
+    """Returns the `Experiment` in a file. Raises `InvalidPlanError` with the path, the key and the reason."""
     table = read_table(path)
     try:
         return convert(table)
@@ -299,17 +318,17 @@
 
 
 def changed(plan, **parts):
-    """The plan with top-level parts replaced, checked anew."""
+    """Returns the plan with top-level parts replaced, and checks it again."""
     return check(msgspec.structs.replace(plan, **parts))
 
 
 def named_servers(plan):
-    """`(uid, group)` of each box, in the order of their numbers."""
+    """Returns `(uid, group)` of each server, in the order of their numbers."""
     return [(f"{group.name}-{k}", group) for group in plan.topology.boxes for k in range(group.count)]
 
 
 def merge_tables(base, overrides):
-    """`overrides` laid over `base`, objects key by key; neither is changed."""
+    """Returns `overrides` merged over `base`, tables key by key; neither is changed."""
     return {
         **base,
         **{
@@ -322,7 +341,7 @@
 
 
 def settings(plan):
-    """The nodes' settings, in the platform's words and units."""
+    """Returns the nodes' settings, with the names and units that the platform uses."""
     group = plan.topology.boxes[0]
     base = {
         "Classes": [
--- a/rampfront/lab/schedule.py
+++ b/rampfront/lab/schedule.py
@@ -1,7 +1,7 @@
-"""When txns are meant to be sent, whose, and what for: drawn before the run, by the seed alone. No I/O, no clock.
+"""The schedule of the load, drawn before the run from the seed alone: times, accounts and products. No I/O, no clock.
 
-Open loop: the schedule never waits for an answer. Each of W workers draws its own part at a W-th of the rate; the
-parts of a Poisson process add up to it. `arrivals` gives numpy arrays sorted by time.
+The load is open-loop: the schedule never waits for a response. Each of W workers draws its own part at one W-th of the
+rate; the parts of a Poisson process add up to the full rate. `arrivals` returns numpy arrays sorted by time.
 """
 
 from dataclasses import dataclass
@@ -13,29 +13,34 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrivals:
-    at: np.ndarray  # int64, ns from the start, rising
+    """The scheduled transactions as parallel arrays."""
+
+    at: np.ndarray  # int64, ns since the start, ascending
     stream: np.ndarray  # int16, index into plan.load.streams
     account: np.ndarray  # int32, index into accounts(plan)
     product: np.ndarray  # int16, index into plan.products
 
     def __len__(self):
+        """The number of transactions."""
         return len(self.at)
 
 
 def accounts(plan):
-    """Every account of the load, in the order of its index: `(name, stream index)`."""
+    """Returns `(name, stream index)` of every account of the load, in the order of the account indexes."""
     return [
         (f"{stream.name}-{k}", index) for index, stream in enumerate(plan.load.streams) for k in range(stream.accounts)
     ]
 
 
 def zipf(count, skew):
+    """Returns the probabilities of `count` ranks by Zipf's law with the exponent `skew`."""
     weights = (1.0 + np.arange(count)) ** -skew
     return weights / weights.sum()
 
 
 def arrival_times(stream, rate, start, end, rng):
-    """Moments of a Poisson process with the stream's shape, in seconds; thinned from its highest rate."""
+    """Returns the arrival times in seconds of a Poisson process with the stream's shape, drawn at the peak rate and
+    thinned."""
     shape, length = stream.shape, end - start
     peak = rate * (1.0 if shape.kind == "poisson" else max(1.0, shape.factor))
     at = np.sort(rng.uniform(start, end, rng.poisson(peak * length)))
@@ -49,6 +54,7 @@
 
 
 def arrivals(plan, seed, worker=0, workers=1):
+    """Returns the schedule of one worker."""
     parts, first_account = [], 0
     for index, stream in enumerate(plan.load.streams):
         rng = np.random.Generator(np.random.PCG64([seed, index, worker]))
@@ -72,11 +78,11 @@
 
 
 def retry_wait(retries, tries, advised, draw):
-    """Seconds until a client's next try, or None for no more. `tries`: tries made; `advised`: Retry-After in
-    seconds or None; `draw`: a number drawn evenly from 0 to 1."""
+    """Returns the seconds until a client's next try, or None if it gives up. `tries`: tries made; `advised`:
+    Retry-After in seconds or None; `draw`: a random number, uniform between 0 and 1."""
     if tries > retries.most:
         return None
     if advised is not None and retries.honours:
-        return advised * (1.0 + 0.1 * draw)  # a little later than told, never sooner
+        return advised * (1.0 + 0.1 * draw)  # up to 10 % later than advised, never earlier
     wait = min(retries.longest_ms, retries.wait_ms * retries.factor ** (tries - 1)) / 1000.0
     return wait * (1.0 + retries.jitter * (2.0 * draw - 1.0))
--- a/rampfront/lab/server_model.py
+++ b/rampfront/lab/server_model.py
@@ -1,7 +1,8 @@
-"""What a registry box does with a txn, as a model: slots, a bounded queue, warming up, faults. No I/O, no clock.
+"""Model of how an app server (registry box) processes transactions. No I/O, no clock.
 
-A `ServerModel` is told what happens and when (whole ns) and says what is done. The emulator carries it out on sockets.
-Fields of a job are set here; the caller keeps whatever else it wants in `job.payload`.
+It covers slots, a bounded queue, warming up and faults. A `ServerModel` is told events with their time (whole ns) and
+returns the jobs that start. The emulator executes these on sockets. This module sets `state` and `completes_at` of a
+job; `payload` belongs to the caller.
 """
 
 from collections import deque
@@ -12,7 +13,8 @@
 
 
 def sampler(latency, rng):
-    """A function that draws one service time in ns. Pareto's shape follows from cv; its tail is cut at 100 means."""
+    """Returns a function that draws one service time in ns. Pareto's shape parameter follows from `cv`; its tail is cut
+    off at 100 times the mean."""
     mean = latency.mean_ms * MS
     if latency.kind == "constant":
         return lambda: mean
@@ -27,34 +29,42 @@
 
 
 class Job:
+    """One transaction in the model."""
+
     __slots__ = ("state", "payload", "completes_at")
 
     def __init__(self, payload=None):
+        """`payload`: whatever the caller associates with the job."""
         self.state, self.payload, self.completes_at = QUEUED, payload, 0
 
 
 class ServerModel:
-    """One box. `arrive`, `finish` and `abandon` return the jobs that begin work by it, with `due` set: the ns at
-    which they will be done. A job that `arrive` does not take is turned away (it has not run)."""
+    """One server. `arrive` and `finish` return the jobs that start as a result, with `completes_at` set to the time in
+    ns when they are done. A job that `arrive` rejects has not been executed."""
 
     def __init__(self, group, rng, now=0, warm=True):
+        """`group`: the server's properties (`plan.ServerGroup`); `warm`: whether it already runs at full speed at
+        `now`."""
         self.group, self.draw_service_time_ns = group, sampler(group.latency, rng)
         self.started_at = now - round(group.warm_s * SEC) if warm else now
-        self.slow_factor = 1.0  # of a slow fault
-        self.active_jobs, self.queue = set(), deque()  # emptied by ends and crashes
+        self.slow_factor = 1.0  # multiplies service times during a slow fault
+        self.active_jobs, self.queue = set(), deque()  # emptied when jobs finish and by crashes
         self.most_working = self.most_queued = 0
 
     @property
     def working(self):
+        """The number of jobs in progress."""
         return len(self.active_jobs)
 
     def speed_share(self, now):
-        """The share of its full speed that it has by its age."""
+        """Returns the server's present share of its full speed, which rises linearly from `cold_share` during
+        `warm_s`."""
         warm = self.group.warm_s * SEC
         warm_share = min(1.0, (now - self.started_at) / warm) if warm else 1.0
         return self.group.cold_share + (1.0 - self.group.cold_share) * warm_share
 
     def start_job(self, job, now):
+        """Starts a job and returns it as a list."""
         job.state = WORKING
         self.active_jobs.add(job)
         self.most_working = max(self.most_working, self.working)
@@ -62,7 +72,7 @@
         return [job]
 
     def arrive(self, job, now):
-        """None: turned away, it never runs."""
+        """Starts or queues a job. Returns None if the queue is full: the job is turned away and never executed."""
         if self.working < self.group.slots:
             return self.start_job(job, now)
         if len(self.queue) >= self.group.queue:
@@ -73,7 +83,7 @@
         return []
 
     def finish(self, job, now):
-        """A job's work is over; the oldest that waits begins."""
+        """Completes a job and starts the one that has been queued longest."""
         if job.state != WORKING:
             return []
         job.state = DONE
@@ -85,7 +95,8 @@
         return []
 
     def abandon(self, job):
-        """Its client has gone: what waits is dropped unrun, what is worked on goes on. True if it was dropped."""
+        """Handles a client that disconnected: removes a queued job, which is then never executed, and returns True; a
+        job in progress continues."""
         if job.state != QUEUED:
             return False
         job.state = GONE
@@ -93,7 +104,7 @@
         return True
 
     def crash(self, now):
-        """All work is lost and it starts cold. Returns the jobs that were held."""
+        """Drops all jobs and returns them; the server starts again cold."""
         lost = [*self.active_jobs, *self.queue]
         for job in lost:
             job.state = GONE
--- a/rampfront/lab/simulated_servers.py
+++ b/rampfront/lab/simulated_servers.py
@@ -1,8 +1,8 @@
-"""Stand-in servers of the system, as its protocol describes them, on loopback sockets.
+"""Simulated app servers on loopback sockets, which follow the protocol between the system and its servers.
 
-A `SimulatedServer` is one life of one server: slots and a queue (`ServerModel`), cold spells, a deadline kept, answers sealed, and
-answers spoilt as `choose_fault` says. It must never lose count of what ran: `runs` has every request that was worked on.
-`Fleet` starts and ends boxes and keeps the platform's list by them.
+A `SimulatedServer` is one server process from start to end: slots and a queue (`ServerModel`), cold spells, request
+deadlines, sealed responses, and response faults as `choose_fault` selects them. Its list `runs` is complete: it holds
+every request that was executed. `Fleet` starts and ends servers and keeps the platform's list up to date with them.
 """
 
 import hashlib
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceTime:
-    """How long a request is worked on; words of `server_model.sampler`."""
+    """The distribution of service times; the terms are those of `server_model.sampler`."""
 
     mean_ms: float = 5.0
     kind: str = "constant"
@@ -29,7 +29,8 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerProfile:
-    """What the boxes of a service are like. `warm_s` and `cold_share` are of a start: it is slow for some seconds."""
+    """The properties of a service's servers. During `warm_s` after its start a server works more slowly, from
+    `cold_share` of its speed upwards."""
 
     service: str
     slots: int = 2
@@ -41,12 +42,14 @@
     idle_s: float = 15.0
     tells_load: bool = True
     health: str = "/health"
-    cold_per_s: float = 2.0  # while cold; it falls over at three times that and five
+    cold_per_s: float = 2.0  # while cold; it crashes at more than three times that plus five
     body_bytes: int = 64
 
 
 @dataclass(frozen=True, slots=True)
 class ExecutedRequest:
+    """A request that a server executed. `at`: time in ns."""
+
     at: int
     try_id: str
     method: str
@@ -56,19 +59,22 @@
 
 
 def compute_seal(uid, try_id, body):
+    """Returns the seal of a body: a digest of the server, the try and the body, in hex."""
     return hashlib.blake2b(b"%s %s %s" % (uid.encode(), try_id, body), digest_size=8).hexdigest().encode()
 
 
 def expected_response(uid, profile, try_id, body):
-    """What a server says to a request that ran: (body, seal)."""
+    """Returns `(body, seal)` of a server's response to a request that it executed."""
     response = (compute_seal(uid, try_id, body) * (profile.body_bytes // 16 + 1))[: profile.body_bytes]
     return response, compute_seal(uid, try_id, response)
 
 
 class SimulatedServer(AppServerBase):
-    """`choose_fault(server, request)` gives one of `RESPONSE_FAULTS` or None for each request that ran; a deque of such words does too."""
+    """One server process from start to end, in which it has one `uid`."""
 
     def __init__(self, loop, clock, rng, uid, profile, zone, host="127.0.0.1", port=0, cold=0, choose_fault=None):
+        """`cold`: ns for which it is cold at first; `choose_fault`: a function of (server, request) that returns one of
+        `RESPONSE_FAULTS` or None for each executed request, or a deque of such values."""
         self.loop, self.clock, self.uid, self.profile, self.zone, self.choose_fault = (
             loop,
             clock,
@@ -81,23 +87,25 @@
         self.cold_until = clock() + cold if cold else 0
         self.listener = Listener(loop, lambda: Connection(self), host, port)
         self.runs = []
-        self.arrivals = None  # a list, where a judge wants (at, try id) of all that came but what got 421
+        self.arrivals = None  # optionally a list for (time, try ID) of all requests except those answered with 421
         self.draining = self.is_up = False
         # Arrivals during the last second of a cold spell, and the largest number of them so far.
         self.recent_arrivals, self.max_cold_arrivals = deque(), 0
-        self.delayed_responses = {}  # side -> an answer that is to come in the place of the next one
+        self.delayed_responses = {}  # connection -> a response that is sent before the next one
 
     async def open(self):
+        """Starts to listen and returns the server."""
         await self.listener.open()
         self.is_up = True
         return self
 
     @property
     def address(self):
+        """The address as `host:port`."""
         return self.listener.address
 
     def crash(self):
-        """All connections are reset, and nothing of it is left."""
+        """Stops listening, resets all connections and drops all jobs."""
         self.is_up = False
         self.counts["crashes"] += 1
         self.listener.close()
@@ -105,25 +113,25 @@
         self.reset_connections()
 
     def begin_cold_spell(self, span):
-        """Cold again, in the midst of work."""
+        """Makes a running server cold for `span` ns."""
         self.cold_until = self.clock() + span
 
-    # ---- connections (`Connection` asks for these)
+    # ---- connections (called by `Connection`)
 
     def refuses_connections(self) -> bool:
-        """Whether a connection that comes now is reset, which is counted."""
+        """Returns whether a new connection is reset at once, and counts it in that case."""
         refused = not self.is_up or len(self.connections) > self.profile.max_conns
         if refused:
             self.counts["reset"] += 1
         return refused
 
     def on_connection_closed(self, connection: Connection, pending_request: Request | None) -> None:
-        """A connection ended."""
+        """Removes a connection that ended, and the response that was delayed on it."""
         super().on_connection_closed(connection, pending_request)
         self.delayed_responses.pop(connection, None)
 
     def close_idle_connections(self):
-        """Idle connections are closed; call it now and then where that matters."""
+        """Closes the connections that have been idle for `idle_s`. Callers that need this call it periodically."""
         now = self.clock()
         for connection in [
             c
@@ -135,6 +143,8 @@
     # ---- requests
 
     def handle(self, request):
+        """Handles a request: rejects, queues or starts it. A server that gets far more requests than it can take while
+        cold crashes."""
         self.counts["arrivals"] += 1
         now, fields, connection = self.clock(), request.fields, request.connection
         wanted_server, try_id = fields.get(b"wanted-server"), fields.get(b"try-id")
@@ -162,10 +172,11 @@
         self.start_jobs(started, now)
 
     def start_jobs(self, jobs, now):
+        """Executes jobs that the model has started. A job whose deadline passed while it was queued is not executed."""
         while jobs:
             job, jobs = jobs[0], []
             request, health, deadline = job.payload
-            if deadline and deadline <= now:  # it waited too long: it has not run
+            if deadline and deadline <= now:  # its deadline passed in the queue: it is not executed
                 self.counts["expired"] += 1
                 jobs = self.server_model.finish(job, now)
                 self.respond(request.connection, 503, b"", NOT_RUN, request.fields.get(b"try-id"))
@@ -188,6 +199,7 @@
                 self.loop.call_later(max(0, end - now) / SEC, self.finish_job, job, deadline_exceeded)
 
     def health(self, request, now):
+        """Responds to a health check."""
         self.counts["probes"] += 1
         cold = b"Cold-Ms: %d\r\n" % max(0, (self.cold_until - now) // MS) if self.cold_until else b""
         self.respond(
@@ -195,18 +207,20 @@
         )
 
     def finish_job(self, job, deadline_exceeded):
+        """Completes a job and starts the next one."""
         if job.state != WORKING:
             return
         now = self.clock()
         started = self.server_model.finish(job, now)
         request = job.payload[0]
-        if request.connection.pending_request is request:  # else its caller has gone
+        if request.connection.pending_request is request:  # otherwise the client has disconnected
             request.connection.job = None
             self.send_result(request, deadline_exceeded)
         job.state = GONE
         self.start_jobs(started, now)
 
     def send_result(self, request, deadline_exceeded):
+        """Sends the response to an executed request, with the fault that was chosen for it."""
         connection, try_id = request.connection, request.fields[b"try-id"]
         body, seal_value = expected_response(self.uid, self.profile, try_id, request.body)
         fault = None
@@ -221,7 +235,7 @@
         if fault:
             self.counts[fault] += 1
         seal = b"Server-Seal: %s\r\n" % seal_value
-        if fault == "lost":  # it ran, and nobody hears of it
+        if fault == "lost":  # executed, but never answered
             return None
         if fault == "reset":
             return reset(connection.transport)
@@ -244,12 +258,14 @@
         if fault == "error" or deadline_exceeded:
             return self.respond(connection, 504 if deadline_exceeded else 500, b"", seal, try_id)
         self.respond(connection, 200, body, seal, try_id, close=fault == "close")
-        if fault == "extra":  # bytes behind a whole answer belong to no request
+        if fault == "extra":  # surplus bytes after a complete response
             self.respond(connection, 200, body, seal, b"0000000000000000")
-        elif fault == "late":  # once more, in the place where the next answer should come
+        elif fault == "late":  # sent again in place of the response to the next request
             self.delayed_responses[connection] = (200, body, seal, try_id)
 
     def respond(self, connection, status, body, extra_headers=b"", try_id=None, close=False):
+        """Sends a response with the headers that every response has, after the delayed one of this connection, if
+        any."""
         if (delayed := self.delayed_responses.pop(connection, None)) is not None:
             self.respond(connection, *delayed)
         self.counts[status] += 1
@@ -269,14 +285,16 @@
 
 
 class Fleet:
-    """Boxes by id, and the platform's list kept by them. Drawn things come from one seed."""
+    """Servers by `uid`, and the platform's list of them. All random choices follow from one seed."""
 
     def __init__(self, loop, clock, platform, seed=0, host="127.0.0.1"):
+        """`platform`: gets the list of the servers."""
         self.loop, self.clock, self.platform, self.host = loop, clock, platform, host
         self.rng, self.servers, self.last_number = Random(seed), {}, 0
 
     async def start(self, profile, zone, port=0, cold=0, choose_fault=None):
-        """A new life with a new id; `port`: at the address of one that has ended."""
+        """Starts a server with a new `uid` and returns it. `port`: not 0 to reuse the address of a server that has
+        ended."""
         self.last_number += 1
         uid = f"i-{self.last_number:08x}"
         rng = Random(self.rng.getrandbits(64))
@@ -288,21 +306,23 @@
         return server
 
     def drain(self, uid):
-        """It is to end: it serves on, and its answers close their connections."""
+        """Announces the end of a server: it continues to serve, and closes its connections with its responses."""
         self.servers[uid].draining = True
         self.platform.set_state(uid, "emptying")
 
     def end(self, uid, listed=False):
-        """`listed`: it has crashed, and stands on the list for now."""
+        """Ends a server. `listed`: it crashed and stays on the platform's list for now."""
         self.servers[uid].crash()
         if not listed:
             self.platform.remove(uid)
 
     def close(self):
+        """Ends all servers."""
         for server in self.servers.values():
             server.crash()
 
     def executed_more_than_once(self):
-        """Try ids that ran more than once, over all lives."""
+        """Returns the try IDs that were executed more than once by any of the servers, with their number of
+        executions."""
         ran = Counter(run.try_id for server in self.servers.values() for run in server.runs)
         return {try_id: count for try_id, count in ran.items() if count > 1}
