--- a/rampfront/lab/client.py
+++ b/rampfront/lab/client.py
@@ -1,8 +1,9 @@
-"""The load tool's clients: open-loop sending, answers sorted into outcomes, retries on the client's own schedule.
+"""The load tool's clients: open-loop sending, classification of responses, retries on the client's own schedule.
 
-It owns the connections to the edge nodes and one row a txn. Latency runs from the intended moment of the first try,
-so a tool or a node that falls behind shows (no coordinated omission). A txn is sent again by itself only where the
-platform's page lets a client do so: on a reused connection that ended before any answer, and never once-only.
+This module owns the connections to the edge nodes and one result row for each transaction. Latency is measured from the
+intended time of the first try, so that delays of the tool or of a node are included (no coordinated omission). A
+transaction is resent automatically only where the platform's specification permits that: on a reused connection that
+ended before any byte of a response, and never if it is once-only.
 """
 
 import asyncio
@@ -24,8 +25,9 @@
 MS = 10**6
 SETTLED, DECLINED, VOIDED, LOST, BROKEN = range(5)
 OUTCOMES = ("settled", "declined", "voided", "lost", "broken")
-# One row a txn. `at`, `lag`, `took` in ns: intended moment from the start, first send behind it, final answer
-# behind it. `tries` that were sent; `advised`: ms of the last Retry-After, -1 for none.
+# One row for each transaction. In ns: `at`, the intended time since the start; `lag`, from then to the first send;
+# `took`, from then to the final response. `tries`: number of tries sent; `advised`: the last Retry-After in ms, -1 for
+# none; `first`: the outcome of the first try.
 ROW = np.dtype(
     [
         ("at", "i8"),
@@ -44,6 +46,8 @@
 
 
 class Transaction:
+    """One transaction, over all of its tries."""
+
     __slots__ = (
         "number",
         "stream",
@@ -62,13 +66,14 @@
     )
 
     def __init__(self, number, stream, account, product, at):
+        """`number`: its index in the schedule; `at`: its intended time in ns since the start."""
         self.number, self.stream, self.account, self.product, self.at = number, stream, account, product, at
         self.tries, self.lag, self.advised, self.first_outcome, self.resent = 0, -1, -1.0, -1, False
         self.connection = self.timer = None
 
 
 class PooledConnection(asyncio.Protocol):
-    """One connection to one node: one txn at a time."""
+    """One connection to one node, with one transaction at a time."""
 
     __slots__ = (
         "pool",
@@ -85,31 +90,38 @@
     )
 
     def __init__(self, pool):
+        """`pool`: the pool that it belongs to."""
         self.pool, self.transport, self.txn = pool, None, None
         self.idle_since, self.reused, self.complete = 0, False, False
 
     def connection_made(self, transport):
+        """Called by the event loop: the connection is up. Sends the transaction that it was opened for."""
         self.transport = transport
         self.parser = httptools.HttpResponseParser(self)
         if self.txn is not None:
             return self.send()
-        self.idle_since = self.pool.client.clock()  # its txn gave up while it was opened
+        self.idle_since = self.pool.client.clock()  # its transaction expired while it was being opened
         self.pool.idle.append(self)
 
     def connection_lost(self, error):
+        """Called by the event loop: the connection has ended."""
         txn, self.txn, self.transport = self.txn, None, None
         self.pool.on_connection_closed(self)
         if txn is not None:
             self.pool.client.on_connection_failed(txn, self.reused and not self.received_any)
 
     def eof_received(self):
+        """Called by the event loop: the peer sends nothing more. Returns False, so that the loop closes the
+        transport."""
         return False
 
     def send(self):
+        """Sends the request of its transaction."""
         self.received_any, self.complete = False, False
         self.transport.write(self.pool.client.encode_request(self.txn))
 
     def data_received(self, data):
+        """Called by the event loop: bytes of a response."""
         self.received_any = True
         try:
             self.parser.feed_data(data)
@@ -127,9 +139,11 @@
                 self.pool.client.on_answered(txn, self.status, self.retry_after_s)
 
     def on_message_begin(self):
+        """Called by the parser: a response begins."""
         self.retry_after_s = None
 
     def on_header(self, name, value):
+        """Called by the parser: a header."""
         if name.lower() == b"retry-after":
             try:
                 self.retry_after_s = float(value)
@@ -137,6 +151,7 @@
                 pass
 
     def on_message_complete(self):
+        """Called by the parser: the response is complete."""
         self.status, self.keep_alive, self.complete = (
             self.parser.get_status_code(),
             self.parser.should_keep_alive(),
@@ -145,14 +160,16 @@
 
 
 class Pool:
-    """Connections to one node. Past `max_connections`, txns wait in line; their latency runs on."""
+    """The connections to one node. Beyond `max_connections`, transactions wait; the wait counts as latency."""
 
     def __init__(self, client, address, max_connections):
+        """`address`: of the node, as `host:port`."""
         host, _, port = address.rpartition(":")
         self.client, self.host, self.port, self.max_connections = client, host, int(port), max_connections
         self.idle, self.open_connections, self.waiting, self.opened_connections = deque(), 0, deque(), 0
 
     def submit(self, txn):
+        """Sends a transaction on an idle or a new connection, or queues it."""
         while self.idle:
             connection = self.idle.pop()
             if connection.transport is not None and not connection.transport.is_closing():
@@ -167,11 +184,13 @@
         self.waiting.append(txn)
 
     def send_on(self, connection, txn):
+        """Sends a transaction on an open connection."""
         txn.connection, connection.txn = connection, txn
         self.client.record_first_send(txn)
         connection.send()
 
     async def open(self, connection):
+        """Opens a connection for its transaction."""
         try:
             await self.client.loop.create_connection(lambda: connection, self.host, self.port)
         except OSError:
@@ -181,33 +200,38 @@
                 self.client.on_connection_failed(txn, False, refused=True)
 
     def on_connection_closed(self, connection):
+        """Removes a connection that ended."""
         self.open_connections -= 1
         if connection in self.idle:
             self.idle.remove(connection)
 
     def dispatch_waiting(self):
+        """Sends queued transactions while there are connections for them."""
         while self.waiting and (self.idle or self.open_connections < self.max_connections):
             txn = self.waiting.popleft()
             if txn.connection is None and txn.timer is not None:
                 self.submit(txn)
 
     def close_idle(self, idle_before):
+        """Closes the connections that have been idle since before `idle_before`."""
         while self.idle and self.idle[0].idle_since < idle_before:
             self.idle.popleft().transport.close()
 
 
 class Pacer:
-    """Wakes the loop at given moments to within some tens of us, where the loop's own timers round to whole ms: a
+    """Wakes the event loop at given times to within some tens of µs, where the loop's own timers round to whole ms. A
     thread sleeps and writes to an eventfd."""
 
     def __init__(self, loop, moments, start, callback):
+        """`moments`: ns since `start`, ascending; `start`: monotonic time in ns; `callback`: called at each moment."""
         self.loop, self.moments, self.start, self.callback, self.stopped = loop, moments, start, callback, False
         self.fd = os.eventfd(0, os.EFD_NONBLOCK)
         loop.add_reader(self.fd, self.wake)
         threading.Thread(target=self.run, daemon=True).start()
 
     def run(self):
-        gap, last = MS // 10, 0  # arrivals within 0.1 ms share a wake
+        """The thread."""
+        gap, last = MS // 10, 0  # arrivals within 0.1 ms share one wake-up
         for at in self.moments:
             if at < last + gap and last:
                 continue
@@ -217,17 +241,18 @@
                 time.sleep(wait / SEC)
             last = int(at)
             os.eventfd_write(self.fd, 1)
-        while not self.stopped:  # what came within the last gap
+        while not self.stopped:  # for arrivals within the last gap
             time.sleep(0.001)
             os.eventfd_write(self.fd, 1)
         os.close(self.fd)
 
     def end(self):
-        """For those who need no more of it before their process ends."""
+        """Stops the pacer, for callers whose process continues."""
         self.loop.remove_reader(self.fd)
         self.stopped = True
 
     def wake(self):
+        """Called by the event loop when the thread has written."""
         try:
             os.eventfd_read(self.fd)
         except BlockingIOError:
@@ -236,9 +261,11 @@
 
 
 class Clients:
-    """All clients of one worker. `due`: its arrivals. `targets`: addresses of the nodes (or of the boxes); `start`: monotonic ns."""
+    """All clients of one worker."""
 
     def __init__(self, loop, plan, seed, worker, due, targets, start):
+        """`due`: the worker's schedule (`Arrivals`); `targets`: addresses of the nodes, or of the servers; `start`:
+        monotonic time in ns."""
         self.loop, self.plan, self.start = loop, plan, start
         self.clock = time.monotonic_ns
         self.timers = TimerQueue(loop, self.clock)
@@ -246,7 +273,9 @@
         self.due = due
         self.rows = np.zeros(len(self.due), ROW)
         self.next_index, self.unfinished, self.worker, self.on_finished = 0, 0, worker, None
-        targets = [address.partition("/") for address in targets]  # a node's address, and behind a / that for MQTT
+        targets = [
+            address.partition("/") for address in targets
+        ]  # a node's address, and after a / the one of its MQTT listener
         self.pools = [Pool(self, address, plan.load.connections) for address, _, _ in targets]
         self.publishers = []
         if any(stream.front != "http" for stream in plan.load.streams):
@@ -271,12 +300,14 @@
         self.close_idle()
 
     def close_idle(self):
+        """Closes idle connections and dispatches queued transactions every 0.25 s."""
         self.timers.after(SEC // 4, self.close_idle)
         for pool in self.pools:
             pool.close_idle(self.clock() - round(self.plan.load.hold_idle_s * SEC))
             pool.dispatch_waiting()
 
     def send_due(self):
+        """Starts all transactions that are due."""
         now = self.clock() - self.start
         while self.next_index < len(self.at) and self.at[self.next_index] <= now:
             number, self.next_index = self.next_index, self.next_index + 1
@@ -285,7 +316,7 @@
         self.check_finished()
 
     def start_try(self, txn):
-        """One try: a new X-Request-Id, and its own expiry."""
+        """Starts one try, with a new X-Request-Id and its own expiry."""
         txn.tries, txn.resent = txn.tries + 1, False
         txn.node = self.rng.choice(self.node_choices[txn.account])
         txn.deadline = self.clock() + round(self.plan.products[txn.product].expiry_ms * MS)
@@ -295,10 +326,12 @@
         (self.publishers if mqtt else self.pools)[txn.node].submit(txn)
 
     def record_first_send(self, txn):
+        """Records the lag of a transaction at its first send."""
         if txn.tries == 1 and txn.lag < 0:
             txn.lag = self.clock() - self.start - txn.at
 
     def encode_request(self, txn):
+        """Returns the HTTP request of a transaction's present try."""
         product = self.plan.products[txn.product]
         headers, terms = self.account_headers[txn.account]
         transaction_id = b"%d-%d" % (self.worker, txn.number)
@@ -327,14 +360,16 @@
             )
         )
 
-    # ---- ends of a try
+    # ---- the end of a try
 
     def on_answered(self, txn, status, retry_after_s):
+        """Handles a response."""
         outcome = SETTLED if status == 200 else DECLINED if status in (429, 503) else VOIDED
         self.finish_try(txn, outcome, retry_after_s)
 
     def on_connection_failed(self, txn, nothing_received, refused=False):
-        """Its connection ended without an answer, or never came up."""
+        """Handles a connection that ended without a response, or was not established (`refused`). `nothing_received`:
+        the connection was reused and ended before any byte of a response."""
         once = self.plan.products[txn.product].effect == "once_only"
         if txn.timer is None:
             return
@@ -344,7 +379,7 @@
         self.finish_try(txn, BROKEN, None, refused)
 
     def on_expired(self, txn):
-        """No answer by the expiry: the client goes away."""
+        """Handles a try without a response by its expiry: the client disconnects."""
         txn.timer = None
         connection, txn.connection = txn.connection, None
         if connection is not None and connection.txn is txn:
@@ -354,6 +389,7 @@
         self.finish_try(txn, LOST, None)
 
     def finish_try(self, txn, outcome, retry_after_s, unsent=False):
+        """Ends a try: schedules the next one, or writes the transaction's row. `unsent`: it never reached the node."""
         if txn.timer is not None:
             self.timers.cancel(txn.timer)
             txn.timer = None
@@ -379,13 +415,14 @@
         self.check_finished()
 
     def check_finished(self):
+        """Calls `on_finished` when every transaction has its row."""
         if self.next_index >= len(self.at) and not self.unfinished and self.on_finished:
             self.on_finished()
 
 
 def run_worker(job):
-    """One worker process: plays its part of the schedule and writes its rows. `job` is what the runner hands over:
-    plan, seed, worker, due (its arrivals), targets, start (Unix ns), out (path)."""
+    """Runs one worker process: executes its part of the schedule and writes its rows. `job`: the parameters from the
+    runner, which are plan, seed, worker, due (its schedule), targets, start (Unix time in ns) and out (path)."""
     plan = job["plan"]
     loop = uvloop.new_event_loop()
     start = job["start"] - time.time_ns() + time.monotonic_ns()
--- a/rampfront/lab/compare.py
+++ b/rampfront/lab/compare.py
@@ -1,6 +1,7 @@
-"""Two runs side by side: two settings, or two versions, over the same seeds. Figures are emulated.
+"""Compares two runs of different settings or versions, over the same seeds. Figures are emulated.
 
-A figure's interval is Student's t over paired repeats, at the confidence asked for; with one repeat there is none.
+The interval of a figure is Student's t interval of the paired repeats, at the confidence asked for; a single repeat has
+none.
 """
 
 from math import sqrt
@@ -11,7 +12,7 @@
 from . import report as reports
 from .nodes import RunFailedError
 
-# name, whether more is better (None: neither), how it is read off a report
+# Name, whether more is better (None: neither), and how to read it from a report.
 FIGURES = (
     ("settled a second", True, lambda r: r["settled_per_s"]),
     ("settled, share", True, lambda r: r["settled"] / max(1, r["offered"])),
@@ -29,7 +30,8 @@
 
 
 def interval(values, confidence=0.95):
-    """Mean and half width of its confidence interval; the half width is None for fewer than two values."""
+    """Returns the mean and the half width of its confidence interval; the half width is None for fewer than two
+    values."""
     values = np.asarray(values, float)
     mean = float(values.mean())
     if len(values) < 2:
@@ -39,6 +41,7 @@
 
 
 def verdict(mean, half_width, more_is_better):
+    """Returns what a difference shows, by its confidence interval."""
     if half_width is None:
         return "one repeat, no interval"
     if abs(mean) <= half_width or mean == 0:
@@ -49,10 +52,11 @@
 
 
 def compare_reports(first, second, confidence=0.95):
-    """Rows of both sides' means, and of the differences paired by seed. Lists of reports, one each repeat."""
+    """Returns the means of both runs and of their differences, paired by seed. `first`, `second`: the reports of the
+    repeats."""
     seeds = sorted({r["seed"] for r in first} & {r["seed"] for r in second})
     if not seeds:
-        raise RunFailedError("the two runs share no seed: nothing can be paired")
+        raise RunFailedError("the two runs share no seed, so that no repeats can be paired")
     first_by_seed, second_by_seed = ({r["seed"]: r for r in side} for side in (first, second))
     rows = []
     for name, more_is_better, read_figure in FIGURES:
@@ -86,12 +90,14 @@
 
 
 def compare(a, b, confidence=0.95):
-    """`a`, `b`: folders of runs. Returns the comparison and both sides' reports."""
+    """Compares the runs in two folders. Returns the comparison and the reports of both runs."""
     reports_by_run = [[reports.summarize(folder) for folder in reports.repeats(out)] for out in (a, b)]
     return compare_reports(*reports_by_run, confidence), reports_by_run
 
 
 def text(comparison):
+    """Returns the comparison as text."""
+
     def figure(mean, half_width):
         return f"{mean:.4g}" if half_width is None else f"{mean:.4g} ± {half_width:.2g}"
 
--- a/rampfront/lab/crash.py
+++ b/rampfront/lab/crash.py
@@ -1,13 +1,13 @@
-"""Kills an edge node at random points under load, and checks its journal against what the boxes ran.
+"""Kills an edge node at random times under load, and checks its journal against what the servers executed.
 
-One emulator, one node after the other on one journal folder. Each run: clients send once-only txns, SIGKILL falls at a
-random moment, the journal is read, the node starts again, clients ask for what is in doubt under the same ids. They
-disagree where
+One emulator serves one node after the other, all with the same journal folder. In each run clients send once-only
+transactions, the node is killed with SIGKILL at a random time, the journal is read, the node is started again, and
+clients ask under the same IDs for the transactions that are in doubt. There is a disagreement if
 
-- a txn ran that has no intent in the journal,
-- one that the journal has as settled, or a client as settled, did not run exactly once,
-- one that it has as not run did run,
-- one ran more than once, whatever is said of it.
+- a transaction was executed without an intent in the journal,
+- a transaction that is settled in the journal, or was reported as settled to a client, was not executed exactly once,
+- a transaction that is not run in the journal was executed,
+- a transaction was executed more than once, whatever its state is.
 """
 
 import asyncio
@@ -28,6 +28,7 @@
 
 
 def crash_experiment(journal):
+    """Returns the experiment: one node with this journal table, and three servers."""
     return Experiment(
         name="crash",
         duration_s=1.0,
@@ -43,7 +44,7 @@
 
 
 async def send_transaction(address, txn_id):
-    """The status of one txn, 0 where its connection ended first."""
+    """Sends one transaction and returns its status; 0 if its connection ended first."""
     host, _, port = address.rpartition(":")
     try:
         reader, writer = await asyncio.open_connection(host, int(port))
@@ -64,7 +65,8 @@
 
 
 def find_disagreements(journal, run_counts, client_statuses):
-    """What the journal `journal`, the boxes `run_counts` (txn to times) and clients were `client_statuses` (txn to status) say apart."""
+    """Compares the journal with what the servers executed (transaction ID to number of executions) and what clients
+    were told (transaction ID to status), and returns a line for each disagreement."""
     by_txn = {}
     for entry in journal.entries.values():
         by_txn.setdefault(entry.intent.transaction_id, []).append(entry)
@@ -85,7 +87,10 @@
 
 
 class Harness:
+    """The emulator and the node of a series of runs. `emulator`, `node` and `loop` may also be used directly."""
+
     def __init__(self, folder, seed, journal=None, clients=8):
+        """`journal`: the node's journal table; `clients`: number of clients that send at the same time."""
         self.folder, self.rng, self.clients = Path(folder), Random(seed), clients
         self.folder.mkdir(parents=True, exist_ok=True)
         self.plan = crash_experiment(journal if journal is not None else {"batch_ms": 1.0})
@@ -95,9 +100,10 @@
         )
         self.node = Node(self.plan, 0, self.emulator.addresses(), seed, self.folder)
         self.client_statuses, self.in_doubt_total, self.refused_total, self.sent_total = {}, 0, 0, 0
-        self.in_doubt_ids = []  # what the last life left in doubt
+        self.in_doubt_ids = []  # transactions that the last run left in doubt
 
     async def run_client(self, run, number):
+        """Sends transactions until one gets no response."""
         for k in range(10**6):
             txn_id = f"r{run}-{number}-{k}"
             self.sent_total += 1
@@ -106,9 +112,9 @@
                 return
 
     async def run(self, run):
-        """One life of the node; returns what disagrees."""
+        """Runs the node until it is killed, and returns the disagreements."""
         await self.loop.run_in_executor(None, lambda: self.node.start().wait_until_ready())
-        # It is asked for again under its id: none of it may run now.
+        # These are sent again under their IDs; none of them may be executed now.
         again = [await send_transaction(self.node.listen, txn_id) for txn_id in self.in_doubt_ids[:20]]
         found = [
             f"{txn_id} was in doubt and answered {status}"
@@ -121,24 +127,27 @@
         self.node.process.send_signal(signal.SIGKILL)
         await self.loop.run_in_executor(None, self.node.process.wait)
         await asyncio.gather(*tasks)
-        await asyncio.sleep(0.03)  # what had left by then has reached the boxes and runs
+        await asyncio.sleep(0.03)  # requests that were in flight have reached the servers and are counted
         journal = read_journal(self.folder / "journal-0")
         found += find_disagreements(journal, dict(self.emulator.executions.once_only_counts), self.client_statuses)
-        found += [f"damage that is no torn tail: {row}" for row in journal.damage if not row.reason.startswith("torn")]
+        found += [
+            f"damage other than a torn tail: {row}" for row in journal.damage if not row.reason.startswith("torn")
+        ]
         in_doubt_ids = [e.intent.transaction_id for e in journal.select(EntryFilter(in_doubt=True))]
         self.in_doubt_ids = [txn_id for txn_id in in_doubt_ids if txn_id.startswith(f"r{run}-")]
         self.in_doubt_total += len(self.in_doubt_ids)
         return found
 
     def play(self, runs, report_progress=lambda text: None):
-        """(runs, txns sent, left in doubt, refused again, disagreements)"""
+        """Executes the runs and returns their counts and the disagreements."""
         found = []
         try:
             for run in range(runs):
                 found += [f"run {run}: {disagreement}" for disagreement in self.loop.run_until_complete(self.run(run))]
                 if (run + 1) % 50 == 0:
                     report_progress(
-                        f"{run + 1} runs, {self.sent_total} txns, {self.in_doubt_total} in doubt, {len(found)} disagreements"
+                        f"{run + 1} runs, {self.sent_total} txns, {self.in_doubt_total} in doubt, "
+                        f"{len(found)} disagreements"
                     )
         finally:
             self.node.end()
@@ -154,4 +163,5 @@
 
 
 def save(result, path):
+    """Writes the result as JSON."""
     Path(path).write_bytes(msgspec.json.format(msgspec.json.encode(result)))
--- a/rampfront/lab/emulator.py
+++ b/rampfront/lab/emulator.py
@@ -253,14 +253,14 @@
     if end < 0:
         return None, at
     if data[at : at + 1] != b"*":
-        raise ValueError("no array")
+        raise ValueError("not an array")
     arguments, here = [], end + 2
     for _ in range(int(data[at + 1 : end])):
         end = data.find(b"\r\n", here)
         if end < 0:
             return None, at
         if data[here : here + 1] != b"$":
-            raise ValueError("no bulk string")
+            raise ValueError("not a bulk string")
         length = int(data[here + 1 : end])
         if len(data) < end + 4 + length:
             return None, at
--- a/rampfront/lab/journals.py
+++ b/rampfront/lab/journals.py
@@ -1,4 +1,5 @@
-"""Measures the journal alone, on this machine's disk: appends a second at each batch, and how long a start reads."""
+"""Measures the journal alone, on this machine's disk: appends a second by batch interval, and the time to read it at
+start."""
 
 import shutil
 import sqlite3
@@ -20,12 +21,14 @@
 
 
 class Exchange:
+    """What the journal reads of a transaction."""
+
     id, product, account = b"6b0f6a4e-6c0b-4d3a-9f57-3f2d8a0b9c11", 0, "00000000b4d65521"
 
 
 def appends(folder, batch_ms, waiting=64, seconds=3.0):
-    """Closed loop: `waiting` txns at a time, each noted, durable, ended, and the next. Intents made durable a second, and
-    how long they waited (ms)."""
+    """Measures a closed loop of `waiting` transactions: each is recorded, made durable and ended, and the next one
+    begins. Returns the number of intents made durable a second and their waiting times in ms."""
     shutil.rmtree(folder, ignore_errors=True)
     loop, clock, waits_ms = uvloop.new_event_loop(), Clock(), []
     log = Log("lab", 10**10, open("/dev/null", "wb"))
@@ -61,8 +64,8 @@
 
 
 def batches(folder, size, seconds=2.0):
-    """Batches a second made durable one behind the other, `size` intents each: our segments, and SQLite in WAL mode
-    with synchronous=FULL."""
+    """Measures how many batches of `size` intents a second are made durable one after the other, with the journal's
+    segments and with SQLite in WAL mode with synchronous=FULL."""
     shutil.rmtree(folder, ignore_errors=True)
     store = SegmentStore(JournalSettings(Path(folder) / "own", "lab"))
     database = sqlite3.connect(Path(folder) / "journal.db", isolation_level=None)
@@ -98,7 +101,8 @@
 
 
 def start_time(folder, count, in_doubt=100):
-    """Seconds that a start reads a journal of `count` records; `in_doubt` of them intents without an outcome."""
+    """Measures the seconds that a start takes to read a journal of `count` records. `in_doubt`: number of intents
+    without an outcome."""
     shutil.rmtree(folder, ignore_errors=True)
     settings = JournalSettings(Path(folder), "lab", max_total_bytes=1 << 40)
     store = SegmentStore(settings)
--- a/rampfront/lab/plan.py
+++ b/rampfront/lab/plan.py
@@ -225,7 +225,7 @@
         return BOX_FAULTS if target_kind == "box" else NODE_FAULTS
     if target == "boxes" or target in group_names:
         return BOX_FAULTS
-    raise InvalidPlanError(f"{key_path}.target: {target!r} is no box, group, node, counter or discovery")
+    raise InvalidPlanError(f"{key_path}.target: {target!r} is not a box, group, node, counter, discovery or collector")
 
 
 def check(plan):
@@ -234,10 +234,10 @@
     check_unique_names(plan.load.streams, "load.streams")
     group_names = check_unique_names(plan.topology.boxes, "topology.boxes")
     if plan.warmup_s >= plan.duration_s:
-        raise InvalidPlanError(f"warmup_s: {plan.warmup_s:g} leaves nothing of duration_s {plan.duration_s:g}")
+        raise InvalidPlanError(f"warmup_s: {plan.warmup_s:g} is not shorter than duration_s {plan.duration_s:g}")
     for k, quota in enumerate(plan.plans):
         if quota.rate > 0 and quota.burst <= 0:
-            raise InvalidPlanError(f"plans[{k}].burst: a plan with a rate needs one above 0")
+            raise InvalidPlanError(f"plans[{k}].burst: must be above 0 for a plan with a rate")
     for k, stream in enumerate(plan.load.streams):
         key_path = f"load.streams[{k}]"
         if stream.front != "http" and (plan.topology.mqtt is None or not plan.topology.nodes):
@@ -259,7 +259,7 @@
         allowed_kinds = fault_kinds(fault.target, group_names, plan.topology.nodes, server_count, key_path)
         if fault.kind not in allowed_kinds:
             raise InvalidPlanError(
-                f"{key_path}.kind: {fault.target} knows no {fault.kind!r}, only {', '.join(allowed_kinds)}"
+                f"{key_path}.kind: {fault.target} does not support {fault.kind!r}, only {', '.join(allowed_kinds)}"
             )
         for key in ("at_s", "for_s", "size"):
             span = getattr(fault, key)
@@ -270,7 +270,7 @@
         if fault.target in ("counter", "collector") and not getattr(plan.topology, fault.target):
             raise InvalidPlanError(f"{key_path}.target: this topology has no {fault.target}")
         if any(not 0 <= node < plan.topology.nodes for half in fault.halves for node in half):
-            raise InvalidPlanError(f"{key_path}.halves: names a node that is not there")
+            raise InvalidPlanError(f"{key_path}.halves: names a node that does not exist")
     return plan
 
 
@@ -289,7 +289,7 @@
     try:
         return convert(tomllib.loads(text))
     except tomllib.TOMLDecodeError as error:
-        raise InvalidPlanError(f"no TOML: {error}") from None
+        raise InvalidPlanError(f"not valid TOML: {error}") from None
 
 
 def read_table(path, depth=0):
@@ -299,12 +299,12 @@
     except OSError as error:
         raise InvalidPlanError(f"{path}: {error.strerror}") from None
     except (UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
-        raise InvalidPlanError(f"{path}: no TOML: {error}") from None
+        raise InvalidPlanError(f"{path}: not valid TOML: {error}") from None
     base = table.pop("extends", None)
     if base is None:
         return table
     if not isinstance(base, str) or depth > 4:
-        raise InvalidPlanError(f"{path}: extends: should name a file, and not more than four deep")
+        raise InvalidPlanError(f"{path}: extends: must name a file, nested at most four deep")
     return merge_tables(read_table(Path(path).parent / base, depth + 1), table)
 
 
--- a/rampfront/lab/plots.py
+++ b/rampfront/lab/plots.py
@@ -1,4 +1,4 @@
-"""Plots of reports, as PNG files. Drawn without a screen; every plot says that its figures are emulated."""
+"""Plots of reports as PNG files, drawn without a display. Every plot states that its figures are emulated."""
 
 from pathlib import Path
 
@@ -17,11 +17,12 @@
     "lost": "black",
     "broken": "tab:purple",
 }
-# Where a percentile stands on the axis of an HDR plot: by the share of txns above it.
+# Shares of transactions below the points of an HDR plot, whose axis is the inverse of the share above.
 PERCENTILE_SHARES = np.concatenate(([0.0], 1.0 - np.logspace(0, -4, 120)[1:]))
 
 
 def save_figure(figure, path):
+    """Saves and closes a figure, and returns its path."""
     path = Path(path)
     path.parent.mkdir(parents=True, exist_ok=True)
     figure.text(0.995, 0.005, "emulated, loopback", ha="right", va="bottom", fontsize=7, color="grey")
@@ -32,7 +33,7 @@
 
 
 def shade_faults(axes, faults, until):
-    """Grey bands where a fault stands."""
+    """Draws a grey band for the duration of each fault."""
     started = {}
     for row in faults:
         key = (row["number"], row["target"])
@@ -47,7 +48,7 @@
 
 
 def timeline(report, path):
-    """Outcomes a second, and latency a second, with the faults behind them."""
+    """Draws the outcomes and the latency by second, with the faults in the background."""
     series = report["series"]
     seconds = np.arange(len(series["offered"])) + 0.5
     figure, (upper_axes, lower_axes) = plt.subplots(2, 1, figsize=(9, 6), sharex=True)
@@ -71,7 +72,7 @@
 
 
 def percentiles(runs, path, title=""):
-    """HDR plot: latency against percentile. `runs`: label to the histogram's text, as reports hold it."""
+    """Draws an HDR plot: latency by percentile. `runs`: label to the encoded histogram of a report."""
     figure, axes = plt.subplots(figsize=(8, 4.5))
     for label, encoded in runs.items():
         hdr = HdrHistogram.decode(encoded)
@@ -91,7 +92,7 @@
 
 
 def quotas(runs, path, account, title=""):
-    """Overshoot of an account over 10 s windows, over time. `runs`: label to report."""
+    """Draws the overshoot of an account in 10 s windows over time. `runs`: label to report."""
     figure, axes = plt.subplots(figsize=(9, 3.6))
     for label, report in runs.items():
         rows = [row for row in report["accounts"] if row["account"] == account]
@@ -108,7 +109,8 @@
 
 
 def shares(runs, path, title=""):
-    """Share of the worth owed that was earned, over time, of runs of the whole system. `runs`: label to report."""
+    """Draws the share of the worth owed that was earned, over time, of runs of the whole system. `runs`: label to
+    report."""
     figure, axes = plt.subplots(figsize=(9, 3.6))
     for label, report in runs.items():
         every, share = report["series"]["share_every_s"], report["series"]["share"]
@@ -125,7 +127,8 @@
 
 
 def recovery(runs, path, title=""):
-    """Share of each second's txns that were settled within their SLA time. `runs`: label to report."""
+    """Draws the share of each second's transactions that were settled within their SLA time. `runs`: label to
+    report."""
     figure, axes = plt.subplots(figsize=(9, 3.6))
     for label, report in runs.items():
         series = report["series"]
@@ -143,7 +146,7 @@
 
 
 def comparison(result, path):
-    """Differences with their intervals, each over its own scale."""
+    """Draws the differences with their intervals, each relative to its own scale."""
     rows = [row for row in result["rows"] if row["half"] is not None]
     figure, axes = plt.subplots(figsize=(8, 0.5 + 0.42 * max(1, len(rows))))
     colours = {"better": "tab:green", "worse": "tab:red"}
@@ -165,7 +168,7 @@
 
 
 def sweep(rows, path, title=""):
-    """Overhead and cores against the rate that was asked for. `rows` as `lab.sweep` gives them."""
+    """Draws overhead and cores by the offered rate. `rows`: the result of `lab.sweep`."""
     rate = [row["rate"] for row in rows]
     figure, (upper_axes, lower_axes) = plt.subplots(2, 1, figsize=(8, 6.5), sharex=True)
     for name, colour in (("p50", "tab:blue"), ("p99", "tab:red")):
--- a/rampfront/lab/publishers.py
+++ b/rampfront/lab/publishers.py
@@ -1,6 +1,7 @@
-"""Load over MQTT 5.0: the part of a load worker that stands where `client.Pool` does, for streams with `front`.
+"""Load over MQTT 5.0: replaces `client.Pool` in a load worker for streams whose `front` is MQTT.
 
-One connection for each account and node, QoS 1 throughout: a txn is over with the PUBACK that carries its answer.
+There is one connection for each account and node, with QoS 1 throughout: a transaction ends with the PUBACK that
+carries its result.
 """
 
 import asyncio
@@ -9,13 +10,14 @@
 from .emulator import account_key
 from .schedule import accounts
 
-OUTCOMES = {codec.OK: 200, codec.QUOTA: 429}  # reason code to the status that HTTP gives for the same
+OUTCOMES = {codec.OK: 200, codec.QUOTA: 429}  # the HTTP status that corresponds to the reason code
 
 
 class AccountConnection(asyncio.Protocol):
     """One account's connection to one node."""
 
     def __init__(self, pool, account):
+        """`account`: the index of the account."""
         self.pool, self.account, self.transport, self.connected = pool, account, None, False
         self.decoder, self.connack_bytes, self.packet_id, self.unacknowledged, self.waiting = (
             codec.Decoder(1 << 20, codec.V5),
@@ -26,6 +28,7 @@
         )
 
     def connection_made(self, transport):
+        """Called by the event loop: the connection is up. Sends CONNECT."""
         self.transport = transport
         name, stream = self.pool.accounts[self.account]
         user_name = f"{self.pool.client.plan.load.streams[stream].plan}:{account_key(name)}"
@@ -39,13 +42,17 @@
         )
 
     def data_received(self, data):
+        """Called by the event loop: bytes of CONNACK and PUBACK packets."""
         if not self.connected:
             self.connack_bytes += data
             if len(self.connack_bytes) < 2 or len(self.connack_bytes) < 2 + self.connack_bytes[1]:
                 return
             if self.connack_bytes[3]:
                 return self.transport.close()
-            data, self.connected = bytes(self.connack_bytes[2 + self.connack_bytes[1] :]), True  # behind the CONNACK
+            data, self.connected = (
+                bytes(self.connack_bytes[2 + self.connack_bytes[1] :]),
+                True,
+            )  # the rest after the CONNACK
             for txn in self.waiting:
                 self.publish(txn)
             self.waiting.clear()
@@ -60,15 +67,18 @@
                     )
 
     def connection_lost(self, error):
+        """Called by the event loop: the connection has ended. All of its transactions fail."""
         self.pool.connections.pop(self.account, None)
         for txn, tries in [*self.unacknowledged.values(), *((txn, txn.tries) for txn in self.waiting)]:
             if txn.timer is not None and txn.tries == tries:
                 self.pool.client.on_connection_failed(txn, False)
 
     def submit(self, txn):
+        """Publishes a transaction, or queues it until the connection is accepted."""
         self.publish(txn) if self.connected else self.waiting.append(txn)
 
     def publish(self, txn):
+        """Publishes a transaction under a free packet ID."""
         client, product = self.pool.client, self.pool.client.plan.products[txn.product]
         for _ in range(65535):
             self.packet_id = self.packet_id % 65535 + 1
@@ -80,7 +90,7 @@
         extra_properties = (
             {"user": [("idempotency-key", f"k{transaction_id}")]} if product.effect == "referenced" else {}
         )
-        time_left_s = max(1, (txn.deadline - client.clock()) // 10**9)  # MQTT tells whole seconds
+        time_left_s = max(1, (txn.deadline - client.clock()) // 10**9)  # MQTT's expiry is in whole seconds
         self.transport.write(
             codec.publish(
                 codec.V5,
@@ -95,14 +105,16 @@
 
 
 class Publishers:
-    """All agents at one node."""
+    """The connections of all accounts to one node."""
 
     def __init__(self, client, address):
+        """`address`: of the node's MQTT listener, as `host:port`."""
         host, _, port = address.rpartition(":")
         self.client, self.host, self.port, self.connections, self.opened_connections = client, host, int(port), {}, 0
         self.accounts = accounts(client.plan)
 
     def submit(self, txn):
+        """Sends a transaction on its account's connection, which is opened if necessary."""
         connection = self.connections.get(txn.account)
         if connection is None:
             connection = self.connections[txn.account] = AccountConnection(self, txn.account)
@@ -111,6 +123,7 @@
         connection.submit(txn)
 
     async def open(self, connection):
+        """Opens a connection."""
         try:
             await self.client.loop.create_connection(lambda: connection, self.host, self.port)
         except OSError as error:
--- a/rampfront/lab/report.py
+++ b/rampfront/lab/report.py
@@ -1,8 +1,8 @@
-"""Reports: what a repeat's folder says, as one JSON object. Figures are emulated, on loopback.
+"""Reports: the results in a repeat's folder as one JSON object. Figures are emulated, on loopback.
 
-`summarize(folder)` returns the report; `RunRefusedError` where the load tool fell behind its own schedule, for then its
-latencies tell of the tool. Latencies are ms from the intended send to the final answer, in HDR histograms of three
-significant digits; quotas are judged by what reached the boxes.
+`summarize(folder)` returns the report. It raises `RunRefusedError` if the load tool fell behind its own schedule, since
+the latencies would then be those of the tool. Latencies are in ms from the intended send to the final response, in HDR
+histograms of three significant digits; quotas are evaluated by the submissions that reached the servers.
 """
 
 from pathlib import Path
@@ -24,11 +24,11 @@
 
 
 class RunRefusedError(RunFailedError):
-    """The run may not be reported."""
+    """The results of the run may not be reported."""
 
 
 def histogram(latencies_ns):
-    """An HDR histogram in us of an array of ns."""
+    """Returns an HDR histogram in µs of an array of ns."""
     hdr = HdrHistogram(1, MAX_LATENCY_US, 3)
     values, counts = np.unique(np.clip(latencies_ns // 1000, 1, MAX_LATENCY_US), return_counts=True)
     for value, count in zip(values.tolist(), counts.tolist()):
@@ -37,7 +37,7 @@
 
 
 def latency(latencies_ns):
-    """Percentiles in ms, the count, and the histogram itself in its interchange form."""
+    """Returns the percentiles in ms, the count, and the encoded histogram."""
     if not len(latencies_ns):
         return {"count": 0}
     hdr = histogram(latencies_ns)
@@ -54,10 +54,12 @@
 
 
 def count_outcomes(outcomes):
+    """Returns the number of each outcome."""
     return {name: int((outcomes == k).sum()) for k, name in enumerate(OUTCOMES)}
 
 
 def load_rows(folder):
+    """Returns the rows of all workers."""
     files = sorted(folder.glob("load-*.npy"))
     if not files:
         raise RunFailedError(f"{folder} holds no run")
@@ -65,7 +67,8 @@
 
 
 def rolling_overshoot(at, units, rate, burst, duration_s, step=1.0, window_s=10.0):
-    """Each second: percent by which the units let in over the last `window_s` seconds exceed rate * span + burst."""
+    """Returns, for each second, the percentage by which the units admitted during the last `window_s` seconds exceed
+    rate * window + burst."""
     edges = np.arange(step, duration_s + step / 2, step)
     cumulative = np.concatenate(([0.0], np.cumsum(units)))
     total_at_end = cumulative[np.searchsorted(at, edges * SEC, "right")]
@@ -77,8 +80,9 @@
 
 
 def overshoot(admitted, plan, duration_s):
-    """For each account on a plan with a rate: units let in, its allowance over the run (burst + rate * time), the
-    percent beyond it, and the units that its true store (a token bucket over all nodes) did not hold."""
+    """Returns a row for each account on a plan with a rate: the admitted units, the allowance over the run (burst +
+    rate * time), the percentage above it, and the units that an exact token bucket over all nodes would not have
+    held."""
     plans = {p.name: p for p in plan.plans}
     order = np.argsort(admitted["at"], kind="stable")
     admitted, rows = admitted[order], []
@@ -113,8 +117,9 @@
 
 
 def overshoot_between(admitted, plan, name, start, end, burst=False):
-    """Percent of overshoot of one account from `start` to `end` seconds: units let in there beyond rate * time, over
-    that allowance. A burst is granted where `burst` says so; an account that floods before `start` has used it up."""
+    """Returns the overshoot of one account from `start` to `end` (seconds), in percent: units admitted beyond rate *
+    time, relative to that allowance. The allowance includes the burst if `burst` is set; an account that exceeded its
+    rate before `start` has already used it."""
     index = [account for account, _ in accounts(plan)].index(name)
     stream = accounts(plan)[index][1]
     quota = next(p for p in plan.plans if p.name == plan.load.streams[stream].plan)
@@ -124,7 +129,8 @@
 
 
 def per_second_series(rows, plan):
-    """Per second of intended time: offered, outcomes, p50 and p99 of what was settled (ms; None for none)."""
+    """Returns the series by second of the intended time: offered, outcomes, and p50 and p99 of what was settled (ms;
+    None if nothing was)."""
     second = (rows["at"] // SEC).astype(int)
     result = {"offered": [], **{name: [] for name in OUTCOMES}, "on_time": [], "p50": [], "p99": []}
     sla = np.array([p.sla_ms * MS for p in plan.products])
@@ -143,7 +149,8 @@
 
 
 def usage_summary(folder):
-    """Mean and highest cores, highest MB and descriptors of each process, without the first and last second."""
+    """Returns the mean and highest cores, the highest MB and the most descriptors of each process, without the first
+    and last second."""
     rows = [orjson.loads(line) for line in (folder / "usage.jsonl").read_bytes().splitlines()]
     names = sorted({name for row in rows for name in row if name != "at"})
     steady_samples = rows[1:-1] or rows
@@ -161,7 +168,7 @@
 
 
 def lag(rows, plan):
-    """Of the load tool: from intended to real send, in ms."""
+    """Returns the lag of the load tool from the intended to the actual send, in ms."""
     if not len(rows):
         return {"count": 0, "p50": 0.0, "p99": 0.0, "max": 0.0}
     p50, p99 = np.percentile(rows["lag"], (50, 99)) / MS
@@ -175,19 +182,20 @@
 
 
 def read_folder(folder):
-    """Plan, rows and manifest of one repeat; `RunRefusedError` where the tool was the bottleneck."""
+    """Returns the plan, rows, manifest and lag of one repeat. Raises `RunRefusedError` if the load tool was the
+    bottleneck."""
     folder = Path(folder)
     try:
         plan = msgspec.json.decode((folder / "plan.json").read_bytes(), type=Experiment)
         manifest = orjson.loads((folder / "manifest.json").read_bytes())
     except (OSError, ValueError) as error:
-        raise RunFailedError(f"{folder} holds no whole run: {error}") from None
+        raise RunFailedError(f"{folder} holds no complete run: {error}") from None
     rows = load_rows(folder)
     lag_ms = lag(rows, plan)
     if lag_ms["p99"] > plan.load.most_lag_ms:
         raise RunRefusedError(
             f"{folder}: the load tool lagged behind its schedule by {lag_ms['p99']:g} ms at p99, more "
-            f"than load.most_lag_ms {plan.load.most_lag_ms:g}: its latencies would tell of the tool. "
+            f"than load.most_lag_ms {plan.load.most_lag_ms:g}: its latencies would be those of the tool. "
             "Give it more workers or cores, or ask for a lower rate"
         )
     unfinished = sum(worker["sent"] - worker["ended"] for worker in manifest["workers"])
@@ -197,7 +205,7 @@
 
 
 def summarize(folder):
-    """The report of one repeat. Shape: see docs/lab.md."""
+    """Returns the report of one repeat. docs/lab.md describes its structure."""
     folder = Path(folder)
     plan, rows, manifest, lag_ms = read_folder(folder)
     emulator = orjson.loads((folder / "emulator.json").read_bytes())
@@ -256,14 +264,14 @@
 
 
 def write(folder):
-    """Summarizes a repeat into its `report.json`; returns the report."""
+    """Summarizes a repeat into its `report.json`, and returns the report."""
     report = summarize(folder)
     (Path(folder) / "report.json").write_bytes(orjson.dumps(report, option=orjson.OPT_INDENT_2))
     return report
 
 
 def repeats(out):
-    """The repeats under a run's folder, or the folder itself where it is one."""
+    """Returns the folders of the repeats of a run, or the folder itself if it is a repeat."""
     out = Path(out)
     if (out / "manifest.json").exists():
         return [out]
@@ -276,7 +284,7 @@
 
 
 def text(report):
-    """A report as some lines for people."""
+    """Returns a summary of a report as a few lines of text."""
     lines = [
         f"{report['name']} (seed {report['seed']}, emulated): {report['offered_per_s']:g} txn/s offered, "
         f"{report['settled_per_s']:g} settled; settled {report['settled']}, declined {report['declined']}, "
@@ -286,7 +294,8 @@
         latency_ms = row["latency_ms"]
         if latency_ms["count"]:
             lines.append(
-                f"  {name:16} p50 {latency_ms['p50']:8.2f}  p99 {latency_ms['p99']:8.2f}  p999 {latency_ms['p999']:8.2f} ms  "
+                f"  {name:16} p50 {latency_ms['p50']:8.2f}  p99 {latency_ms['p99']:8.2f}  "
+                f"p999 {latency_ms['p999']:8.2f} ms  "
                 f"on time {row['on_time']}/{row['offered']}  declined {row['declined']}  voided {row['voided']}"
             )
     for row in report["accounts"][:3]:
--- a/rampfront/lab/run.py
+++ b/rampfront/lab/run.py
@@ -1,7 +1,8 @@
-"""Plays an experiment: emulator, edge nodes and load workers as processes, one repeat after the other.
+"""Runs an experiment: emulator, edge nodes and load workers as processes, one repeat after the other.
 
-A repeat leaves a folder: `plan.json`, `manifest.json`, `load-W.npy`, `emulator.json`, `admissions.npy`, `faults.jsonl`,
-`usage.jsonl` (CPU, memory and descriptors each second) and the nodes' logs. `report` reads nothing else.
+A repeat leaves a folder with `plan.json`, `manifest.json`, `load-W.npy`, `emulator.json`, `admissions.npy`,
+`faults.jsonl`, `usage.jsonl` (CPU, memory and descriptors each second) and the nodes' logs. `report` reads nothing
+else.
 """
 
 import json
@@ -19,10 +20,11 @@
 from .plan import changed
 
 SEC = 10**9
-START_DELAY_S = 1.0  # seconds between the last ready node and the run's start
+START_DELAY_S = 1.0  # from the time when all processes are ready to the start of the run
 
 
 def spawn(args, cores, log, **options):
+    """Starts a child process of the laboratory, pinned to `cores` if there are any."""
     return subprocess.Popen(
         with_cpu_affinity([sys.executable, "-m", "rampfront.lab.child", *args], cores),
         stderr=log,
@@ -33,17 +35,19 @@
 
 
 class Repeat:
-    """One repeat: `play()` leaves its folder filled and every process ended, whatever happens."""
+    """One repeat. After `play()`, even if it fails, no process of it is left."""
 
     def __init__(self, plan, seed, folder):
+        """`folder`: for the results."""
         self.plan, self.seed, self.folder = plan, seed, Path(folder)
         self.nodes, self.workers, self.emulator = [], [], None
         self.samples, self.previous_usage = [], {}
 
     def play(self):
+        """Runs the repeat and returns its folder. Raises RunFailedError."""
         self.folder.mkdir(parents=True, exist_ok=True)
         if any(self.folder.glob("load-*.npy")):
-            raise RunFailedError(f"{self.folder} holds a run already")
+            raise RunFailedError(f"{self.folder} already holds a run")
         plan_file = self.folder / "plan.json"
         plan_file.write_bytes(msgspec.json.format(msgspec.json.encode(self.plan)))
         with open(self.folder / "lab.log", "ab") as log:
@@ -60,6 +64,7 @@
                     node.end()
 
     def start_processes(self, plan_file, log):
+        """Starts the emulator, the nodes and the workers, and tells them the start of the run."""
         plan, pin = self.plan, self.plan.pin
         self.emulator = spawn(
             ["emulate", str(plan_file), str(self.seed), str(self.folder / "faults.jsonl")],
@@ -76,7 +81,7 @@
             node.wait_until_ready()
         targets = [f"{node.listen}/{node.mqtt}" if node.mqtt else node.listen for node in self.nodes]
         targets = targets or [row["endpoint"] for row in self.addresses["boxes"]]
-        # Workers read their part of the schedule before they are told the start: drawing it takes a while.
+        # Workers draw their schedules before they are told the start, since that takes some time.
         for worker in range(plan.load.workers):
             cores = [pin.load[worker % len(pin.load)]] if pin.load else []
             self.workers.append(
@@ -101,13 +106,13 @@
         self.start = time.time_ns() + int(START_DELAY_S * SEC)
         status, body = http_request(self.addresses["control"], f"/begin?at={self.start}", "POST")
         if status != 204:
-            raise RunFailedError(f"the emulator did not begin: {body.decode(errors='replace')}")
+            raise RunFailedError(f"the emulator did not start the run: {body.decode(errors='replace')}")
         for process in self.workers:
             process.stdin.write(f"{self.start}\n")
             process.stdin.flush()
 
     def run_faults_and_sample(self):
-        """Carries out the nodes' own faults and samples processes until the workers are done."""
+        """Applies the faults of nodes and samples the processes until the workers have ended."""
         events = [e for e in timeline(self.plan, self.seed) if e.target.startswith("node:")]
         next_sample_at = self.start
         end_by = self.start + int(
@@ -131,7 +136,7 @@
                 time.sleep(max(0.002, min(0.05, (following - time.time_ns()) / SEC)))
 
     def sample_usage(self, at):
-        """CPU cores used since the last sample, resident MB and descriptors, by process."""
+        """Returns the CPU cores used since the last sample, the resident MB and the descriptors of each process."""
         row = {"at": round(at, 3)}
         rows = [(f"node-{n.number}", n.process.pid, n.cpu_seconds()) for n in self.nodes]
         rows += [(f"load-{k}", p.pid, process_usage(p.pid)[0]) for k, p in enumerate(self.workers)]
@@ -147,7 +152,8 @@
         return row
 
     def wait_for_decisions(self, max_wait_s=60.0, quiet_s=2.5):
-        """Waits until the collector, where there is one, has had nothing new for a while: sinks replay behind a run."""
+        """Waits until the collector, if there is one, has got nothing new for `quiet_s`: nodes may send buffered
+        decisions after the end of the load."""
         deadline, previous_count, changed_at = time.monotonic() + max_wait_s, -1, time.monotonic()
         while self.plan.topology.collector and time.monotonic() < deadline:
             message_count = orjson.loads(http_request(self.addresses["control"], "/state", timeout_s=10.0)[1])[
@@ -160,6 +166,7 @@
             time.sleep(0.2)
 
     def collect_results(self):
+        """Waits for the workers, saves all results and returns the folder."""
         worker_results = []
         for k, process in enumerate(self.workers):
             if process.wait():
@@ -189,7 +196,7 @@
 
 
 def play(plan, out, report_progress=lambda text: None):
-    """Every repeat of the plan under `out/seed-N`; returns their folders."""
+    """Runs every repeat of the plan under `out/seed-N`, and returns their folders."""
     folders = []
     for seed in range(plan.seed, plan.seed + plan.repeats):
         report_progress(f"{plan.name}, seed {seed}: {plan.duration_s:g} s")
--- a/rampfront/lab/sweep.py
+++ b/rampfront/lab/sweep.py
@@ -1,8 +1,9 @@
-"""A sweep: the same experiment at rising rates, straight to the boxes and through the nodes, for the overhead of a hop.
+"""A sweep: the same experiment at rising rates, directly to the servers and through the nodes, for the overhead of a
+hop.
 
-The overhead at a quantile is that of the node's run less that of the direct run, quantile by quantile, the median over
-the repeats. A rate is sustained where nothing is declined, voided or unanswered for want of room and p99 overhead is
-under the bound. Figures are emulated.
+The overhead at a quantile is that quantile through the node minus that of the direct run, as the median over the
+repeats. A rate is sustained if (almost) all transactions are settled and the p99 overhead is below a limit. Figures are
+emulated.
 """
 
 from pathlib import Path
@@ -17,14 +18,14 @@
 
 
 def scaled(plan, rate):
-    """The plan with its streams' rates scaled so that they add up to `rate`."""
+    """Returns the plan with its streams' rates scaled so that their sum is `rate`."""
     total = sum(stream.rate for stream in plan.load.streams)
     streams = [msgspec.structs.replace(stream, rate=stream.rate * rate / total) for stream in plan.load.streams]
     return changed(plan, load=msgspec.structs.replace(plan.load, streams=streams))
 
 
 def direct(plan):
-    """The same load straight to the boxes."""
+    """Returns the plan with the same load sent directly to the servers."""
     streams = [msgspec.structs.replace(stream, spread=0) for stream in plan.load.streams]
     return changed(
         plan,
@@ -35,11 +36,12 @@
 
 
 def busiest_cores(report, kind):
+    """Returns the CPU cores used by the busiest process of a kind."""
     return max((row["cores"] for name, row in report["usage"].items() if name.startswith(kind)), default=0.0)
 
 
 def run_once(plan, out, seed):
-    """A report, or why there is none."""
+    """Runs one repeat. Returns its report and None, or None and the reason why the run was refused."""
     try:
         return reports.write(Repeat(plan, seed, out).play()), None
     except RunRefusedError as error:
@@ -47,7 +49,8 @@
 
 
 def sweep(plan, rates, out, report_progress=lambda text: None):
-    """One row a rate: overhead in ms at p50 and p99, shares, cores. Stops behind the first rate that is refused."""
+    """Returns one row for each rate: overhead in ms at p50 and p99, shares, cores. Stops after the first rate at which
+    the load tool was too slow or less than half of the transactions were settled."""
     rows = []
     for rate in rates:
         reports_by_side, refusal_reason = {"direct": [], "node": []}, None
@@ -105,7 +108,7 @@
 
 
 def sustained(rows, most_overhead_ms=1.0, least_settled=0.999):
-    """The highest rate of the sweep that held, or None."""
+    """Returns the highest sustained rate of the sweep, or None."""
     sustained_rates = [
         row["rate"]
         for row in rows
