--- a/tests/lab/test_cost_measurements.py
+++ b/tests/lab/test_cost_measurements.py
@@ -1,4 +1,4 @@
-"""Measurements of what single parts cost: line fit, sized configurations, the trial of changes by rows."""
+"""Cost measurements of single parts: the line fit, sized configurations, and changes of the configuration by rows."""
 
 import json
 
@@ -34,8 +34,8 @@
     sizes, figures = [30, 100, 300, 460], [71.0, 209.0, 612.0, 928.0]
     slope, (each, base) = fit(sizes, figures), np.polyfit(sizes, figures, 1)
     assert (slope.each, slope.base) == pytest.approx((each, base))
-    left = np.asarray(figures) - np.polyval((each, base), sizes)
-    assert slope.spread == pytest.approx(np.sqrt((left**2).sum() / 2))
+    residuals = np.asarray(figures) - np.polyval((each, base), sizes)
+    assert slope.spread == pytest.approx(np.sqrt((residuals**2).sum() / 2))
     _, covariance = np.polyfit(sizes, figures, 1, cov=True)
     assert slope.each_error == pytest.approx(np.sqrt(covariance[0, 0]))
 
@@ -51,44 +51,44 @@
     assert sum(len(book.routes) for book in read.hosts.values()) == 270
     assert (len(read.customers_by_name), len(read.services), read.revision) == (320, 13, 3)
     assert len(server_entries(size)) == 260
-    one, two = (json.loads(configuration(size, revision)) for revision in (1, 2))
-    assert one["Customers"] == two["Customers"] and one["Sockets"] != two["Sockets"]
+    first, second = (json.loads(configuration(size, revision)) for revision in (1, 2))
+    assert first["Customers"] == second["Customers"] and first["Sockets"] != second["Sockets"]
 
 
-# ---- the trial of changes by rows
+# ---- changes to single rows
 
 
-def told(rows):
-    """Tenants by key or name, so that they compare."""
+def comparable(rows):
+    """The attributes of the tenants by key or name, which can be compared."""
     return {
         key: (row.name, row.api_keys, row.priority, row.per_s, row.burst, row.home_regions) for key, row in rows.items()
     }
 
 
-def all_of(table):
-    return told({key: row for shard in table.shards for key, row in shard.items()})
+def all_rows(table):
+    return comparable({key: row for shard in table.shards for key, row in shard.items()})
 
 
 def test_a_change_by_rows_gives_what_the_whole_gives():
     size = Size(routes=4, tenants=60, services=2)
-    said = json.loads(configuration(size))
-    read = configuration_reader.read(json.dumps(said).encode()).unwrap()
+    document = json.loads(configuration(size))
+    read = configuration_reader.read(json.dumps(document).encode()).unwrap()
     held = SharedTenants(SharedTable.of(read.customers_by_key), SharedTable.of(read.customers_by_name))
-    said["Customers"][7]["ApiKeys"] = ["new-key", said["Customers"][7]["ApiKeys"][1]]
-    whole = configuration_reader.read(json.dumps(said).encode()).unwrap()
-    after = read_change(held, json.dumps([said["Customers"][7]]).encode())
+    document["Customers"][7]["ApiKeys"] = ["new-key", document["Customers"][7]["ApiKeys"][1]]
+    whole = configuration_reader.read(json.dumps(document).encode()).unwrap()
+    after = read_change(held, json.dumps([document["Customers"][7]]).encode())
     for shared, plain, old in (
         (after.by_key, whole.customers_by_key, held.by_key),
         (after.by_name, whole.customers_by_name, held.by_name),
     ):
-        assert all_of(shared) == told(plain)
+        assert all_rows(shared) == comparable(plain)
         assert (
-            sum(one is two for one, two in zip(shared.shards, old.shards, strict=True)) >= SHARDS - 3
-        )  # the key gone, the new one, the one that stays
+            sum(first is second for first, second in zip(shared.shards, old.shards, strict=True)) >= SHARDS - 3
+        )  # at most three shards change: those of the removed, the new and the kept key
     assert held.by_key.get(b"new-key") is None
-    said["Customers"][8]["ApiKeys"] = ["new-key"]
+    document["Customers"][8]["ApiKeys"] = ["new-key"]
     with pytest.raises(FieldError):
-        read_change(after, json.dumps([said["Customers"][8]]).encode())
+        read_change(after, json.dumps([document["Customers"][8]]).encode())
 
 
 def test_slices_give_what_the_whole_gives():
@@ -96,14 +96,14 @@
     tables = SharedTenants(SharedTable.of({}), SharedTable.of({}))
     assert sum(1 for _ in read_slices(slices(body), tables)) == 4
     read = configuration_reader.read(body).unwrap()
-    assert all_of(tables.by_key) == told(read.customers_by_key)
+    assert all_rows(tables.by_key) == comparable(read.customers_by_key)
 
 
 @pytest.mark.parametrize("case", CASES[:1] + CASES[3:5], ids=lambda case: case.name)
 def test_a_case_of_request_cost_holds_what_it_says(case):
-    told = experiment(case)
-    assert len(plans.servers(told)) == case.servers and len(told.services) == case.services
-    assert len(told.routes) == case.routes and told.routes[-1].name == told.streams[0].route
+    plan = experiment(case)
+    assert len(plans.servers(plan)) == case.servers and len(plan.services) == case.services
+    assert len(plan.routes) == case.routes and plan.routes[-1].name == plan.streams[0].route
 
 
 def test_costs_by_nodes_servers_and_tenants_are_of_the_parts_that_serve():
@@ -112,8 +112,8 @@
         fleet_cost.directory(11)["roster, whole: bytes of its frame"]
         < fleet_cost.directory(82)["roster, whole: bytes of its frame"]
     )
-    made = counts_cost.bench(5)
-    assert made.add("node-1")["t"][0][0] == "tenant-1"
-    made.node_missing()
-    assert made.counter.missing_share != 0.5  # it was surveyed
+    bench = counts_cost.bench(5)
+    assert bench.add("node-1")["t"][0][0] == "tenant-1"
+    bench.node_missing()
+    assert bench.counter.missing_share != 0.5  # the counter has measured it
     assert counts_cost.parts(82) == pytest.approx((204 * 0.8 / 82, 2.8 * 0.8 / 82))
