--- a/rampfront/lab/client.py
+++ b/rampfront/lab/client.py
@@ -273,9 +273,8 @@
         self.due = due
         self.rows = np.zeros(len(self.due), ROW)
         self.next_index, self.unfinished, self.worker, self.on_finished = 0, 0, worker, None
-        targets = [
-            address.partition("/") for address in targets
-        ]  # a node's address, and after a / the one of its MQTT listener
+        # A target is a node's address, followed by a slash and the address of its MQTT listener if it has one.
+        targets = [address.partition("/") for address in targets]
         self.pools = [Pool(self, address, plan.load.connections) for address, _, _ in targets]
         self.publishers = []
         if any(stream.front != "http" for stream in plan.load.streams):
--- a/rampfront/lab/journals.py
+++ b/rampfront/lab/journals.py
@@ -1,4 +1,4 @@
-"""Measures the journal alone, on this machine's disk: appends a second by batch interval, and the time to read it at
+"""Measures the journal alone, on this machine's disk: appends a second by batch interval, and the reading time at
 start."""
 
 import shutil
--- a/rampfront/lab/nodes.py
+++ b/rampfront/lab/nodes.py
@@ -30,9 +30,10 @@
 
 
 def free_port(host="127.0.0.1", low=20000, high=32000):
-    """Returns a free port below the range that the system uses for outgoing connections, where a connection of this or
-    another run could take it before the node starts. Ports returned recently are skipped, since a node that has not
-    bound its port yet would otherwise share it with the next one. Raises RunFailedError if no port is free."""
+    """Returns a free port below the range that the system uses for outgoing connections, since a connection of this or
+    another run could take a port of that range before the node starts. Ports returned recently are skipped: a node that
+    has not bound its port yet would otherwise get the same one as the next node. Raises RunFailedError if no port is
+    free."""
     for _ in range(MAX_PORT_TRIES):
         port = low + secrets.randbelow(high - low)
         if port in _recent_ports:
@@ -108,7 +109,7 @@
         }
         if plan.topology.storm is not None:
             self.configuration["storm"] = dict(plan.topology.storm)
-        self.mqtt = None  # the address of its MQTT front
+        self.mqtt = None  # the address of its MQTT listener, if it has one
         if plan.topology.mqtt is not None:
             self.mqtt = f"127.0.0.1:{free_port()}"
             self.configuration["mqtt"] = {"listen": self.mqtt, **plan.topology.mqtt}
--- a/rampfront/lab/platform.py
+++ b/rampfront/lab/platform.py
@@ -85,7 +85,7 @@
             return error_response(self.fault, "ill")
         token, zone = request.query.get("PageToken", "p-0"), request.query.get("Zone")
         if not token.startswith("p-") or not token[2:].isdecimal():
-            return error_response(400, "PageToken: unknown token")
+            return error_response(400, "PageToken: none of ours")
         start = int(token[2:])
         rows = [(uid, row) for uid, row in sorted(self.visible_entries(now).items()) if zone in (None, row[0]["Zone"])]
         page = {
--- a/rampfront/lab/publishers.py
+++ b/rampfront/lab/publishers.py
@@ -49,10 +49,8 @@
                 return
             if self.connack_bytes[3]:
                 return self.transport.close()
-            data, self.connected = (
-                bytes(self.connack_bytes[2 + self.connack_bytes[1] :]),
-                True,
-            )  # the rest after the CONNACK
+            # The rest after the CONNACK.
+            data, self.connected = bytes(self.connack_bytes[2 + self.connack_bytes[1] :]), True
             for txn in self.waiting:
                 self.publish(txn)
             self.waiting.clear()
--- a/rampfront/lab/run.py
+++ b/rampfront/lab/run.py
@@ -156,11 +156,11 @@
         decisions after the end of the load."""
         deadline, previous_count, changed_at = time.monotonic() + max_wait_s, -1, time.monotonic()
         while self.plan.topology.collector and time.monotonic() < deadline:
-            message_count = orjson.loads(http_request(self.addresses["control"], "/state", timeout_s=10.0)[1])[
-                "collector"
-            ]["messages"]
-            if message_count != previous_count:
-                previous_count, changed_at = message_count, time.monotonic()
+            count = orjson.loads(http_request(self.addresses["control"], "/state", timeout_s=10.0)[1])["collector"][
+                "messages"
+            ]
+            if count != previous_count:
+                previous_count, changed_at = count, time.monotonic()
             elif time.monotonic() - changed_at > quiet_s:
                 return
             time.sleep(0.2)
--- a/rampfront/lab/sweep.py
+++ b/rampfront/lab/sweep.py
@@ -1,9 +1,8 @@
-"""A sweep: the same experiment at rising rates, directly to the servers and through the nodes, for the overhead of a
-hop.
+"""A sweep: the same experiment at rising rates, directly and through the nodes, which gives the overhead of a hop.
 
 The overhead at a quantile is that quantile through the node minus that of the direct run, as the median over the
-repeats. A rate is sustained if (almost) all transactions are settled and the p99 overhead is below a limit. Figures are
-emulated.
+repeats. A rate is sustained if almost no transaction is declined, voided or unanswered, and the p99 overhead is below a
+limit. Figures are emulated.
 """
 
 from pathlib import Path
--- a/rampfront/lab/tally.py
+++ b/rampfront/lab/tally.py
@@ -78,7 +78,7 @@
         row[0] += amount
         if now - self.swept_at > SEC:
             self.swept_at = now
-            self.rows = {key: last_run_by_key for key, last_run_by_key in self.rows.items() if last_run_by_key[1] > now}
+            self.rows = {key: row for key, row in self.rows.items() if row[1] > now}
         return row[0]
 
 
