--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -210,7 +210,7 @@
 def test_a_once_only_txn_on_a_stale_connection_is_not_sent_again(tmp_path):
     plan = make_plan('[[faults]]\ntarget = "boxes"\nkind = "drop_idle"\nat_s = 0.2\nsize = 0.05\n')
     stream = plan.load.streams[0]
-    stream = type(stream)(name="o", make_plan="team", rate=40.0, products={"ledger-entry": 1.0})
+    stream = type(stream)(name="o", plan="team", rate=40.0, products={"ledger-entry": 1.0})
     summary = run_experiment(changed(plan, load=type(plan.load)(streams=[stream], most_lag_ms=60.0)), tmp_path)
     servers = summary["emulator"]["boxes"].values()
     dropped = sum(server["dropped_used"] for server in servers)
