--- a/rampfront/lab/system/machine.py
+++ b/rampfront/lab/system/machine.py
@@ -69,7 +69,7 @@
             bucket = old.get(name)
             if bucket is None or (bucket.rate, bucket.burst) != (rate, depth):
                 bucket = TokenBucket(rate, depth)
-                bucket.at = now
+                bucket.updated_at = now
             self.buckets[name] = bucket
 
     def take(self, name, now):
--- a/rampfront/lab/system/report.py
+++ b/rampfront/lab/system/report.py
@@ -76,7 +76,7 @@
             if rate:
                 limited[number] = True
                 store = stores.setdefault(one.tenant, TokenBucket(rate, max(1.0, burst + rate / 10)))
-                store.at, store.rate, store.burst = store.at or start, rate, max(1.0, burst + rate / 10)
+                store.updated_at, store.rate, store.burst = store.updated_at or start, rate, max(1.0, burst + rate / 10)
                 if not store.take(1.0, at):
                     continue
         right[number] = True
