--- a/rampfront/lab/compare.py
+++ b/rampfront/lab/compare.py
@@ -1,6 +1,7 @@
-"""Two runs side by side: two settings, or two versions, over the same seeds. Figures are emulated.
+"""Compares two runs of different settings or versions, over the same seeds. Figures are emulated.
 
-A figure's interval is Student's t over paired repeats, at the confidence asked for; with one repeat there is none.
+The interval of a figure is Student's t interval of the paired repeats, at the confidence asked for; a single repeat has
+none.
 """
 
 from math import sqrt
@@ -9,9 +10,9 @@
 from scipy import stats
 
 from . import report as reports
-from .nodes import RunFailed
+from .nodes import RunFailedError
 
-# name, whether more is better (None: neither), how it is read off a report
+# Name, whether more is better (None: neither), and how to read it from a report.
 FIGURES = (
     ("settled a second", True, lambda r: r["settled_per_s"]),
     ("settled, share", True, lambda r: r["settled"] / max(1, r["offered"])),
@@ -29,34 +30,37 @@
 
 
 def interval(values, confidence=0.95):
-    """Mean and half width of its confidence interval; the half width is None for fewer than two values."""
+    """Returns the mean and the half width of its confidence interval; the half width is None for fewer than two
+    values."""
     values = np.asarray(values, float)
     mean = float(values.mean())
     if len(values) < 2:
         return mean, None
-    half = stats.t.ppf(0.5 + confidence / 2, len(values) - 1) * values.std(ddof=1) / sqrt(len(values))
-    return mean, float(half)
+    half_width = stats.t.ppf(0.5 + confidence / 2, len(values) - 1) * values.std(ddof=1) / sqrt(len(values))
+    return mean, float(half_width)
 
 
-def verdict(mean, half, better):
-    if half is None:
+def verdict(mean, half_width, more_is_better):
+    """Returns what a difference shows, by its confidence interval."""
+    if half_width is None:
         return "one repeat, no interval"
-    if abs(mean) <= half or mean == 0:
+    if abs(mean) <= half_width or mean == 0:
         return "no difference shown"
-    if better is None:
+    if more_is_better is None:
         return "higher" if mean > 0 else "lower"
-    return "better" if (mean > 0) == better else "worse"
+    return "better" if (mean > 0) == more_is_better else "worse"
 
 
 def compare_reports(first, second, confidence=0.95):
-    """Rows of both sides' means, and of the differences paired by seed. Lists of reports, one each repeat."""
+    """Returns the means of both runs and of their differences, paired by seed. `first`, `second`: the reports of the
+    repeats."""
     seeds = sorted({r["seed"] for r in first} & {r["seed"] for r in second})
     if not seeds:
-        raise RunFailed("the two runs share no seed: nothing can be paired")
-    one, two = ({r["seed"]: r for r in side} for side in (first, second))
+        raise RunFailedError("the two runs share no seed, so that no repeats can be paired")
+    first_by_seed, second_by_seed = ({r["seed"]: r for r in side} for side in (first, second))
     rows = []
-    for name, better, read in FIGURES:
-        pairs = [(read(one[s]), read(two[s])) for s in seeds]
+    for name, more_is_better, read_figure in FIGURES:
+        pairs = [(read_figure(first_by_seed[s]), read_figure(second_by_seed[s])) for s in seeds]
         pairs = [(a, b) for a, b in pairs if a is not None and b is not None]
         if not pairs:
             continue
@@ -72,7 +76,7 @@
                 "difference": difference[0],
                 "half": difference[1],
                 "repeats": len(pairs),
-                "verdict": verdict(*difference, better),
+                "verdict": verdict(*difference, more_is_better),
             }
         )
     return {
@@ -86,20 +90,22 @@
 
 
 def compare(a, b, confidence=0.95):
-    """`a`, `b`: folders of runs. Returns the comparison and both sides' reports."""
-    sides = [[reports.summarize(folder) for folder in reports.repeats(out)] for out in (a, b)]
-    return compare_reports(*sides, confidence), sides
+    """Compares the runs in two folders. Returns the comparison and the reports of both runs."""
+    reports_by_run = [[reports.summarize(folder) for folder in reports.repeats(out)] for out in (a, b)]
+    return compare_reports(*reports_by_run, confidence), reports_by_run
 
 
-def text(said):
-    def figure(mean, half):
-        return f"{mean:.4g}" if half is None else f"{mean:.4g} ± {half:.2g}"
+def text(comparison):
+    """Returns the comparison as text."""
+
+    def figure(mean, half_width):
+        return f"{mean:.4g}" if half_width is None else f"{mean:.4g} ± {half_width:.2g}"
 
     lines = [
-        f"{said['a']} against {said['b']}, {len(said['seeds'])} paired repeats, "
-        f"{said['confidence']:.0%} intervals (emulated)"
+        f"{comparison['a']} against {comparison['b']}, {len(comparison['seeds'])} paired repeats, "
+        f"{comparison['confidence']:.0%} intervals (emulated)"
     ]
-    for row in said["rows"]:
+    for row in comparison["rows"]:
         lines.append(
             f"  {row['figure']:20} {figure(row['a'], row['a_half']):>22} {figure(row['b'], row['b_half']):>22}"
             f"   {figure(row['difference'], row['half']):>22}  {row['verdict']}"
--- a/rampfront/lab/faults.py
+++ b/rampfront/lab/faults.py
@@ -1,63 +1,72 @@
-"""The fault timeline: scripted faults turned into single events, by the seed alone. No I/O, no clock.
+"""The fault timeline: scripted faults expanded into single events by the seed alone. No I/O, no clock.
 
-`timeline(plan, seed)` gives the same list for the same plan and seed, in order of time. Each event starts or ends
-one fault at one target; the emulator and the runner carry out those at their own targets.
+`timeline(plan, seed)` returns the same list in order of time for the same plan and seed. Each event starts or ends one
+fault at one target; the emulator and the runner each apply the events of their own targets.
 """
 
 from dataclasses import asdict, dataclass
 from random import Random
 
-from .plan import box_names
+from .plan import named_servers
 
 SEC = 10**9
 
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    at: int  # ns from the run's start
-    number: int  # of the fault in the file; its start and end share it
+    """The start or the end of a fault at one target."""
+
+    at: int  # ns since the start of the run
+    number: int  # the fault's index in the file, the same for its start and its end
     on: bool
     target: str  # box:K, node:K, counter or discovery
     kind: str
     size: float = 0.0
     halves: tuple = ()
 
-    def said(self):
-        """As one row of the fault log: seconds, and names."""
+    def as_log_row(self):
+        """Returns the event as a row of the fault log, with its time in seconds."""
         return {**asdict(self), "at": round(self.at / SEC, 3)}
 
 
-def draw(span, rng):
-    return float(span) if isinstance(span, (int, float)) else rng.uniform(*span)
+def draw_value(value_or_range, rng):
+    """Returns the value, or one drawn uniformly from the range [low, high]."""
+    return float(value_or_range) if isinstance(value_or_range, (int, float)) else rng.uniform(*value_or_range)
 
 
-def targets(fault, plan, rng):
-    head, _, number = fault.target.partition(":")
-    boxes = box_names(plan)
+def resolve_targets(fault, plan, rng):
+    """Returns the single targets that a fault's `target` refers to."""
+    target_kind, _, number = fault.target.partition(":")
+    servers = named_servers(plan)
     if number == "any":
-        return [f"{head}:{rng.randrange(len(boxes) if head == 'box' else plan.topology.nodes)}"]
+        return [f"{target_kind}:{rng.randrange(len(servers) if target_kind == 'box' else plan.topology.nodes)}"]
     if fault.target == "boxes":
-        return [f"box:{k}" for k in range(len(boxes))]
-    if number or head in ("counter", "discovery", "collector"):
+        return [f"box:{k}" for k in range(len(servers))]
+    if number or target_kind in ("counter", "discovery", "collector"):
         return [fault.target]
-    return [f"box:{k}" for k, (_, group) in enumerate(boxes) if group.name == head]
+    return [f"box:{k}" for k, (_, group) in enumerate(servers) if group.name == target_kind]
 
 
 def halves(fault, nodes):
-    """Which half of a split counter each node sees."""
+    """Returns, for each node, the half of a split counter that it is connected to."""
     if not fault.halves:
         return tuple(k % 2 for k in range(nodes))
-    return tuple(next((h for h, part in enumerate(fault.halves) if k in part), 0) for k in range(nodes))
+    return tuple(
+        next((half for half, node_indexes in enumerate(fault.halves) if k in node_indexes), 0) for k in range(nodes)
+    )
 
 
 def timeline(plan, seed):
+    """Returns the events of all faults of a plan, in order of time."""
     rng = Random(f"{seed}/faults")
     events = []
     for number, fault in enumerate(plan.faults):
-        at, length, size = draw(fault.at_s, rng), draw(fault.for_s, rng), draw(fault.size, rng)
-        split = halves(fault, plan.topology.nodes) if fault.kind == "split" else ()
-        for target in targets(fault, plan, rng):
-            events.append(Event(round(at * SEC), number, True, target, fault.kind, size, split))
-            if length and (target, fault.kind) != ("counter", "restart"):
-                events.append(Event(round((at + length) * SEC), number, False, target, fault.kind, size, split))
-    return sorted(events, key=lambda e: (e.at, e.on, e.number, e.target))
+        at, duration_s, size = draw_value(fault.at_s, rng), draw_value(fault.for_s, rng), draw_value(fault.size, rng)
+        node_halves = halves(fault, plan.topology.nodes) if fault.kind == "split" else ()
+        for target in resolve_targets(fault, plan, rng):
+            events.append(Event(round(at * SEC), number, True, target, fault.kind, size, node_halves))
+            if duration_s and (target, fault.kind) != ("counter", "restart"):
+                events.append(
+                    Event(round((at + duration_s) * SEC), number, False, target, fault.kind, size, node_halves)
+                )
+    return sorted(events, key=lambda event: (event.at, event.on, event.number, event.target))
--- a/rampfront/lab/nodes.py
+++ b/rampfront/lab/nodes.py
@@ -1,7 +1,7 @@
-"""Edge nodes as processes: started with a configuration of their own, watched, killed and restarted as faults ask.
+"""Edge nodes as processes: started with their own configuration, monitored, killed and restarted as faults require.
 
-It owns the processes and their files in the run's folder. It must never read what a node decided but from its log
-and its answers.
+This module owns the processes and their files in the run's folder. It learns what a node decided only from the node's
+log and responses.
 """
 
 import http.client
@@ -19,21 +19,22 @@
 
 from . import plan as plans
 
-TICKS = os.sysconf("SC_CLK_TCK")
-PAGE = os.sysconf("SC_PAGE_SIZE")
-MAX_PORT_DRAWS = 10_000  # before it is said that none is free
-_recent_ports: deque[int] = deque(maxlen=500)  # handed out last; their nodes may not have bound them yet
+CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
+PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
+MAX_PORT_TRIES = 10_000  # before the search for a free port fails
+_recent_ports: deque[int] = deque(maxlen=500)  # returned last; their nodes may not have bound them yet
 
 
-class RunFailed(Exception):
-    """A run could not be played, or may not be reported; the text says why."""
+class RunFailedError(Exception):
+    """A run failed, or its results may not be reported; the message says why."""
 
 
 def free_port(host="127.0.0.1", low=20000, high=32000):
-    """A port below those that the system hands to outgoing connections. Guards against one that a connection of
-    another run, or of this one, takes between here and the node's start, and against one port for two nodes: the first
-    has not bound it yet when the second one's is drawn. Raises RunFailed if none is found."""
-    for _ in range(MAX_PORT_DRAWS):
+    """Returns a free port below the range that the system uses for outgoing connections, since a connection of this or
+    another run could take a port of that range before the node starts. Ports returned recently are skipped: a node that
+    has not bound its port yet would otherwise get the same one as the next node. Raises RunFailedError if no port is
+    free."""
+    for _ in range(MAX_PORT_TRIES):
         port = low + secrets.randbelow(high - low)
         if port in _recent_ports:
             continue
@@ -44,57 +45,61 @@
                 continue
         _recent_ports.append(port)
         return port
-    raise RunFailed(f"no port between {low} and {high} is free")
+    raise RunFailedError(f"no port between {low} and {high} is free")
 
 
-def usage(pid):
-    """CPU seconds and resident bytes of a process; (0, 0) once it is gone."""
+def process_usage(pid):
+    """Returns the CPU seconds and resident bytes of a process; (0, 0) if it has ended."""
     try:
         with open(f"/proc/{pid}/stat") as file:
             fields = file.read().rpartition(")")[2].split()
-        return (int(fields[11]) + int(fields[12])) / TICKS, int(fields[21]) * PAGE
+        return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_S, int(fields[21]) * PAGE_BYTES
     except (OSError, IndexError):
         return 0.0, 0
 
 
-def descriptors(pid):
+def open_descriptors(pid):
+    """Returns the number of file descriptors that a process has open; 0 if it has ended."""
     try:
         return len(os.listdir(f"/proc/{pid}/fd"))
     except OSError:
         return 0
 
 
-def get(address, path, method="GET", wait=2.0):
-    """One HTTP call on loopback: status and body; `OSError` where nobody answers."""
+def http_request(address, path, method="GET", timeout_s=2.0):
+    """Sends an HTTP request on loopback and returns the status and the body. Raises OSError if there is no valid
+    response."""
     host, _, port = address.rpartition(":")
-    call = http.client.HTTPConnection(host, int(port), timeout=wait)
+    connection = http.client.HTTPConnection(host, int(port), timeout=timeout_s)
     try:
-        call.request(method, path)
-        answer = call.getresponse()
-        return answer.status, answer.read()
-    except http.client.HTTPException as trouble:
-        raise OSError(f"{type(trouble).__name__} from {address}") from None
+        connection.request(method, path)
+        response = connection.getresponse()
+        return response.status, response.read()
+    except http.client.HTTPException as error:
+        raise OSError(f"{type(error).__name__} from {address}") from None
     finally:
-        call.close()
+        connection.close()
 
 
-def pinned(command, cores):
+def with_cpu_affinity(command, cores):
+    """Returns the command pinned to these CPU cores; unchanged if there are none."""
     return ["taskset", "-c", ",".join(map(str, cores)), *command] if cores else command
 
 
 class Node:
-    """One edge node process. `folder` gets its configuration and its log."""
+    """One edge node process. `folder` holds its configuration and its log."""
 
     def __init__(self, plan, number, addresses, seed, folder):
+        """`number`: its index; `addresses`: those of the emulator, by part; `folder`: the run's folder."""
         self.plan, self.number, self.folder, self.seed = plan, number, folder, seed
         self.listen = f"127.0.0.1:{free_port()}"
-        self.root = Path(plan.topology.root or Path(__file__).parents[2]).resolve()
-        python = self.root / ".venv/bin/python"
+        self.checkout = Path(plan.topology.root or Path(__file__).parents[2]).resolve()
+        python = self.checkout / ".venv/bin/python"
         self.python = str(python) if plan.topology.root and python.exists() else sys.executable
-        self.config = folder / f"node-{number}.json"
-        self.process, self.starts, self.spent = None, 0, 0.0
-        self.told_to_end = False  # by a fault, and not started again yet
-        self.told = {
+        self.config_path = folder / f"node-{number}.json"
+        self.process, self.starts, self.cpu_s_of_ended_processes = None, 0, 0.0
+        self.stopped_by_fault = False  # True from a fault that ends the process until it is started again
+        self.configuration = {
             "name": f"n{number}",
             "listen": self.listen,
             "discovery": addresses["discovery"],
@@ -103,69 +108,75 @@
             "settings": plans.settings(plan),
         }
         if plan.topology.storm is not None:
-            self.told["storm"] = dict(plan.topology.storm)
-        self.mqtt = None  # the address of its MQTT front
+            self.configuration["storm"] = dict(plan.topology.storm)
+        self.mqtt = None  # the address of its MQTT listener, if it has one
         if plan.topology.mqtt is not None:
             self.mqtt = f"127.0.0.1:{free_port()}"
-            self.told["mqtt"] = {"listen": self.mqtt, **plan.topology.mqtt}
+            self.configuration["mqtt"] = {"listen": self.mqtt, **plan.topology.mqtt}
         if plan.topology.journal is not None:
-            self.told["journal"] = {"dir": str(folder / f"journal-{number}"), **plan.topology.journal}
+            self.configuration["journal"] = {"dir": str(folder / f"journal-{number}"), **plan.topology.journal}
         if plan.topology.collector:
-            self.told["syslog"] = {
+            self.configuration["syslog"] = {
                 "collector": addresses["collector"],
                 "spill_dir": str(folder / f"spill-{number}"),
                 **plan.topology.syslog,
             }
         if plan.topology.counter:
-            self.told["counter"] = addresses["counter"][number]
+            self.configuration["counter"] = addresses["counter"][number]
 
     def start(self):
+        """Starts the process and returns the node."""
         self.starts += 1
-        self.told_to_end = False
-        self.told["seed"] = "%x" % (self.seed * 1000 + self.number * 50 + self.starts)
-        self.config.write_bytes(orjson.dumps(self.told, option=orjson.OPT_INDENT_2))
+        self.stopped_by_fault = False
+        self.configuration["seed"] = "%x" % (self.seed * 1000 + self.number * 50 + self.starts)
+        self.config_path.write_bytes(orjson.dumps(self.configuration, option=orjson.OPT_INDENT_2))
         cores = self.plan.pin.nodes
-        command = pinned([self.python, "-m", "rampfront"], [cores[self.number % len(cores)]] if cores else [])
+        command = with_cpu_affinity(
+            [self.python, "-m", "rampfront"], [cores[self.number % len(cores)]] if cores else []
+        )
         with open(self.folder / f"node-{self.number}.log", "ab") as log:
             self.process = subprocess.Popen(
                 command,
-                cwd=self.root,
+                cwd=self.checkout,
                 stdout=log,
                 stderr=log,
                 stdin=subprocess.DEVNULL,
-                env={**os.environ, "RELAY_CONFIG": str(self.config), "UV_USE_IO_URING": "0"},
+                env={**os.environ, "RELAY_CONFIG": str(self.config_path), "UV_USE_IO_URING": "0"},
             )
         return self
 
-    def ready(self, wait=10.0):
-        """Waits until it says that it is ready; `RunFailed` tells what its log said last."""
-        until = time.monotonic() + wait
-        while time.monotonic() < until and self.process.poll() is None:
+    def wait_until_ready(self, timeout_s=10.0):
+        """Waits until the node reports that it is ready, and returns it. Raises RunFailedError with the end of the
+        node's log."""
+        deadline = time.monotonic() + timeout_s
+        while time.monotonic() < deadline and self.process.poll() is None:
             try:
-                if get(self.listen, "/-/ready", wait=0.5)[0] == 200:
+                if http_request(self.listen, "/-/ready", timeout_s=0.5)[0] == 200:
                     return self
             except OSError:
                 pass
             time.sleep(0.02)
-        raise RunFailed(f"node {self.number} did not become ready: {self.log_tail()}")
+        raise RunFailedError(f"node {self.number} did not become ready: {self.log_tail()}")
 
     def log_tail(self):
-        """What its log said last."""
+        """Returns the end of the node's log."""
         return (self.folder / f"node-{self.number}.log").read_bytes()[-400:].decode(errors="replace")
 
     def check_running(self):
-        """Raises RunFailed if it ended and no fault had it end: it has no totals, and others served in its place."""
+        """Raises RunFailedError if the process ended without a fault that made it end: its totals are missing, and
+        other nodes served its share of the load."""
         status = self.process.poll()
-        if status is not None and not self.told_to_end:
-            raise RunFailed(f"node {self.number} ended by itself with status {status}: {self.log_tail()}")
+        if status is not None and not self.stopped_by_fault:
+            raise RunFailedError(f"node {self.number} ended by itself with status {status}: {self.log_tail()}")
 
-    def fault(self, kind, on):
-        """kill: SIGKILL, back at the end; stop: SIGSTOP until the end; restart: SIGTERM, then started anew."""
+    def apply_fault(self, kind, on):
+        """Starts or ends a fault. kill: SIGKILL, and started again at the end; stop: SIGSTOP until the end; restart:
+        SIGTERM, and started again at the end."""
         if kind == "stop":
             return self.process.send_signal(signal.SIGSTOP if on else signal.SIGCONT)
         if on:
-            self.told_to_end = True
-            self.spent += usage(self.process.pid)[0]
+            self.stopped_by_fault = True
+            self.cpu_s_of_ended_processes += process_usage(self.process.pid)[0]
             self.process.send_signal(signal.SIGKILL if kind == "kill" else signal.SIGTERM)
         else:
             if self.process.poll() is None:
@@ -176,10 +187,12 @@
                     self.process.wait()
             self.start()
 
-    def cpu(self):
-        return self.spent + usage(self.process.pid)[0]
+    def cpu_seconds(self):
+        """Returns the CPU seconds of all its processes so far."""
+        return self.cpu_s_of_ended_processes + process_usage(self.process.pid)[0]
 
     def end(self):
+        """Stops the process; kills it if it does not end within 15 s."""
         if self.process and self.process.poll() is None:
             self.process.send_signal(signal.SIGCONT)
             self.process.terminate()
@@ -190,12 +203,12 @@
                 self.process.wait()
 
     def totals(self):
-        """The counters that it logged last, over its last start; empty where it logged none."""
+        """Returns the counters that the process logged last; empty if it logged none."""
         for line in reversed((self.folder / f"node-{self.number}.log").read_bytes().splitlines()):
             try:
-                said = orjson.loads(line)
+                record = orjson.loads(line)
             except ValueError:
                 continue
-            if said.get("event") == "totals":
-                return {key: value for key, value in said.items() if isinstance(value, int)}
+            if record.get("event") == "totals":
+                return {key: value for key, value in record.items() if isinstance(value, int)}
         return {}
--- a/rampfront/lab/system/judge.py
+++ b/rampfront/lab/system/judge.py
@@ -14,8 +14,8 @@
 from hashlib import blake2b
 
 from ...settings import configuration_reader
-from ..boxes import answer_of
-from ..station import SEC
+from ..server_model import SEC
+from ..simulated_servers import expected_response
 
 UNEXECUTED_STATUSES = frozenset((408, 421, 429, 503))  # they promise that no server executed the try
 MAX_REPORTED_FINDINGS = 20  # of each rule, in reports; the rest are only counted
@@ -47,7 +47,7 @@
 
 @dataclass(slots=True)
 class Server:
-    """One process lifetime of a server, with its executed requests (`boxes.Run`) and its arrivals (at, try id)."""
+    """One process lifetime of a server, with its executed requests (`simulated_servers.ExecutedRequest`) and its arrivals (at, try id)."""
 
     uid: str
     make: object
@@ -258,7 +258,7 @@
             )
         if 200 <= client_try.status < 300:
             correct = [
-                answer_of(server.uid, server.make, client_try.id.encode(), client_try.body)
+                expected_response(server.uid, server.make, client_try.id.encode(), client_try.body)
                 for server, _ in self.executions.get(client_try.id, ())
             ]
             if (client_try.answer, client_try.seal) not in correct:
--- a/rampfront/lab/system/machine.py
+++ b/rampfront/lab/system/machine.py
@@ -21,7 +21,7 @@
 from ...node.ports import Ports
 from ...quota.limiter import Limiter
 from ...quota.update_schedule import NEVER
-from ..tally import Bucket
+from ..tally import TokenBucket
 
 SEC = 10**9
 MAX_RETRY_WAIT_NS = 2 * SEC
@@ -76,8 +76,8 @@
             rate, depth = tenant.quota.per_s * self.share, max(1.0, tenant.quota.depth * self.share)
             bucket = former.get(name)
             if bucket is None or (bucket.rate, bucket.burst) != (rate, depth):
-                bucket = Bucket(rate, depth)
-                bucket.at = now
+                bucket = TokenBucket(rate, depth)
+                bucket.updated_at = now
             self.buckets[name] = bucket
 
     def take(self, name, now):
--- a/rampfront/lab/system/plan.py
+++ b/rampfront/lab/system/plan.py
@@ -1,6 +1,6 @@
 """The experiment file of a whole system: one TOML file.
 
-`read_plan(path)` returns a checked `Experiment`, or raises `BadPlan` with the key path and the reason. Keys and units are
+`read_plan(path)` returns a checked `Experiment`, or raises `InvalidPlanError` with the key path and the reason. Keys and units are
 those of the edge node's experiments (`lab/plan.py`), whose classes are used here. Rates are requests a second over the
 whole system. `configuration(plan, ...)` returns the configuration that the operator sends. Only `read_plan` does I/O.
 """
@@ -14,8 +14,8 @@
 
 from ...config import NonNegative, Positive, PositiveInt, StrictTable, split_validation_error
 from ...settings import configuration_reader, settings_reader
-from ..boxes import SPOILS
-from ..plan import BadPlan, Fault, Latency, Name, Retries, Shape, Share, clash, read_table
+from ..plan import Fault, InvalidPlanError, Latency, Name, Retries, Shape, Share, check_unique_names, read_table
+from ..simulated_servers import RESPONSE_FAULTS
 
 HOST = "lab.example"
 VARIANTS = ("system", "split", "unshared", "random")
@@ -30,7 +30,7 @@
 
 
 class Service(StrictTable, kw_only=True):
-    """A service and its emulated servers. `lab/boxes.py` describes the other keys."""
+    """A service and its emulated servers. `lab/simulated_servers.py` describes the other keys."""
 
     name: Name
     servers: dict[str, PositiveInt]  # by zone
@@ -179,7 +179,7 @@
         return self
 
 
-SERVER_FAULTS = ("crash", "release", "chill", *sorted(SPOILS))
+SERVER_FAULTS = ("crash", "release", "chill", *sorted(RESPONSE_FAULTS))
 NODE_FAULTS = ("kill", "stop", "freeze", "wipe", "cut", "lossy", "disk", "slow_disk")
 PLATFORM_FAULTS = ("silent", "garbled", "cut", "500")
 
@@ -197,7 +197,7 @@
 
 
 def resolve_target(plan, text, rng):
-    """Returns the ("node" | "server" | "platform", numbers) that a fault's target names. Raises `BadPlan`."""
+    """Returns the ("node" | "server" | "platform", numbers) that a fault's target names. Raises `InvalidPlanError`."""
     kind, _, selector = text.partition(":")
     nodes, servers = node_placements(plan), server_placements(plan)
     if text == "platform":
@@ -221,41 +221,43 @@
     }.get(kind)
     if matches and (kind == "service") == bool(selector):
         return "server", list(matches)
-    raise BadPlan(f"{text!r} is not one of node:K, nodes, core, zone:ZONE, server:K, servers, service:NAME, platform")
+    raise InvalidPlanError(
+        f"{text!r} is not one of node:K, nodes, core, zone:ZONE, server:K, servers, service:NAME, platform"
+    )
 
 
 def check(plan):
-    """Checks the relations between keys and returns the plan. Raises `BadPlan`."""
+    """Checks the relations between keys and returns the plan. Raises `InvalidPlanError`."""
     from random import Random
 
-    services, routes = clash(plan.services, "services"), clash(plan.routes, "routes")
-    tenants = clash(plan.tenants, "tenants")
-    clash(plan.streams, "streams")
+    services, routes = check_unique_names(plan.services, "services"), check_unique_names(plan.routes, "routes")
+    tenants = check_unique_names(plan.tenants, "tenants")
+    check_unique_names(plan.streams, "streams")
 
     def check_known(known, names, where):
         for name in names:
             if name not in known:
-                raise BadPlan(f"{where}: unknown {name!r}; there are {', '.join(sorted(known)) or 'none'}")
+                raise InvalidPlanError(f"{where}: unknown {name!r}; there are {', '.join(sorted(known)) or 'none'}")
 
     if plan.warmup_s >= plan.duration_s:
-        raise BadPlan(f"warmup_s: {plan.warmup_s:g} is not less than duration_s {plan.duration_s:g}")
+        raise InvalidPlanError(f"warmup_s: {plan.warmup_s:g} is not less than duration_s {plan.duration_s:g}")
     for index, group in enumerate(plan.pilots):
         check_known(plan.zones, [group.zone], f"pilots[{index}].zone")
     if not any(disk for _, disk in node_placements(plan)):
-        raise BadPlan("pilots: none has a disk, so there is no core")
+        raise InvalidPlanError("pilots: none has a disk, so there is no core")
     for index, service in enumerate(plan.services):
         check_known(plan.zones, service.servers, f"services[{index}].servers")
-        check_known(SPOILS, service.spoils, f"services[{index}].spoils")
+        check_known(RESPONSE_FAULTS, service.spoils, f"services[{index}].spoils")
     for index, route in enumerate(plan.routes):
         if bool(route.service) == bool(route.shares):
-            raise BadPlan(f"routes[{index}].service: either service or shares must be set")
+            raise InvalidPlanError(f"routes[{index}].service: either service or shares must be set")
         check_known(services, [route.service] if route.service else route.shares, f"routes[{index}]")
     for index, stream in enumerate(plan.streams):
         check_known(routes, [stream.route], f"streams[{index}].route")
         check_known(tenants, stream.tenants, f"streams[{index}].tenants")
         check_known(plan.zones, stream.zones, f"streams[{index}].zones")
         if (stream.until_s or plan.duration_s) <= stream.from_s:
-            raise BadPlan(f"streams[{index}].until_s: not after from_s {stream.from_s:g}")
+            raise InvalidPlanError(f"streams[{index}].until_s: not after from_s {stream.from_s:g}")
     for index, order in enumerate(plan.orders):
         where = f"orders[{index}]"
         check_known(routes, [*order.move, *order.drop], where)
@@ -264,51 +266,51 @@
         if order.kind in ("empty", "return"):
             check_known(plan.zones, [order.zone], f"{where}.zone")
         if any(len(limit) != 2 for limit in order.limits.values()):
-            raise BadPlan(f"{where}.limits: each should be [per_s, burst]")
+            raise InvalidPlanError(f"{where}.limits: each should be [per_s, burst]")
     for index, fault in enumerate(plan.faults):
         where = f"faults[{index}]"
         try:
             kind, _ = resolve_target(plan, fault.target, Random(0))
-        except BadPlan as error:
-            raise BadPlan(f"{where}.target: {error}") from None
+        except InvalidPlanError as error:
+            raise InvalidPlanError(f"{where}.target: {error}") from None
         allowed_kinds = {"node": NODE_FAULTS, "server": SERVER_FAULTS, "platform": PLATFORM_FAULTS}[kind]
         if fault.kind not in allowed_kinds:
-            raise BadPlan(
+            raise InvalidPlanError(
                 f"{where}.kind: {fault.kind!r} is not a fault of {fault.target}; there are {', '.join(allowed_kinds)}"
             )
         if (fault.at_s if isinstance(fault.at_s, (int, float)) else fault.at_s[1]) >= plan.duration_s:
-            raise BadPlan(f"{where}.at_s: not before the end of the run at {plan.duration_s:g} s")
+            raise InvalidPlanError(f"{where}.at_s: not before the end of the run at {plan.duration_s:g} s")
     try:
         parse_ip(plan.base)
     except ValueError as error:
-        raise BadPlan(f"base: {error}") from None
+        raise InvalidPlanError(f"base: {error}") from None
     result = configuration_reader.read(json.dumps(configuration(plan, 1)).encode())
     if result.is_err():
-        raise BadPlan(f"the configuration of the experiment is not valid: {result.err_value}")
+        raise InvalidPlanError(f"the configuration of the experiment is not valid: {result.err_value}")
     read_terms(plan)
     return plan
 
 
 def parse(table):
-    """Returns the checked experiment of a TOML table. Raises `BadPlan`."""
+    """Returns the checked experiment of a TOML table. Raises `InvalidPlanError`."""
     try:
         return check(msgspec.convert(table, Experiment))
     except msgspec.ValidationError as error:
         where, reason = split_validation_error(error)
-        raise BadPlan(f"{where or 'the file'}: {reason}") from None
+        raise InvalidPlanError(f"{where or 'the file'}: {reason}") from None
 
 
 def read_plan(path):
-    """Returns the checked experiment in a file. Raises `BadPlan`."""
+    """Returns the checked experiment in a file. Raises `InvalidPlanError`."""
     table = read_table(path)
     try:
         return parse(table)
-    except BadPlan as error:
-        raise BadPlan(f"{path}: {error}") from None
+    except InvalidPlanError as error:
+        raise InvalidPlanError(f"{path}: {error}") from None
 
 
 def read_terms(plan):
-    """Returns the agreed figures of the rules, as the proxies read them. Raises `BadPlan`."""
+    """Returns the agreed figures of the rules, as the proxies read them. Raises `InvalidPlanError`."""
     zone = next(iter(plan.zones))
     result = settings_reader.read(
         {
@@ -318,7 +320,7 @@
         }
     )
     if result.is_err():
-        raise BadPlan(f"guarantees: {result.err_value}")
+        raise InvalidPlanError(f"guarantees: {result.err_value}")
     return result.ok_value.guarantees
 
 
--- a/rampfront/lab/system/report.py
+++ b/rampfront/lab/system/report.py
@@ -11,7 +11,7 @@
 from ...settings import configuration_reader
 from .. import report as those
 from ..client import DECLINED, LOST, SETTLED
-from ..tally import Bucket
+from ..tally import TokenBucket
 from . import judge as judges
 
 MS, SEC = 10**6, 10**9
@@ -86,8 +86,12 @@
             rate, burst = limits[current][1].get(client_try.tenant, (0.0, 0.0))
             if rate:
                 limited[number] = True
-                bucket = buckets.setdefault(client_try.tenant, Bucket(rate, max(1.0, burst + rate / 10)))
-                bucket.at, bucket.rate, bucket.burst = bucket.at or start, rate, max(1.0, burst + rate / 10)
+                bucket = buckets.setdefault(client_try.tenant, TokenBucket(rate, max(1.0, burst + rate / 10)))
+                bucket.updated_at, bucket.rate, bucket.burst = (
+                    bucket.updated_at or start,
+                    rate,
+                    max(1.0, burst + rate / 10),
+                )
                 if not bucket.take(1.0, at):
                     continue
         owed[number] = True
@@ -174,7 +178,7 @@
         if tenant.per_s:
             at = np.sort(np.array(executed_at[tenant.name], "i8"))
             rolling = those.rolling_overshoot(
-                at, np.ones(len(at)), tenant.per_s, tenant.burst, plan.duration_s, span=span
+                at, np.ones(len(at)), tenant.per_s, tenant.burst, plan.duration_s, window_s=span
             )
             allowance = tenant.per_s * plan.duration_s + tenant.burst
             quotas.append(
@@ -228,7 +232,7 @@
     served = rows[steady & (rows["outcome"] == SETTLED)]
     statuses = Counter(client_try.status for client_try in generator.tries)
 
-    counts = sum((box.counts for box in system.fleet.boxes.values()), Counter())
+    counts = sum((box.counts for box in system.fleet.servers.values()), Counter())
 
     def worth(mask):
         got, most = float(earned_worth[mask].sum()), float(owed_worth[mask].sum())
@@ -238,7 +242,7 @@
         selected = rows[mask]
         return {
             "offered": int(mask.sum()),
-            **those.counted(selected["outcome"]),
+            **those.count_outcomes(selected["outcome"]),
             "tries": int(selected["tries"].sum()),
             "owed": int((mask & owed).sum()),
             "worth": worth(mask),
@@ -254,7 +258,7 @@
         "seconds": plan.duration_s,
         "lag_ms": lag,
         "offered": int(steady.sum()),
-        **those.counted(rows["outcome"][steady]),
+        **those.count_outcomes(rows["outcome"][steady]),
         "worth": worth(steady),
         "refused_below_limit": refused_below_limit(rows, steady, owed, limited),
         "refused": lag_objection(lag, plan),
@@ -281,7 +285,7 @@
             }
             for order in observed.orders
         ],
-        "series": {**those.series(rows, plan), "share": share, "share_every_s": BIN_S},
+        "series": {**those.per_second_series(rows, plan), "share": share, "share_every_s": BIN_S},
         "faults": faults,
         "recovery": fault_recoveries(share, faults, lambda row: plan.faults[row["number"]].target),
         "usage": system.usage,
--- a/rampfront/lab/system/request_cost.py
+++ b/rampfront/lab/system/request_cost.py
@@ -46,7 +46,7 @@
 def experiment(case: Case, rates: tuple[float, ...] = RATES, seconds: float = SECONDS) -> Experiment:
     """Returns an experiment with one node, the case's servers, all with spare capacity, and a stream on the last route.
 
-    Raises BadPlan."""
+    Raises InvalidPlanError."""
     services = [f"service-{number}" for number in range(case.services)]
     servers_per_zone = case.servers // case.services // len(ZONES)
     return plans.parse(
--- a/rampfront/lab/system/run.py
+++ b/rampfront/lab/system/run.py
@@ -22,9 +22,9 @@
 from ...operator_cli.local_layout import Environment, LocalSystemError, Node, node_settings
 from ...operator_cli.local_system import LocalSystem, SystemSize
 from ...settings.scalars import parse_address
-from ..boxes import SPOILS, Fleet, Make
-from ..nodes import RunFailed, usage
+from ..nodes import RunFailedError, process_usage
 from ..platform import Platform, open_platform
+from ..simulated_servers import RESPONSE_FAULTS, Fleet, ServerProfile
 from . import plan as plans
 from . import schedule
 from .clients import FixedFrontsClient, LoadGenerator, Operator
@@ -42,7 +42,7 @@
 
 def server_properties(service):
     """Returns the properties of a service's emulated servers."""
-    return Make(
+    return ServerProfile(
         service.name,
         slots=service.slots,
         queue=service.queue,
@@ -138,7 +138,10 @@
         """Starts the server of a number, which is cold for the given ns."""
         service, zone = plans.server_placements(self.plan)[number]
         box = await self.fleet.start(
-            server_properties(service), zone, cold=cold, spoil=lambda box, request: self.choose_spoil(number, service)
+            server_properties(service),
+            zone,
+            cold=cold,
+            choose_fault=lambda box, request: self.choose_spoil(number, service),
         )
         box.arrivals = []
         self.boxes[number] = box
@@ -155,14 +158,14 @@
     def apply_fault(self, event):
         """Starts or ends a fault at its target."""
         now = time.monotonic_ns()
-        self.fault_log.append({**event.said(), "late_ms": round((now - self.started_at - event.at) / MS, 1)})
+        self.fault_log.append({**event.as_log_row(), "late_ms": round((now - self.started_at - event.at) / MS, 1)})
         head, _, number = event.target.partition(":")
         if head == "node":
             self.apply_node_fault(event, self.nodes[int(number)], now)
         elif head == "server":
             self.apply_server_fault(event, int(number))
         else:
-            self.platform.ill = (int(event.kind) if event.kind.isdigit() else event.kind) if event.on else None
+            self.platform.fault = (int(event.kind) if event.kind.isdigit() else event.kind) if event.on else None
 
     def apply_node_fault(self, event, node, now):
         """Starts or ends a fault at a node.
@@ -176,7 +179,7 @@
             self.observed.fault_periods.append((self.fault_starts.pop(key, now), now))
         if event.kind in ("kill", "wipe", "stop"):
             if event.on:
-                self.earlier_cpu_s[node.name] += usage(child.pid)[0]
+                self.earlier_cpu_s[node.name] += process_usage(child.pid)[0]
                 child.send_signal(signal.SIGTERM if event.kind == "stop" else signal.SIGKILL)
                 self.down_nodes.add(node.name)
                 if event.kind == "stop":
@@ -235,7 +238,7 @@
     def apply_server_fault(self, event, number):
         """Starts or ends a fault at a server."""
         box = self.boxes[number]
-        if event.kind in SPOILS:
+        if event.kind in RESPONSE_FAULTS:
             spoils = self.spoils.setdefault(number, {})
             if event.on:
                 spoils[event.kind] = event.size or DEFAULT_FAULT_SHARE
@@ -243,7 +246,7 @@
                 spoils.pop(event.kind, None)
         elif event.kind == "chill":
             if event.on:
-                box.chill(round((event.size or 3.0) * SEC))
+                box.begin_cold_spell(round((event.size or 3.0) * SEC))
         elif event.kind == "crash":
             if event.on:
                 self.fleet.end(box.uid, listed=True)
@@ -251,7 +254,7 @@
             else:
                 self.loop.create_task(self.start_server(number, self.cold_period_ns(number)))
         elif event.on:  # release: the server empties, and a new one starts beside it
-            self.fleet.empty(box.uid)
+            self.fleet.drain(box.uid)
             self.draining_since[box.uid] = time.monotonic_ns() + round(self.plan.platform.lag_s * SEC)
             self.schedule_call(round(self.plan.platform.drain_s * SEC), self.fleet.end, box.uid)
             self.loop.create_task(self.start_server(number, self.cold_period_ns(number)))
@@ -293,22 +296,28 @@
         self.observed.tries, self.observed.orders = generator.tries, operator.sent_orders
         self.observed.servers = [
             Server(
-                box.uid, box.make, box.zone, box.runs, box.arrivals, box.most_cold, self.draining_since.get(box.uid, 0)
+                box.uid,
+                box.profile,
+                box.zone,
+                box.runs,
+                box.arrivals,
+                box.max_cold_arrivals,
+                self.draining_since.get(box.uid, 0),
             )
-            for box in self.fleet.boxes.values()
+            for box in self.fleet.servers.values()
         ]
         if self.internal_error is not None:
-            raise RunFailed(f"defect of the laboratory: {self.internal_error!r}")
+            raise RunFailedError(f"defect of the laboratory: {self.internal_error!r}")
         return generator
 
     async def sample_resources(self):
         """Closes expired idle connections of the servers and records the peak memory of each node, until cancelled."""
         self.memory = Counter()
         while True:
-            for box in self.fleet.boxes.values():
-                box.sweep()
+            for box in self.fleet.servers.values():
+                box.close_idle_connections()
             for name, child in self.children.items():
-                self.memory[name] = max(self.memory[name], usage(child.pid)[1])
+                self.memory[name] = max(self.memory[name], process_usage(child.pid)[1])
             await asyncio.sleep(0.5)
 
     def resource_usage(self, now):
@@ -316,7 +325,7 @@
         elapsed_s = (now - self.started_at) / SEC
         return {
             name: {
-                "cores": round((self.earlier_cpu_s[name] + usage(child.pid)[0]) / elapsed_s, 3),
+                "cores": round((self.earlier_cpu_s[name] + process_usage(child.pid)[0]) / elapsed_s, 3),
                 "mb_most": round(self.memory[name] / 1e6, 1),
             }
             for name, child in self.children.items()
@@ -338,10 +347,10 @@
 def run_in_system(plan, variant, seed, folder, action):
     """Returns `await action(system)`, run in its own event loop; afterwards ends everything that was started.
 
-    Raises `RunFailed`."""
+    Raises `RunFailedError`."""
     folder = Path(folder)
     if (folder / "report.json").exists():
-        raise RunFailed(f"{folder} already holds a run")
+        raise RunFailedError(f"{folder} already holds a run")
     folder.mkdir(parents=True, exist_ok=True)
     (folder / "plan.json").write_bytes(msgspec.json.format(msgspec.json.encode(plan)))
 
@@ -355,17 +364,17 @@
     try:
         return uvloop.run(run_action())
     except LocalSystemError as error:
-        raise RunFailed(str(error)) from None
+        raise RunFailedError(str(error)) from None
     except OSError as error:
         if error.errno == errno.EADDRINUSE:
-            raise RunFailed(
+            raise RunFailedError(
                 f"an address is in use, possibly by another run at {plan.base}; set other addresses with `base`"
             ) from None
         raise
 
 
 def run_variant(plan, variant, seed, folder):
-    """Runs one variant of an experiment; returns its report and writes it to the folder. Raises `RunFailed`."""
+    """Runs one variant of an experiment; returns its report and writes it to the folder. Raises `RunFailedError`."""
     from . import report
 
     async def run_and_report(system):
@@ -379,26 +388,26 @@
 
 async def measure_path(system, arrivals, length_s, addresses):
     """Measures one path at one rate; returns (rows, processor cores used by each node)."""
-    before = [usage(child.pid)[0] for child in system.children.values()]
+    before = [process_usage(child.pid)[0] for child in system.children.values()]
     generator = LoadGenerator(
         system, arrivals, time.monotonic_ns() + SEC // 4, [[FixedFrontsClient(system, addresses)]]
     )
     await asyncio.sleep(0.25 + length_s)
     cores = [
-        (usage(child.pid)[0] - cpu_before) / (length_s + 0.25)
+        (process_usage(child.pid)[0] - cpu_before) / (length_s + 0.25)
         for child, cpu_before in zip(system.children.values(), before)
     ]
     await generator.wait_finished()
     generator.pacer.end()
     if system.internal_error is not None:
-        raise RunFailed(f"defect of the laboratory: {system.internal_error!r}")
+        raise RunFailedError(f"defect of the laboratory: {system.internal_error!r}")
     await asyncio.sleep(0.3)
     return generator.rows, cores
 
 
 def measure_speed(plan, folder):
     """Measures each rate of the first stream straight to its servers, through one proxy and through all, alternately in
-    one run. Returns the report's rows, one for each path and rate. Raises `RunFailed`."""
+    one run. Returns the report's rows, one for each path and rate. Raises `RunFailedError`."""
     from . import report
 
     stream, length_s = plan.streams[0], plan.speed.seconds
@@ -409,7 +418,7 @@
         await asyncio.sleep(1.0)
         fronts = [parse_address(node.front) for node in system.nodes]
         paths = {
-            "direct": [parse_address(box.address) for box in system.boxes if box.make.service == service],
+            "direct": [parse_address(box.address) for box in system.boxes if box.profile.service == service],
             "one pilot": fronts[:1],
             f"{len(fronts)} pilots": fronts,
         }
--- a/rampfront/lab/system/schedule.py
+++ b/rampfront/lab/system/schedule.py
@@ -11,7 +11,7 @@
 import numpy as np
 
 from .. import faults as those
-from ..schedule import SEC, moments
+from ..schedule import SEC, arrival_times
 from . import plan as plans
 
 
@@ -38,7 +38,9 @@
     parts = []
     for index, stream in enumerate(plan.streams):
         rng = np.random.Generator(np.random.PCG64([seed, index]))
-        at = moments(stream, stream.rate, stream.from_s, min(stream.until_s or plan.duration_s, plan.duration_s), rng)
+        at = arrival_times(
+            stream, stream.rate, stream.from_s, min(stream.until_s or plan.duration_s, plan.duration_s), rng
+        )
         count = len(at)
         public = next(route for route in plan.routes if route.name == stream.route).public
         tenants = [] if public and not stream.tenants else [tenant.name for tenant in plan.tenants]
@@ -105,7 +107,7 @@
     """Returns the starts and ends of the faults at each node or server that a target names, in order of time."""
     rng, events = Random(f"{seed}/faults"), []
     for number, fault in enumerate(plan.faults):
-        at, length, size = (those.draw(span, rng) for span in (fault.at_s, fault.for_s, fault.size))
+        at, length, size = (those.draw_value(span, rng) for span in (fault.at_s, fault.for_s, fault.size))
         target_kind, numbers = plans.resolve_target(plan, fault.target, rng)
         for target_number in numbers:
             name = f"{target_kind}:{target_number}" if target_kind != "platform" else target_kind
--- a/tests/helper.py
+++ b/tests/helper.py
@@ -145,7 +145,7 @@
         run = Repeat(plan, plan.seed if seed is None else seed, folder / f"run-{turn}").play()
         try:
             return report.write(run), run
-        except report.RunRefused:
+        except report.RunRefusedError:
             if turn == tries - 1:
                 raise
 
--- a/tests/membership/test_endpoint_list_poller.py
+++ b/tests/membership/test_endpoint_list_poller.py
@@ -38,18 +38,18 @@
     assert [row.id for row in lists[-1].endpoints] == [f"i-{k}" for k in range(5)]
     assert listeners[0].counts["connections"] == 1
     assert poller.failing_ns(poller.since_ns + SEC) == SEC and poller.since_ns > lists[0].read_at_ns
-    one.ill = "garbled"
+    one.fault = "garbled"
     run(until(lambda: failures))
-    one.ill = "silent"
-    run(asyncio.wait_for(poll(lambda: one.held), 5))
+    one.fault = "silent"
+    run(asyncio.wait_for(poll(lambda: one.unanswered_requests), 5))
     poller.change_address(listeners[1].address)
-    held = len(one.held)
-    one.ill, count = None, len(lists)
+    held = len(one.unanswered_requests)
+    one.fault, count = None, len(lists)
     run(until(lambda: len(lists) > count))
     # A change of address keeps the list: the five servers are kept for a round, then removed.
     assert lists[count].endpoints[0].id == "i-0"
     run(until(lambda: len(lists) > count + 1))
-    assert [row.id for row in lists[count + 1].endpoints] == ["j"] and len(one.held) == held
+    assert [row.id for row in lists[count + 1].endpoints] == ["j"] and len(one.unanswered_requests) == held
     poller.stop()
     calls = two.counts["calls"]
     run(asyncio.wait_for(poll(lambda: not listeners[1].connections), 5))
--- a/tests/test_lab_system.py
+++ b/tests/test_lab_system.py
@@ -14,9 +14,9 @@
 
 from rampfront.cli import app
 from rampfront.consensus.record_store import RecordStore
-from rampfront.lab.boxes import Make, Run, answer_of
 from rampfront.lab.client import DECLINED, ROW, SETTLED
-from rampfront.lab.plan import BadPlan
+from rampfront.lab.plan import InvalidPlanError
+from rampfront.lab.simulated_servers import ExecutedRequest, ServerProfile, expected_response
 from rampfront.lab.system import machine, report, run, schedule
 from rampfront.lab.system import plan as plans
 from rampfront.lab.system.judge import Observations, SentOrder, Server, Try, breaches, digest, judge
@@ -62,7 +62,7 @@
     ],
 )
 def test_a_faulty_experiment_is_named_by_its_key(more, message):
-    with pytest.raises(BadPlan) as error:
+    with pytest.raises(InvalidPlanError) as error:
         plan(**more)
     assert message in str(error.value)
 
@@ -105,7 +105,7 @@
 
 # ---- the judge
 
-READS, ORDERS = Make("reads", body_bytes=32), Make("orders", body_bytes=32)
+READS, ORDERS = ServerProfile("reads", body_bytes=32), ServerProfile("orders", body_bytes=32)
 
 
 def scene():
@@ -141,7 +141,7 @@
     )
     server = server or observed.servers[route == "order"]
     ran(server, client_try, at + 10 * MS)
-    client_try.answer, client_try.seal = answer_of(server.uid, server.make, uid.encode(), b"")
+    client_try.answer, client_try.seal = expected_response(server.uid, server.make, uid.encode(), b"")
     observed.tries.append(client_try)
     return client_try
 
@@ -149,7 +149,7 @@
 def ran(server, client_try, at, **changes):
     server.arrivals.append((at, client_try.id))
     server.runs.append(
-        Run(
+        ExecutedRequest(
             **{
                 "at": at,
                 "try_id": client_try.id,
