--- a/rampfront/simulation/checks.py
+++ b/rampfront/simulation/checks.py
@@ -1,4 +1,4 @@
-"""What must hold at every step of a run of the core; a breach raises `Broken`."""
+"""What must hold at every step of a run of the core; a breach raises `InvariantError`."""
 
 import json
 import zlib
@@ -7,7 +7,7 @@
 from ..consensus.version_history import MAX_VERSIONS
 
 
-class Broken(AssertionError):
+class InvariantError(AssertionError):
     """A promise of the core does not hold."""
 
 
@@ -36,19 +36,19 @@
         """A node knows a state to be in force."""
         seen = state.term, state.revision, state.body, state.evacuated_zones, tuple(sorted(state.members.items()))
         if self.states.setdefault(state.index, seen) != seen:
-            raise Broken(f"two states in force at {state.index}: {self.states[state.index]} and {seen}")
+            raise InvariantError(f"two states in force at {state.index}: {self.states[state.index]} and {seen}")
         self.returned[state.index] = {zone for zone, evacuation in state.evacuations.items() if evacuation.returned}
         if self.bodies.setdefault(state.revision, state.body) != state.body:
-            raise Broken(f"two bodies of r{state.revision}")
+            raise InvariantError(f"two bodies of r{state.revision}")
         if state.index < node.ruled:
-            raise Broken(f"{node.name} goes back from {node.ruled} to {state.index}")
+            raise InvariantError(f"{node.name} goes back from {node.ruled} to {state.index}")
         node.ruled = state.index
         if self.newest_state is None or state.index > self.newest_state.index:
             self.newest_state = state
 
     def led(self, node, term):
         if self.leaders.setdefault(term, (node.name, node.life)) != (node.name, node.life):
-            raise Broken(f"two leaders of term {term}: {self.leaders[term]} and {node.name}")
+            raise InvariantError(f"two leaders of term {term}: {self.leaders[term]} and {node.name}")
 
     def newest(self, before=None):
         """The newest acknowledged index, of what was acknowledged before a moment."""
@@ -58,12 +58,14 @@
     def done(self, now, call, state):
         """An order was acknowledged with the state in force."""
         if state.index < call.floor:
-            raise Broken(f"{call.kind}: answered with {state.index}, {call.floor} was acknowledged before it was sent")
+            raise InvariantError(
+                f"{call.kind}: answered with {state.index}, {call.floor} was acknowledged before it was sent"
+            )
         if call.kind == "config":
             if state.revision < call.body[0]:
-                raise Broken(f"r{call.body[0]} acknowledged, r{state.revision} in force")
+                raise InvariantError(f"r{call.body[0]} acknowledged, r{state.revision} in force")
             if state.revision == call.body[0] and content(state.body) != content(call.body[1]):
-                raise Broken(f"r{state.revision} acknowledged with another body")
+                raise InvariantError(f"r{state.revision} acknowledged with another body")
             self.confirm(call.body[0], content(call.body[1]), state.versions)
         elif call.kind in ("empty", "fill"):
             self.evacuation(call, range(call.floor, state.index + 1))
@@ -78,31 +80,31 @@
                 emptied = call.body in self.states[index][3]
                 if emptied == (call.kind == "empty") or call.kind == "fill" and call.body in self.returned[index]:
                     return
-        raise Broken(f"{call.kind} {call.body} acknowledged, yet never in force")
+        raise InvariantError(f"{call.kind} {call.body} acknowledged, yet never in force")
 
     def confirm(self, number, said, versions):
         """One content a number, but for what a full history has no room for."""
         if len(versions.rows) >= MAX_VERSIONS and versions.digest_of(number) is None:
             return
         if self.confirmed.setdefault(number, said) != said:
-            raise Broken(f"two bodies of r{number} acknowledged")
+            raise InvariantError(f"two bodies of r{number} acknowledged")
 
     def denied(self, call, state):
         """A configuration was turned away because another one was confirmed under its number."""
         number, body = call.body
         if state.revision < number or state.revision == number and content(state.body) == content(body):
-            raise Broken(f"r{number} turned away, and r{state.revision} in force does not speak against it")
+            raise InvariantError(f"r{number} turned away, and r{state.revision} in force does not speak against it")
         if self.confirmed.get(number) == content(body) or self.bodies.get(number) == body:
-            raise Broken(f"r{number} turned away, and confirmed with this body")
+            raise InvariantError(f"r{number} turned away, and confirmed with this body")
 
     def refused(self, calls):
         """What was refused or passed on by all who were asked is not in force."""
         for call in calls:
             if call.kind == "config" and not call.open and not call.risky and call.body[1] in self.bodies.values():
-                raise Broken(f"r{call.body[0]} was refused, and is in force")
+                raise InvariantError(f"r{call.body[0]} was refused, and is in force")
 
     def backed(self, node, at):
         """The claim of a leader: what was acknowledged before `at` is contained in what it knows."""
         newest = self.newest(at)
         if newest and (node.core_member.committed is None or node.core_member.committed.index < newest):
-            raise Broken(f"{node.name} claims all before {at}, and lacks {newest}")
+            raise InvariantError(f"{node.name} claims all before {at}, and lacks {newest}")
--- a/rampfront/simulation/closing_loss.py
+++ b/rampfront/simulation/closing_loss.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from random import Random
 
-from .checks import Broken
+from .checks import InvariantError
 from .fleet import ZONES, Machine
 from .plan import BEGIN, CATCH_UP, LEADER
 from .system_run import SystemRun
@@ -38,7 +38,7 @@
         self.struck = False
 
     def play(self) -> dict[str, int]:
-        """Returns the counts of what happened; raises `Broken`."""
+        """Returns the counts of what happened; raises `InvariantError`."""
         self.start_all()
         fleet, draw = self.fleet, self.draw
         fleet.run(BEGIN * MS)
@@ -65,7 +65,7 @@
         call = send()
         self.fleet.run(self.fleet.now + ORDER_ENDS)
         if call.verdict != "done":
-            raise Broken(f"no acknowledgement of {call.kind} before the loss")
+            raise InvariantError(f"no acknowledgement of {call.kind} before the loss")
 
     def order_before_strike(self, kind: str, zone: str) -> None:
         """Sends the last order and runs up to the moment of the loss: behind its acknowledgement, or before that."""
@@ -204,14 +204,14 @@
         call = self.call("read", None, READ_WITHIN)
         fleet.run(fleet.now + READ_WITHIN)
         if call.verdict != "done" or int(json.loads(call.state)["Revision"][1:]) < number:
-            raise Broken(f"LOST: r{number} is not read back behind the closing loss")
+            raise InvariantError(f"LOST: r{number} is not read back behind the closing loss")
         for machine in fleet.machines:
             state = machine.node_process.replicated_state.state
             if state.index < floor:
-                raise Broken(f"LOST: {machine.name} holds {state.index}, {floor} was acknowledged")
+                raise InvariantError(f"LOST: {machine.name} holds {state.index}, {floor} was acknowledged")
             lost = [zone for zone in self.evacuated_zones() if zone not in state.evacuated_zones]
             if lost:
-                raise Broken(f"LOST: the evacuation of {lost} at {machine.name}")
+                raise InvariantError(f"LOST: the evacuation of {lost} at {machine.name}")
         self.serves(3 * SEC)
 
     def evacuated_zones(self) -> list[str]:
--- a/rampfront/simulation/fleet.py
+++ b/rampfront/simulation/fleet.py
@@ -16,7 +16,7 @@
 from ..transport.frames import MAX_DATAGRAM_BYTES
 from ..transport.transfer_scheduler import Transfer
 from ..transport.wire import Wire
-from .checks import Broken, Ledger
+from .checks import InvariantError, Ledger
 from .outside import Platform, Reader, Server
 from .world import CATCH_UP, Course, Disk, is_joining, still_members
 
@@ -477,7 +477,7 @@
         if machine.counted and not machine.began and node_process.core.member.entry is not None:
             self.ledger.founders.add(machine.name)
             if len(self.ledger.founders) > 1:
-                raise Broken("founded twice")
+                raise InvariantError("founded twice")
         machine.began = True
         self.calmer(machine)
         self.do(machine, machine.life, node_process.start)
@@ -561,7 +561,7 @@
         """A save on the disk's thread."""
         machine, disk, future = loop.machine, loop.machine.disk, Stored()
         if disk.pending is not None:
-            raise Broken("two stores at once")
+            raise InvariantError("two stores at once")
         disk.pending = record
         wait = disk.wait // 2 + self.chance.randrange(disk.wait + MS)
         self.at(self.now + wait, self.stored, machine, loop.life, disk, future)
--- a/rampfront/simulation/isolation.py
+++ b/rampfront/simulation/isolation.py
@@ -1,6 +1,6 @@
 """Operators on both sides of a cut: whole nodes on the fake clock, some cut off or frozen, with callers all the while.
 
-What callers may see, or `Broken` is raised: a read is never older than what was acknowledged when it began, a node cut
+What callers may see, or `InvariantError` is raised: a read is never older than what was acknowledged when it began, a node cut
 off from the others confirms nothing, no proper order gets a 4xx, a 503 says when to come back, and each call is
 answered within the second for which callers wait.
 """
@@ -9,7 +9,7 @@
 from collections.abc import Iterable, Sequence
 from typing import NamedTuple
 
-from .checks import Broken
+from .checks import InvariantError
 from .fleet import Asked, Fleet, Machine
 from .rules import Watch
 from .system_run import SERVICES, SystemRun
@@ -104,14 +104,14 @@
         hand_in(self.machine, self.kind, Asked({"of": self.operator.zone}, self.body, self.answered))
 
     def answered(self, status: int, body: bytes = b"", headers: Headers = (), **_: object) -> bool:
-        """The machine answers, and is not told whether that was read. Raises `Broken` for one that it may not give."""
+        """The machine answers, and is not told whether that was read. Raises `InvariantError` for one that it may not give."""
         fleet = self.run.fleet
         if status == DONE:
             self.confirmed(body)
         elif status != COME_BACK:
-            raise Broken(f"{self.kind} is answered {status} {body!r}")
+            raise InvariantError(f"{self.kind} is answered {status} {body!r}")
         elif b"Retry-After" not in dict(headers) or not json.loads(body)["Message"]:
-            raise Broken(f"{self.kind}: 503 without a time or a reason")
+            raise InvariantError(f"{self.kind}: 503 without a time or a reason")
         fleet.at(fleet.now + fleet.way(self.machine.ip, "operator"), self.heard, status)
         return True
 
@@ -119,11 +119,11 @@
         """A 200, with the body of a read."""
         run = self.run
         if run.cut_off_at(self.machine, self.handed):
-            raise Broken(f"{self.kind} is confirmed by {self.machine.name}, cut off")
+            raise InvariantError(f"{self.kind} is confirmed by {self.machine.name}, cut off")
         if self.kind == "config":
             run.acknowledged = max(run.acknowledged, revision_of(self.body))
         elif self.kind == "read" and revision_of(body) < self.newest:
-            raise Broken(f"read r{revision_of(body)}, r{self.newest} was acknowledged before it")
+            raise InvariantError(f"read r{revision_of(body)}, r{self.newest} was acknowledged before it")
 
     def heard(self, status: int) -> None:
         """The answer reaches the operator."""
@@ -138,7 +138,7 @@
             return
         self.status = 0
         if not (self.was_frozen or self.machine.frozen):
-            raise Broken(f"{self.kind} at {self.machine.name}: not answered within a second")
+            raise InvariantError(f"{self.kind} at {self.machine.name}: not answered within a second")
         self.operator.ended(self)
 
 
@@ -174,7 +174,7 @@
         self.order("config", fleet.core[0], self.body())
         self.go(3 * SEC)
         if not all(machine.node_process.disseminator.ready for machine in fleet.machines):
-            raise Broken("not all are ready 3 s behind the first configuration")
+            raise InvariantError("not all are ready 3 s behind the first configuration")
         self.acknowledged = 1
 
     def go(self, span: int) -> None:
@@ -247,7 +247,7 @@
             if self.cut_since and not self.quiet and machine.up and not machine.frozen:
                 ready = sum(entry.ready for entry in machine.node_process.disseminator.roster)
                 if 2 * ready <= len(self.fleet.machines):
-                    raise Broken(f"{machine.name} knows {ready} fronts")
+                    raise InvariantError(f"{machine.name} knows {ready} fronts")
         self.fleet.at(self.fleet.now + LOOK, self.look)
 
     def agree(self) -> None:
@@ -260,8 +260,8 @@
         reads = [self.order("read", machine) for machine in machines]
         self.go(SEC)
         if any(not replies or replies[0].status != DONE for replies in orders + reads):
-            raise Broken("an order is not acknowledged behind the join")
+            raise InvariantError("an order is not acknowledged behind the join")
         if any(revision_of(replies[0].body) != self.numbers for replies in reads):
-            raise Broken("a read behind the join is not the newest")
+            raise InvariantError("a read behind the join is not the newest")
         if len({machine.node_process.replicated_state.state.position for machine in machines}) > 1:
-            raise Broken("machines hold different states behind the join")
+            raise InvariantError("machines hold different states behind the join")
--- a/rampfront/simulation/linearizability.py
+++ b/rampfront/simulation/linearizability.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass, replace
 from enum import Enum
 
-from .checks import Broken
+from .checks import InvariantError
 
 FOREVER = 1 << 62  # ns; the end of a call that nobody saw end
 
@@ -96,7 +96,7 @@
         return f"{self.fault.value}: " + "; ".join(map(str, self.operations))
 
 
-class NotLinearizable(Broken):
+class NotLinearizable(InvariantError):
     """A history that no register gives."""
 
     def __init__(self, violation: Violation) -> None:
--- a/rampfront/simulation/operators.py
+++ b/rampfront/simulation/operators.py
@@ -8,7 +8,7 @@
 from typing import NamedTuple
 
 from ..net.http_messages import Delivery, DeliveryCallback
-from .checks import Broken
+from .checks import InvariantError
 from .fleet import Asked, Machine
 from .linearizability import Kind, Operation, Verdict
 from .plan import LEADER, SERVICES
@@ -239,7 +239,7 @@
             call.verdict = "refused"  # rightly or not: the history tells
             self.fleet.count("refused")
         elif status < SERVER_ERROR:
-            raise Broken(f"{call.kind} {str(call.body)[:40]} is answered {status}")
+            raise InvariantError(f"{call.kind} {str(call.body)[:40]} is answered {status}")
         else:
             self.after(50 + self.chance.randrange(200), self.place_anywhere, call)
 
--- a/rampfront/simulation/rules.py
+++ b/rampfront/simulation/rules.py
@@ -1,4 +1,4 @@
-"""The rules as an onlooker with the true time sees them kept or broken, in a run of the whole. A breach raises `Broken`.
+"""The rules as an onlooker with the true time sees them kept or broken, in a run of the whole. A breach raises `InvariantError`.
 
 Source: RULES. Where the page leaves room, this is the stricter reading for what must hold at every machine, and the
 laxer one for who counts as in touch (any trouble of a machine of the core unsettles all)."""
@@ -6,7 +6,7 @@
 from bisect import bisect_left, insort
 from collections import deque
 
-from .checks import Broken
+from .checks import InvariantError
 
 MS, SEC = 10**6, 10**9
 IN_TOUCH, DRAIN, EMPTY_ZONE = 4 * SEC, 3 * SEC, 5 * SEC  # as Terms of the papers have them by default
@@ -83,7 +83,7 @@
         self.ledger.ruled(machine, state)
         revision = node_process.request_proxy.configuration.revision if node_process.request_proxy.configuration else 0
         if revision < machine.revision:
-            raise Broken(f"{machine.name} goes back from r{machine.revision} to r{revision}")
+            raise InvariantError(f"{machine.name} goes back from r{machine.revision} to r{revision}")
         machine.revision = revision
         if machine.core_member and machine.core_member.is_leader and state.index not in self.founded:
             self.founded.add(state.index)
@@ -93,7 +93,7 @@
         """What a leader calls in force lay on the disks of a majority, of no one that forgot."""
         held = {who for who, stamp in self.fleet.kept.items() if stamp >= state.position}
         if not state.has_quorum(held):
-            raise Broken(f"{machine.name} calls {state.index} in force, which lay on {sorted(held)} alone")
+            raise InvariantError(f"{machine.name} calls {state.index} in force, which lay on {sorted(held)} alone")
 
     def ruled(self, machine, node_process):
         core_member = node_process.core.member
@@ -114,7 +114,7 @@
             if machine.up and (at := machine.node_process.disseminator.confirmed_at_ns) is not None:
                 newest, state = self.ledger.newest(at - machine.offset), machine.node_process.replicated_state.state
                 if newest and (state is None or state.index < newest):
-                    raise Broken(f"{machine.name} lacks {newest}, and its word is younger than that")
+                    raise InvariantError(f"{machine.name} lacks {newest}, and its word is younger than that")
 
     # ---- requests
 
@@ -130,7 +130,7 @@
         if at and configuration is not None and node_process.lease.is_valid(node_process.context.clock()):
             must = self.acked[at - 1][1]
             if request.revision < must and self.touch(machine, request.sent):
-                raise Broken(
+                raise InvariantError(
                     f"CONFIG: {machine.name} goes by r{request.revision}, r{must} was acknowledged "
                     f"{(request.sent - self.acked[at - 1][0]) / SEC:.2f} s before"
                 )
@@ -144,13 +144,13 @@
         if request.arrivals > 1:
             self.repeated(server.service, now)
         if server.service != request.service:
-            raise Broken(f"ROUTE: {request.tag} at {server.service}")
+            raise InvariantError(f"ROUTE: {request.tag} at {server.service}")
         if server.cold_until > now:
             server.arrivals.append((request.sent, now))
             many = sum(sent >= now - SEC for sent, _ in server.arrivals[-40:])
             self.near("cold", many / COLD_MOST)
             if many > COLD_MOST:
-                raise Broken(f"FAILBACK: {server.uid} is cold, and gets {many} in a second")
+                raise InvariantError(f"FAILBACK: {server.uid} is cold, and gets {many} in a second")
         self.key(request, now)
         for acked, back in self.evacuated.get(server.zone, ()):
             if (
@@ -159,24 +159,26 @@
                 and now - acked > EMPTY_ZONE
                 and self.touch(machine, now)
             ):
-                raise Broken(
+                raise InvariantError(
                     f"EVAC: {machine.name} sends to {server.uid} in {server.zone} {(now - acked) / SEC:.2f} s "
                     "behind the acknowledgement"
                 )
         if server.leaving_at is not None:
             shown = server.leaving_at + fleet.platform.lag
             if now - shown > DRAIN and fleet.platform.trouble_at + IN_TOUCH < shown and self.touch(machine, shown):
-                raise Broken(f"DRAIN: {machine.name} sends to {server.uid} {(now - shown) / SEC:.2f} s behind the list")
+                raise InvariantError(
+                    f"DRAIN: {machine.name} sends to {server.uid} {(now - shown) / SEC:.2f} s behind the list"
+                )
 
     def key(self, request, now):
         if request.key is None:
             return
         if request.tenant is None:
-            raise Broken(f"ROUTE: a key that never was: {request.key}")
+            raise InvariantError(f"ROUTE: a key that never was: {request.key}")
         if request.removed is not None:  # ordinal of the first configuration without it
             gone = self.gone_at(request.removed)
             if gone is not None and request.sent > gone + REVOKE:
-                raise Broken(
+                raise InvariantError(
                     f"CONFIG: {request.key} runs, {(request.sent - gone) / SEC:.2f} s behind its revocation, by "
                     f"{request.machine.name} of r{request.revision}"
                 )
@@ -197,20 +199,20 @@
         most = RATIO * max(many(now + 1), many(now - RETRY // 2), many(now - RETRY)) + EXTRA
         self.near("repeats", len(again) / most)
         if len(again) > most:
-            raise Broken(f"BUDGET: {len(again)} repeats at {service}, {most:.0f} are allowed")
+            raise InvariantError(f"BUDGET: {len(again)} repeats at {service}, {most:.0f} are allowed")
 
     def runs(self, server, job):
         request, fleet = job.request, self.fleet
         request.runs += 1
         fleet.count("runs")
         if job.fields.get(b"customer", b"").decode() != (request.tenant or ""):
-            raise Broken(f"UNASKED: {request.tag} of {request.tenant} runs for {job.fields.get(b'customer')}")
+            raise InvariantError(f"UNASKED: {request.tag} of {request.tenant} runs for {job.fields.get(b'customer')}")
         if b"authorization" in job.fields:
-            raise Broken("UNASKED: a key is passed on")
+            raise InvariantError("UNASKED: a key is passed on")
         if request.once and request.runs > 1:
-            raise Broken(f"TWICE: {request.tag}")
+            raise InvariantError(f"TWICE: {request.tag}")
         if request.once and request.status in PROMISES:
-            raise Broken(f"REFUSED: {request.tag} was answered {request.status}, and runs")
+            raise InvariantError(f"REFUSED: {request.tag} was answered {request.status}, and runs")
         if request.runs == 1 and request.tenant in QUOTAS:
             ran, now = self.ran[request.tenant], fleet.now
             insort(ran, (now, request.sent))
@@ -220,15 +222,15 @@
             many = sum(sent >= now - WINDOW for _, sent in ran)
             self.near("quota", many / most)
             if many > most:
-                raise Broken(f"QUOTA: {many} of {request.tenant} in {WINDOW // SEC} s, {most:.0f} are allowed")
+                raise InvariantError(f"QUOTA: {many} of {request.tenant} in {WINDOW // SEC} s, {most:.0f} are allowed")
 
     def answered(self, request, status, body):
         if request.once and status in PROMISES and request.runs:
-            raise Broken(f"REFUSED: {request.tag} has run, and is answered {status}")
+            raise InvariantError(f"REFUSED: {request.tag} has run, and is answered {status}")
         if status == 200 and body != request.tag.encode():
-            raise Broken(f"MIXED: {request.tag} gets {body}")
+            raise InvariantError(f"MIXED: {request.tag} gets {body}")
         if status in (400, 401, 404) and request.proper and request.touch:
-            raise Broken(f"DENIED: {request.tag} with {request.key} gets {status} from {request.machine.name}")
+            raise InvariantError(f"DENIED: {request.tag} with {request.key} gets {status} from {request.machine.name}")
 
     # ---- orders
 
@@ -251,6 +253,6 @@
         if settled is not None and not self.fleet.cuts and call.verdict is None:
             since = max(settled + IN_TOUCH, call.sent, self.fleet.links_calm_at)
             if now - since > ACK:
-                raise Broken(
+                raise InvariantError(
                     f"no acknowledgement of {call.kind} {str(call.body)[:40]} in {(now - since) / SEC:.1f} s of a settled core"
                 )
--- a/rampfront/simulation/schedule.py
+++ b/rampfront/simulation/schedule.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from . import linearizability
-from .checks import Broken
+from .checks import InvariantError
 from .membership_faults import GRACE, LEAVES_AFTER, TOO_SMALL, MembershipFaults
 from .world import CATCH_UP, MS, SEC, Call, Node, World
 
@@ -43,7 +43,7 @@
         world.on_done, world.on_vote = self.done, self.voted
 
     def play(self) -> dict[str, int]:
-        """Returns the counts of what happened; raises `Broken`."""
+        """Returns the counts of what happened; raises `InvariantError`."""
         world, chance = self.world, self.chance
         for node in world.nodes:
             world.at(chance.randrange(chance.choice((50, 1500)) * MS), world.start, node, True)
@@ -152,7 +152,7 @@
         while probe.taken_at is None and world.now - sent <= CALM:
             world.run(world.now + 20 * MS)
         if probe.taken_at is None:
-            raise Broken(f"no acknowledgement within {CALM // SEC} s of {step.__name__}, a loss within Survive")
+            raise InvariantError(f"no acknowledgement within {CALM // SEC} s of {step.__name__}, a loss within Survive")
         world.counts["aimed_ms_most"] = max(world.counts.get("aimed_ms_most", 0), (probe.taken_at - sent) // MS)
         world.run(max(world.now, back + CATCH_UP + chance.choice((0, 0, chance.randrange(2 * SEC)))))
 
@@ -256,14 +256,14 @@
         call = world.call("config", (self.rev, b"last/%d" % self.rev), world.any(), until=60 * SEC, alone=True)
         world.run(sent + 40 * SEC if call.done_at is None else sent)
         if call.done_at is None:
-            raise Broken("no acknowledgement within 40 s of calm")
+            raise InvariantError("no acknowledgement within 40 s of calm")
         if call.done_at - sent > CALM:
-            raise Broken(f"acknowledged only {(call.done_at - sent) / SEC:.1f} s after all was well")
+            raise InvariantError(f"acknowledged only {(call.done_at - sent) / SEC:.1f} s after all was well")
         world.counts["calm_ms_most"] = (call.done_at - sent) // MS
         read = world.call("read", None, world.any(), until=20 * SEC)
         world.run(world.now + 10 * SEC)
         if read.done_at is None or read.state.revision != self.rev:
-            raise Broken("not read back")
+            raise InvariantError("not read back")
         repeated = {call.body for call in world.calls if call.kind == "config" and (call.open or call.risky)}
         world.ledger.refused(call for call in world.calls if call.body not in repeated)
         self.in_step(call)
@@ -301,11 +301,11 @@
             node.name for node in world.nodes if node.up and (world.is_joining(node) or node.ruled < call.state.index)
         ]
         if late:
-            raise Broken(f"not in step 10 s behind: {late}")
+            raise InvariantError(f"not in step 10 s behind: {late}")
         gone = [node.name for node in world.removed if node.name in newest.members]
         down = sum(not node.up for node in world.nodes)  # a list is not made smaller than it was at the first start
         if len(gone) > down:
-            raise Broken(f"still members, and gone for good: {gone}")
+            raise InvariantError(f"still members, and gone for good: {gone}")
 
 
 AIMED = (
--- a/rampfront/simulation/shrink.py
+++ b/rampfront/simulation/shrink.py
@@ -1,6 +1,6 @@
 """A failing plan made small: rows are left out, many at first, for as long as it still breaks the same promise."""
 
-from .checks import Broken
+from .checks import InvariantError
 from .system_run import SystemRun
 
 
@@ -9,7 +9,7 @@
     system_run = SystemRun(seed, nodes, disks, plan=plan)
     try:
         system_run.play()
-    except Broken as broken:
+    except InvariantError as broken:
         return str(broken).split()[0], str(broken), system_run
     return None
 
--- a/rampfront/simulation/system_run.py
+++ b/rampfront/simulation/system_run.py
@@ -9,7 +9,7 @@
 from random import Random
 
 from . import linearizability
-from .checks import Broken
+from .checks import InvariantError
 from .clients import Clients, Group
 from .fleet import ZONES, Fleet, Machine
 from .linearizability import Kind, Operation, Recorder
@@ -53,7 +53,7 @@
         self.ends = (BEGIN + length) * MS
 
     def play(self) -> dict[str, int]:
-        """Returns the counts of what happened; raises `Broken`."""
+        """Returns the counts of what happened; raises `InvariantError`."""
         self.start_all()
         fleet = self.fleet
         for at, what, *args in self.plan:
@@ -133,7 +133,7 @@
         call = self.config()
         fleet.run(sent + CALM)
         if call.done_at is None:
-            raise Broken(f"no acknowledgement within {CALM / SEC:.0f} s of calm")
+            raise InvariantError(f"no acknowledgement within {CALM / SEC:.0f} s of calm")
         fleet.counts["calm_ms_most"] = (call.done_at - sent) // MS
         fleet.run(sent + IN_TOUCH + APPLY + 2 * SEC)
         self.in_step(call)
@@ -148,7 +148,7 @@
                 m.name for m in fleet.machines if m.up and zone in m.node_process.replicated_state.state.evacuated_zones
             ]
             if kept and fleet.now - restored_at > OPEN_WITHIN:
-                raise Broken(
+                raise InvariantError(
                     f"{zone} is evacuated at {kept}, and was taken back {(fleet.now - restored_at) / SEC:.1f} s ago"
                 )
 
@@ -195,22 +195,24 @@
             node_process = machine.node_process
             held = node_process.request_proxy.configuration.revision if node_process.request_proxy.configuration else 0
             if held != call.body[0]:
-                raise Broken(f"{machine.name} goes by r{held}, not r{call.body[0]}, in the calm")
+                raise InvariantError(f"{machine.name} goes by r{held}, not r{call.body[0]}, in the calm")
             is_joining = machine.counted and fleet.is_joining(machine)
             if not node_process.disseminator.ready or is_joining:
-                raise Broken(f"{machine.name} is not ready in the calm" + (", nor taken in" if is_joining else ""))
+                raise InvariantError(
+                    f"{machine.name} is not ready in the calm" + (", nor taken in" if is_joining else "")
+                )
             listed = [entry.name for entry in node_process.disseminator.roster if entry.ready]
             if listed != rows:
-                raise Broken(f"{machine.name} lists {listed} as ready")
+                raise InvariantError(f"{machine.name} lists {listed} as ready")
         lists = {m.node_process.disseminator.endpoints_version for m in up}
         if len(lists) > LISTS:
-            raise Broken(f"lists of servers differ in the calm: {lists}")
+            raise InvariantError(f"lists of servers differ in the calm: {lists}")
         gone = [machine.name for machine in fleet.removed if machine.name in fleet.ledger.newest_state.members]
         down = sum(
             not machine.up for machine in fleet.core
         )  # a list is not made smaller than it was at the first start
         if len(gone) > down:
-            raise Broken(f"still members, and gone for good: {gone}")
+            raise InvariantError(f"still members, and gone for good: {gone}")
 
     def serves(self, span: int) -> None:
         """What clients sent lately, and the quotas do not touch, was served. Those that hold on to an old answer of the
@@ -223,7 +225,7 @@
         ]
         well = sum(r.status == OK for r in sent)
         if not sent or well < SERVED * len(sent):
-            raise Broken(f"{well} of {len(sent)} requests are served in the calm")
+            raise InvariantError(f"{well} of {len(sent)} requests are served in the calm")
 
     # The closing fault.
 
@@ -249,10 +251,10 @@
         call = self.call("read", None, 10 * SEC)
         fleet.run(fleet.now + 6 * SEC)
         if call.verdict != "done" or json.loads(call.state)["Revision"] != f"r{number}":
-            raise Broken(f"LOST: r{number} is not read back behind the closing fault")
+            raise InvariantError(f"LOST: r{number} is not read back behind the closing fault")
         behind = [m.name for m in was if m.node_process.replicated_state.state.index < floor]
         if behind:
-            raise Broken(f"LOST: {behind} do not know what was acknowledged")
+            raise InvariantError(f"LOST: {behind} do not know what was acknowledged")
         self.serves(3 * SEC)
 
     def lost_at_the_end(self, kind: str, chance: Random) -> set[Machine]:
@@ -269,7 +271,7 @@
         while not all(m.node_process.disseminator.ready for m in was):
             if fleet.now - returned > RECOVERY:
                 late = [m.name for m in was if not m.node_process.disseminator.ready]
-                raise Broken(f"RECOVER: {late} do not serve {RECOVERY // SEC} s behind the closing fault")
+                raise InvariantError(f"RECOVER: {late} do not serve {RECOVERY // SEC} s behind the closing fault")
             fleet.run(fleet.now + 100 * MS)
         fleet.counts["recovery_ms_most"] = (fleet.now - returned) // MS
 
--- a/rampfront/simulation/world.py
+++ b/rampfront/simulation/world.py
@@ -16,7 +16,7 @@
 from rampfront.consensus.wire_names import KIND, VOTE_GRANTED
 from rampfront.transport.frames import MAX_DATAGRAM_BYTES
 
-from .checks import Broken, Ledger
+from .checks import InvariantError, Ledger
 from .linearizability import Kind, Operation, Recorder, Verdict
 
 MS, SEC = 10**6, 10**9
@@ -223,7 +223,7 @@
         if first and node.core_member.entry is not None:
             self.ledger.founders.add(node.name)
             if len(self.ledger.founders) > 1:
-                raise Broken("founded twice")
+                raise InvariantError("founded twice")
         self.tell(node, None)
         self.at(self.now + self.chance.randrange(TICK), self.tick, node, node.life)
 
@@ -365,7 +365,7 @@
     def store(self, node, effect):
         disk = node.disk
         if disk.pending is not None:
-            raise Broken("two stores at once")
+            raise InvariantError("two stores at once")
         disk.pending = effect.record
         self.at(
             self.now + disk.wait // 2 + self.chance.randrange(disk.wait + MS),
--- a/tests/node/test_core_isolation.py
+++ b/tests/node/test_core_isolation.py
@@ -18,7 +18,7 @@
 from rampfront.node.status_views import StatusViews
 from rampfront.settings import settings_reader
 from rampfront.settings.limits import MAX_REVISION
-from rampfront.simulation.checks import Broken
+from rampfront.simulation.checks import InvariantError
 from rampfront.simulation.fleet import Asked
 from rampfront.simulation.isolation import IsolationRun
 
@@ -295,23 +295,23 @@
 def test_a_read_without_a_round_would_be_found(monkeypatch):
     order = Leader.submit
     monkeypatch.setattr(Leader, "submit", lambda leadership, told: answered_at_once(leadership, order, told))
-    with pytest.raises(Broken, match="read is confirmed by n1, cut off|was acknowledged before it"):
+    with pytest.raises(InvariantError, match="read is confirmed by n1, cut off|was acknowledged before it"):
         test_a_node_cut_off_for_20_s_confirms_no_order("leader", "both")
 
 
 def test_a_leader_that_never_steps_down_would_be_found(monkeypatch):
     monkeypatch.setattr(Leader, "is_expired", lambda leadership, now: False)
-    with pytest.raises(Broken, match=r"n1 knows \d fronts"):
+    with pytest.raises(InvariantError, match=r"n1 knows \d fronts"):
         test_a_node_cut_off_for_20_s_confirms_no_order("leader", "both")
 
 
 def test_an_order_confirmed_by_less_than_a_majority_would_be_found(monkeypatch):
     monkeypatch.setattr(State, "has_quorum", lambda state, known: True)
-    with pytest.raises(Broken):
+    with pytest.raises(InvariantError):
         test_without_a_majority_on_any_side_no_order_is_confirmed()
 
 
 def test_an_answer_that_waits_for_the_tick_would_be_found(monkeypatch):
     monkeypatch.setattr(order_submitter, "ANSWER_WITHIN_NS", 980 * MS)
-    with pytest.raises(Broken, match="not answered within a second"):
+    with pytest.raises(InvariantError, match="not answered within a second"):
         test_a_node_cut_off_for_20_s_confirms_no_order("diskless", "both")
--- a/tests/test_closing_loss.py
+++ b/tests/test_closing_loss.py
@@ -6,7 +6,7 @@
 
 from rampfront.consensus.persistent_state import PersistentState
 from rampfront.simulation import closing_loss
-from rampfront.simulation.checks import Broken
+from rampfront.simulation.checks import InvariantError
 from rampfront.simulation.closing_loss import SITUATIONS, ClosingLossRun
 from rampfront.simulation.fleet import Fleet
 
@@ -36,7 +36,7 @@
     for seed in PLANTED_SEEDS:
         try:
             ClosingLossRun(seed, nodes, disks).play()
-        except Broken as broken:
+        except InvariantError as broken:
             return str(broken)
     return ""
 
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -14,7 +14,7 @@
 from rampfront.consensus.version_history import VersionHistory
 from rampfront.consensus.wire_names import KIND, VOTE_GRANTED
 from rampfront.node.lease import Lease
-from rampfront.simulation.checks import Broken
+from rampfront.simulation.checks import InvariantError
 from rampfront.simulation.linearizability import Kind, Verdict
 from rampfront.simulation.plan import Planner, Row
 from rampfront.simulation.schedule import Run
@@ -78,14 +78,14 @@
     (new,) = [node for node in core.leaders if node is not old]
     newer, _ = core.config(2, new), core.go(SEC)
     assert done(newer)
-    with pytest.raises(Broken, match="was acknowledged before"):
+    with pytest.raises(InvariantError, match="was acknowledged before"):
         core.ask(old, OrderKind.READ)
 
 
 def test_two_bodies_confirmed_under_one_number_are_found(monkeypatch: pytest.MonkeyPatch) -> None:
     """Whoever says of every body that it is the one that holds."""
     monkeypatch.setattr(VersionHistory, "denies", lambda history, number, digest: False)
-    with pytest.raises(Broken, match="another body|two bodies|LINEARIZABILITY"):
+    with pytest.raises(InvariantError, match="another body|two bodies|LINEARIZABILITY"):
         played(range(1, 20), 4)
 
 
@@ -150,7 +150,7 @@
         end(queue, order, Outcome.DONE if outcome == Outcome.UNKNOWN else outcome)
 
     monkeypatch.setattr(OrderQueue, "end", certain)
-    with pytest.raises(Broken, match="acknowledged"):
+    with pytest.raises(InvariantError, match="acknowledged"):
         for seed in range(1, 4):
             play_plot("doubt", seed)
 
@@ -164,6 +164,6 @@
         lease.duration += SEC
 
     monkeypatch.setattr(Lease, "__init__", longer)
-    with pytest.raises(Broken, match="behind its revocation"):
+    with pytest.raises(InvariantError, match="behind its revocation"):
         for seed in range(1, 13):
             play_plot("lease", seed)
--- a/tests/test_system_run.py
+++ b/tests/test_system_run.py
@@ -3,7 +3,7 @@
 import pytest
 
 from rampfront.proxy.request_proxy import RequestProxy
-from rampfront.simulation.checks import Broken
+from rampfront.simulation.checks import InvariantError
 from rampfront.simulation.plan import draw_plan
 from rampfront.simulation.shrink import as_test, shrink
 from rampfront.simulation.system_run import SystemRun
@@ -83,6 +83,6 @@
             0
         ],
     )
-    with pytest.raises(Broken, match="behind its revocation"):
+    with pytest.raises(InvariantError, match="behind its revocation"):
         SystemRun(3, plan=rows, length=12000).play()
     assert shrink and "cut_one" in as_test(3, 11, rows)
