--- a/rampfront/simulation/checks.py
+++ b/rampfront/simulation/checks.py
@@ -19,7 +19,7 @@
         return body
 
 
-class Ledger:
+class SafetyChecker:
     """All that was ever in force or acknowledged, as an onlooker with the true time sees it."""
 
     def __init__(self):
@@ -32,7 +32,7 @@
         self.founders = set()
         self.newest_state = None  # in force, of the highest index
 
-    def ruled(self, node, state):
+    def record_committed_state(self, node, state):
         """A node knows a state to be in force."""
         seen = state.term, state.revision, state.body, state.evacuated_zones, tuple(sorted(state.members.items()))
         if self.states.setdefault(state.index, seen) != seen:
@@ -46,16 +46,16 @@
         if self.newest_state is None or state.index > self.newest_state.index:
             self.newest_state = state
 
-    def led(self, node, term):
+    def record_leader(self, node, term):
         if self.leaders.setdefault(term, (node.name, node.life)) != (node.name, node.life):
             raise InvariantError(f"two leaders of term {term}: {self.leaders[term]} and {node.name}")
 
-    def newest(self, before=None):
+    def newest_acknowledged(self, before=None):
         """The newest acknowledged index, of what was acknowledged before a moment."""
         at = len(self.acked) if before is None else bisect_left(self.acked_at, before)
         return self.acked[at - 1] if at else 0
 
-    def done(self, now, call, state):
+    def record_acknowledgement(self, now, call, state):
         """An order was acknowledged with the state in force."""
         if state.index < call.floor:
             raise InvariantError(
@@ -69,7 +69,7 @@
             self.confirm(call.body[0], content(call.body[1]), state.versions)
         elif call.kind in ("empty", "fill"):
             self.evacuation(call, range(call.floor, state.index + 1))
-        if state.index > self.newest():
+        if state.index > self.newest_acknowledged():
             self.acked_at.append(now)
             self.acked.append(state.index)
 
@@ -89,7 +89,7 @@
         if self.confirmed.setdefault(number, said) != said:
             raise InvariantError(f"two bodies of r{number} acknowledged")
 
-    def denied(self, call, state):
+    def check_conflict(self, call, state):
         """A configuration was turned away because another one was confirmed under its number."""
         number, body = call.body
         if state.revision < number or state.revision == number and content(state.body) == content(body):
@@ -97,14 +97,14 @@
         if self.confirmed.get(number) == content(body) or self.bodies.get(number) == body:
             raise InvariantError(f"r{number} turned away, and confirmed with this body")
 
-    def refused(self, calls):
+    def check_refused_calls(self, calls):
         """What was refused or passed on by all who were asked is not in force."""
         for call in calls:
             if call.kind == "config" and not call.open and not call.risky and call.body[1] in self.bodies.values():
                 raise InvariantError(f"r{call.body[0]} was refused, and is in force")
 
-    def backed(self, node, at):
+    def check_leader_claim(self, node, at):
         """The claim of a leader: what was acknowledged before `at` is contained in what it knows."""
-        newest = self.newest(at)
+        newest = self.newest_acknowledged(at)
         if newest and (node.core_member.committed is None or node.core_member.committed.index < newest):
             raise InvariantError(f"{node.name} claims all before {at}, and lacks {newest}")
--- a/rampfront/simulation/closing_loss.py
+++ b/rampfront/simulation/closing_loss.py
@@ -84,7 +84,7 @@
     def name_other_seeds(self) -> None:
         """The settings name one machine of the core that is not its founder, and others that nobody answers for."""
         fleet = self.fleet
-        some = [machine.ip for machine in fleet.core if machine.name not in fleet.ledger.founders]
+        some = [machine.ip for machine in fleet.core if machine.name not in fleet.safety_checker.founders]
         fleet.seeds = [self.draw.choice(some or [fleet.core[0].ip]), UNKNOWN_SEED]
         gone = [machine.ip for machine in fleet.removed[-1:]]
         fleet.seeds += gone
@@ -199,7 +199,7 @@
     def check_recovery(self) -> None:
         """All that was acknowledged is there, at every node, in time; the fleet serves."""
         fleet = self.fleet
-        floor, number = fleet.ledger.newest(), self.watch.acked[-1][1]
+        floor, number = fleet.safety_checker.newest_acknowledged(), self.watch.acked[-1][1]
         self.recovers(list(fleet.machines))
         call = self.call("read", None, READ_WITHIN)
         fleet.run(fleet.now + READ_WITHIN)
--- a/rampfront/simulation/fleet.py
+++ b/rampfront/simulation/fleet.py
@@ -16,7 +16,7 @@
 from ..transport.frames import MAX_DATAGRAM_BYTES
 from ..transport.transfer_scheduler import Transfer
 from ..transport.wire import Wire
-from .checks import InvariantError, Ledger
+from .checks import InvariantError, SafetyChecker
 from .outside import Platform, Reader, Server
 from .world import CATCH_UP, Course, Disk, is_joining, still_members
 
@@ -335,7 +335,7 @@
         self.by_ip = {machine.ip: machine for machine in self.machines}
         self.survive = max(0, (disks - 1) // 2) if survive is None else survive
         self.seeds = [machine.ip for machine in self.core[:3]]
-        self.ledger, self.watch = Ledger(), None
+        self.safety_checker, self.watch = SafetyChecker(), None
         self.cuts, self.reset, self.loss, self.repeat, self.slow = {}, set(), 0.005, 0.002, 0
         self.core_troubles, self.core_calm_at = 0, 0
         self.kept = {}  # (name, incarnation) to the stamp of the entry that it synced last, whether or not the disk is lost since
@@ -475,8 +475,8 @@
         machine.control, machine.directory = build_control_calls(node_process), build_directory(node_process)
         self.watch.join(machine)
         if machine.counted and not machine.began and node_process.core.member.entry is not None:
-            self.ledger.founders.add(machine.name)
-            if len(self.ledger.founders) > 1:
+            self.safety_checker.founders.add(machine.name)
+            if len(self.safety_checker.founders) > 1:
                 raise InvariantError("founded twice")
         machine.began = True
         self.calmer(machine)
@@ -513,12 +513,12 @@
         """Whether it is no whole member, by the newest state in force, with the memory that it has now."""
         if machine.up and machine.core_member is not None:
             machine.incarnation = machine.core_member.incarnation
-        return is_joining(self.ledger.newest_state, machine)
+        return is_joining(self.safety_checker.newest_state, machine)
 
     def lost(self):
         """The machines of the core that count as lost; see `World.lost`."""
         lost = [m for m in self.core if self.is_joining(m) or self.now - m.wiped_at < CATCH_UP]
-        return lost + still_members(self.ledger.newest_state, self.removed, lost)
+        return lost + still_members(self.safety_checker.newest_state, self.removed, lost)
 
     def add_machine(self, like):
         """An empty machine of the core, in the zone of another one, at an address and under a name of its own."""
--- a/rampfront/simulation/operators.py
+++ b/rampfront/simulation/operators.py
@@ -145,7 +145,9 @@
     def call(self, kind: str, body: object, until: int = OTHERS_WAIT, machine: Machine | None = None) -> Call:
         """An order, sent until it is answered or `until` (ns from now) is over, to `machine` first."""
         fleet = self.fleet
-        call = Call(kind, body, fleet.now, fleet.ledger.newest(), fleet.now + until, kind == "config")
+        call = Call(
+            kind, body, fleet.now, fleet.safety_checker.newest_acknowledged(), fleet.now + until, kind == "config"
+        )
         if kind == "config" and body not in self.sent:
             self.sent.append(body)
         self.calls.append(call)
--- a/rampfront/simulation/rules.py
+++ b/rampfront/simulation/rules.py
@@ -20,7 +20,7 @@
 
 class Watch:
     def __init__(self, fleet):
-        self.fleet, self.ledger = fleet, fleet.ledger
+        self.fleet, self.safety_checker = fleet, fleet.safety_checker
         self.acked = []  # (when the operator had it, ordinal of the configuration), both rising
         self.evacuated = {}  # zone to [(acknowledged at, taken back at or None)]
         self.ran = {name: [] for name in QUOTAS}  # (arrived, sent) of those that ran, by arrival
@@ -68,7 +68,7 @@
 
             def ended(verdict, state):
                 if verdict == "done" and call is not None:
-                    self.ledger.done(fleet.now, call, state)
+                    self.safety_checker.record_acknowledgement(fleet.now, call, state)
                 done(verdict, state)
 
             give(kind, body, ended, identity)
@@ -80,7 +80,7 @@
 
     def applied(self, machine, node_process):
         state = node_process.replicated_state.state
-        self.ledger.ruled(machine, state)
+        self.safety_checker.record_committed_state(machine, state)
         revision = node_process.request_proxy.configuration.revision if node_process.request_proxy.configuration else 0
         if revision < machine.revision:
             raise InvariantError(f"{machine.name} goes back from r{machine.revision} to r{revision}")
@@ -101,18 +101,21 @@
             return
         if core_member.is_leader:
             if not machine.leads:
-                self.ledger.led(machine, core_member.term)
+                self.safety_checker.record_leader(machine, core_member.term)
                 self.fleet.count("leaders")
             at = core_member.quorum_confirmed_at
             if at is not None:
-                self.ledger.backed(machine, at - machine.offset)
+                self.safety_checker.check_leader_claim(machine, at - machine.offset)
         machine.leads = core_member.is_leader
 
     def word(self):
         """The claim on which every lease rests: what was acknowledged before the word's time is held. Looked at often."""
         for machine in self.fleet.machines:
             if machine.up and (at := machine.node_process.disseminator.confirmed_at_ns) is not None:
-                newest, state = self.ledger.newest(at - machine.offset), machine.node_process.replicated_state.state
+                newest, state = (
+                    self.safety_checker.newest_acknowledged(at - machine.offset),
+                    machine.node_process.replicated_state.state,
+                )
                 if newest and (state is None or state.index < newest):
                     raise InvariantError(f"{machine.name} lacks {newest}, and its word is younger than that")
 
--- a/rampfront/simulation/schedule.py
+++ b/rampfront/simulation/schedule.py
@@ -162,7 +162,7 @@
 
     def replace_founder(self, _: Node) -> int | None:
         """The machine that founded the core."""
-        founder = next((node for node in self.world.nodes if node.name in self.world.ledger.founders), None)
+        founder = next((node for node in self.world.nodes if node.name in self.world.safety_checker.founders), None)
         return founder and self.replace_in_time(founder)
 
     def replace_in_time(self, node: Node) -> int:
@@ -265,7 +265,7 @@
         if read.done_at is None or read.state.revision != self.rev:
             raise InvariantError("not read back")
         repeated = {call.body for call in world.calls if call.kind == "config" and (call.open or call.risky)}
-        world.ledger.refused(call for call in world.calls if call.body not in repeated)
+        world.safety_checker.check_refused_calls(call for call in world.calls if call.body not in repeated)
         self.in_step(call)
         linearizability.check(world.history.operations())
 
@@ -296,7 +296,7 @@
     def in_step(self, call: Call) -> None:
         """All that are up are members and know what holds; those that are gone for good are none."""
         world = self.world
-        newest = world.ledger.newest_state
+        newest = world.safety_checker.newest_state
         late = [
             node.name for node in world.nodes if node.up and (world.is_joining(node) or node.ruled < call.state.index)
         ]
--- a/rampfront/simulation/system_run.py
+++ b/rampfront/simulation/system_run.py
@@ -207,7 +207,7 @@
         lists = {m.node_process.disseminator.endpoints_version for m in up}
         if len(lists) > LISTS:
             raise InvariantError(f"lists of servers differ in the calm: {lists}")
-        gone = [machine.name for machine in fleet.removed if machine.name in fleet.ledger.newest_state.members]
+        gone = [machine.name for machine in fleet.removed if machine.name in fleet.safety_checker.newest_state.members]
         down = sum(
             not machine.up for machine in fleet.core
         )  # a list is not made smaller than it was at the first start
@@ -235,7 +235,7 @@
         fleet.note("close", kind)
         was = [machine for machine in fleet.machines if machine.up]
         lost = self.lost_at_the_end(kind, Random(salt))
-        floor, number = fleet.ledger.newest(), self.watch.acked[-1][1]
+        floor, number = fleet.safety_checker.newest_acknowledged(), self.watch.acked[-1][1]
         for machine in was:
             if machine in lost:
                 fleet.wipe(machine)
--- a/rampfront/simulation/world.py
+++ b/rampfront/simulation/world.py
@@ -16,7 +16,7 @@
 from rampfront.consensus.wire_names import KIND, VOTE_GRANTED
 from rampfront.transport.frames import MAX_DATAGRAM_BYTES
 
-from .checks import InvariantError, Ledger
+from .checks import InvariantError, SafetyChecker
 from .linearizability import Kind, Operation, Recorder, Verdict
 
 MS, SEC = 10**6, 10**9
@@ -196,7 +196,7 @@
         self.removed = []  # machines that are gone for good
         self.by_ip = {node.ip: node for node in self.nodes}
         self.seeds = [node.ip for node in self.nodes[:first_seeds]]
-        self.survive, self.ledger = survive, Ledger()
+        self.survive, self.safety_checker = survive, SafetyChecker()
         self.cuts, self.loss, self.repeat, self.slow = {}, 0.01, 0.005, 0
         self.calls = []
         self.history, self.answer_loss = Recorder(), 0.0
@@ -221,8 +221,8 @@
         )
         node.core_member = Member(settings, node.disk.record, draw, self.now + node.offset)
         if first and node.core_member.entry is not None:
-            self.ledger.founders.add(node.name)
-            if len(self.ledger.founders) > 1:
+            self.safety_checker.founders.add(node.name)
+            if len(self.safety_checker.founders) > 1:
                 raise InvariantError("founded twice")
         self.tell(node, None)
         self.at(self.now + self.chance.randrange(TICK), self.tick, node, node.life)
@@ -245,12 +245,12 @@
 
     def is_joining(self, node):
         """Whether it is no whole member, by the newest state in force, with the memory that it has now."""
-        return is_joining(self.ledger.newest_state, node)
+        return is_joining(self.safety_checker.newest_state, node)
 
     def lost(self):
         """The machines that count as lost, a gone one that is still a member among them, unless for its successor."""
         lost = [node for node in self.nodes if self.is_joining(node) or self.now - node.wiped_at < CATCH_UP]
-        return lost + still_members(self.ledger.newest_state, self.removed, lost)
+        return lost + still_members(self.safety_checker.newest_state, self.removed, lost)
 
     def add_machine(self, replaces, ip=None):
         """An empty machine that takes no part yet, under a name of its own; `ip`: of one that is gone, used again."""
@@ -315,19 +315,19 @@
             elif kind is events.StoreRecord:
                 self.store(node, effect)
             elif kind is events.StateCommitted:
-                self.ledger.ruled(node, effect.state)
+                self.safety_checker.record_committed_state(node, effect.state)
             else:
                 self.told(node, effect)
                 if node.core_member is not core_member:
                     return  # an acknowledgement may be followed by a blow at once
         if core_member.is_leader:
             if not node.leads:
-                self.ledger.led(node, core_member.term)
+                self.safety_checker.record_leader(node, core_member.term)
                 self.count("leaders")
             node.leads = True
             at = core_member.quorum_confirmed_at
             if at is not None:
-                self.ledger.backed(node, at - node.offset)
+                self.safety_checker.check_leader_claim(node, at - node.offset)
         else:
             node.leads = False
 
@@ -391,7 +391,7 @@
     # The operator.
 
     def call(self, kind, body, node, until=15 * SEC, alone=False):
-        call = Call(kind, body, self.now, self.ledger.newest(), self.now + until, alone)
+        call = Call(kind, body, self.now, self.safety_checker.newest_acknowledged(), self.now + until, alone)
         call.number = len(self.calls)
         self.calls.append(call)
         self.place(call, node)
@@ -456,10 +456,10 @@
         call.risky = call.risky or effect.outcome in (Outcome.DONE, Outcome.UNKNOWN)
         self.count("done " + call.kind if effect.outcome == Outcome.DONE else effect.outcome)
         if effect.outcome == Outcome.DONE:
-            self.ledger.done(self.now, call, effect.state)
+            self.safety_checker.record_acknowledgement(self.now, call, effect.state)
             call.state, call.taken_at = call.state or effect.state, call.taken_at or self.now
         elif effect.outcome == Outcome.CONFLICT:
-            self.ledger.denied(call, effect.state)
+            self.safety_checker.check_conflict(call, effect.state)
         if not call.lossless and self.chance.random() < self.answer_loss:
             self.count("answers lost")
             self.saw_end(node, node.life, call, tries, OrderKind.ANSWER_LOST)
--- a/tests/consensus/test_core_orders.py
+++ b/tests/consensus/test_core_orders.py
@@ -34,7 +34,7 @@
     core = Core()
     core.config(1)
     calls = [core.ask(core.leader, kind, "zone") for kind in (OrderKind.EVACUATE, OrderKind.RESTORE)]
-    core.go(SEC)  # `Ledger.done` looks whether the zone was ever emptied
+    core.go(SEC)  # `SafetyChecker.done` looks whether the zone was ever emptied
     assert all(map(done, calls)) and not core.leader.core_member.committed.evacuated_zones
 
 
--- a/tests/consensus/test_evacuation_claims.py
+++ b/tests/consensus/test_evacuation_claims.py
@@ -34,7 +34,7 @@
         """An order, or a report on the answer to one, which the leader takes."""
         is_report = kind in (GOT, LOST)
         body = (ZONE, identity) if is_report else ZONE
-        floor = self.first_sent.setdefault((kind, identity), self.ledger.newest())
+        floor = self.first_sent.setdefault((kind, identity), self.safety_checker.newest_acknowledged())
         call = PlacedOrder(kind, body, floor)
         self.tell(self.leader, events.Order((call, 0), kind, body, 0 if is_report else identity))
         until(self, lambda: call.verdict == Outcome.DONE)
--- a/tests/consensus/test_excluded_members.py
+++ b/tests/consensus/test_excluded_members.py
@@ -73,7 +73,7 @@
     core.tell(out, events.Tick())
     core.go(3 * SEC)
     core.start(old)
-    assert out.life in {life for _, (name, life) in core.ledger.leaders.items() if name == out.name}
+    assert out.life in {life for _, (name, life) in core.safety_checker.leaders.items() if name == out.name}
     assert core.until_strong() < CATCH_UP and core.members()[out.name] != before
 
 
--- a/tests/consensus/test_founding.py
+++ b/tests/consensus/test_founding.py
@@ -15,7 +15,7 @@
     core.start(core.nodes[0], True)
     core.go(2 * SEC)
     assert sorted(core.leader.core_member.committed.members) == [node.name for node in core.nodes]
-    sizes = [len(members) for _, (*_, members) in sorted(core.ledger.states.items())]
+    sizes = [len(members) for _, (*_, members) in sorted(core.safety_checker.states.items())]
     assert all(abs(one - two) <= 1 for one, two in zip(sizes, sizes[1:], strict=False))
 
 
--- a/tests/consensus/test_lost_disks.py
+++ b/tests/consensus/test_lost_disks.py
@@ -187,7 +187,7 @@
     core.go(SEC // 2)
     core.start(lost)
     assert core.until_strong() < SEC
-    sizes = {len(seen[-1]) for at, seen in core.ledger.states.items() if at >= index}
+    sizes = {len(seen[-1]) for at, seen in core.safety_checker.states.items() if at >= index}
     assert sizes == {members}
 
 
--- a/tests/core_fixtures.py
+++ b/tests/core_fixtures.py
@@ -38,7 +38,7 @@
 
     def ask(self, node, kind, body=None):
         """Places an order at one node, once; its verdict is read off the call."""
-        call = PlacedOrder(kind, body, self.ledger.newest())
+        call = PlacedOrder(kind, body, self.safety_checker.newest_acknowledged())
         self.tell(node, events.Order((call, 0), kind, body))
         return call
 
@@ -46,7 +46,7 @@
         call, _ = effect.ref
         call.verdict, call.state, call.leader_ip = effect.outcome, effect.state, effect.leader_ip
         if effect.outcome == Outcome.DONE:
-            self.ledger.done(self.now, call, effect.state)
+            self.safety_checker.record_acknowledgement(self.now, call, effect.state)
 
     def config(self, rev, node=None, body=b""):
         return self.ask(node or self.leader, OrderKind.CONFIGURE, (rev, body or b"body of %d" % rev))
@@ -63,7 +63,7 @@
 
 
 class PlacedOrder:
-    """An order that was placed at one node, and how it ended there. The ledger of the simulation reads it."""
+    """An order that was placed at one node, and how it ended there. The safety checker of the simulation reads it."""
 
     def __init__(self, kind, body, floor):
         self.kind = kind
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -125,7 +125,7 @@
     core.go(50 * MS)
     core.heal()
     core.send = send
-    core.go(6 * SEC)  # `Ledger.ruled` looks whether two states came into force at one index
+    core.go(6 * SEC)  # `SafetyChecker.record_committed_state` looks whether two states came into force at one index
     assert order is None or not done(order) or core.leader.core_member.committed.revision == 9
     return True
 
