--- a/rampfront/simulation/__main__.py
+++ b/rampfront/simulation/__main__.py
@@ -49,7 +49,9 @@
             return {}, 0, f"seed {seed}\n{format_exc()}"
         counts = system_run.fleet.counts
         failure = told(system_run, f"seed {seed}, {nodes} nodes", lambda fleet: fleet.log)
-    counts.update({f"near {what} % most": round(100 * part) for what, part in system_run.watch.most.items()})
+    counts.update(
+        {f"near {what} % most": round(100 * part) for what, part in system_run.rule_checker.peak_ratios.items()}
+    )
     return counts, system_run.fleet.steps, failure
 
 
--- a/rampfront/simulation/clients.py
+++ b/rampfront/simulation/clients.py
@@ -50,7 +50,7 @@
         if self.status is None:
             head, _, body = data.partition(b"\r\n\r\n")
             self.status = int(head[9:12])
-            self.fleet.watch.answered(self, self.status, body)
+            self.fleet.rule_checker.on_answer(self, self.status, body)
             self.fleet.count(f"answer {self.status}")
 
     def failed(self, why: str) -> None:
@@ -71,7 +71,7 @@
 
 
 class Clients:
-    """Needs the `fleet`, `chance`, `watch`, `groups`, `rates`, `revs` and `tags` of a run."""
+    """Needs the `fleet`, `chance`, `rule_checker`, `groups`, `rates`, `revs` and `tags` of a run."""
 
     def ask_on(self, tenant: str) -> None:
         """A request of a tenant, and when its next one comes."""
@@ -133,7 +133,7 @@
                 body,
             )
         )
-        self.watch.sent(request)
+        self.rule_checker.on_request_sent(request)
         caller = Caller(fleet, machine, f"c:{group.zone}", request)
         fleet.flow(caller.pair, caller, caller.arrive, data)
         fleet.at(fleet.now + 3 * SEC, self.give_up, caller)
--- a/rampfront/simulation/closing_loss.py
+++ b/rampfront/simulation/closing_loss.py
@@ -71,7 +71,7 @@
         """Sends the last order and runs up to the moment of the loss: behind its acknowledgement, or before that."""
         fleet, draw = self.fleet, self.draw
         if kind == "fill":
-            self.watch.taken_back(zone)
+            self.rule_checker.on_restore_sent(zone)
         call = self.config() if kind == "config" else self.call(kind, zone)
         wait = draw.randrange(*STRIKE_MS)
         if draw.random() < BEHIND_ACK:
@@ -199,7 +199,7 @@
     def check_recovery(self) -> None:
         """All that was acknowledged is there, at every node, in time; the fleet serves."""
         fleet = self.fleet
-        floor, number = fleet.safety_checker.newest_acknowledged(), self.watch.acked[-1][1]
+        floor, number = fleet.safety_checker.newest_acknowledged(), self.rule_checker.acknowledged[-1][1]
         self.recovers(list(fleet.machines))
         call = self.call("read", None, READ_WITHIN)
         fleet.run(fleet.now + READ_WITHIN)
@@ -217,7 +217,7 @@
     def evacuated_zones(self) -> list[str]:
         """Those whose evacuation was acknowledged, and that nobody has begun to take back."""
         return [
-            zone for zone, rows in self.watch.evacuated.items() if any(back is None for _, back in rows)
+            zone for zone, rows in self.rule_checker.evacuations.items() if any(back is None for _, back in rows)
         ]  # fmt: skip
 
 
--- a/rampfront/simulation/fleet.py
+++ b/rampfront/simulation/fleet.py
@@ -323,7 +323,7 @@
 
 
 class Fleet(Course):
-    """`watch`: what looks on (`rules.Watch`). Machines with a disk go first; the first of them founds."""
+    """`rule_checker`: what looks on (`rules.RuleChecker`). Machines with a disk go first; the first of them founds."""
 
     def __init__(self, seed, nodes=11, disks=4, survive=None, sync=MS):
         super().__init__()
@@ -335,7 +335,7 @@
         self.by_ip = {machine.ip: machine for machine in self.machines}
         self.survive = max(0, (disks - 1) // 2) if survive is None else survive
         self.seeds = [machine.ip for machine in self.core[:3]]
-        self.safety_checker, self.watch = SafetyChecker(), None
+        self.safety_checker, self.rule_checker = SafetyChecker(), None
         self.cuts, self.reset, self.loss, self.repeat, self.slow = {}, set(), 0.005, 0.002, 0
         self.core_troubles, self.core_calm_at = 0, 0
         self.kept = {}  # (name, incarnation) to the stamp of the entry that it synced last, whether or not the disk is lost since
@@ -473,7 +473,7 @@
         )
         node_process.client_front.server = Listener
         machine.control, machine.directory = build_control_calls(node_process), build_directory(node_process)
-        self.watch.join(machine)
+        self.rule_checker.attach(machine)
         if machine.counted and not machine.began and node_process.core.member.entry is not None:
             self.safety_checker.founders.add(machine.name)
             if len(self.safety_checker.founders) > 1:
--- a/rampfront/simulation/isolation.py
+++ b/rampfront/simulation/isolation.py
@@ -11,7 +11,7 @@
 
 from .checks import InvariantError
 from .fleet import Asked, Fleet, Machine
-from .rules import Watch
+from .rules import RuleChecker
 from .system_run import SERVICES, SystemRun
 
 MS, SEC = 10**6, 10**9
@@ -148,7 +148,7 @@
     def __init__(self, seed: int = 1, operators: int = 3) -> None:
         """Plays until all nodes are ready."""
         self.fleet = fleet = Fleet(seed)
-        fleet.watch = Watch(fleet)
+        fleet.rule_checker = RuleChecker(fleet)
         fleet.calling, fleet.loss, fleet.repeat = None, 0, 0
         self.calls: list[OperatorCall] = []
         self.waits: list[int] = []  # ns from a call to its answer at the operator
@@ -242,7 +242,7 @@
 
     def look(self) -> None:
         """All the while: what leases rest on; directories name what was last known rather than next to nothing."""
-        self.fleet.watch.word()
+        self.fleet.rule_checker.check_confirmed_times()
         for machine in self.fleet.machines:
             if self.cut_since and not self.quiet and machine.up and not machine.frozen:
                 ready = sum(entry.ready for entry in machine.node_process.disseminator.roster)
--- a/rampfront/simulation/operators.py
+++ b/rampfront/simulation/operators.py
@@ -63,7 +63,8 @@
 
 
 class Operators:
-    """Needs the `fleet`, `chance`, `watch`, `calls`, `revs`, `zones_busy`, `restored_at` and `history` of a run."""
+    """Needs the `fleet`, `chance`, `rule_checker`, `calls`, `revs`, `zones_busy`, `restored_at` and `history` of
+    a run."""
 
     def config(self, twice: bool = False, races: bool = False, machine: Machine | None = None) -> Call:
         """A new configuration: each holds a key of its own, and that of the one before. `twice`: another operator sends
@@ -120,7 +121,7 @@
     def take_back(self, zone: str) -> None:
         """Its servers have become cold meanwhile."""
         if self.fleet.now < self.ends:
-            self.watch.taken_back(zone)
+            self.rule_checker.on_restore_sent(zone)
             self.call("fill", zone)
 
     def free(self, zone: str) -> None:
@@ -259,7 +260,7 @@
     def done(self, call: Call, body: bytes) -> None:
         """An operator knows that his order was carried out."""
         call.verdict, call.done_at, call.state = "done", self.fleet.now, body
-        self.watch.acknowledged(call, self.fleet.now)
+        self.rule_checker.on_acknowledged(call, self.fleet.now)
         if call.kind == "empty":
             self.after(self.zones_busy.get(call.body, 1000), self.take_back, call.body)
         elif call.kind == "fill":
--- a/rampfront/simulation/outside.py
+++ b/rampfront/simulation/outside.py
@@ -44,7 +44,7 @@
         job.request.path_seen = lines[0].split(b" ")[1]
         if fields[b"wanted-server"] != self.uid.encode():
             return self.answer(job, 421, b"", not_run=True)
-        shore.watch.arrived(self, conn.machine, job)
+        shore.rule_checker.on_server_request(self, conn.machine, job)
         if shore.refuses.get(self.service, 0) > shore.now or len(self.queue) >= 2 * self.capacity:
             return self.answer(job, 503, b"full", not_run=True)
         if self.running < self.capacity:
@@ -55,7 +55,7 @@
     def run(self, job):
         shore = self.shore
         self.running += 1
-        shore.watch.runs(self, job)
+        shore.rule_checker.on_execution(self, job)
         pace = 3.0 if self.cold_until > shore.now else 1.0
         work = int(min(2.0, shore.chance.expovariate(1 / 0.035) * pace + 0.003) * SEC)
         shore.at(shore.now + work, self.done, job)
--- a/rampfront/simulation/rules.py
+++ b/rampfront/simulation/rules.py
@@ -18,19 +18,19 @@
 PROMISES = (408, 421, 429, 503)
 
 
-class Watch:
+class RuleChecker:
     def __init__(self, fleet):
         self.fleet, self.safety_checker = fleet, fleet.safety_checker
-        self.acked = []  # (when the operator had it, ordinal of the configuration), both rising
-        self.evacuated = {}  # zone to [(acknowledged at, taken back at or None)]
+        self.acknowledged = []  # (when the operator had it, ordinal of the configuration), both rising
+        self.evacuations = {}  # zone to [(acknowledged at, taken back at or None)]
         self.ran = {name: [] for name in QUOTAS}  # (arrived, sent) of those that ran, by arrival
         self.asked, self.again = {}, {}  # by service: when requests were sent; when repeats arrived
-        self.most = {}  # how near to a bound it came, in parts of it
+        self.peak_ratios = {}  # how near to a bound it came, in parts of it
         self.founded = set()
 
     def near(self, what, part):
-        if part > self.most.get(what, 0.0):
-            self.most[what] = part
+        if part > self.peak_ratios.get(what, 0.0):
+            self.peak_ratios[what] = part
 
     def touch(self, machine, since):
         """Whether a machine was in touch at `since`, and has been since."""
@@ -39,7 +39,7 @@
 
     # ---- one machine
 
-    def join(self, machine):
+    def attach(self, machine):
         """Looks on at what a station applies and claims, from its start on."""
         node_process, fleet = machine.node_process, self.fleet
         apply, rule, take, give = (
@@ -108,7 +108,7 @@
                 self.safety_checker.check_leader_claim(machine, at - machine.offset)
         machine.leads = core_member.is_leader
 
-    def word(self):
+    def check_confirmed_times(self):
         """The claim on which every lease rests: what was acknowledged before the word's time is held. Looked at often."""
         for machine in self.fleet.machines:
             if machine.up and (at := machine.node_process.disseminator.confirmed_at_ns) is not None:
@@ -121,7 +121,7 @@
 
     # ---- requests
 
-    def sent(self, request):
+    def on_request_sent(self, request):
         self.asked.setdefault(request.service, []).append(self.fleet.now)
 
     def taken(self, machine, node_process, request):
@@ -129,18 +129,18 @@
         request.machine = machine
         configuration, fleet = node_process.request_proxy.configuration, self.fleet
         request.revision = configuration.revision if configuration else 0
-        at = bisect_left(self.acked, (request.sent - APPLY, 0))
+        at = bisect_left(self.acknowledged, (request.sent - APPLY, 0))
         if at and configuration is not None and node_process.lease.is_valid(node_process.context.clock()):
-            must = self.acked[at - 1][1]
+            must = self.acknowledged[at - 1][1]
             if request.revision < must and self.touch(machine, request.sent):
                 raise InvariantError(
                     f"CONFIG: {machine.name} goes by r{request.revision}, r{must} was acknowledged "
-                    f"{(request.sent - self.acked[at - 1][0]) / SEC:.2f} s before"
+                    f"{(request.sent - self.acknowledged[at - 1][0]) / SEC:.2f} s before"
                 )
         request.touch = self.touch(machine, request.sent)
         fleet.count("taken")
 
-    def arrived(self, server, machine, job):
+    def on_server_request(self, server, machine, job):
         """A request reaches its server, which has the id that it wants."""
         fleet, request, now = self.fleet, job.request, self.fleet.now
         request.arrivals += 1
@@ -155,7 +155,7 @@
             if many > COLD_MOST:
                 raise InvariantError(f"FAILBACK: {server.uid} is cold, and gets {many} in a second")
         self.key(request, now)
-        for acked, back in self.evacuated.get(server.zone, ()):
+        for acked, back in self.evacuations.get(server.zone, ()):
             if (
                 acked is not None
                 and (back is None or now < back)
@@ -188,7 +188,7 @@
 
     def gone_at(self, ordinal):
         """When the first configuration of that ordinal or above was acknowledged."""
-        return next((at for at, acked in self.acked if acked >= ordinal), None)
+        return next((at for at, acked in self.acknowledged if acked >= ordinal), None)
 
     def repeated(self, service, now):
         again, asked = self.again.setdefault(service, deque()), self.asked.get(service, ())
@@ -204,7 +204,7 @@
         if len(again) > most:
             raise InvariantError(f"BUDGET: {len(again)} repeats at {service}, {most:.0f} are allowed")
 
-    def runs(self, server, job):
+    def on_execution(self, server, job):
         request, fleet = job.request, self.fleet
         request.runs += 1
         fleet.count("runs")
@@ -227,7 +227,7 @@
             if many > most:
                 raise InvariantError(f"QUOTA: {many} of {request.tenant} in {WINDOW // SEC} s, {most:.0f} are allowed")
 
-    def answered(self, request, status, body):
+    def on_answer(self, request, status, body):
         if request.once and status in PROMISES and request.runs:
             raise InvariantError(f"REFUSED: {request.tag} has run, and is answered {status}")
         if status == 200 and body != request.tag.encode():
@@ -237,20 +237,20 @@
 
     # ---- orders
 
-    def acknowledged(self, call, now):
+    def on_acknowledged(self, call, now):
         if call.kind == "config":
-            if not self.acked or call.body[0] > self.acked[-1][1]:
-                self.acked.append((now, call.body[0]))
+            if not self.acknowledged or call.body[0] > self.acknowledged[-1][1]:
+                self.acknowledged.append((now, call.body[0]))
         elif call.kind == "empty":
-            self.evacuated.setdefault(call.body, []).append((now, None))
+            self.evacuations.setdefault(call.body, []).append((now, None))
         self.fleet.count("done " + call.kind)
 
-    def taken_back(self, zone):
+    def on_restore_sent(self, zone):
         """The operator begins to take an evacuation back."""
-        rows = self.evacuated.get(zone, [])
-        self.evacuated[zone] = [(acked, back or self.fleet.now) for acked, back in rows]
+        rows = self.evacuations.get(zone, [])
+        self.evacuations[zone] = [(acked, back or self.fleet.now) for acked, back in rows]
 
-    def waits(self, call, now):
+    def check_acknowledgement_time(self, call, now):
         """An order must be acknowledged within AckWithin of a settled core."""
         settled = self.fleet.settled_since()
         if settled is not None and not self.fleet.cuts and call.verdict is None:
--- a/rampfront/simulation/system_run.py
+++ b/rampfront/simulation/system_run.py
@@ -15,7 +15,7 @@
 from .linearizability import Kind, Operation, Recorder
 from .operators import OK, Operators, mark
 from .plan import ACKER, BEGIN, LEADER, SERVICES, Row, draw_plan
-from .rules import APPLY, IN_TOUCH, RECOVERY, Watch
+from .rules import APPLY, IN_TOUCH, RECOVERY, RuleChecker
 from .system_faults import SystemFaults
 from .world import Call
 
@@ -40,7 +40,7 @@
         self.fleet = fleet = Fleet(seed, nodes, disks, sync=(1, 1, 20, 80)[seed % 4] * MS)
         self.chance = fleet.chance
         self.plan = draw_plan(seed, nodes, disks, length) if plan is None else plan
-        fleet.watch = self.watch = Watch(fleet)
+        fleet.rule_checker = self.rule_checker = RuleChecker(fleet)
         fleet.calling, fleet.links_calm_at = None, 0
         self.calls, self.trap, self.acker, self.calm = [], None, None, False
         self.history, self.answer_loss = Recorder(), 0.0
@@ -94,9 +94,9 @@
 
     def look(self) -> None:
         """What must hold all the while."""
-        self.watch.word()
+        self.rule_checker.check_confirmed_times()
         for call in self.calls:
-            self.watch.waits(call, self.fleet.now)
+            self.rule_checker.check_acknowledgement_time(call, self.fleet.now)
         self.calls = [call for call in self.calls if call.verdict is None and self.fleet.now < call.until]
         self.fleet.at(self.fleet.now + LOOK, self.look)
 
@@ -235,7 +235,7 @@
         fleet.note("close", kind)
         was = [machine for machine in fleet.machines if machine.up]
         lost = self.lost_at_the_end(kind, Random(salt))
-        floor, number = fleet.safety_checker.newest_acknowledged(), self.watch.acked[-1][1]
+        floor, number = fleet.safety_checker.newest_acknowledged(), self.rule_checker.acknowledged[-1][1]
         for machine in was:
             if machine in lost:
                 fleet.wipe(machine)
