--- a/rampfront/simulation/bandwidth.py
+++ b/rampfront/simulation/bandwidth.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from .world import Course
+    from .world import EventScheduler
 
 MS, SEC = 10**6, 10**9
 WAY = 5 * MS  # from machine to machine, without what it waits for
@@ -42,10 +42,15 @@
     `limit`: ns that a transfer may take."""
 
     def __init__(
-        self, course: "Course", rates: dict, usual: float, cut: Callable[[str, str], bool], limit: int = 4 * SEC
+        self,
+        scheduler: "EventScheduler",
+        rates: dict,
+        usual: float,
+        cut: Callable[[str, str], bool],
+        limit: int = 4 * SEC,
     ) -> None:
         """Links that are all idle."""
-        self.course, self.rates, self.usual, self.cut, self.limit = course, rates, usual, cut, limit
+        self.scheduler, self.rates, self.usual, self.cut, self.limit = scheduler, rates, usual, cut, limit
         self.links = {}  # (address, "out" or "in") to Direction
         self.most_waited = {}  # address to the longest wait of a datagram to it, ns
 
@@ -61,31 +66,31 @@
 
     def datagram(self, src: str, dst: str, size: int, land: Callable[[], None]) -> None:
         """Sends one; `land` is called as it arrives, if it does."""
-        self.pass_on(src, "out", size, lambda: self.enter(dst, size, self.course.now, land))
+        self.pass_on(src, "out", size, lambda: self.enter(dst, size, self.scheduler.now, land))
 
     def enter(self, dst: str, size: int, sent: int, land: Callable[[], None]) -> None:
         """Behind the sender's link: the receiver's."""
 
         def arrived() -> None:
-            self.most_waited[dst] = max(self.most_waited.get(dst, 0), self.course.now - sent)
-            self.course.at(self.course.now + WAY, land)
+            self.most_waited[dst] = max(self.most_waited.get(dst, 0), self.scheduler.now - sent)
+            self.scheduler.at(self.scheduler.now + WAY, land)
 
         self.pass_on(dst, "in", size, arrived)
 
     def pass_on(self, address: str, way: str, size: int, then: Callable[[], None]) -> None:
         """Through one direction of a link, unless its queue is too long."""
         link = self.link(address, way)
-        if link.wait(self.course.now) > QUEUE:
-            self.course.count("datagrams dropped")
+        if link.wait(self.scheduler.now) > QUEUE:
+            self.scheduler.count("datagrams dropped")
             return
-        self.course.at(link.take(self.course.now, size + HEADERS), then)
+        self.scheduler.at(link.take(self.scheduler.now, size + HEADERS), then)
 
     def transfer(
         self, src: str, dst: str, size: int, land: Callable[[], None], over: Callable[[], None] | None = None
     ) -> "Transfer":
         """Begins one; `land` is called once it has come whole, `over` at its end, also where it was lost."""
         made = Transfer(self, (src, dst), size, land, over)
-        self.course.at(self.course.now + 2 * WAY, made.window)
+        self.scheduler.at(self.scheduler.now + 2 * WAY, made.window)
         return made
 
 
@@ -98,32 +103,32 @@
         """Just begun."""
         self.links, self.left, self.land, self.over = links, size, land, over
         self.src, self.dst = way
-        self.due, self.ended = links.course.now + links.limit, False
+        self.due, self.ended = links.scheduler.now + links.limit, False
 
     def window(self) -> None:
         """The next window, or the end."""
-        course = self.links.course
+        scheduler = self.links.scheduler
         if self.ended:
             return
-        if course.now > self.due:
-            course.count("transfers lost")
+        if scheduler.now > self.due:
+            scheduler.count("transfers lost")
             self.end()
         elif self.links.cut(self.src, self.dst):
-            course.at(course.now + STALLED, self.window)
+            scheduler.at(scheduler.now + STALLED, self.window)
         elif self.left <= 0:
             self.land()
             self.end()
         else:
             size = min(WINDOW, self.left)
             self.left -= size
-            leaves = self.links.link(self.src, "out").take(course.now, size + HEADERS)
-            course.at(leaves, self.receive, size)
+            leaves = self.links.link(self.src, "out").take(scheduler.now, size + HEADERS)
+            scheduler.at(leaves, self.receive, size)
 
     def receive(self, size: int) -> None:
         """A window comes to the receiver's link; its answer allows the next one."""
-        course = self.links.course
-        comes = self.links.link(self.dst, "in").take(course.now, size + HEADERS)
-        course.at(comes + 2 * WAY, self.window)
+        scheduler = self.links.scheduler
+        comes = self.links.link(self.dst, "in").take(scheduler.now, size + HEADERS)
+        scheduler.at(comes + 2 * WAY, self.window)
 
     def end(self) -> None:
         """It has come, is lost, or is given up by its sender."""
--- a/rampfront/simulation/fleet.py
+++ b/rampfront/simulation/fleet.py
@@ -18,7 +18,7 @@
 from ..transport.wire import Wire
 from .checks import InvariantError, SafetyChecker
 from .outside import Platform, Reader, Server
-from .world import CATCH_UP, Course, Disk, is_joining, still_members
+from .world import CATCH_UP, Disk, EventScheduler, is_joining, still_members
 
 MS, SEC = 10**6, 10**9
 EPOCH = 10**17  # ns: the fleet's time 0 by the machines' clocks
@@ -322,7 +322,7 @@
         self.query, self.body, self.respond, self.path, self.idempotency_key = query, body, respond, "", b""
 
 
-class Fleet(Course):
+class Fleet(EventScheduler):
     """`rule_checker`: what looks on (`rules.RuleChecker`). Machines with a disk go first; the first of them founds."""
 
     def __init__(self, seed, nodes=11, disks=4, survive=None, sync=MS):
@@ -408,7 +408,7 @@
     def transfer(self, wire, transfer):
         """A large one, over a connection of its own."""
         peer, machine, life = self.by_ip.get(transfer.ip), wire.loop.machine, wire.loop.life
-        land = partial(self.land, wire.ip, peer, transfer.data) if peer is not None else Course.nothing
+        land = partial(self.land, wire.ip, peer, transfer.data) if peer is not None else EventScheduler.discard
         over = partial(self.do, machine, life, self.transferred, wire, transfer)
         made = self.bandwidth.transfer(wire.ip, transfer.ip, len(transfer.data), land, over)
         transfer.abort, transfer.connected = made.end, True
--- a/rampfront/simulation/world.py
+++ b/rampfront/simulation/world.py
@@ -157,7 +157,7 @@
     return [machine for machine in listed if machine not in counted]
 
 
-class Course:
+class EventScheduler:
     """A fake clock and what is to happen on it, in the order of time; what is told is kept for a failing seed."""
 
     def __init__(self):
@@ -180,14 +180,14 @@
         self.log.append((self.now, text, args))
 
     @staticmethod
-    def nothing() -> None:
+    def discard() -> None:
         """What comes at an address where nobody is."""
 
     def count(self, what):
         self.counts[what] = self.counts.get(what, 0) + 1
 
 
-class World(Course):
+class World(EventScheduler):
     def __init__(self, seed, members, survive, first_seeds=3, sync=MS):
         super().__init__()
         self.chance = Random(seed)
