--- a/rampfront/simulation/checks.py
+++ b/rampfront/simulation/checks.py
@@ -40,9 +40,9 @@
         self.returned[state.index] = {zone for zone, evacuation in state.evacuations.items() if evacuation.returned}
         if self.bodies.setdefault(state.revision, state.body) != state.body:
             raise InvariantError(f"two bodies of r{state.revision}")
-        if state.index < node.ruled:
-            raise InvariantError(f"{node.name} goes back from {node.ruled} to {state.index}")
-        node.ruled = state.index
+        if state.index < node.applied_index:
+            raise InvariantError(f"{node.name} goes back from {node.applied_index} to {state.index}")
+        node.applied_index = state.index
         if self.newest_state is None or state.index > self.newest_state.index:
             self.newest_state = state
 
--- a/rampfront/simulation/closing_loss.py
+++ b/rampfront/simulation/closing_loss.py
@@ -187,7 +187,7 @@
         if chance < LEADER_WIPED:
             core.sort(key=lambda machine: not machine.leads)
         elif chance < LEADER_WIPED + NEWEST_WIPED:
-            core.sort(key=lambda machine: -machine.ruled)
+            core.sort(key=lambda machine: -machine.applied_index)
         lost: list[Machine] = []
         for machine in core:
             if len({machine, *lost, *self.fleet.lost()}) <= self.fleet.survive:
--- a/rampfront/simulation/fleet.py
+++ b/rampfront/simulation/fleet.py
@@ -302,7 +302,7 @@
         )
         self.counted, self.disk = disk, Disk(sync) if disk else None
         self.node_process, self.loop, self.life, self.up, self.frozen = None, None, 0, False, False
-        self.inbox, self.offset, self.ruled, self.revision = [], 0, 0, 0
+        self.inbox, self.offset, self.applied_index, self.revision = [], 0, 0, 0
         self.wiped_at, self.incarnation, self.leads = -60 * SEC, 0, False  # incarnation: of its memory; 0: none yet
         self.troubles, self.calm_at, self.began = 0, 0, False
         self.control = self.directory = None
@@ -457,7 +457,7 @@
         if machine.up or machine in self.removed:
             return
         machine.life += 1
-        machine.up, machine.frozen, machine.inbox, machine.ruled, machine.revision = True, False, [], 0, 0
+        machine.up, machine.frozen, machine.inbox, machine.applied_index, machine.revision = True, False, [], 0, 0
         machine.leads = False
         machine.offset = EPOCH + self.chance.randrange(SEC)
         machine.loop = loop = Loop(self, machine)
--- a/rampfront/simulation/schedule.py
+++ b/rampfront/simulation/schedule.py
@@ -298,7 +298,9 @@
         world = self.world
         newest = world.safety_checker.newest_state
         late = [
-            node.name for node in world.nodes if node.up and (world.is_joining(node) or node.ruled < call.state.index)
+            node.name
+            for node in world.nodes
+            if node.up and (world.is_joining(node) or node.applied_index < call.state.index)
         ]
         if late:
             raise InvariantError(f"not in step 10 s behind: {late}")
--- a/rampfront/simulation/world.py
+++ b/rampfront/simulation/world.py
@@ -80,7 +80,7 @@
         "frozen",
         "inbox",
         "offset",
-        "ruled",
+        "applied_index",
         "wiped_at",
         "incarnation",
         "leads",
@@ -94,7 +94,7 @@
         self.seeds, self.leaving, self.replaces = None, False, None
         self.core_member, self.disk, self.life = None, Disk(sync), 0
         self.up = self.frozen = self.leads = False
-        self.inbox, self.offset, self.ruled, self.wiped_at, self.incarnation = [], 0, 0, -CATCH_UP, 0
+        self.inbox, self.offset, self.applied_index, self.wiped_at, self.incarnation = [], 0, 0, -CATCH_UP, 0
 
 
 class Report(NamedTuple):
@@ -211,7 +211,7 @@
         if node.up or node in self.removed:
             return
         node.life += 1
-        node.up, node.frozen, node.inbox, node.ruled, node.leads = True, False, [], 0, False
+        node.up, node.frozen, node.inbox, node.applied_index, node.leads = True, False, [], 0, False
         node.leaving = False
         node.offset = self.chance.randrange(SEC)
         draw = (Alike if self.alike else Random)(self.chance.getrandbits(64))
