--- a/rampfront/simulation/world.py
+++ b/rampfront/simulation/world.py
@@ -224,7 +224,7 @@
             self.safety_checker.founders.add(node.name)
             if len(self.safety_checker.founders) > 1:
                 raise InvariantError("founded twice")
-        self.tell(node, None)
+        self.deliver(node, None)
         self.at(self.now + self.chance.randrange(TICK), self.tick, node, node.life)
 
     def stop(self, node, power=False):
@@ -276,13 +276,13 @@
         """A SIGTERM: the process knows that it is about to end."""
         if node.up and not node.frozen and not node.leaving:
             node.leaving = True
-            self.tell(node, events.Shutdown())
+            self.deliver(node, events.Shutdown())
 
     def tick(self, node, life):
         if node.life != life or not node.up:
             return
         if not node.frozen:
-            self.tell(node, events.Tick())
+            self.deliver(node, events.Tick())
             self.at(self.now + TICK + self.chance.randrange(5 * MS), self.tick, node, life)
 
     def freeze(self, node):
@@ -296,17 +296,17 @@
                 self.tick(node, life)
             else:
                 self.at(self.now + MS, self.tick, node, life)
-            for told in inbox:
+            for event in inbox:
                 if node.up and node.life == life:
-                    self.tell(node, told)
+                    self.deliver(node, event)
 
-    def tell(self, node, told):
+    def deliver(self, node, event):
         if node.frozen:
-            node.inbox.append(told)
+            node.inbox.append(event)
             return
         core_member = node.core_member
         self.steps += 1
-        effects = core_member.take(self.now + node.offset, told)
+        effects = core_member.take(self.now + node.offset, event)
         node.incarnation = core_member.incarnation
         for effect in effects:
             kind = type(effect)
@@ -317,7 +317,7 @@
             elif kind is events.StateCommitted:
                 self.safety_checker.record_committed_state(node, effect.state)
             else:
-                self.told(node, effect)
+                self.on_order_ended(node, effect)
                 if node.core_member is not core_member:
                     return  # an acknowledgement may be followed by a blow at once
         if core_member.is_leader:
@@ -358,7 +358,7 @@
 
     def arrive(self, ip, peer, message):
         if peer.up and (ip, peer.ip) not in self.cuts:
-            self.tell(peer, events.MessageReceived(ip, message))
+            self.deliver(peer, events.MessageReceived(ip, message))
 
     # Disks.
 
@@ -386,7 +386,7 @@
         if ok:
             disk.record = disk.pending
         disk.pending = None
-        self.tell(node, events.RecordStored(number, ok))
+        self.deliver(node, events.RecordStored(number, ok))
 
     # The operator.
 
@@ -425,12 +425,12 @@
         if node.up and node.life == life:
             call.open += 1
             identity = order_identity(call, tries)
-            self.tell(node, events.Order((call, tries, operation), call.kind, call.body, identity))
+            self.deliver(node, events.Order((call, tries, operation), call.kind, call.body, identity))
 
     def report(self, node, life, report):
         """A node saw what became of an answer, and tells the core until that has taken it."""
         if node is not None and node.up and node.life == life:
-            self.tell(node, events.Order(report, report.kind, report.body))
+            self.deliver(node, events.Order(report, report.kind, report.body))
 
     def told_of_report(self, node, report, outcome):
         if outcome != Outcome.DONE and report.left:
@@ -446,7 +446,7 @@
         if call.verdict is None and call.tries == tries:
             self.place(call, self.any(call))
 
-    def told(self, node, effect):
+    def on_order_ended(self, node, effect):
         """A node has an answer, which may get lost on its way to the operator."""
         if isinstance(effect.ref, Report):
             self.told_of_report(node, effect.ref, effect.outcome)
--- a/tests/consensus/test_commitment.py
+++ b/tests/consensus/test_commitment.py
@@ -64,7 +64,7 @@
     def answers(message):
         sent = core.sent = []
         core.send = lambda node, ip, message: sent.append((ip, message[KIND]))
-        core.tell(voter, frame_of("10.0.0.9", message))
+        core.deliver(voter, frame_of("10.0.0.9", message))
         core.go(50 * MS)
         return [kind for ip, kind in sent if ip == "10.0.0.9"]
 
--- a/tests/consensus/test_elections.py
+++ b/tests/consensus/test_elections.py
@@ -84,7 +84,7 @@
 def test_a_leader_that_shuts_down_hands_over():
     core = Core()
     old = core.leader
-    core.tell(old, events.Shutdown())
+    core.deliver(old, events.Shutdown())
     core.go(SEC)
     assert core.leader is not old
 
@@ -109,7 +109,7 @@
         request = VoteRequest(
             member.roles.persistent.key, other.core_member.incarnation, member.term + 50, member.entry.position
         )
-        core.tell(other, events.MessageReceived(node.ip, encode(request)))
+        core.deliver(other, events.MessageReceived(node.ip, encode(request)))
     core.go(3 * SEC)
     incarnation = node.core_member.incarnation
     granted = [frame for _, frame in told if frame[KIND] in (PRE_VOTE_GRANTED, VOTE_GRANTED)]
@@ -151,7 +151,7 @@
 
     before, confirmed = standing(), core.leader.core_member.roles.leader.rounds.confirmed
     for src, dst, message in stale:
-        core.tell(core.by_ip[dst], events.MessageReceived(src, message))
+        core.deliver(core.by_ip[dst], events.MessageReceived(src, message))
     assert standing() == before and core.leader.core_member.roles.leader.rounds.confirmed == confirmed
     core.go(2 * SEC)
     assert [row[:1] for row in standing()] == [row[:1] for row in before] and core.held(old) == core.rev
--- a/tests/consensus/test_evacuation_claims.py
+++ b/tests/consensus/test_evacuation_claims.py
@@ -36,7 +36,7 @@
         body = (ZONE, identity) if is_report else ZONE
         floor = self.first_sent.setdefault((kind, identity), self.safety_checker.newest_acknowledged())
         call = PlacedOrder(kind, body, floor)
-        self.tell(self.leader, events.Order((call, 0), kind, body, 0 if is_report else identity))
+        self.deliver(self.leader, events.Order((call, 0), kind, body, 0 if is_report else identity))
         until(self, lambda: call.verdict == Outcome.DONE)
 
     def evacuate(self, identity: int) -> None:
--- a/tests/consensus/test_excluded_members.py
+++ b/tests/consensus/test_excluded_members.py
@@ -46,7 +46,7 @@
     for node in core.others(away):
         core.start(core.newcomer())
         core.go(CATCH_UP)
-        core.tell(node, events.Shutdown())
+        core.deliver(node, events.Shutdown())
         core.go(SEC)
         core.lose(node)
         core.go(CATCH_UP)
@@ -60,7 +60,7 @@
     core = site(4, 1, newcomers=1)
     old, out = core.leader, core.others(core.leader)[0]
     before = out.core_member.incarnation
-    core.tell(out, events.Shutdown())
+    core.deliver(out, events.Shutdown())
     while (
         out.name in out.core_member.entry.members
         or out.core_member.roles.persistent.durable.entry is not out.core_member.entry
@@ -70,7 +70,7 @@
         core.stop(node)
     core.start(out)
     out.core_member.roles.election.stand()
-    core.tell(out, events.Tick())
+    core.deliver(out, events.Tick())
     core.go(3 * SEC)
     core.start(old)
     assert out.life in {life for _, (name, life) in core.safety_checker.leaders.items() if name == out.name}
@@ -84,7 +84,7 @@
     core.go(2 * SEC)
     incarnation, term = away.core_member.incarnation, away.core_member.term
     hint = LeaderHint(term, core.leader.ip, [], 1, True, incarnation + 1)
-    core.tell(away, frame_of(core.leader.ip, hint))
+    core.deliver(away, frame_of(core.leader.ip, hint))
     assert away.core_member.incarnation == incarnation
 
 
--- a/tests/consensus/test_lost_disks.py
+++ b/tests/consensus/test_lost_disks.py
@@ -98,7 +98,7 @@
     requests = [request for request in requests if request[SENDER_INCARNATION] != lost.core_member.incarnation]
     assert any(request[PASSWORD] == leader.core_member.roles.leader.password for request in requests)
     for request in requests:
-        core.tell(leader, events.MessageReceived(lost.ip, request))
+        core.deliver(leader, events.MessageReceived(lost.ip, request))
     core.go(SEC)
     assert leader.core_member.committed.members[lost.name][1] == lost.core_member.incarnation
 
@@ -111,7 +111,7 @@
     before = out.core_member.incarnation
     core.cut([out], core.others(out))
     request = JoinRequest(MemberKey(out.name, 77), leader.core_member.roles.leader.password)
-    core.tell(leader, frame_of(out.ip, request))
+    core.deliver(leader, frame_of(out.ip, request))
     core.go(2 * SEC)
     assert leader.core_member.committed.members[out.name][1] == before
     core.heal()
@@ -146,11 +146,11 @@
     leader, other = core.leader, core.others(core.leader)[0]
     request = JoinRequest(MemberKey(leader.name, 77), 0)
     for _ in range(20):
-        core.tell(other, frame_of(leader.ip, request)), core.go(100 * MS)
+        core.deliver(other, frame_of(leader.ip, request)), core.go(100 * MS)
     assert other.core_member.roles.electorate.sole_survivor_of is None and core.leader is leader
     core.stop(leader)
     core.go(2 * SEC)
-    core.tell(other, frame_of(leader.ip, request))
+    core.deliver(other, frame_of(leader.ip, request))
     core.go(3 * SEC)
     assert not core.leaders
     core = Core(3)
--- a/tests/consensus/test_machine_replacement.py
+++ b/tests/consensus/test_machine_replacement.py
@@ -43,7 +43,7 @@
     if planned:
         core.start(successor)
         core.go(SEC)
-        core.tell(gone, events.Shutdown())
+        core.deliver(gone, events.Shutdown())
     else:
         core.lose(gone)
         core.go(SEC)
@@ -173,7 +173,7 @@
                 core.start(core.newcomer())
                 began = core.now
                 core.go(SEC)
-                core.tell(old, events.Shutdown())
+                core.deliver(old, events.Shutdown())
                 while old.name in (core.members() if len(core.leaders) == 1 else {old.name}):
                     core.go(10 * MS)
             else:
--- a/tests/consensus/test_member_shutdown.py
+++ b/tests/consensus/test_member_shutdown.py
@@ -22,7 +22,7 @@
     core = site(members, survive, newcomers=1)
     assert len(core.members()) == members + 1
     old = core.leader if leads else core.others(core.leader)[0]
-    core.tell(old, events.Shutdown())
+    core.deliver(old, events.Shutdown())
     core.go(SEC)
     assert old.name not in core.members() and old.up
     core.lose(old)
@@ -35,7 +35,7 @@
     core = site(4, 1, newcomers=2)
     leaving = [core.leader, core.others(core.leader)[0]]
     for node in leaving:
-        core.tell(node, events.Shutdown())
+        core.deliver(node, events.Shutdown())
     core.go(1500 * MS)
     assert not core.members().keys() & {node.name for node in leaving}
     for node in leaving:
@@ -50,7 +50,7 @@
     core.lose(first)
     core.lose(second)
     core.go(SEC)
-    core.tell(leaving, events.Shutdown())
+    core.deliver(leaving, events.Shutdown())
     core.go(3 * SEC)
     assert leaving.name in core.members()
     core.change(2)
@@ -80,7 +80,7 @@
 def test_a_leader_killed_while_it_shuts_down(pause: int) -> None:
     core = site(4, 1, newcomers=1)
     old = core.leader
-    core.tell(old, events.Shutdown())
+    core.deliver(old, events.Shutdown())
     core.go(pause * MS)
     core.lose(old)
     core.recovers(1)
@@ -90,7 +90,7 @@
     core = site(4, 1, newcomers=1)
     old = core.leader
     core.cut([old], core.others(old))
-    core.tell(old, events.Shutdown())
+    core.deliver(old, events.Shutdown())
     core.go(SEC)
     core.lose(old)
     core.heal()
@@ -102,7 +102,7 @@
     core = site(members, survive)
     before = core.members()
     for node in core.nodes:
-        core.tell(node, events.Shutdown())
+        core.deliver(node, events.Shutdown())
         core.go(3 * SEC)
         core.stop(node)
         core.go(SEC)
@@ -117,7 +117,7 @@
 def test_leadership_transfer_needs_no_timeout(seed: int) -> None:
     core = site(4, 1, seed)
     old = core.leader
-    core.tell(old, events.Shutdown())
+    core.deliver(old, events.Shutdown())
     began = core.now
     while not any(node is not old and node.core_member.quorum_confirmed_at for node in core.leaders):
         core.go(5 * MS)
@@ -140,7 +140,7 @@
     core = site(4, 1)
     old = core.leader
     call = core.config(2)
-    core.tell(old, events.Shutdown())
+    core.deliver(old, events.Shutdown())
     late = core.config(3, old)
     assert late.verdict == Outcome.NOT_LEADER
     core.go(SEC)
@@ -155,6 +155,6 @@
     call = core.config(2)
     core.go(200 * MS)
     assert done(call)
-    core.tell(old, events.Shutdown())
+    core.deliver(old, events.Shutdown())
     core.go(200 * MS)
     assert core.leader in rest
--- a/tests/core_fixtures.py
+++ b/tests/core_fixtures.py
@@ -39,10 +39,10 @@
     def ask(self, node, kind, body=None):
         """Places an order at one node, once; its verdict is read off the call."""
         call = PlacedOrder(kind, body, self.safety_checker.newest_acknowledged())
-        self.tell(node, events.Order((call, 0), kind, body))
+        self.deliver(node, events.Order((call, 0), kind, body))
         return call
 
-    def told(self, node, effect):
+    def on_order_ended(self, node, effect):
         call, _ = effect.ref
         call.verdict, call.state, call.leader_ip = effect.outcome, effect.state, effect.leader_ip
         if effect.outcome == Outcome.DONE:
--- a/tests/pins/adapter.py
+++ b/tests/pins/adapter.py
@@ -64,7 +64,7 @@
     """Plays a run of the core alone; `step` gets all that members send, store and answer."""
     run = Run(seed, members)
     world = run.world
-    send, store, answer = world.send, world.store, world.told
+    send, store, answer = world.send, world.store, world.on_order_ended
 
     def sending(node: Any, ip: str, message: Any) -> None:
         step("frame", world.now, node.ip, ip, encoded(message))
@@ -79,7 +79,7 @@
         step("answer", world.now, node.name, name, answer_of_core(effect))
         answer(node, effect)
 
-    world.send, world.store, world.told = sending, storing, answering
+    world.send, world.store, world.on_order_ended = sending, storing, answering
     run.play()
 
 
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -121,7 +121,7 @@
         core.go(MS)
         if order is None and old.core_member.committed.members[voter.name][1] == voter.incarnation:
             order = core.config(9, old)
-    core.tell(candidate, events.MessageReceived(voter.ip, vote))
+    core.deliver(candidate, events.MessageReceived(voter.ip, vote))
     core.go(50 * MS)
     core.heal()
     core.send = send
