--- a/rampfront/simulation/core_faults.py
+++ b/rampfront/simulation/core_faults.py
@@ -178,7 +178,7 @@
     def heal(self, disk: Disk) -> None:
         """Ends all trouble of a disk."""
         disk.hangs = disk.full = False
-        disk.wait = disk.usual
+        disk.wait = disk.default_wait
 
     def bad_links(self, _: Node) -> None:
         """Messages get lost, come twice and come late, on all links."""
--- a/rampfront/simulation/fleet.py
+++ b/rampfront/simulation/fleet.py
@@ -506,7 +506,7 @@
 
     def wipe(self, machine):
         self.stop(machine)
-        machine.disk = Disk(machine.disk.usual)
+        machine.disk = Disk(machine.disk.default_wait)
         machine.wiped_at, machine.incarnation = self.now, 0
 
     def is_joining(self, machine):
--- a/rampfront/simulation/system_faults.py
+++ b/rampfront/simulation/system_faults.py
@@ -103,7 +103,7 @@
     def heal(self, machine: Machine, disk: Disk) -> None:
         """Ends all trouble of a disk."""
         disk.hangs = disk.full = False
-        disk.wait = disk.usual
+        disk.wait = disk.default_wait
         self.fleet.calmer(machine)
 
     def hang_disk(self, who: int, ms: int) -> None:
--- a/rampfront/simulation/system_run.py
+++ b/rampfront/simulation/system_run.py
@@ -166,7 +166,7 @@
         for machine in fleet.machines:
             if machine.disk:
                 machine.disk.hangs = machine.disk.full = False
-                machine.disk.wait = machine.disk.usual
+                machine.disk.wait = machine.disk.default_wait
             if machine.frozen:
                 fleet.thaw(machine, machine.life)
 
--- a/rampfront/simulation/world.py
+++ b/rampfront/simulation/world.py
@@ -57,12 +57,12 @@
 class Disk:
     """Holds the record that was synced last. A store under way at a loss of power is there or not."""
 
-    __slots__ = "record", "pending", "hangs", "full", "usual", "wait"
+    __slots__ = "record", "pending", "hangs", "full", "default_wait", "wait"
 
-    def __init__(self, usual):
+    def __init__(self, default_wait):
         self.record, self.pending = None, None
         self.hangs = self.full = False
-        self.usual = self.wait = usual
+        self.default_wait = self.wait = default_wait
 
 
 class Node:
@@ -240,7 +240,7 @@
 
     def wipe(self, node):
         self.stop(node, power=True)
-        node.disk = Disk(node.disk.usual)
+        node.disk = Disk(node.disk.default_wait)
         node.wiped_at, node.incarnation = self.now, 0
 
     def is_joining(self, node):
--- a/tests/consensus/test_catch_up.py
+++ b/tests/consensus/test_catch_up.py
@@ -99,7 +99,7 @@
         peer for (name, _), peer in led.core_member.roles.leader.replication.replicas.items() if name == node.name
     )
     assert peer.match_position == node.core_member.roles.persistent.durable.entry.position
-    node.disk.wait = node.disk.usual
+    node.disk.wait = node.disk.default_wait
     core.go(SEC)
     assert core.held(node) == core.rev
 
