--- a/rampfront/simulation/operators.py
+++ b/rampfront/simulation/operators.py
@@ -163,7 +163,7 @@
     def place(self, call: Call, machine: Machine) -> None:
         """Gives an order to a node, and to another one if nothing comes back within a second."""
         fleet = self.fleet
-        if call.verdict is not None or fleet.now > call.until:
+        if call.verdict is not None or fleet.now > call.deadline:
             return
         call.tries += 1
         if not machine.up:
--- a/rampfront/simulation/system_run.py
+++ b/rampfront/simulation/system_run.py
@@ -97,7 +97,7 @@
         self.rule_checker.check_confirmed_times()
         for call in self.calls:
             self.rule_checker.check_acknowledgement_time(call, self.fleet.now)
-        self.calls = [call for call in self.calls if call.verdict is None and self.fleet.now < call.until]
+        self.calls = [call for call in self.calls if call.verdict is None and self.fleet.now < call.deadline]
         self.fleet.at(self.fleet.now + LOOK, self.look)
 
     def pick(self, who: int) -> Machine:
--- a/rampfront/simulation/world.py
+++ b/rampfront/simulation/world.py
@@ -120,7 +120,7 @@
         "floor",
         "tries",
         "verdict",
-        "until",
+        "deadline",
         "done_at",
         "alone",
         "number",
@@ -131,8 +131,8 @@
         "lossless",
     )
 
-    def __init__(self, kind, body, now, floor, until, alone):
-        self.kind, self.body, self.sent, self.floor, self.until, self.alone = kind, body, now, floor, until, alone
+    def __init__(self, kind, body, now, floor, deadline, alone):
+        self.kind, self.body, self.sent, self.floor, self.deadline, self.alone = kind, body, now, floor, deadline, alone
         self.tries, self.verdict, self.done_at, self.number, self.state = 0, None, None, 0, None
         self.open, self.risky = 0, False  # tries without an answer yet; whether one may have come into force
         self.taken_at = None  # when a node acknowledged it first
@@ -406,7 +406,7 @@
 
     def place(self, call, node):
         """Sends the order to a node, and to another one if nothing comes back."""
-        if call.verdict is not None or self.now > call.until:
+        if call.verdict is not None or self.now > call.deadline:
             return
         call.tries += 1
         self.at(self.now + SILENCE + self.chance.randrange(200 * MS), self.missed, call, call.tries)
