--- a/rampfront/simulation/bandwidth.py
+++ b/rampfront/simulation/bandwidth.py
@@ -52,7 +52,7 @@
         """Links that are all idle."""
         self.scheduler, self.rates, self.usual, self.cut, self.limit = scheduler, rates, usual, cut, limit
         self.links = {}  # (address, "out" or "in") to Direction
-        self.most_waited = {}  # address to the longest wait of a datagram to it, ns
+        self.longest_wait = {}  # address to the longest wait of a datagram to it, ns
 
     def link(self, address: str, way: str) -> Direction:
         """One way of a machine's link."""
@@ -60,7 +60,7 @@
             self.links[address, way] = Direction(self.rates.get(address, self.usual))
         return self.links[address, way]
 
-    def came(self, address: str) -> int:
+    def received_bytes(self, address: str) -> int:
         """Bytes that came to a machine, those of lost transfers too."""
         return self.link(address, "in").bytes
 
@@ -72,7 +72,7 @@
         """Behind the sender's link: the receiver's."""
 
         def arrived() -> None:
-            self.most_waited[dst] = max(self.most_waited.get(dst, 0), self.scheduler.now - sent)
+            self.longest_wait[dst] = max(self.longest_wait.get(dst, 0), self.scheduler.now - sent)
             self.scheduler.at(self.scheduler.now + WAY, land)
 
         self.pass_on(dst, "in", size, arrived)
--- a/tests/catch_up_fixtures.py
+++ b/tests/catch_up_fixtures.py
@@ -94,10 +94,10 @@
     def catch_up(self, node, limit=8 * SEC):
         """Starts a member while changes go on; (seconds, bytes that came to it) until it knows what was the newest
         when it started."""
-        began, came = self.now, self.bandwidth.came(node.ip)
+        began, came = self.now, self.bandwidth.received_bytes(node.ip)
         self.start(node)
         target = self.rev
         while self.held(node) < target:
             assert self.now - began < limit, f"holds r{self.held(node)} of r{target}"
             self.burst(1)
-        return (self.now - began) / SEC, self.bandwidth.came(node.ip) - came
+        return (self.now - began) / SEC, self.bandwidth.received_bytes(node.ip) - came
--- a/tests/consensus/test_catch_up.py
+++ b/tests/consensus/test_catch_up.py
@@ -30,10 +30,10 @@
     """Not the whole again for one route of 2,000: bytes, and the waits of operators, stay as in a small core."""
     core = BusyCore(2000, dict.fromkeys((1, 2, 3, 4), SLOW))
     node, calls = core.follower(), len(core.calls)
-    came = core.bandwidth.came(node.ip)
+    came = core.bandwidth.received_bytes(node.ip)
     core.burst(30)
     core.go(SEC)
-    assert core.held(node) == core.rev and core.bandwidth.came(node.ip) - came < 30 * 1000
+    assert core.held(node) == core.rev and core.bandwidth.received_bytes(node.ip) - came < 30 * 1000
     assert max(call.done_at - call.sent for call in core.calls[calls:]) < 100 * MS
 
 
@@ -49,7 +49,7 @@
     assert all(new > old for old, new in zip(held, held[1:], strict=False)), held
     assert core.rev - held[-1] < 20
     assert not core.counts.get("transfers lost") and core.counts["leaders"] == 1
-    assert core.bandwidth.most_waited[node.ip] < 250 * MS
+    assert core.bandwidth.longest_wait[node.ip] < 250 * MS
     core.go(2 * SEC)
     assert core.held(node) == core.rev
 
