--- a/rampfront/simulation/isolation.py
+++ b/rampfront/simulation/isolation.py
@@ -40,7 +40,7 @@
     return int(json.loads(body)["Revision"][1:])
 
 
-def hand_in(machine: Machine, kind: str, asked: Asked) -> None:
+def submit_order(machine: Machine, kind: str, asked: Asked) -> None:
     """Hands an order (`config`, `read`, `empty`, `fill`) to a machine; `asked.respond` is called once."""
     control = machine.control
     handlers = {
@@ -68,7 +68,7 @@
         run, fleet = self.run, self.run.fleet
         if run.quiet:
             return
-        machine = fleet.chance.choice(run.aims or fleet.machines)
+        machine = fleet.chance.choice(run.targets or fleet.machines)
         kind = fleet.chance.choice(("read", "read", "config", "zone"))
         if kind == "zone":
             kind = "fill" if self.emptied else "empty"
@@ -88,7 +88,7 @@
     """One call to one machine, and what must hold of its answer."""
 
     def __init__(self, operator: Operator, kind: str, machine: Machine) -> None:
-        """`kind`: as `hand_in` knows it."""
+        """`kind`: as `submit_order` knows it."""
         run = operator.run
         self.operator, self.run, self.kind, self.machine, self.sent = operator, run, kind, machine, run.fleet.now
         self.newest = run.acknowledged  # when it was sent
@@ -101,7 +101,7 @@
     def hand(self) -> None:
         """It reaches the machine."""
         self.handed = self.run.fleet.now
-        hand_in(self.machine, self.kind, Asked({"of": self.operator.zone}, self.body, self.answered))
+        submit_order(self.machine, self.kind, Asked({"of": self.operator.zone}, self.body, self.answered))
 
     def answered(self, status: int, body: bytes = b"", headers: Headers = (), **_: object) -> bool:
         """The machine answers, and is not told whether that was read. Raises `InvariantError` for one that it may not give."""
@@ -153,7 +153,7 @@
         self.calls: list[OperatorCall] = []
         self.waits: list[int] = []  # ns from a call to its answer at the operator
         self.cut_since: dict[Machine, int] = {}  # of those that are cut off now
-        self.aims: list[Machine] = []  # that operators ask; empty: all
+        self.targets: list[Machine] = []  # that operators ask; empty: all
         self.acknowledged = self.numbers = 0  # the newest revision acknowledged; and made
         self.quiet = False
         self.bodies = SystemRun(seed, plan=[])
@@ -194,7 +194,7 @@
             replies.append(Reply(status, said, self.fleet.now))
             return True
 
-        hand_in(machine, kind, Asked({"of": of}, body, answer))
+        submit_order(machine, kind, Asked({"of": of}, body, answer))
         return replies
 
     # ---- who is who
@@ -250,9 +250,9 @@
                     raise InvariantError(f"{machine.name} knows {ready} fronts")
         self.fleet.at(self.fleet.now + LOOK, self.look)
 
-    def agree(self) -> None:
+    def check_agreement(self) -> None:
         """Behind the join: a new order is acknowledged at every machine, and all hold and read the same."""
-        self.aims, self.quiet = [], True
+        self.targets, self.quiet = [], True
         self.go(4 * SEC)
         body, machines = self.body(), self.fleet.machines
         orders = [self.order("config", machine, body) for machine in machines]
--- a/tests/node/test_core_isolation.py
+++ b/tests/node/test_core_isolation.py
@@ -33,16 +33,16 @@
     run.go(SEC)
     one = run.pick(who)
     pairs = run.cut([one], ways)
-    run.aims = [one, *run.fleet.core]  # it is asked often before it knows that it is cut off
+    run.targets = [one, *run.fleet.core]  # it is asked often before it knows that it is cut off
     run.go(3 * SEC)
-    run.aims = [one, run.leader()]
+    run.targets = [one, run.leader()]
     before = run.acknowledged
     run.go(CUT - 3 * SEC)
     assert run.answers(one, 503) > 10 and not run.answers(one, 200)
     assert run.acknowledged > before  # the others go on
     run.join(pairs)
     run.go(2 * SEC)
-    run.agree()
+    run.check_agreement()
 
 
 def test_a_leader_cut_off_from_the_core_alone_confirms_no_order():
@@ -53,12 +53,12 @@
     pairs = run.cut([old], others=run.fleet.core)
     run.go(4 * SEC)
     before = run.acknowledged
-    run.aims = [old, run.leader(), run.fleet.machines[8]]
+    run.targets = [old, run.leader(), run.fleet.machines[8]]
     run.go(CUT - 4 * SEC)
     assert run.answers(old, 503) > 10 and run.acknowledged > before
     run.join(pairs)
     run.go(2 * SEC)
-    run.agree()
+    run.check_agreement()
 
 
 def test_without_a_majority_on_any_side_no_order_is_confirmed():
@@ -66,12 +66,12 @@
     pairs = run.cut([m for m in run.fleet.machines if m.zone[0] == "a"])  # two of four with a disk
     run.cut_since = dict.fromkeys(run.fleet.machines, run.fleet.now)
     run.go(CUT // 2)
-    run.aims = [m for m in run.fleet.machines if not run.answers(m, 503)]  # each is asked, whatever the seed
+    run.targets = [m for m in run.fleet.machines if not run.answers(m, 503)]  # each is asked, whatever the seed
     run.go(CUT - CUT // 2)
     assert all(run.answers(m, 503) and not run.answers(m, 200) for m in run.fleet.machines)
     run.join(pairs)
     run.go(3 * SEC)
-    run.agree()
+    run.check_agreement()
 
 
 def test_one_revision_on_both_sides_of_a_partition_is_confirmed_once():
@@ -162,7 +162,7 @@
     assert json.loads(StatusViews(one.node_process).state(Asked({})).body)["OutOfTouchMs"] >= 5000
     run.join(pairs)
     run.go(3 * SEC)
-    run.agree()
+    run.check_agreement()
 
 
 @pytest.mark.parametrize("span", [900, 1600, 3000, 20000])
@@ -171,11 +171,11 @@
     run.go(SEC)
     old = run.leader()
     run.fleet.freeze(old)
-    run.aims = [old, *run.fleet.core]
+    run.targets = [old, *run.fleet.core]
     run.go(span * MS)
     run.fleet.thaw(old, old.life)
     run.go(SEC)
-    run.agree()
+    run.check_agreement()
 
 
 def test_a_thawed_leader_steps_down_before_it_handles_frames_that_waited():
