--- a/rampfront/simulation/linearizability.py
+++ b/rampfront/simulation/linearizability.py
@@ -96,7 +96,7 @@
         return f"{self.fault.value}: " + "; ".join(map(str, self.operations))
 
 
-class NotLinearizable(InvariantError):
+class NotLinearizableError(InvariantError):
     """A history that no register gives."""
 
     def __init__(self, violation: Violation) -> None:
@@ -134,10 +134,10 @@
 
 
 def check(history: Iterable[Operation]) -> None:
-    """Raises `NotLinearizable` with the first violation that is found."""
+    """Raises `NotLinearizableError` with the first violation that is found."""
     found = violations(history)
     if found:
-        raise NotLinearizable(found[0])
+        raise NotLinearizableError(found[0])
 
 
 def violations(history: Iterable[Operation]) -> list[Violation]:
--- a/tests/test_linearizability.py
+++ b/tests/test_linearizability.py
@@ -10,7 +10,7 @@
     FOREVER,
     Fault,
     Kind,
-    NotLinearizable,
+    NotLinearizableError,
     Operation,
     Recorder,
     Verdict,
@@ -123,7 +123,7 @@
 def test_a_planted_fault_is_found(name: str) -> None:
     fault, *history = PLANTED[name]
     assert fault in faults(*history)
-    with pytest.raises(NotLinearizable, match="LINEARIZABILITY"):
+    with pytest.raises(NotLinearizableError, match="LINEARIZABILITY"):
         check(history)
 
 
