--- a/rampfront/simulation/operators.py
+++ b/rampfront/simulation/operators.py
@@ -165,14 +165,14 @@
         fleet = self.fleet
         if call.verdict is not None or fleet.now > call.deadline:
             return
-        call.tries += 1
+        call.attempt += 1
         if not machine.up:
-            fleet.at(fleet.now + 50 * MS, self.missed, call, call.tries)
+            fleet.at(fleet.now + 50 * MS, self.missed, call, call.attempt)
             return
         operation = self.history.begin(self.operation(call, machine))
-        fleet.at(fleet.now + SEC + self.chance.randrange(200 * MS), self.missed, call, call.tries)
+        fleet.at(fleet.now + SEC + self.chance.randrange(200 * MS), self.missed, call, call.attempt)
         arrives = fleet.now + fleet.way("operator", machine.ip)
-        fleet.at(arrives, fleet.do, machine, machine.life, self.hand, call, machine, call.tries, operation)
+        fleet.at(arrives, fleet.do, machine, machine.life, self.hand, call, machine, call.attempt, operation)
 
     def operation(self, call: Call, machine: Machine) -> Operation:
         """A try of an order, for the history."""
@@ -184,7 +184,7 @@
 
     def hand(self, call: Call, machine: Machine, tries: int, operation: int) -> None:
         """An order is at a node."""
-        if call.tries != tries or call.verdict is not None:
+        if call.attempt != tries or call.verdict is not None:
             return  # the operator has turned away
         control, fleet = machine.control, self.fleet
         told = partial(self.said, Try(call, machine, tries, operation))
@@ -227,7 +227,7 @@
     def heard(self, tried: Try, status: int, body: bytes, on_delivery: DeliveryCallback | None = None) -> None:
         """An operator has an answer. He has turned away from those of earlier tries."""
         call = tried.call
-        if call.tries != tried.number:
+        if call.attempt != tried.number:
             self.tell_delivery(tried, Delivery.LOST, on_delivery)
             return
         self.tell_delivery(tried, Delivery.DELIVERED, on_delivery)
@@ -273,7 +273,7 @@
 
     def missed(self, call: Call, tries: int) -> None:
         """Nothing came back."""
-        if call.verdict is None and call.tries == tries:
+        if call.verdict is None and call.attempt == tries:
             self.place(call, self.any())
 
     # Faults that wait for an acknowledgement.
--- a/rampfront/simulation/world.py
+++ b/rampfront/simulation/world.py
@@ -118,7 +118,7 @@
         "body",
         "sent",
         "floor",
-        "tries",
+        "attempt",
         "verdict",
         "deadline",
         "done_at",
@@ -133,7 +133,7 @@
 
     def __init__(self, kind, body, now, floor, deadline, alone):
         self.kind, self.body, self.sent, self.floor, self.deadline, self.alone = kind, body, now, floor, deadline, alone
-        self.tries, self.verdict, self.done_at, self.number, self.state = 0, None, None, 0, None
+        self.attempt, self.verdict, self.done_at, self.number, self.state = 0, None, None, 0, None
         self.open, self.risky = 0, False  # tries without an answer yet; whether one may have come into force
         self.taken_at = None  # when a node acknowledged it first
         self.lossless = False  # whether its answers always arrive, so that its time can be judged
@@ -408,11 +408,11 @@
         """Sends the order to a node, and to another one if nothing comes back."""
         if call.verdict is not None or self.now > call.deadline:
             return
-        call.tries += 1
-        self.at(self.now + SILENCE + self.chance.randrange(200 * MS), self.missed, call, call.tries)
+        call.attempt += 1
+        self.at(self.now + SILENCE + self.chance.randrange(200 * MS), self.missed, call, call.attempt)
         if node is not None and node.up:
             operation = self.history.begin(self.operation(call, node))
-            self.at(self.now + self.chance.randrange(8 * MS), self.hand, call, node, node.life, call.tries, operation)
+            self.at(self.now + self.chance.randrange(8 * MS), self.hand, call, node, node.life, call.attempt, operation)
 
     def operation(self, call, node):
         """A try of a call, for the history."""
@@ -443,7 +443,7 @@
             self.at(self.now + CONNECTION_ENDS_AFTER, self.report, node, life, report)
 
     def missed(self, call, tries):
-        if call.verdict is None and call.tries == tries:
+        if call.verdict is None and call.attempt == tries:
             self.place(call, self.any(call))
 
     def on_order_ended(self, node, effect):
@@ -472,11 +472,11 @@
     def answered(self, call, tries, operation, effect, node, life):
         """The operator has an answer. Of an order on a zone he reads none to a try from which he has turned away."""
         state = effect.state
-        if call.kind in ZONE_ORDERS and (call.tries != tries or effect.outcome != Outcome.DONE):
+        if call.kind in ZONE_ORDERS and (call.attempt != tries or effect.outcome != Outcome.DONE):
             self.saw_end(node, life, call, tries, OrderKind.ANSWER_LOST)
         else:
             self.saw_end(node, life, call, tries, OrderKind.ANSWER_DELIVERED)
-        if call.kind in ZONE_ORDERS and call.tries != tries:
+        if call.kind in ZONE_ORDERS and call.attempt != tries:
             return
         if effect.outcome == Outcome.DONE and call.kind == OrderKind.READ:
             self.history.end_read(
@@ -488,7 +488,7 @@
             return
         if effect.outcome in (Outcome.DONE, Outcome.CONFLICT):
             call.verdict, call.done_at = effect.outcome, self.now
-        elif call.tries == tries:
+        elif call.attempt == tries:
             if effect.outcome == Outcome.NOT_LEADER and effect.leader_ip is not None:
                 self.at(self.now + 20 * MS, self.place, call, self.by_ip.get(effect.leader_ip))
             else:
