--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -41,7 +41,7 @@
 
 @pytest.mark.parametrize("members, seeds", [(4, range(2, 30)), (6, range(2, 14)), (8, range(2, 8))])
 def test_losses_within_survive_as_close_as_they_may_come(members: int, seeds: range) -> None:
-    counts = played(seeds, members, lambda run: run.aimed)
+    counts = played(seeds, members, lambda run: run.targeted)
     assert counts["wipe_and_stop_all"] and counts["aimed_ms_most"]
 
 
