--- a/rampfront/simulation/shrink.py
+++ b/rampfront/simulation/shrink.py
@@ -1,11 +1,11 @@
-"""A failing plan made small: rows are left out, many at first, for as long as it still breaks the same promise."""
+"""Shrinks a failing plan: removes rows, many at first, as long as the plan still violates the same invariant."""
 
 from .checks import InvariantError
 from .system_run import SystemRun
 
 
 def breach(seed, nodes, disks, plan):
-    """(what broke, in its first word; the whole text; the run), or None."""
+    """Plays a plan. Returns (first word of the failure message, complete message, run), or None if no check fails."""
     system_run = SystemRun(seed, nodes, disks, plan=plan)
     try:
         system_run.play()
@@ -14,37 +14,37 @@
     return None
 
 
-def shrink(seed, nodes=11, disks=None, most=300, told=lambda text: None):
-    """(the rows that are left, what they break), or None if the seed breaks nothing. `most` runs at most."""
+def shrink(seed, nodes=11, disks=None, max_runs=300, report_progress=lambda text: None):
+    """Returns (remaining rows, failure message), or None if the seed fails no check. Plays at most `max_runs` runs."""
     found = breach(seed, nodes, disks, None)
     if found is None:
         return None
-    word, text, system_run = found
+    first_word, text, system_run = found
     plan = [row for row in system_run.plan if row[1] != "last" or row[0] * 10**6 <= system_run.fleet.now]
-    part, runs = max(1, len(plan) // 2), 0
-    while runs < most:
+    chunk_size, runs = max(1, len(plan) // 2), 0
+    while runs < max_runs:
         smaller = None
-        for at in range(0, len(plan), part):
-            tried = plan[:at] + plan[at + part :]
+        for at in range(0, len(plan), chunk_size):
+            candidate = plan[:at] + plan[at + chunk_size :]
             runs += 1
-            if runs > most:
+            if runs > max_runs:
                 break
-            again = breach(seed, nodes, disks, tried)
-            if again is not None and again[0] == word:
-                smaller, text = tried, again[1]
-                told(f"{len(tried)} rows left behind {runs} runs")
+            result = breach(seed, nodes, disks, candidate)
+            if result is not None and result[0] == first_word:
+                smaller, text = candidate, result[1]
+                report_progress(f"{len(candidate)} rows left after {runs} runs")
                 break
         if smaller is not None:
             plan = smaller
-            part = min(part, max(1, len(plan) // 2))
-        elif part == 1:
+            chunk_size = min(chunk_size, max(1, len(plan) // 2))
+        elif chunk_size == 1:
             break
         else:
-            part = max(1, part // 2)
+            chunk_size = max(1, chunk_size // 2)
     return plan, text
 
 
 def as_test(seed, nodes, plan):
-    """The lines that play it."""
+    """The Python code that plays a plan."""
     rows = "".join(f"    {row!r},\n" for row in plan)
     return f"SystemRun({seed}, {nodes}, plan=[\n{rows}]).play()"
