--- a/rampfront/simulation/isolation.py
+++ b/rampfront/simulation/isolation.py
@@ -1,8 +1,8 @@
-"""Operators on both sides of a cut: whole nodes on the fake clock, some cut off or frozen, with callers all the while.
+"""Runs of complete nodes on the simulated clock, some of them cut off or frozen, with operators that call all the time.
 
-What callers may see, or `InvariantError` is raised: a read is never older than what was acknowledged when it began, a node cut
-off from the others confirms nothing, no proper order gets a 4xx, a 503 says when to come back, and each call is
-answered within the second for which callers wait.
+An `InvariantError` is raised unless these rules hold: a read is never older than what was acknowledged when it began; a
+node that is cut off from the others confirms nothing; no valid order gets a 4xx; a 503 has a Retry-After header; and
+each call is answered within the second for which operators wait.
 """
 
 import json
@@ -15,13 +15,13 @@
 from .system_run import SERVICES, SystemRun
 
 MS, SEC = 10**6, 10**9
-SILENCE = SEC  # behind which a caller turns away
-ON_ITS_WAY = 100 * MS  # a frame sent before a cut may still come for so long
-PAUSE_MS = 20, 120  # of a caller between two calls
-LOOK = 50 * MS
+ANSWER_TIMEOUT = SEC  # an operator abandons a call after this time
+MAX_FRAME_DELAY = 100 * MS  # a frame sent before a cut may still arrive for this time
+CALL_PAUSE_MS = 20, 120  # of an operator between two calls
+CHECK_INTERVAL = 50 * MS
 ZONES = "a1", "a2", "b1", "b2"
-DONE, COME_BACK = 200, 503
-DISKLESS = 7  # place in the fleet of a node without a disk
+OK, UNAVAILABLE = 200, 503
+DISKLESS_INDEX = 7  # index in the fleet of a node without a disk
 
 Headers = Sequence[tuple[bytes, bytes]]
 Pairs = list[tuple[str, str]]
@@ -36,12 +36,12 @@
 
 
 def revision_of(body: bytes) -> int:
-    """The number of a configuration."""
+    """The revision number of a configuration."""
     return int(json.loads(body)["Revision"][1:])
 
 
 def submit_order(machine: Machine, kind: str, asked: Asked) -> None:
-    """Hands an order (`config`, `read`, `empty`, `fill`) to a machine; `asked.respond` is called once."""
+    """Passes an order (`config`, `read`, `zones`, `empty`, `fill`) to a machine; `asked.respond` is called once."""
     control = machine.control
     handlers = {
         "config": control.replace_configuration,
@@ -56,113 +56,113 @@
 
 
 class Operator:
-    """Asks one machine after another, one call at a time: reads, configurations under new numbers, its own zone."""
+    """Calls machines, one call at a time: reads, configurations with new numbers, and orders on its own zone."""
 
     def __init__(self, run: "IsolationRun", number: int) -> None:
-        """`number`: which zone it empties and takes back."""
-        self.run, self.zone, self.emptied = run, ZONES[number], False
-        run.fleet.at(run.fleet.now + number * 17 * MS, self.ask)
+        """`number`: index of the zone that it evacuates and restores."""
+        self.run, self.zone, self.is_evacuated = run, ZONES[number], False
+        run.fleet.at(run.fleet.now + number * 17 * MS, self.call_next)
 
-    def ask(self) -> None:
-        """The next call, unless the run wants quiet."""
+    def call_next(self) -> None:
+        """Starts the next call, unless the run is quiet."""
         run, fleet = self.run, self.run.fleet
         if run.quiet:
             return
         machine = fleet.chance.choice(run.targets or fleet.machines)
         kind = fleet.chance.choice(("read", "read", "config", "zone"))
         if kind == "zone":
-            kind = "fill" if self.emptied else "empty"
+            kind = "fill" if self.is_evacuated else "empty"
         call = OperatorCall(self, kind, machine)
-        fleet.at(fleet.now + fleet.way("operator", machine.ip), fleet.do, machine, machine.life, call.hand)
-        fleet.at(fleet.now + SILENCE, call.turn_away)
+        fleet.at(fleet.now + fleet.way("operator", machine.ip), fleet.do, machine, machine.life, call.deliver)
+        fleet.at(fleet.now + ANSWER_TIMEOUT, call.on_timeout)
 
-    def ended(self, call: "OperatorCall") -> None:
-        """A call was answered, or has met silence."""
-        if call.status == DONE and call.kind in ("empty", "fill"):
-            self.emptied = call.kind == "empty"
+    def on_call_ended(self, call: "OperatorCall") -> None:
+        """A call was answered or has timed out; schedules the next one."""
+        if call.status == OK and call.kind in ("empty", "fill"):
+            self.is_evacuated = call.kind == "empty"
         fleet = self.run.fleet
-        fleet.at(fleet.now + fleet.chance.randrange(*PAUSE_MS) * MS, self.ask)
+        fleet.at(fleet.now + fleet.chance.randrange(*CALL_PAUSE_MS) * MS, self.call_next)
 
 
 class OperatorCall:
-    """One call to one machine, and what must hold of its answer."""
+    """One call to one machine, and the checks of its answer."""
 
     def __init__(self, operator: Operator, kind: str, machine: Machine) -> None:
-        """`kind`: as `submit_order` knows it."""
+        """`kind`: of an order of `submit_order`."""
         run = operator.run
         self.operator, self.run, self.kind, self.machine, self.sent = operator, run, kind, machine, run.fleet.now
-        self.newest = run.acknowledged  # when it was sent
+        self.acknowledged_before = run.acknowledged  # acknowledged when the call was sent
         self.was_frozen = machine.frozen
-        self.handed = 0
-        self.status: int | None = None  # 0: silence
+        self.delivered_at = 0
+        self.status: int | None = None  # 0: timed out
         self.body = run.body() if kind == "config" else b""
         run.calls.append(self)
 
-    def hand(self) -> None:
-        """It reaches the machine."""
-        self.handed = self.run.fleet.now
-        submit_order(self.machine, self.kind, Asked({"of": self.operator.zone}, self.body, self.answered))
+    def deliver(self) -> None:
+        """The call reaches the machine."""
+        self.delivered_at = self.run.fleet.now
+        submit_order(self.machine, self.kind, Asked({"of": self.operator.zone}, self.body, self.on_answer))
 
-    def answered(self, status: int, body: bytes = b"", headers: Headers = (), **_: object) -> bool:
-        """The machine answers, and is not told whether that was read. Raises `InvariantError` for one that it may not give."""
+    def on_answer(self, status: int, body: bytes = b"", headers: Headers = (), **_: object) -> bool:
+        """The machine answers; it is not notified whether the answer was read. Checks that it may give this answer."""
         fleet = self.run.fleet
-        if status == DONE:
-            self.confirmed(body)
-        elif status != COME_BACK:
-            raise InvariantError(f"{self.kind} is answered {status} {body!r}")
+        if status == OK:
+            self.check_confirmation(body)
+        elif status != UNAVAILABLE:
+            raise InvariantError(f"{self.kind} is answered with status {status}: {body!r}")
         elif b"Retry-After" not in dict(headers) or not json.loads(body)["Message"]:
-            raise InvariantError(f"{self.kind}: 503 without a time or a reason")
-        fleet.at(fleet.now + fleet.way(self.machine.ip, "operator"), self.heard, status)
+            raise InvariantError(f"{self.kind}: 503 without Retry-After or Message")
+        fleet.at(fleet.now + fleet.way(self.machine.ip, "operator"), self.on_answer_received, status)
         return True
 
-    def confirmed(self, body: bytes) -> None:
-        """A 200, with the body of a read."""
+    def check_confirmation(self, body: bytes) -> None:
+        """Checks a 200: the machine is not cut off, and a read is not older than what was acknowledged before it."""
         run = self.run
-        if run.cut_off_at(self.machine, self.handed):
+        if run.cut_off_at(self.machine, self.delivered_at):
             raise InvariantError(f"{self.kind} is confirmed by {self.machine.name}, cut off")
         if self.kind == "config":
             run.acknowledged = max(run.acknowledged, revision_of(self.body))
-        elif self.kind == "read" and revision_of(body) < self.newest:
-            raise InvariantError(f"read r{revision_of(body)}, r{self.newest} was acknowledged before it")
+        elif self.kind == "read" and revision_of(body) < self.acknowledged_before:
+            raise InvariantError(f"read r{revision_of(body)}, r{self.acknowledged_before} was acknowledged before it")
 
-    def heard(self, status: int) -> None:
-        """The answer reaches the operator."""
+    def on_answer_received(self, status: int) -> None:
+        """The answer reaches the operator, unless the call has timed out."""
         if self.status is None:
             self.status = status
             self.run.waits.append(self.run.fleet.now - self.sent)
-            self.operator.ended(self)
+            self.operator.on_call_ended(self)
 
-    def turn_away(self) -> None:
-        """The operator's patience is at its end."""
+    def on_timeout(self) -> None:
+        """The call times out, which is a violation unless the machine is or was frozen."""
         if self.status is not None:
             return
         self.status = 0
         if not (self.was_frozen or self.machine.frozen):
             raise InvariantError(f"{self.kind} at {self.machine.name}: not answered within a second")
-        self.operator.ended(self)
+        self.operator.on_call_ended(self)
 
 
 class IsolationRun:
-    """A fleet of 11 with a core of 4, all in touch and a configuration in force; three operators."""
+    """A fleet of 11 machines with a core of 4, all in touch, with a committed configuration; three operators."""
 
     def __init__(self, seed: int = 1, operators: int = 3) -> None:
-        """Plays until all nodes are ready."""
+        """Runs until all nodes are ready."""
         self.fleet = fleet = Fleet(seed)
         fleet.rule_checker = RuleChecker(fleet)
         fleet.calling, fleet.loss, fleet.repeat = None, 0, 0
         self.calls: list[OperatorCall] = []
         self.waits: list[int] = []  # ns from a call to its answer at the operator
-        self.cut_since: dict[Machine, int] = {}  # of those that are cut off now
-        self.targets: list[Machine] = []  # that operators ask; empty: all
-        self.acknowledged = self.numbers = 0  # the newest revision acknowledged; and made
+        self.cut_since: dict[Machine, int] = {}  # machines that are cut off now, with the time of the cut
+        self.targets: list[Machine] = []  # machines that operators call; empty: all
+        self.acknowledged = self.numbers = 0  # the newest revision that was acknowledged; that was generated
         self.quiet = False
         self.bodies = SystemRun(seed, plan=[])
         self.start()
         self.operators = [Operator(self, number) for number in range(operators)]
-        self.look()
+        self.check_periodically()
 
     def start(self) -> None:
-        """All machines at once, then the first configuration."""
+        """Starts all machines at the same time, then sends the first configuration."""
         fleet = self.fleet
         for service in SERVICES:
             for zone in ZONES:
@@ -174,54 +174,56 @@
         self.order("config", fleet.core[0], self.body())
         self.go(3 * SEC)
         if not all(machine.node_process.disseminator.ready for machine in fleet.machines):
-            raise InvariantError("not all are ready 3 s behind the first configuration")
+            raise InvariantError("not all machines are ready 3 s after the first configuration")
         self.acknowledged = 1
 
     def go(self, span: int) -> None:
-        """Plays on for `span` ns."""
+        """Runs for `span` ns."""
         self.fleet.run(self.fleet.now + span)
 
     def body(self) -> bytes:
-        """A configuration under the next number."""
+        """A configuration with the next number."""
         self.numbers += 1
         return self.bodies.body(self.numbers)
 
     def order(self, kind: str, machine: Machine, body: bytes = b"", of: str | None = None) -> list[Reply]:
-        """One order beside those of the operators; its reply goes into the list that is returned."""
+        """Sends an order besides those of the operators. Its reply is added to the list that is returned."""
         replies: list[Reply] = []
 
-        def answer(status: int, said: bytes = b"", headers: Headers = (), **_: object) -> bool:
-            replies.append(Reply(status, said, self.fleet.now))
+        def answer(status: int, body_of_answer: bytes = b"", headers: Headers = (), **_: object) -> bool:
+            replies.append(Reply(status, body_of_answer, self.fleet.now))
             return True
 
         submit_order(machine, kind, Asked({"of": of}, body, answer))
         return replies
 
-    # ---- who is who
+    # ---- machines
 
     def leader(self) -> Machine:
-        """The machine that leads, as it sees it."""
+        """The running machine that considers itself the leader."""
         return next(m for m in self.fleet.core if m.up and not m.frozen and m.node_process.disseminator.is_leader)
 
     def pick(self, who: str) -> Machine:
-        """A machine by its part: `leader`, `follower` or `diskless`."""
+        """A machine by its role: `leader`, `follower` or `diskless`."""
         leader = self.leader()
         if who == "leader":
             return leader
         return (
-            self.fleet.machines[DISKLESS] if who == "diskless" else next(m for m in self.fleet.core if m is not leader)
+            self.fleet.machines[DISKLESS_INDEX]
+            if who == "diskless"
+            else next(m for m in self.fleet.core if m is not leader)
         )
 
     def answers(self, machine: Machine, status: int) -> int:
-        """How many calls of a machine cut off, sent later than a second behind the cut, were answered so."""
+        """How many calls to a machine, sent more than 1 s after it was cut off, were answered with `status`."""
         since = self.cut_since[machine] + SEC
         return sum(call.machine is machine and call.sent > since and call.status == status for call in self.calls)
 
     # ---- cuts
 
     def cut(self, machines: Sequence[Machine], ways: str = "both", others: Iterable[Machine] | None = None) -> Pairs:
-        """Cuts `machines` off from `others` (all the rest): `both` ways, `in` (they hear nothing) or `out` (nobody
-        hears them). Returns what `join` wants."""
+        """Cuts `machines` off from `others` (by default all the rest) in `both` directions, `in` (towards `machines`)
+        or `out` (from them). Returns the cut pairs for `join`."""
         rest = [m.ip for m in (self.fleet.machines if others is None else others) if m not in machines]
         pairs = [(ip, m.ip) for m in machines for ip in rest] if ways != "out" else []
         pairs += [(m.ip, ip) for m in machines for ip in rest] if ways != "in" else []
@@ -234,24 +236,25 @@
         self.fleet.mend(pairs)
         self.cut_since.clear()
 
-    def cut_off_at(self, machine: Machine, handed: int) -> bool:
-        """Whether a machine is cut off, and was when it was handed a call."""
-        return machine in self.cut_since and handed > self.cut_since[machine] + ON_ITS_WAY
+    def cut_off_at(self, machine: Machine, delivered_at: int) -> bool:
+        """Whether a machine is cut off and already was when a call was delivered to it."""
+        return machine in self.cut_since and delivered_at > self.cut_since[machine] + MAX_FRAME_DELAY
 
-    # ---- what must hold
+    # ---- checks
 
-    def look(self) -> None:
-        """All the while: what leases rest on; directories name what was last known rather than next to nothing."""
+    def check_periodically(self) -> None:
+        """Checks periodically the claims on which leases are based, and that directories list the nodes last known
+        instead of nearly none."""
         self.fleet.rule_checker.check_confirmed_times()
         for machine in self.fleet.machines:
             if self.cut_since and not self.quiet and machine.up and not machine.frozen:
                 ready = sum(entry.ready for entry in machine.node_process.disseminator.roster)
                 if 2 * ready <= len(self.fleet.machines):
                     raise InvariantError(f"{machine.name} knows {ready} fronts")
-        self.fleet.at(self.fleet.now + LOOK, self.look)
+        self.fleet.at(self.fleet.now + CHECK_INTERVAL, self.check_periodically)
 
     def check_agreement(self) -> None:
-        """Behind the join: a new order is acknowledged at every machine, and all hold and read the same."""
+        """Checks after a cut that each machine acknowledges a new order and that all hold and read the same state."""
         self.targets, self.quiet = [], True
         self.go(4 * SEC)
         body, machines = self.body(), self.fleet.machines
@@ -259,9 +262,9 @@
         self.go(3 * SEC)
         reads = [self.order("read", machine) for machine in machines]
         self.go(SEC)
-        if any(not replies or replies[0].status != DONE for replies in orders + reads):
-            raise InvariantError("an order is not acknowledged behind the join")
+        if any(not replies or replies[0].status != OK for replies in orders + reads):
+            raise InvariantError("an order is not acknowledged after the cut has ended")
         if any(revision_of(replies[0].body) != self.numbers for replies in reads):
-            raise InvariantError("a read behind the join is not the newest")
+            raise InvariantError("a read after the cut has ended does not return the newest configuration")
         if len({machine.node_process.replicated_state.state.position for machine in machines}) > 1:
-            raise InvariantError("machines hold different states behind the join")
+            raise InvariantError("machines hold different states after the cut has ended")
