--- a/rampfront/simulation/linearizability.py
+++ b/rampfront/simulation/linearizability.py
@@ -1,13 +1,15 @@
-"""Checks a history of operators' calls against one sequential register: a configuration, chosen by the highest number,
-with one body for each number; and a set of evacuated zones.
+"""Checks a history of operators' calls against one sequential register.
+
+The register holds a configuration, selected by the highest number, with one body for each number, and a set of
+evacuated zones.
 
 A history is linearizable if every call can be given one instant between its start and its end so that all calls,
 carried out one by one in the order of these instants, give the results that the callers saw (Herlihy and Wing, 1990).
-A call without a clear result may take effect at any instant behind its start, or never. For a register that only
-rises, the search over orders comes down to comparisons of starts and ends, which are below; a test compares them with
+A call without a clear result may take effect at any instant after its start, or never. For a register whose number
+never falls, the search over all orders reduces to the comparisons of starts and ends below; a test compares them with
 the search.
 
-Pure: no clock, no I/O. Times are ns on the onlooker's clock, which all nodes' calls share.
+Pure: no clock, no I/O. Times are ns on the simulated clock, which the calls of all nodes share.
 """
 
 from bisect import bisect_left, bisect_right
@@ -17,31 +19,33 @@
 
 from .checks import InvariantError
 
-FOREVER = 1 << 62  # ns; the end of a call that nobody saw end
+FOREVER = 1 << 62  # ns; the end of a call without an answer
 
 
 class Kind(Enum):
-    """What an operator asked for."""
+    """The order of an operator."""
 
-    CONFIGURE = "configure"  # make this configuration the one in force, unless a higher number is
+    CONFIGURE = "configure"  # commit this configuration unless one with a higher number is committed
     READ = "read"
-    EVACUATE = "evacuate"  # send nothing to a zone
-    RESTORE = "restore"  # take an evacuation back
+    EVACUATE = "evacuate"  # send no requests to a zone
+    RESTORE = "restore"  # end an evacuation
 
 
 class Verdict(Enum):
     """How a call ended, as its caller saw it."""
 
     ACKNOWLEDGED = "acknowledged"
-    REFUSED = "refused"  # by what is in force: never will be carried out, in no repeat of it either
-    NOT_TAKEN = "not taken"  # by this call, for sure; a repeat may be
-    IN_DOUBT = "in doubt"  # no answer, or one that says nothing: at any time behind its start, or never
+    REFUSED = "refused"  # because of what is committed: will never be carried out, nor will a repeat of it
+    NOT_TAKEN = "not taken"  # certainly not by this call; a repeat may be
+    IN_DOUBT = "in doubt"  # no answer, or an inconclusive one: takes effect at any time after its start, or never
 
 
 @dataclass(frozen=True, slots=True)
 class Operation:
-    """One call, at one node. A repeat is an operation of its own. `number` and `body` are what a CONFIGURE wrote or a
-    READ returned (0: no configuration yet); `zones` what a READ returned, or None where reads do not tell."""
+    """One call at one node; a repeat is a separate operation.
+
+    `number` and `body`: what a CONFIGURE wrote or a READ returned (0: no configuration yet); `zones`: the evacuated
+    zones that a READ returned, or None if it does not return them."""
 
     kind: Kind
     node: str
@@ -64,43 +68,43 @@
         return self.verdict in (Verdict.ACKNOWLEDGED, Verdict.IN_DOUBT)
 
     def __str__(self) -> str:
-        """For a failing schedule."""
+        """One line for the log of a failing run."""
         span = f"{self.began / 1e9:.4f}..{'' if self.ended == FOREVER else f'{self.ended / 1e9:.4f}'} s"
         what = self.zone or f"r{self.number} {self.body[:12]!r}"
         return f"{self.kind.value} {what} at {self.node} {span} {self.verdict.value}"
 
 
 class Fault(Enum):
-    """What a history shows that no register would do."""
+    """A way in which a history can differ from that of a register."""
 
     STALE_READ = "a read is older than one that ended before it began"
-    LOST_ACKNOWLEDGEMENT = "an acknowledged change is missing in a read that began behind it, and in all later ones"
+    LOST_ACKNOWLEDGEMENT = "an acknowledged change is missing in a read that began after it, and in all later ones"
     DOUBLE_CONFIRMATION = "one number is confirmed with two bodies"
-    REFUSED_REPEAT = "a change that holds is refused"
-    UNFOUNDED_REFUSAL = "a change is refused though no other body was sent under its number"
-    UNKNOWN_VALUE = "a read returns what nobody had sent by then, or what was not taken"
-    OVERTAKEN_VALUE = "a read returns a number that was sent only after a higher one held"
-    LOST_EVACUATION = "a zone that was evacuated and not taken back is in use"
-    UNASKED_EVACUATION = "a zone is evacuated that nobody asked for, or that was taken back"
+    REFUSED_REPEAT = "a change that was confirmed is refused"
+    UNFOUNDED_REFUSAL = "a change is refused though no other body was sent with its number"
+    UNKNOWN_VALUE = "a read returns a value that was not sent by then, or was not accepted"
+    OVERTAKEN_VALUE = "a read returns a number that was sent only after a higher one was committed"
+    LOST_EVACUATION = "a zone that was evacuated and not restored is in use"
+    UNASKED_EVACUATION = "a zone is evacuated without an order, or after it was restored"
 
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """A fault, and the operations that show it."""
+    """A fault and the operations that show it."""
 
     fault: Fault
     operations: tuple[Operation, ...]
 
     def __str__(self) -> str:
-        """In one line for each operation."""
+        """The fault, then the operations."""
         return f"{self.fault.value}: " + "; ".join(map(str, self.operations))
 
 
 class NotLinearizableError(InvariantError):
-    """A history that no register gives."""
+    """A history that no sequential register can produce."""
 
     def __init__(self, violation: Violation) -> None:
-        """Keeps the violation beside its text."""
+        """Keeps the violation besides its text."""
         super().__init__(f"LINEARIZABILITY: {violation}")
         self.violation = violation
 
@@ -113,18 +117,18 @@
         self._calls: list[Operation] = []
 
     def begin(self, operation: Operation) -> int:
-        """A call leaves its caller, in doubt for now; returns what `end` takes."""
+        """Adds a call that its caller sends, in doubt for now. Returns its handle for `end`."""
         self._calls.append(operation)
         return len(self._calls) - 1
 
     def end(self, call: int, now: int, verdict: Verdict) -> None:
-        """An answer reaches the caller. Only the first one of a call counts."""
+        """Records an answer that reaches the caller. Only the first answer of a call counts."""
         was = self._calls[call]
         if was.ended == FOREVER and verdict is not Verdict.IN_DOUBT:
             self._calls[call] = replace(was, ended=now, verdict=verdict)
 
     def end_read(self, call: int, now: int, number: int, body: bytes, zones: frozenset[str] | None = None) -> None:
-        """What a read returned reaches the caller."""
+        """Records what a read returned to its caller."""
         self._calls[call] = replace(self._calls[call], number=number, body=body, zones=zones)
         self.end(call, now, Verdict.ACKNOWLEDGED)
 
@@ -134,40 +138,40 @@
 
 
 def check(history: Iterable[Operation]) -> None:
-    """Raises `NotLinearizableError` with the first violation that is found."""
+    """Raises `NotLinearizableError` with the first violation, if there is one."""
     found = violations(history)
     if found:
         raise NotLinearizableError(found[0])
 
 
 def violations(history: Iterable[Operation]) -> list[Violation]:
-    """All that a history shows and no register would do; empty if it is linearizable."""
+    """All violations of a history; empty if it is linearizable."""
     operations = list(history)
     writes = [each for each in operations if each.kind is Kind.CONFIGURE]
     reads = [each for each in operations if each.kind is Kind.READ and each.took_effect]
-    seen = _Sightings(writes, reads)
+    observations = _Observations(writes, reads)
     return [
         *_bodies(writes, reads),
         *_refusals(writes, reads),
-        *_order(reads, seen),
-        *_sources(writes, reads, seen),
+        *_order(reads, observations),
+        *_sources(writes, reads, observations),
         *_evacuations(operations),
     ]
 
 
-class _Sightings:
-    """Who saw a number at least as high as some number, and when he knew it."""
+class _Observations:
+    """The operations that show that some number or a higher one was committed, by number and by end."""
 
     def __init__(self, writes: list[Operation], reads: list[Operation]) -> None:
-        # A refusal tells that its number holds another body; so that number, or a higher one, is in force.
-        shown = [each for each in writes if each.verdict in (Verdict.ACKNOWLEDGED, Verdict.REFUSED)] + reads
-        by_end = sorted(shown, key=lambda each: each.ended)
+        # A refusal shows that its number has another body, so that this number or a higher one is committed.
+        observed = [each for each in writes if each.verdict in (Verdict.ACKNOWLEDGED, Verdict.REFUSED)] + reads
+        by_end = sorted(observed, key=lambda each: each.ended)
         self._ends = [each.ended for each in by_end]
         self._highest: list[Operation] = []
         for each in by_end:
             highest = self._highest[-1] if self._highest else each
             self._highest.append(each if each.number > highest.number else highest)
-        by_number = sorted(shown, key=lambda each: each.number)
+        by_number = sorted(observed, key=lambda each: each.number)
         self._numbers = [each.number for each in by_number]
         self._earliest: list[Operation] = []
         for each in reversed(by_number):
@@ -176,18 +180,18 @@
         self._earliest.reverse()
 
     def highest_before(self, moment: int) -> Operation | None:
-        """The one with the highest number of those that ended before a moment."""
+        """The operation with the highest number of those that ended before a time."""
         at = bisect_left(self._ends, moment)
         return self._highest[at - 1] if at else None
 
     def earliest_above(self, number: int) -> Operation | None:
-        """The one that ended first of those that saw a higher number."""
+        """The operation that ended first of those with a higher number."""
         at = bisect_right(self._numbers, number)
         return self._earliest[at] if at < len(self._numbers) else None
 
 
 def _bodies(writes: list[Operation], reads: list[Operation]) -> list[Violation]:
-    """One number has one body for ever, among all that was read or acknowledged."""
+    """A number has the same body in all that was read or acknowledged."""
     first: dict[int, Operation] = {}
     found = []
     for each in [*(write for write in writes if write.took_effect), *reads]:
@@ -198,7 +202,7 @@
 
 
 def _refusals(writes: list[Operation], reads: list[Operation]) -> list[Violation]:
-    """A refusal is final, and rests on another body under the same number that was sent before it ended."""
+    """A refusal is final, and another body with the same number must have been sent before it ended."""
     confirmed = {(each.number, each.body): each for each in [*reads, *(each for each in writes if each.took_effect)]}
     sent: dict[int, list[Operation]] = {}
     for write in writes:
@@ -209,20 +213,20 @@
         if write.verdict is not Verdict.REFUSED:
             continue
         held = confirmed.get((write.number, write.body))
-        rivals = sent.get(write.number, ())
+        candidates = sent.get(write.number, ())
         if held is not None:
             found.append(Violation(Fault.REFUSED_REPEAT, (held, write)))
-        elif not any(rival.body != write.body and rival.began <= write.ended for rival in rivals):
+        elif not any(candidate.body != write.body and candidate.began <= write.ended for candidate in candidates):
             found.append(Violation(Fault.UNFOUNDED_REFUSAL, (write,)))
     return found
 
 
-def _order(reads: list[Operation], seen: _Sightings) -> list[Violation]:
-    """A read returns nothing older than what was known before it began."""
+def _order(reads: list[Operation], observations: _Observations) -> list[Violation]:
+    """A read returns nothing older than what was observed before it began."""
     found = []
     by_start = sorted(reads, key=lambda each: each.began)
     for read in by_start:
-        known = seen.highest_before(read.began)
+        known = observations.highest_before(read.began)
         if known is None or known.number <= read.number:
             continue
         later = any(each.number >= known.number for each in by_start if each.began >= read.began)
@@ -231,8 +235,8 @@
     return found
 
 
-def _sources(writes: list[Operation], reads: list[Operation], seen: _Sightings) -> list[Violation]:
-    """What is read was sent before the read ended, and before a higher number held."""
+def _sources(writes: list[Operation], reads: list[Operation], observations: _Observations) -> list[Violation]:
+    """What is read must have been sent before the read ended and before a higher number was observed."""
     first: dict[tuple[int, bytes], Operation] = {}
     for write in sorted(writes, key=lambda each: each.began):
         if write.may_take_effect:
@@ -245,41 +249,41 @@
         if source is None or source.began > read.ended:
             found.append(Violation(Fault.UNKNOWN_VALUE, (read,)))
             continue
-        above = seen.earliest_above(read.number)
+        above = observations.earliest_above(read.number)
         if above is not None and above.ended < source.began:
             found.append(Violation(Fault.OVERTAKEN_VALUE, (above, source, read)))
     return found
 
 
 def _evacuations(operations: list[Operation]) -> list[Violation]:
-    """A zone stays evacuated from an acknowledgement until somebody takes it back; it is not evacuated unasked, nor
-    once the only order to do so was taken back. Where there were several orders, a repeat is not told apart from
-    another operator (orders bear no identity): who takes it back then is answered, and the zone may stay evacuated."""
+    """A zone is evacuated from an acknowledgement until an operator restores it; it is not evacuated without an order,
+    nor after the only evacuation was restored. With several orders a repeat cannot be distinguished from another
+    operator (orders have no identity): a restore is then acknowledged, and the zone may stay evacuated."""
     reads = [each for each in operations if each.kind is Kind.READ and each.took_effect and each.zones is not None]
     found = []
     zones = {each.zone for each in operations if each.zone}
     zones.update(*(read.zones or () for read in reads))
     for zone in sorted(zones):
         asked = [each for each in operations if each.kind is Kind.EVACUATE and each.zone == zone]
-        taken_back = [each for each in operations if each.kind is Kind.RESTORE and each.zone == zone]
+        restores = [each for each in operations if each.kind is Kind.RESTORE and each.zone == zone]
         for read in reads:
-            fault = _evacuation(zone, read, asked, taken_back)
+            fault = _evacuation(zone, read, asked, restores)
             if fault is not None:
                 found.append(fault)
     return found
 
 
-def _evacuation(zone: str, read: Operation, asked: list[Operation], taken_back: list[Operation]) -> Violation | None:
-    """What one read shows of one zone."""
+def _evacuation(zone: str, read: Operation, asked: list[Operation], restores: list[Operation]) -> Violation | None:
+    """The violation that one read shows for one zone, if any."""
     before = [each for each in asked if each.may_take_effect and each.began <= read.ended]
     if zone in (read.zones or ()):
-        back = [each for each in taken_back if each.took_effect and each.ended < read.began]
-        is_over = not before or len(before) == 1 and any(before[0].ended < each.began for each in back)
-        return Violation(Fault.UNASKED_EVACUATION, (*back[-1:], read)) if is_over else None
+        restores_before = [each for each in restores if each.took_effect and each.ended < read.began]
+        is_over = not before or len(before) == 1 and any(before[0].ended < each.began for each in restores_before)
+        return Violation(Fault.UNASKED_EVACUATION, (*restores_before[-1:], read)) if is_over else None
     for evacuation in before:
         holds = evacuation.took_effect and evacuation.ended < read.began
         if holds and not any(
-            each.may_take_effect and each.began <= read.ended and each.ended > evacuation.began for each in taken_back
+            each.may_take_effect and each.began <= read.ended and each.ended > evacuation.began for each in restores
         ):
             return Violation(Fault.LOST_EVACUATION, (evacuation, read))
     return None
--- a/tests/test_linearizability.py
+++ b/tests/test_linearizability.py
@@ -1,4 +1,4 @@
-"""The checker of histories: planted faults are found, right ones pass, and it agrees with a search over all orders."""
+"""The checker of histories finds planted faults, passes valid histories, and agrees with a search over all orders."""
 
 from collections.abc import Iterator
 
@@ -183,11 +183,11 @@
 # Against a sequential register, and against a search.
 
 NUMBERS, BODIES = st.integers(1, 3), st.sampled_from((b"one", b"two"))
-FATES = st.sampled_from(("answered", "answer lost", "call lost", "turned away"))
+OUTCOMES = st.sampled_from(("answered", "answer lost", "call lost", "turned away"))
 
 
 class Register:
-    """What the nodes are to look like from outside: one configuration, of the highest number that came."""
+    """The behaviour expected of the nodes: one configuration, that with the highest number received."""
 
     def __init__(self) -> None:
         self.bodies: dict[int, bytes] = {}
@@ -201,7 +201,7 @@
 
 @st.composite
 def linear_histories(draw: st.DrawFn) -> list[Operation]:
-    """Calls carried out one by one, each at an instant within a span that overlaps others; some answers are lost."""
+    """Calls carried out one by one, each at an instant within its span; spans overlap, and some answers are lost."""
     register, history = Register(), []
     for at in range(draw(st.integers(0, 12))):
         instant = 10 * at
@@ -210,9 +210,9 @@
             number, body = register.newest()
             history.append(read(began, ended, number, body))
             continue
-        number, body, fate = draw(NUMBERS), draw(BODIES), draw(FATES)
-        verdict = register.configure(number, body) if fate in ("answered", "answer lost") else NOT_TAKEN
-        if fate in ("answer lost", "call lost"):
+        number, body, outcome = draw(NUMBERS), draw(BODIES), draw(OUTCOMES)
+        verdict = register.configure(number, body) if outcome in ("answered", "answer lost") else NOT_TAKEN
+        if outcome in ("answer lost", "call lost"):
             ended, verdict = FOREVER, IN_DOUBT
         history.append(write(began, ended, number, body, verdict))
     return draw(st.permutations(history))
@@ -225,7 +225,7 @@
 
 
 def orders(left: list[Operation]) -> Iterator[tuple[Operation, list[Operation]]]:
-    """Each call that may come next: no other one ended before it began."""
+    """Each call that may be carried out next: no other one ended before it began."""
     first_end = min((each.ended for each in left), default=FOREVER)
     for at, each in enumerate(left):
         if each.began <= first_end:
@@ -233,7 +233,7 @@
 
 
 def is_linearizable(left: list[Operation], bodies: dict[int, bytes]) -> bool:
-    """The search that the checker's comparisons stand for: every order, every fate of what is in doubt."""
+    """The search that the checker's comparisons replace: all orders, with each outcome of calls in doubt."""
     if all(each.verdict in (IN_DOUBT, NOT_TAKEN) for each in left):
         return True
     for each, rest in orders(left):
