--- a/rampfront/simulation/quota_fleet.py
+++ b/rampfront/simulation/quota_fleet.py
@@ -1,9 +1,8 @@
-"""Proxies and their counters on a fake clock, on a network that delays, loses, repeats and partitions.
+"""Proxies and their quota counters on a simulated clock and a network that delays, loses, duplicates and partitions.
 
-`QuotaFleet` plays a `Scene`: nodes in two regions of two zones, each with a `Limiter` and a `CounterPlacement`; the
-core's members have a `QuotaCounter` too. Requests of all tenants come by chance. The same seed plays the same run,
-event by event. Never imported by a serving process.
-"""
+`QuotaFleet` plays a `Scene`: nodes in two regions of two zones, each with a `Limiter` and a `CounterPlacement`; members
+of the core also have a `QuotaCounter`. Requests of the tenants arrive at random. The same seed gives the same run,
+event by event. Never imported by a serving process."""
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
@@ -23,15 +22,15 @@
 from .quota_network import QuotaNetwork
 from .quota_scene import Counting, Phase, Scene, TenantQuota
 
-TICK_NS = 100 * MS  # of a placement
-ROSTER_DROP_NS = 3 * SEC  # all rosters lack a node that ended so long after,
-ROSTER_RETURN_NS = SEC  # and have one that goes on again so long after
-ROSTER_SPREAD_S = 0.3  # a roster takes up to that to come to all
+TICK_NS = 100 * MS  # interval between ticks of a placement
+ROSTER_DROP_NS = 3 * SEC  # until all rosters drop a node that has ended
+ROSTER_RETURN_NS = SEC  # until they list a node that runs again
+ROSTER_SPREAD_S = 0.3  # most time until a roster has reached all nodes
 FIRST_REQUESTS_NS = 5 * SEC // 2
-WARM_NS = 3 * SEC  # requests before then are of the phase START
-CLOCK_STEP_NS = 7_777_777_777  # by which the steady clocks of two neighbours differ
+WARM_NS = 3 * SEC  # requests before this time belong to the phase START
+CLOCK_STEP_NS = 7_777_777_777  # difference between the steady clocks of nodes with consecutive numbers
 NAME_PREFIX = "node"
-QUIET_PER_S = 12.0  # rate and burst of the tenants that are never hot
+QUIET_PER_S = 12.0  # rate and burst of the tenants without a surge
 FOREVER = 1 << 62  # ns
 
 
@@ -41,15 +40,15 @@
 
     limiter: Limiter
     placement: CounterPlacement
-    counter: QuotaCounter | None  # of a member
+    counter: QuotaCounter | None  # only for members of the core
 
 
 class Event(NamedTuple):
-    """Something that happens to a node, or to all of them. Ordered by time, then by when it was scheduled."""
+    """An event of a node, or of all of them. Ordered by time, then by the order of scheduling."""
 
     at: int
     order: int
-    node: int | None  # it waits while this node stands still
+    node: int | None  # the event waits while this node is frozen
     act: Callable[..., None]
     arguments: tuple[Any, ...]
 
@@ -78,13 +77,13 @@
         quiet = TenantQuota(QUIET_PER_S, QUIET_PER_S)
         self.quotas |= {f"quiet{number}": quiet for number in range(scene.other_tenants)}
         self.measures = {name: TenantMeasure(quota.per_s, quota.burst) for name, quota in self.quotas.items()}
-        self.buckets: dict[tuple[str, int], TokenBucket] = {}  # of the ways to count that are compared with
-        self.first_counter = scene.nodes - 1  # not among those cut off, which are the first
-        # Of the core, by rank.
+        self.buckets: dict[tuple[str, int], TokenBucket] = {}  # for the ways of counting other than SHARED
+        self.first_counter = scene.nodes - 1  # not among the nodes that faults affect, which are the first ones
+        # Members of the core, by rank.
         self.members = [name_of(number) for number in (scene.nodes - 1, scene.nodes - 2, 0, scene.nodes - 3)]
         self.dead: set[int] = set()
-        self.absent: list[set[int]] = [set() for _ in range(scene.nodes)]  # whom each one's roster lacks
-        self.update_due_at: dict[int, int] = {}  # by node
+        self.absent: list[set[int]] = [set() for _ in range(scene.nodes)]  # nodes that each one's roster lacks
+        self.update_due_at: dict[int, int] = {}  # by node number
         self.network = QuotaNetwork(scene, self.random, self.first_counter)
         self.nodes = [self._new_node(number, 0) for number in range(scene.nodes)]
         self.weights = [(number + 1.0) ** -scene.skew for number in range(scene.nodes)]
@@ -93,7 +92,7 @@
     # ---- nodes
 
     def _new_node(self, number: int, now: int) -> Node:
-        """A node's start: its proxy, and its counter if it is a member."""
+        """Starts a node: its proxy, and its counter if it is a member."""
         now = self.clock(number, now)
         name = name_of(number)
         limiter = Limiter(name, Random(self.random.random()), now)
@@ -103,24 +102,24 @@
                 part.set_proxy_count(self.scene.nodes - len(self.absent[number]))
                 part.set_quotas(self.quotas, now)
         placement = CounterPlacement(limiter.link, self._weight_of)
-        # As of time 0, so that the first update of a node that started again goes out at once.
+        # Ranked as of time 0, so that a restarted node sends its first update at once.
         placement.rank(self.clock(number, 0), self.members, self._serving(number))
         return Node(limiter, placement, counter)
 
     def _weight_of(self, address: str) -> float:
-        """Ranks the members as they are listed."""
+        """A weight that ranks the members in the order in which they are listed."""
         return -self.members.index(address)
 
     def _serving(self, number: int) -> set[str]:
-        """The nodes that serve, as this one knows."""
+        """The nodes that serve according to this node's roster."""
         return {name_of(other) for other in range(self.scene.nodes) if other not in self.absent[number]}
 
     def clock(self, number: int, now: int) -> int:
-        """The node's steady clock."""
+        """The time on a node's steady clock (ns)."""
         return now + number * CLOCK_STEP_NS
 
     def set_absent(self, now: int, number: int, absent: set[int]) -> None:
-        """One node's roster lacks others than before."""
+        """Changes the nodes that one node's roster lacks."""
         if self.absent[number] == absent:
             return
         self.absent[number] = absent
@@ -132,31 +131,31 @@
         self.schedule_update(number, now)
 
     def spread_absent(self, now: int, absent: set[int], share: float = 1.0) -> None:
-        """A roster comes to all nodes, or to the first `share` of them."""
+        """Distributes a roster to all nodes, or to the first `share` of them."""
         for number in range(int(self.scene.nodes * share)):
             at = now + int(ROSTER_SPREAD_S * self.random.random() * SEC)
             self.schedule(at, self.set_absent, number, absent, node=number)
 
     def tick(self, now: int, number: int) -> None:
-        """A node's placement looks at the time."""
+        """The periodic timer of a node's placement."""
         if number not in self.dead:
             self._send(now, number, self.nodes[number].placement.tick(self.clock(number, now)))
             self.schedule_update(number, now)
             self.schedule(now + TICK_NS, self.tick, number, node=number)
 
     def die(self, now: int, number: int) -> None:
-        """A machine ends."""
+        """Ends a machine for good."""
         self.dead.add(number)
         self.schedule(now + ROSTER_DROP_NS, self.spread_absent, {number})
 
     def restart(self, now: int, number: int) -> None:
-        """A node's process ends and starts again at once."""
+        """Restarts a node's process at once."""
         self.nodes[number] = self._new_node(number, now)
         self.update_due_at.pop(number, None)
         self.schedule_update(number, now)
 
     def is_frozen(self, now: int, number: int | None) -> bool:
-        """Whether the node stands still."""
+        """Whether the node is frozen."""
         frozen = self.scene.counter_frozen
         return frozen is not None and number == self.first_counter and frozen.contains(now)
 
@@ -171,7 +170,7 @@
             self.schedule(at, self.on_update_due, number, node=number)
 
     def on_update_due(self, now: int, number: int) -> None:
-        """The timer of the node's next update."""
+        """Sends the node's next update when its timer fires."""
         if self.update_due_at.get(number, 0) > now:
             return
         self.update_due_at.pop(number, None)
@@ -213,7 +212,7 @@
             self.schedule(at, self.announce, number)
 
     def on_answer(self, now: int, sender: int, receiver: int, message: WireMap) -> None:
-        """A message of a counter arrives."""
+        """A message from a counter arrives."""
         if receiver not in self.dead and not self.network.is_partitioned(sender, receiver, now):
             placement = self.nodes[receiver].placement
             self._send(now, receiver, placement.receive(self.clock(receiver, now), name_of(sender), message))
@@ -231,7 +230,7 @@
     # ---- requests
 
     def on_tenant_request(self, now: int, name: str) -> None:
-        """A tenant's request comes to a node by chance, and the next one is scheduled."""
+        """A tenant's request arrives at a random node, and the next one is scheduled."""
         quota = self.quotas[name]
         surge = self.scene.hot if name in self.hot_names else None
         is_hot = surge is not None and surge.begin_s * SEC <= now < surge.end_s * SEC
@@ -247,7 +246,7 @@
         self.measures[name].record(now, phase, self._admits(number, name, now))
 
     def _admits(self, number: int, name: str, now: int) -> bool:
-        """A node's verdict on a request."""
+        """Whether a node admits a request."""
         if self.scene.counting is not Counting.SHARED:
             return take(self._bucket_of(number, name), now)
         admitted = self.nodes[number].limiter.take(name, self.clock(number, now)) is None
@@ -255,7 +254,8 @@
         return admitted
 
     def _bucket_of(self, number: int, name: str) -> TokenBucket:
-        """What is compared with: each proxy has the complete quota, an even part of it, or all share one bucket."""
+        """The bucket of a way of counting other than SHARED: per proxy with the complete quota or an even part of it,
+        or one for all proxies."""
         quota = self.quotas[name]
         key = (name, 0 if self.scene.counting is Counting.PERFECT else number)
         parts = self.scene.nodes if self.scene.counting is Counting.EVEN_SPLIT else 1
@@ -266,11 +266,11 @@
     # ---- the run
 
     def schedule(self, at: int, act: Callable[..., None], *arguments: object, node: int | None = None) -> None:
-        """Calls `act` with the time and the arguments; later if `node` stands still then."""
+        """Schedules the call of `act` with the time and the arguments; it is delayed while `node` is frozen."""
         heappush(self.events, Event(at, next(self.order), node, act, arguments))
 
     def _schedule_scene(self) -> None:
-        """Schedules what the scene has."""
+        """Schedules the requests, timers and faults of the scene."""
         scene = self.scene
         for name in self.quotas:
             self.schedule(FIRST_REQUESTS_NS, self.on_tenant_request, name)
--- a/rampfront/simulation/quota_measures.py
+++ b/rampfront/simulation/quota_measures.py
@@ -1,7 +1,7 @@
-"""What is measured of a tenant's requests in a run of the quota simulation.
+"""Measurements of a tenant's requests in a run of the quota simulation.
 
-Two references stand beside the counts that are simulated: `truth` is a bucket fed by what was really admitted, so that
-a rejection while it has room is wrong; `perfect` is a counter without delay that decides on the same requests.
+The simulated counts are compared with two references: `truth` is a bucket charged with what was actually admitted, so
+that a rejection while it has room is wrong; `perfect` is a counter without delay that decides on the same requests.
 """
 
 from collections import deque
@@ -13,7 +13,7 @@
 
 
 class Allowance(Protocol):
-    """What is left of a quota."""
+    """The remainder of a quota."""
 
     def room(self, now: int) -> float:
         """Requests that may be admitted at `now` (ns)."""
@@ -44,10 +44,10 @@
 
 
 class SlidingLog:
-    """A quota without burst: so many requests in any window."""
+    """A quota without burst, which limits the requests in any window."""
 
     def __init__(self, most: float, window_ns: int) -> None:
-        """`most` requests in any `window_ns`."""
+        """Allows `most` requests in any `window_ns`."""
         self.most = most
         self.window_ns = window_ns
         self.times: deque[int] = deque()
@@ -77,13 +77,13 @@
 
     requested: int = 0
     admitted: int = 0
-    wrongly_rejected: int = 0  # though a bucket fed by all that was admitted had room
-    perfectly_admitted: int = 0  # by a perfect counter
+    wrongly_rejected: int = 0  # although a bucket charged with all that was admitted had room
+    perfectly_admitted: int = 0  # by a counter without delay
 
 
 @dataclass(slots=True)
 class TenantMeasure:
-    """What became of one tenant's requests."""
+    """The outcome of one tenant's requests."""
 
     per_s: float
     burst: float
@@ -93,10 +93,10 @@
     allowed_in_window: float = field(init=False)  # by the rule
     truth: Allowance = field(init=False)
     perfect: Allowance = field(init=False)
-    recent: deque[int] = field(init=False, default_factory=deque)  # times of what was admitted in the last window
+    recent: deque[int] = field(init=False, default_factory=deque)  # times of the requests admitted in the last window
 
     def __post_init__(self) -> None:
-        """Works out the references."""
+        """Computes the limit and the references."""
         allowance = self.per_s * self.rule.window_ns / SEC + self.burst
         self.allowed_in_window = allowance * (1 + self.rule.excess_share) + self.rule.slack_requests
         self.truth = self._reference()
@@ -108,7 +108,7 @@
         return SlidingLog(self.per_s * self.rule.window_ns / SEC, self.rule.window_ns)
 
     def record(self, now: int, phase: Phase, admitted: bool) -> None:
-        """Takes in the verdict on one request."""
+        """Records whether a request was admitted."""
         counts = self.phases.setdefault(phase, PhaseCounts())
         counts.requested += 1
         counts.perfectly_admitted += take(self.perfect, now)
--- a/rampfront/simulation/quota_network.py
+++ b/rampfront/simulation/quota_network.py
@@ -1,4 +1,5 @@
-"""The network of the quota simulation: two regions of two zones; datagrams are delayed, lost, repeated and cut off."""
+"""The network of the quota simulation: two regions of two zones; datagrams are delayed, lost, duplicated and cut
+off."""
 
 from collections.abc import Iterator
 from random import Random
@@ -15,10 +16,10 @@
 
 
 class QuotaNetwork:
-    """The links between the nodes of a scene, and what went over them."""
+    """The links between the nodes of a scene, and the traffic on them."""
 
     def __init__(self, scene: Scene, random: Random, first_counter: int) -> None:
-        """`first_counter`: the node that `Scene.counter_partitions` cut off."""
+        """`first_counter`: the node that `Scene.counter_partitions` cuts off."""
         self.scene = scene
         self.random = random
         self.first_counter = first_counter
@@ -41,7 +42,7 @@
                 yield self._delay(sender, receiver)
 
     def _delay(self, sender: int, receiver: int) -> int:
-        """How long a datagram is under way, in ns."""
+        """The delay of a datagram (ns)."""
         if sender % ZONES == receiver % ZONES:
             least_ms = SAME_ZONE_MS
         elif sender % REGIONS == receiver % REGIONS:
--- a/rampfront/simulation/quota_runs.py
+++ b/rampfront/simulation/quota_runs.py
@@ -1,10 +1,9 @@
 """Scenes of the quota simulation, and the table of their figures in `docs/system/quotas.md`.
 
-`python3 -m rampfront.simulation.quota_runs` plays all scenes with several seeds and prints a row for each. Measured are
-the most requests admitted within any QuotaWindow, as a part of what the rule allows; the part that was rejected while a
-quota fed by all that was admitted still had room (`wrong`); messages and bytes a second, of all nodes and of the one
-that sends and gets the most. Never imported by a serving process.
-"""
+`python3 -m rampfront.simulation.quota_runs` plays all scenes with several seeds and prints a row for each. It measures
+the most requests admitted within any QuotaWindow, as a fraction of what the rule allows; the fraction that was rejected
+while a quota charged with all that was admitted still had room (`wrong`); and messages and bytes per second, of all
+nodes and of the one that sends and receives the most. Never imported by a serving process."""
 
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, replace
@@ -18,7 +17,7 @@
 
 
 class Size(NamedTuple):
-    """How many nodes a scene is played with, and how many tenants that are never hot."""
+    """The number of nodes with which a scene is played, and of tenants without a surge."""
 
     nodes: int
     other_tenants: int
@@ -51,16 +50,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Figures:
-    """What was measured of a run, or the means of several."""
+    """The figures of a run, or the means of several."""
 
-    worst: float  # the most admitted within a window, of what the rule allows
+    worst: float  # the most admitted within a window, as a fraction of what the rule allows
     most: float  # requests of the first hot tenant admitted within a window
     allowed: float  # by the rule
-    wrong_usual: float  # part of the hot tenants' requests, outside of the surge
-    wrong_quiet: float  # part of the other tenants' requests
-    wrong_hot: float  # part of the hot tenants' requests in the surge
-    served_hot: float  # admitted in the surge, over a perfect counter
-    served_usual: float  # admitted of all tenants outside of it, over a perfect counter
+    wrong_usual: float  # fraction of the hot tenants' requests outside of the surge
+    wrong_quiet: float  # fraction of the other tenants' requests
+    wrong_hot: float  # fraction of the hot tenants' requests in the surge
+    served_hot: float  # admitted in the surge, relative to a perfect counter
+    served_usual: float  # admitted of all tenants outside of it, relative to a perfect counter
     busiest_per_s: float  # messages sent and received by the busiest node
     messages_per_s: float
     kb_per_s: float
@@ -72,13 +71,13 @@
 
 
 def _wrong(measures: Iterable[TenantMeasure], phase: Phase) -> float:
-    """The part of the requests that was wrongly rejected."""
+    """The fraction of the requests that was wrongly rejected."""
     rows = _counts_in(measures, phase)
     return sum(row.wrongly_rejected for row in rows) / max(1, sum(row.requested for row in rows))
 
 
 def _served(measures: Iterable[TenantMeasure], phase: Phase) -> float:
-    """What was admitted, over what a perfect counter admits."""
+    """What was admitted, relative to what a perfect counter admits."""
     rows = _counts_in(measures, phase)
     return sum(row.admitted for row in rows) / max(1, sum(row.perfectly_admitted for row in rows))
 
@@ -107,15 +106,15 @@
 
 
 def scene_of(name: str, size: Size, seed: int) -> Scene:
-    """The scene of a name."""
+    """The scene with this name, size and seed."""
     return replace(SCENES[name], nodes=size.nodes, other_tenants=size.other_tenants, seed=seed)
 
 
 def print_row(name: str, size: Size, runs: Sequence[Figures]) -> None:
-    """Prints the worst and the means of several runs of a scene."""
+    """Prints the maxima and the means of several runs of a scene."""
 
     def mean(field: str) -> float:
-        """Over the runs."""
+        """The mean of a figure over the runs."""
         return fmean(getattr(run, field) for run in runs)
 
     print(
--- a/rampfront/simulation/quota_scene.py
+++ b/rampfront/simulation/quota_scene.py
@@ -1,4 +1,4 @@
-"""What a run of the quota simulation plays: nodes, tenants, their requests, and the faults."""
+"""Scenes of the quota simulation: nodes, tenants, their requests, and faults."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -10,7 +10,7 @@
 class Counting(Enum):
     """How quotas are counted."""
 
-    SHARED = "shared"  # as the system does
+    SHARED = "shared"  # as the system does it
     NONE = "none"  # each proxy has the complete quota
     EVEN_SPLIT = "split"  # each proxy has an even part of it
     PERFECT = "perfect"  # all share one bucket without delay
@@ -32,18 +32,18 @@
 
 
 class Span(NamedTuple):
-    """A time of a run, in seconds."""
+    """A time span of a run, in seconds."""
 
     begin_s: float
     end_s: float
 
     def contains(self, now: int) -> bool:
-        """Whether `now` (ns) is within it."""
+        """Whether `now` (ns) is within the span."""
         return self.begin_s <= now / SEC < self.end_s
 
 
 class Fault(NamedTuple):
-    """Something that befalls the first `share` of the nodes for a time."""
+    """A fault of the first `share` of the nodes for a time span."""
 
     span: Span
     share: float
@@ -51,26 +51,27 @@
 
 @dataclass(frozen=True, slots=True)
 class Scene:
-    """What is played. The first counter is not among the nodes that faults befall: they are the first ones."""
+    """The parameters of a run. The first counter is not among the nodes that faults affect, which are the first
+    ones."""
 
     seed: int = 0
     nodes: int = 11
     hot_tenants: tuple[TenantQuota, ...] = (TenantQuota(27, 27),)
     other_tenants: int = 7
-    hot: Span | None = Span(6.0, 15.0)  # when the hot tenants ask for more
-    surge_multiple: float = 8.0  # by how much
+    hot: Span | None = Span(6.0, 15.0)  # when the hot tenants send more requests
+    surge_multiple: float = 8.0  # factor on their usual rate in that time
     end_s: float = 20.0
-    loss: float = 0.005  # part of the datagrams
-    repeats: float = 0.002  # part of the datagrams
+    loss: float = 0.005  # fraction of the datagrams
+    repeats: float = 0.002  # fraction of the datagrams that is duplicated
     partitions: tuple[Fault, ...] = ()  # a share of the nodes is cut off from the others
     counter_partitions: tuple[Fault, ...] = ()  # the first counter alone is cut off from a share of the nodes
-    counter_frozen: Span | None = None  # the first counter stands still
+    counter_frozen: Span | None = None  # the first counter is frozen
     roster_gap: Fault | None = None  # rosters of a share of the nodes lack the first counter
     counter_dies_s: float | None = None
     other_dies_s: float | None = None  # a node without a counter
-    skew: float = 0.0  # nodes get requests by 1 / rank to this power
+    skew: float = 0.0  # nodes receive requests in proportion to 1 / rank to this power
     all_restart_s: float | None = None
     counting: Counting = Counting.SHARED
-    load: float = 1 / 1.6  # usual requests of a tenant, as a part of its rate
-    wake_delay_ns: int = 2 * MS  # a timer is late by up to that
+    load: float = 1 / 1.6  # usual request rate of a tenant, as a fraction of its quota's rate
+    wake_delay_ns: int = 2 * MS  # the most by which a timer is late
     extra_delay_ms: float = 0.0  # mean, one way
