--- a/tests/test_closing_loss.py
+++ b/tests/test_closing_loss.py
@@ -27,12 +27,12 @@
 
 @pytest.mark.parametrize("seed", [1062, 1183, 1188])
 def test_nodes_whose_seeds_are_all_gone_are_found_by_the_leader(seed: int) -> None:
-    """The settings name one machine that was just replaced, and one that never was; no memory is left but on disks."""
+    """The settings name a machine that was just replaced and one that never existed; only disks keep their contents."""
     assert ClosingLossRun(seed).play()["replaced_in_order"]
 
 
 def breaks(nodes: int = 8, disks: int = 4) -> str:
-    """How one of some runs breaks; empty if none does."""
+    """The message of the first run that fails, or an empty string if none does."""
     for seed in PLANTED_SEEDS:
         try:
             ClosingLossRun(seed, nodes, disks).play()
@@ -42,20 +42,20 @@
 
 
 def test_a_vote_by_an_empty_disk_would_be_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    """It comes back under the incarnation that it had, so what it forgot counts as its promise."""
+    """The machine returns under its former incarnation, so that a vote that it lost still counts."""
 
     def same_incarnation(self: PersistentState, incarnation: int) -> None:
         fixed = sum(self._context.settings.name.encode())
         self.key = self.key._replace(name=self._context.settings.name, incarnation=fixed)
 
     monkeypatch.setattr(PersistentState, "_set_incarnation", same_incarnation)
-    # Two that forgot and two that never knew are a majority of six.
+    # Two members that lost the state and two that never had it are a majority of six.
     monkeypatch.setattr(closing_loss, "SITUATIONS", (ClosingLossRun.minority_cut_off,))
     assert breaks(8, 6)
 
 
 def test_a_core_that_is_founded_anew_would_be_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    """On an empty disk, though the settings say that it is no first start."""
+    """A machine founds a core on an empty disk although its settings do not allow a first start."""
     start_empty = PersistentState._start_empty
 
     def founds(self: PersistentState) -> None:
@@ -75,7 +75,7 @@
         before = disk.record
         stored(self, machine, life, disk, future)
         if before is not None and machine.began and self.now > 6 * closing_loss.SEC:
-            disk.record = before  # the disk said yes, and kept what it had
+            disk.record = before  # the disk reported success but kept the old record
 
     monkeypatch.setattr(Fleet, "stored", not_stored)
     assert breaks()
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -1,4 +1,4 @@
-"""The schedules of the simulation: what they bring about, and that faults planted in the serving code are found."""
+"""The schedules of the simulation: which faults they inject, and that faults planted in the serving code are found."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -22,8 +22,8 @@
 from rampfront.simulation.world import MS, SEC, Node
 
 
-def played(seeds: range, members: int, choose: Callable[[Run], bool] = lambda run: True) -> Counter:
-    """What happened in all of the schedules that are chosen, and what their histories hold."""
+def play_seeds(seeds: range, members: int, choose: Callable[[Run], bool] = lambda run: True) -> Counter:
+    """Counts of what happened in all chosen schedules, and of the verdicts in their histories."""
     counts: Counter = Counter()
     for seed in seeds:
         run = Run(seed, members)
@@ -34,19 +34,19 @@
 
 
 def test_schedules_replace_machines_and_lose_answers() -> None:
-    counts = played(range(1001, 1015), 4)
+    counts = play_seeds(range(1001, 1015), 4)
     hit = {"replace", "replace_planned", "leave", "races", "answers lost", "wipe", "kill_all"}
     assert hit <= counts.keys() and {*Verdict} <= counts.keys()
 
 
 @pytest.mark.parametrize("members, seeds", [(4, range(2, 30)), (6, range(2, 14)), (8, range(2, 8))])
 def test_losses_within_survive_as_close_as_they_may_come(members: int, seeds: range) -> None:
-    counts = played(seeds, members, lambda run: run.targeted)
+    counts = play_seeds(seeds, members, lambda run: run.targeted)
     assert counts["wipe_and_stop_all"] and counts["aimed_ms_most"]
 
 
 def test_a_long_cut_and_hundreds_of_changes() -> None:
-    counts = played(range(1, 60), 4, lambda run: run.with_long_cut)
+    counts = play_seeds(range(1, 60), 4, lambda run: run.with_long_cut)
     assert counts["cut_long"]
     run = Run(7)
     run.storm(run.world.nodes[3], 300)
@@ -59,16 +59,16 @@
 
 
 def test_a_read_without_a_round_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A leader that was deposed without hearing of it answers from what it holds."""
-    order = Leader.submit
+    """A leader that does not know that it was replaced answers a read from its own state."""
+    submit = Leader.submit
 
-    def at_once(leadership: Leader, told: events.Order) -> None:
-        if told.kind == OrderKind.READ and leadership.persistent.committed is not None:
-            leadership.context.emit(events.OrderEnded(told.ref, Outcome.DONE, leadership.persistent.committed))
+    def answer_reads_at_once(leader: Leader, order: events.Order) -> None:
+        if order.kind == OrderKind.READ and leader.persistent.committed is not None:
+            leader.context.emit(events.OrderEnded(order.ref, Outcome.DONE, leader.persistent.committed))
         else:
-            order(leadership, told)
+            submit(leader, order)
 
-    monkeypatch.setattr(Leader, "submit", at_once)
+    monkeypatch.setattr(Leader, "submit", answer_reads_at_once)
     monkeypatch.setattr(Leader, "is_expired", lambda *_: False)
     core = Core()
     old = core.leader
@@ -83,16 +83,16 @@
 
 
 def test_two_bodies_confirmed_under_one_number_are_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Whoever says of every body that it is the one that holds."""
+    """Each body is treated as the one that was confirmed for its number."""
     monkeypatch.setattr(VersionHistory, "denies", lambda history, number, digest: False)
     with pytest.raises(InvariantError, match="another body|two bodies|LINEARIZABILITY"):
-        played(range(1, 20), 4)
+        play_seeds(range(1, 20), 4)
 
 
 def late_vote(seed: int) -> bool:
-    """A vote that left before its voter lost the disk comes once the voter's next incarnation is in its place: the
-    old list and the new one of three members each have a majority of which no member is in both. Returns whether it
-    came to that."""
+    """A vote that was sent before its voter lost the disk arrives once the voter's next incarnation is a member.
+
+    The previous and the new membership of three then have disjoint majorities. Returns whether this occurred."""
     core = Core(members=3, survive=1, seed=seed)
     core.config(1), core.go(SEC)
     old, send = core.leader, core.send
@@ -125,7 +125,7 @@
     core.go(50 * MS)
     core.heal()
     core.send = send
-    core.go(6 * SEC)  # `SafetyChecker.record_committed_state` looks whether two states came into force at one index
+    core.go(6 * SEC)  # `SafetyChecker.record_committed_state` finds two states committed at one index
     assert order is None or not done(order) or core.leader.core_member.committed.revision == 9
     return True
 
@@ -134,7 +134,7 @@
     assert sum(late_vote(seed) for seed in range(1, 16)) > 10
 
 
-# Faults planted in the whole.
+# Faults planted in complete nodes.
 
 
 def play_plot(kind: str, seed: int) -> None:
