--- a/tests/pins/adapter.py
+++ b/tests/pins/adapter.py
@@ -259,7 +259,7 @@
     """Plays a run of whole nodes, and calls them by the handlers that their listeners call."""
     run = SystemRun(seed, plan=plan, length=max(ask.at for ask in asks) + 2000)
     fleet = run.fleet
-    run.probe = fleet.nothing  # those clients know the revisions of the run's own operators alone
+    run.probe = fleet.discard  # those clients know the revisions of the run's own operators alone
 
     def hand(ask: Ask) -> None:
         process = fleet.machines[ask.node - 1].node_process
