--- a/tests/node/test_second_operator.py
+++ b/tests/node/test_second_operator.py
@@ -109,7 +109,7 @@
     def __init__(self, seed: int = 1) -> None:
         """Settled."""
         self.fleet = fleet = Fleet(seed, nodes=5, disks=4)
-        fleet.watch = SimpleNamespace(join=self.join)
+        fleet.rule_checker = SimpleNamespace(attach=self.join)
         fleet.loss = fleet.repeat = 0
         self.listeners: dict[Machine, Callable[[], Any]] = {}  # of the control addresses
         for machine in fleet.machines:
