--- a/rampfront/simulation/checks.py
+++ b/rampfront/simulation/checks.py
@@ -37,9 +37,11 @@
 
     def record_committed_state(self, node, state):
         """Records that a node has applied a committed state."""
-        seen = state.term, state.revision, state.body, state.evacuated_zones, tuple(sorted(state.members.items()))
-        if self.states.setdefault(state.index, seen) != seen:
-            raise InvariantError(f"two states committed at index {state.index}: {self.states[state.index]} and {seen}")
+        contents = state.term, state.revision, state.body, state.evacuated_zones, tuple(sorted(state.members.items()))
+        if self.states.setdefault(state.index, contents) != contents:
+            raise InvariantError(
+                f"two states committed at index {state.index}: {self.states[state.index]} and {contents}"
+            )
         self.restored_zones[state.index] = {
             zone for zone, evacuation in state.evacuations.items() if evacuation.returned
         }
--- a/rampfront/simulation/core_faults.py
+++ b/rampfront/simulation/core_faults.py
@@ -31,14 +31,16 @@
         if not stale or self.targeted_call is not None and self.targeted_call.verdict is None:
             return
         self.record_fault("plot", *sorted(other.name for other in stale))
-        near = [other for other in world.nodes if other not in stale]
+        connected = [other for other in world.nodes if other not in stale]
         cut_off = [other for other in world.nodes if other in stale]
         self.cut(
-            [pair for one in cut_off for two in near for pair in ((one.ip, two.ip), (two.ip, one.ip))], SEC, 4 * SEC
+            [pair for one in cut_off for two in connected for pair in ((one.ip, two.ip), (two.ip, one.ip))],
+            SEC,
+            4 * SEC,
         )
         self.revision += 1
         self.targeted_call = world.call(
-            "config", (self.revision, b"%d/bait" % self.revision), self.chance.choice(near), alone=True
+            "config", (self.revision, b"%d/bait" % self.revision), self.chance.choice(connected), alone=True
         )
 
     def strike(self, call: Call) -> None:
--- a/rampfront/simulation/isolation.py
+++ b/rampfront/simulation/isolation.py
@@ -201,7 +201,11 @@
 
     def leader(self) -> Machine:
         """The running machine that considers itself the leader."""
-        return next(m for m in self.fleet.core if m.up and not m.frozen and m.node_process.disseminator.is_leader)
+        return next(
+            machine
+            for machine in self.fleet.core
+            if machine.up and not machine.frozen and machine.node_process.disseminator.is_leader
+        )
 
     def pick(self, who: str) -> Machine:
         """A machine by its role: `leader`, `follower` or `diskless`."""
@@ -211,7 +215,7 @@
         return (
             self.fleet.machines[DISKLESS_INDEX]
             if who == "diskless"
-            else next(m for m in self.fleet.core if m is not leader)
+            else next(machine for machine in self.fleet.core if machine is not leader)
         )
 
     def answers(self, machine: Machine, status: int) -> int:
@@ -224,9 +228,11 @@
     def cut(self, machines: Sequence[Machine], ways: str = "both", others: Iterable[Machine] | None = None) -> Pairs:
         """Cuts `machines` off from `others` (by default all the rest) in `both` directions, `in` (towards `machines`)
         or `out` (from them). Returns the cut pairs for `join`."""
-        rest = [m.ip for m in (self.fleet.machines if others is None else others) if m not in machines]
-        pairs = [(ip, m.ip) for m in machines for ip in rest] if ways != "out" else []
-        pairs += [(m.ip, ip) for m in machines for ip in rest] if ways != "in" else []
+        rest = [
+            machine.ip for machine in (self.fleet.machines if others is None else others) if machine not in machines
+        ]
+        pairs = [(ip, machine.ip) for machine in machines for ip in rest] if ways != "out" else []
+        pairs += [(machine.ip, ip) for machine in machines for ip in rest] if ways != "in" else []
         self.fleet.sever(pairs)
         self.cut_since.update(dict.fromkeys(machines, self.fleet.now))
         return pairs
--- a/rampfront/simulation/rules.py
+++ b/rampfront/simulation/rules.py
@@ -40,9 +40,9 @@
             self.peak_ratios[limit] = ratio
 
     def has_been_in_touch(self, machine, since):
-        """Whether a machine has been in touch at `since` and all the time after it."""
-        calm = self.fleet.touch_since(machine)
-        return calm is not None and calm + IN_TOUCH <= since
+        """Whether a machine was in touch at `since` and has been ever since."""
+        in_touch_since = self.fleet.touch_since(machine)
+        return in_touch_since is not None and in_touch_since + IN_TOUCH <= since
 
     # ---- nodes
 
@@ -99,10 +99,10 @@
 
     def check_committed(self, machine, state):
         """What a leader treats as committed must have been stored by a majority in their current incarnations."""
-        held = {who for who, stamp in self.fleet.kept.items() if stamp >= state.position}
-        if not state.has_quorum(held):
+        stored_by = {storage for storage, position in self.fleet.kept.items() if position >= state.position}
+        if not state.has_quorum(stored_by):
             raise InvariantError(
-                f"{machine.name} treats index {state.index} as committed, but only {sorted(held)} had stored it"
+                f"{machine.name} treats index {state.index} as committed, but only {sorted(stored_by)} had stored it"
             )
 
     def on_leadership_updated(self, machine, node_process):
@@ -114,22 +114,22 @@
             if not machine.leads:
                 self.safety_checker.record_leader(machine, core_member.term)
                 self.fleet.count("leaders")
-            at = core_member.quorum_confirmed_at
-            if at is not None:
-                self.safety_checker.check_leader_claim(machine, at - machine.offset)
+            confirmed_at = core_member.quorum_confirmed_at
+            if confirmed_at is not None:
+                self.safety_checker.check_leader_claim(machine, confirmed_at - machine.offset)
         machine.leads = core_member.is_leader
 
     def check_confirmed_times(self):
         """Checks the claim on which each lease is based: a node has all that was acknowledged before its confirmed
         time."""
         for machine in self.fleet.machines:
-            if machine.up and (at := machine.node_process.disseminator.confirmed_at_ns) is not None:
+            if machine.up and (confirmed_at := machine.node_process.disseminator.confirmed_at_ns) is not None:
                 newest, state = (
-                    self.safety_checker.newest_acknowledged(at - machine.offset),
+                    self.safety_checker.newest_acknowledged(confirmed_at - machine.offset),
                     machine.node_process.replicated_state.state,
                 )
                 if newest and (state is None or state.index < newest):
-                    raise InvariantError(f"{machine.name} lacks index {newest}, which is older than its confirmed time")
+                    raise InvariantError(f"{machine.name} lacks index {newest}, acknowledged before its confirmed time")
 
     # ---- requests
 
