--- a/rampfront/simulation/clients.py
+++ b/rampfront/simulation/clients.py
@@ -57,7 +57,7 @@
         if self.status is None:
             head, _, body = data.partition(b"\r\n\r\n")
             self.status = int(head[9:12])
-            self.fleet.watch.answered(self, self.status, body)
+            self.fleet.rule_checker.on_answer(self, self.status, body)
             self.fleet.count(f"answer {self.status}")
 
     def failed(self, why: str) -> None:
@@ -79,7 +79,7 @@
 
 
 class Clients:
-    """The client part of a run. Needs the run's `fleet`, `rng`, `watch`, `groups`, `rates`, `revisions` and
+    """The client part of a run. Needs the run's `fleet`, `rng`, `rule_checker`, `groups`, `rates`, `revisions` and
     `request_count`."""
 
     def send_continuously(self, tenant: str) -> None:
@@ -145,7 +145,7 @@
                 body,
             )
         )
-        self.watch.sent(request)
+        self.rule_checker.on_request_sent(request)
         connection = ClientConnection(fleet, machine, f"c:{group.zone}", request)
         fleet.transmit_bytes(connection.forward_path, connection, connection.reach_machine, data)
         fleet.at(fleet.now + 3 * SEC, self.time_out, connection)
--- a/rampfront/simulation/fleet.py
+++ b/rampfront/simulation/fleet.py
@@ -19,9 +19,9 @@
 from ..transport.frames import MAX_DATAGRAM_BYTES
 from ..transport.transfer_scheduler import Transfer
 from ..transport.wire import Wire
-from .checks import Broken, Ledger
+from .checks import InvariantError, SafetyChecker
 from .outside import Platform, Server, SimulatedPoller
-from .world import CATCH_UP, Course, Disk, is_joining, still_members
+from .world import CATCH_UP, Disk, EventScheduler, is_joining, still_members
 
 MS, SEC = 10**6, 10**9
 EPOCH = 10**17  # ns on the machines' clocks when the fleet's clock is at 0
@@ -371,7 +371,7 @@
         )
         self.in_core, self.disk = disk, Disk(sync) if disk else None
         self.node_process, self.loop, self.life, self.up, self.frozen = None, None, 0, False, False
-        self.inbox, self.offset, self.ruled, self.revision = [], 0, 0, 0
+        self.inbox, self.offset, self.applied_index, self.revision = [], 0, 0, 0
         # incarnation: of its disk contents; 0: none yet
         self.wiped_at, self.incarnation, self.leads = -60 * SEC, 0, False
         self.active_faults, self.calm_at, self.has_started = 0, 0, False
@@ -394,11 +394,11 @@
         self.query, self.body, self.respond, self.path, self.idempotency_key = query, body, respond, "", b""
 
 
-class Fleet(Course):
+class Fleet(EventScheduler):
     """All machines, their links, the servers and the platform, on one fake clock.
 
-    `watch` observes the run and checks the rules (`rules.Watch`). Machines with a disk come first in the list; the
-    first of them founds the core.
+    `rule_checker` observes the run and checks the rules (`rules.RuleChecker`). Machines with a disk come first in the
+    list; the first of them founds the core.
     """
 
     def __init__(self, seed, nodes=11, disks=4, survive=None, sync=MS):
@@ -413,7 +413,7 @@
         self.by_ip = {machine.ip: machine for machine in self.machines}
         self.survive = max(0, (disks - 1) // 2) if survive is None else survive
         self.seeds = [machine.ip for machine in self.core[:3]]
-        self.ledger, self.watch = Ledger(), None
+        self.safety_checker, self.rule_checker = SafetyChecker(), None
         self.cuts, self.reset_pairs, self.loss, self.repeat, self.max_extra_delay = {}, set(), 0.005, 0.002, 0
         self.core_active_faults, self.core_calm_at = 0, 0
         # (name, incarnation) to the position of the entry that it synced last, even if the disk is lost since
@@ -498,7 +498,9 @@
     def begin_transfer(self, wire, transfer):
         """Sends a large frame over a connection of its own, on links of a bounded bandwidth."""
         peer, machine, life = self.by_ip.get(transfer.ip), wire.loop.machine, wire.loop.life
-        deliver = partial(self.deliver_frame, wire.ip, peer, transfer.data) if peer is not None else Course.nothing
+        deliver = (
+            partial(self.deliver_frame, wire.ip, peer, transfer.data) if peer is not None else EventScheduler.discard
+        )
         on_end = partial(self.do, machine, life, self.end_transfer, wire, transfer)
         bandwidth_transfer = self.bandwidth.transfer(wire.ip, transfer.ip, len(transfer.data), deliver, on_end)
         transfer.abort, transfer.connected = bandwidth_transfer.end, True
@@ -550,7 +552,7 @@
         if machine.up or machine in self.removed:
             return
         machine.life += 1
-        machine.up, machine.frozen, machine.inbox, machine.ruled, machine.revision = True, False, [], 0, 0
+        machine.up, machine.frozen, machine.inbox, machine.applied_index, machine.revision = True, False, [], 0, 0
         machine.leads = False
         machine.offset = EPOCH + self.rng.randrange(SEC)
         machine.loop = loop = SimulatedEventLoop(self, machine)
@@ -566,11 +568,11 @@
         )
         node_process.client_front.server = Listener
         machine.control, machine.directory = build_control_calls(node_process), build_directory(node_process)
-        self.watch.join(machine)
+        self.rule_checker.attach(machine)
         if machine.in_core and not machine.has_started and node_process.core.member.entry is not None:
-            self.ledger.founders.add(machine.name)
-            if len(self.ledger.founders) > 1:
-                raise Broken("founded twice")
+            self.safety_checker.founders.add(machine.name)
+            if len(self.safety_checker.founders) > 1:
+                raise InvariantError("founded twice")
         machine.has_started = True
         self.fault_ended(machine)
         self.do(machine, machine.life, node_process.start)
@@ -600,7 +602,7 @@
     def wipe(self, machine):
         """Ends a process and empties its disk."""
         self.stop(machine)
-        machine.disk = Disk(machine.disk.usual)
+        machine.disk = Disk(machine.disk.default_wait)
         machine.wiped_at, machine.incarnation = self.now, 0
 
     def is_joining(self, machine):
@@ -608,12 +610,12 @@
         disk contents."""
         if machine.up and machine.core_member is not None:
             machine.incarnation = machine.core_member.incarnation
-        return is_joining(self.ledger.newest_state, machine)
+        return is_joining(self.safety_checker.newest_state, machine)
 
     def lost(self):
         """The machines of the core that count as lost; see `World.lost`."""
         lost = [m for m in self.core if self.is_joining(m) or self.now - m.wiped_at < CATCH_UP]
-        return lost + still_members(self.ledger.newest_state, self.removed, lost)
+        return lost + still_members(self.safety_checker.newest_state, self.removed, lost)
 
     def add_machine(self, replaced):
         """Adds an empty machine to the core, in the zone of the one that it replaces, with an address and a name of its
@@ -659,7 +661,7 @@
         """Starts a save on the disk's thread; returns its future."""
         machine, disk, future = loop.machine, loop.machine.disk, SaveFuture()
         if disk.pending is not None:
-            raise Broken("two stores at once")
+            raise InvariantError("two stores at once")
         disk.pending = record
         wait = disk.wait // 2 + self.rng.randrange(disk.wait + MS)
         self.at(self.now + wait, self.stored, machine, loop.life, disk, future)
--- a/rampfront/simulation/operators.py
+++ b/rampfront/simulation/operators.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 
 from ..net.http_messages import Delivery, DeliveryCallback
-from .checks import Broken
+from .checks import InvariantError
 from .fleet import ApiCall, Machine
 from .linearizability import Kind, Operation, Verdict
 from .plan import LEADER, SERVICES
@@ -66,8 +66,8 @@
 
 
 class Operators:
-    """The operators' part of a run. Needs the run's `fleet`, `rng`, `watch`, `calls`, `revisions`, `evacuating_zones`,
-    `restored_at` and `history`."""
+    """The operators' part of a run. Needs the run's `fleet`, `rng`, `rule_checker`, `calls`, `revisions`,
+    `evacuating_zones`, `restored_at` and `history`."""
 
     def config(self, twice: bool = False, races: bool = False, machine: Machine | None = None) -> Call:
         """Sends a new configuration, which holds a key of its own and that of its predecessor.
@@ -130,7 +130,7 @@
     def restore_zone(self, zone: str) -> None:
         """Ends an evacuation. The servers of the zone have become cold in the meantime."""
         if self.fleet.now < self.faults_end_at:
-            self.watch.taken_back(zone)
+            self.rule_checker.on_restore_sent(zone)
             self.call("fill", zone)
 
     def release_zone(self, zone: str) -> None:
@@ -155,7 +155,9 @@
     def call(self, kind: str, body: object, until: int = ORDER_TIMEOUT, machine: Machine | None = None) -> Call:
         """Sends an order until it is answered or `until` (ns from now) has passed, to `machine` first."""
         fleet = self.fleet
-        call = Call(kind, body, fleet.now, fleet.ledger.newest(), fleet.now + until, kind == "config")
+        call = Call(
+            kind, body, fleet.now, fleet.safety_checker.newest_acknowledged(), fleet.now + until, kind == "config"
+        )
         if kind == "config" and body not in self.sent_configurations:
             self.sent_configurations.append(body)
         self.calls.append(call)
@@ -170,16 +172,16 @@
     def send_order(self, call: Call, machine: Machine) -> None:
         """Sends an order to a node, and to another one if no answer arrives within a second."""
         fleet = self.fleet
-        if call.verdict is not None or fleet.now > call.until:
+        if call.verdict is not None or fleet.now > call.deadline:
             return
-        call.tries += 1
+        call.attempt += 1
         if not machine.up:
-            fleet.at(fleet.now + 50 * MS, self.on_silence, call, call.tries)
+            fleet.at(fleet.now + 50 * MS, self.on_silence, call, call.attempt)
             return
         operation = self.history.begin(self.operation(call, machine))
-        fleet.at(fleet.now + SEC + self.rng.randrange(200 * MS), self.on_silence, call, call.tries)
+        fleet.at(fleet.now + SEC + self.rng.randrange(200 * MS), self.on_silence, call, call.attempt)
         arrives = fleet.now + fleet.draw_latency("operator", machine.ip)
-        fleet.at(arrives, fleet.do, machine, machine.life, self.deliver_order, call, machine, call.tries, operation)
+        fleet.at(arrives, fleet.do, machine, machine.life, self.deliver_order, call, machine, call.attempt, operation)
 
     def operation(self, call: Call, machine: Machine) -> Operation:
         """An attempt of an order as it is recorded in the history."""
@@ -191,7 +193,7 @@
 
     def deliver_order(self, call: Call, machine: Machine, tries: int, operation: int) -> None:
         """An order is at a node: hands it to the node's handler."""
-        if call.tries != tries or call.verdict is not None:
+        if call.attempt != tries or call.verdict is not None:
             return  # the operator has turned to another node
         control, fleet = machine.control, self.fleet
         respond = partial(self.node_answered, Attempt(call, machine, tries, operation))
@@ -244,7 +246,7 @@
     ) -> None:
         """An operator receives an answer, and ignores those to earlier attempts."""
         call = attempt.call
-        if call.tries != attempt.number:
+        if call.attempt != attempt.number:
             self.report_delivery(attempt, Delivery.LOST, on_delivery)
             return
         self.report_delivery(attempt, Delivery.DELIVERED, on_delivery)
@@ -259,7 +261,7 @@
             call.verdict = "refused"  # the check of the history decides whether rightly
             self.fleet.count("refused")
         elif status < SERVER_ERROR:
-            raise Broken(f"{call.kind} {str(call.body)[:40]} was answered with status {status}")
+            raise InvariantError(f"{call.kind} {str(call.body)[:40]} was answered with status {status}")
         else:
             self.after(50 + self.rng.randrange(200), self.resend, call)
 
@@ -277,7 +279,7 @@
     def order_done(self, call: Call, body: bytes) -> None:
         """An operator knows that an order was carried out."""
         call.verdict, call.done_at, call.state = "done", self.fleet.now, body
-        self.watch.acknowledged(call, self.fleet.now)
+        self.rule_checker.on_acknowledged(call, self.fleet.now)
         if call.kind == "empty":
             self.after(self.evacuating_zones.get(call.body, 1000), self.restore_zone, call.body)
         elif call.kind == "fill":
@@ -290,7 +292,7 @@
 
     def on_silence(self, call: Call, tries: int) -> None:
         """Sends an order again if the attempt got no answer."""
-        if call.verdict is None and call.tries == tries:
+        if call.verdict is None and call.attempt == tries:
             self.send_order(call, self.pick_any())
 
     # Faults that follow an acknowledgement.
--- a/rampfront/simulation/outside.py
+++ b/rampfront/simulation/outside.py
@@ -47,7 +47,7 @@
         job.request.received_path = lines[0].split(b" ")[1]
         if fields[b"wanted-server"] != self.uid.encode():
             return self.answer(job, 421, b"", not_run=True)
-        fleet.watch.arrived(self, conn.machine, job)
+        fleet.rule_checker.on_server_request(self, conn.machine, job)
         if fleet.refused_until.get(self.service, 0) > fleet.now or len(self.queue) >= 2 * self.capacity:
             return self.answer(job, 503, b"full", not_run=True)
         if self.running < self.capacity:
@@ -60,7 +60,7 @@
         while the server is cold, 2 s at most."""
         fleet = self.fleet
         self.running += 1
-        fleet.watch.runs(self, job)
+        fleet.rule_checker.on_execution(self, job)
         slowdown = 3.0 if self.cold_until > fleet.now else 1.0
         duration = int(min(2.0, fleet.rng.expovariate(1 / 0.035) * slowdown + 0.003) * SEC)
         fleet.at(fleet.now + duration, self.finish_job, job)
--- a/rampfront/simulation/system_faults.py
+++ b/rampfront/simulation/system_faults.py
@@ -104,7 +104,7 @@
     def heal_disk(self, machine: Machine, disk: Disk) -> None:
         """Ends all faults of a disk."""
         disk.hangs = disk.full = False
-        disk.wait = disk.usual
+        disk.wait = disk.default_wait
         self.fleet.fault_ended(machine)
 
     def hang_disk(self, target: int, ms: int) -> None:
--- a/rampfront/simulation/system_run.py
+++ b/rampfront/simulation/system_run.py
@@ -10,13 +10,13 @@
 from random import Random
 
 from . import linearizability
-from .checks import Broken
+from .checks import InvariantError
 from .clients import ClientGroup, Clients
 from .fleet import ZONES, Fleet, Machine
 from .linearizability import Kind, Operation, Recorder
 from .operators import OK, Operators, body_digest
 from .plan import FAULTS_BEGIN_MS, LAST_ACKNOWLEDGER, LEADER, SERVICES, Row, draw_plan
-from .rules import APPLY, IN_TOUCH, RECOVERY, Watch
+from .rules import APPLY, IN_TOUCH, RECOVERY, RuleChecker
 from .system_faults import SystemFaults
 from .world import Call
 
@@ -43,7 +43,7 @@
         self.fleet = fleet = Fleet(seed, nodes, disks, sync=(1, 1, 20, 80)[seed % 4] * MS)
         self.rng = fleet.rng
         self.plan = draw_plan(seed, nodes, disks, length) if plan is None else plan
-        fleet.watch = self.watch = Watch(fleet)
+        fleet.rule_checker = self.rule_checker = RuleChecker(fleet)
         fleet.calling, fleet.links_calm_at = None, 0
         self.calls, self.armed_fault, self.last_acknowledger, self.is_calm = [], None, None, False
         self.history, self.answer_loss = Recorder(), 0.0
@@ -56,7 +56,7 @@
         self.faults_end_at = (FAULTS_BEGIN_MS + length) * MS
 
     def play(self) -> dict[str, int]:
-        """Returns the counts of events; raises `Broken` if a rule does not hold."""
+        """Returns the counts of events; raises `InvariantError` if a rule does not hold."""
         self.start_all()
         fleet = self.fleet
         for at, what, *args in self.plan:
@@ -97,10 +97,10 @@
 
     def check_continuously(self) -> None:
         """Checks the rules that must hold throughout the run."""
-        self.watch.word()
+        self.rule_checker.check_confirmed_times()
         for call in self.calls:
-            self.watch.waits(call, self.fleet.now)
-        self.calls = [call for call in self.calls if call.verdict is None and self.fleet.now < call.until]
+            self.rule_checker.check_acknowledgement_time(call, self.fleet.now)
+        self.calls = [call for call in self.calls if call.verdict is None and self.fleet.now < call.deadline]
         self.fleet.at(self.fleet.now + CHECK_INTERVAL, self.check_continuously)
 
     def pick(self, target: int) -> Machine:
@@ -144,7 +144,7 @@
         call = self.config()
         fleet.run(sent + CALM_ACK_TIMEOUT)
         if call.done_at is None:
-            raise Broken(f"no acknowledgement within {CALM_ACK_TIMEOUT / SEC:.0f} s of calm")
+            raise InvariantError(f"no acknowledgement within {CALM_ACK_TIMEOUT / SEC:.0f} s of calm")
         fleet.counts["calm_ms_most"] = (call.done_at - sent) // MS
         fleet.run(sent + IN_TOUCH + APPLY + 2 * SEC)
         self.check_agreement(call)
@@ -160,7 +160,7 @@
                 m.name for m in fleet.machines if m.up and zone in m.node_process.replicated_state.state.evacuated_zones
             ]
             if evacuated_at and fleet.now - restored_at > RESTORE_TIMEOUT:
-                raise Broken(
+                raise InvariantError(
                     f"{zone} is evacuated at {evacuated_at}, {(fleet.now - restored_at) / SEC:.1f} s after its return"
                 )
 
@@ -178,7 +178,7 @@
         for machine in fleet.machines:
             if machine.disk:
                 machine.disk.hangs = machine.disk.full = False
-                machine.disk.wait = machine.disk.usual
+                machine.disk.wait = machine.disk.default_wait
             if machine.frozen:
                 fleet.thaw(machine, machine.life)
 
@@ -207,24 +207,26 @@
             node_process = machine.node_process
             held = node_process.request_proxy.configuration.revision if node_process.request_proxy.configuration else 0
             if held != call.body[0]:
-                raise Broken(f"{machine.name} holds r{held} instead of r{call.body[0]} in the calm")
+                raise InvariantError(f"{machine.name} holds r{held} instead of r{call.body[0]} in the calm")
             is_joining = machine.in_core and fleet.is_joining(machine)
             if not node_process.disseminator.ready or is_joining:
-                raise Broken(
+                raise InvariantError(
                     f"{machine.name} is not ready in the calm" + (", and not yet a full member" if is_joining else "")
                 )
             listed = [entry.name for entry in node_process.disseminator.roster if entry.ready]
             if listed != rows:
-                raise Broken(f"{machine.name} lists {listed} as ready")
+                raise InvariantError(f"{machine.name} lists {listed} as ready")
         lists = {m.node_process.disseminator.endpoints_version for m in up}
         if len(lists) > MAX_LIST_VERSIONS:
-            raise Broken(f"too many versions of the server list in the calm: {lists}")
-        still_listed = [machine.name for machine in fleet.removed if machine.name in fleet.ledger.newest_state.members]
+            raise InvariantError(f"too many versions of the server list in the calm: {lists}")
+        still_listed = [
+            machine.name for machine in fleet.removed if machine.name in fleet.safety_checker.newest_state.members
+        ]
         # The member list never becomes smaller than at the first start, so each member that is down keeps a removed one
         # on the list.
         down = sum(not machine.up for machine in fleet.core)
         if len(still_listed) > down:
-            raise Broken(f"removed for good, but still members: {still_listed}")
+            raise InvariantError(f"removed for good, but still members: {still_listed}")
 
     def check_requests_served(self, span: int) -> None:
         """Checks that the latest requests that no quota limits were served. Clients that use an old directory answer do
@@ -240,7 +242,7 @@
         ]
         served = sum(r.status == OK for r in sent)
         if not sent or served < MIN_SERVED_SHARE * len(sent):
-            raise Broken(f"{served} of {len(sent)} requests are served in the calm")
+            raise InvariantError(f"{served} of {len(sent)} requests are served in the calm")
 
     # The closing fault.
 
@@ -251,7 +253,7 @@
         fleet.note("close", kind)
         were_up = [machine for machine in fleet.machines if machine.up]
         lost = self.pick_lost_machines(kind, Random(salt))
-        floor, number = fleet.ledger.newest(), self.watch.acked[-1][1]
+        floor, number = fleet.safety_checker.newest_acknowledged(), self.rule_checker.acknowledged[-1][1]
         for machine in were_up:
             if machine in lost:
                 fleet.wipe(machine)
@@ -267,10 +269,10 @@
         call = self.call("read", None, 10 * SEC)
         fleet.run(fleet.now + 6 * SEC)
         if call.verdict != "done" or json.loads(call.state)["Revision"] != f"r{number}":
-            raise Broken(f"LOST: r{number} cannot be read back after the closing fault")
+            raise InvariantError(f"LOST: r{number} cannot be read back after the closing fault")
         behind = [m.name for m in were_up if m.node_process.replicated_state.state.index < floor]
         if behind:
-            raise Broken(f"LOST: {behind} lack a state that was acknowledged")
+            raise InvariantError(f"LOST: {behind} lack a state that was acknowledged")
         self.check_requests_served(3 * SEC)
 
     def pick_lost_machines(self, kind: str, rng: Random) -> set[Machine]:
@@ -282,12 +284,12 @@
         return set(rng.sample(core, max(0, min(count, len(core)))))
 
     def wait_for_recovery(self, were_up: list[Machine]) -> None:
-        """Runs until all that were up serve again; raises `Broken` if that takes longer than RECOVERY."""
+        """Runs until all that were up serve again; raises `InvariantError` if that takes longer than RECOVERY."""
         fleet, returned = self.fleet, self.fleet.now
         while not all(m.node_process.disseminator.ready for m in were_up):
             if fleet.now - returned > RECOVERY:
                 late = [m.name for m in were_up if not m.node_process.disseminator.ready]
-                raise Broken(f"RECOVER: {late} do not serve {RECOVERY // SEC} s after the closing fault")
+                raise InvariantError(f"RECOVER: {late} do not serve {RECOVERY // SEC} s after the closing fault")
             fleet.run(fleet.now + 100 * MS)
         fleet.counts["recovery_ms_most"] = (fleet.now - returned) // MS
 
--- a/tests/catch_up_fixtures.py
+++ b/tests/catch_up_fixtures.py
@@ -102,10 +102,10 @@
 
         Returns the elapsed seconds and the number of bytes that it received.
         """
-        began, bytes_received = self.now, self.bandwidth.came(node.ip)
+        began, bytes_received = self.now, self.bandwidth.received_bytes(node.ip)
         self.start(node)
         target = self.rev
         while self.committed_revision(node) < target:
             assert self.now - began < limit, f"holds r{self.committed_revision(node)} of r{target}"
             self.burst(1)
-        return (self.now - began) / SEC, self.bandwidth.came(node.ip) - bytes_received
+        return (self.now - began) / SEC, self.bandwidth.received_bytes(node.ip) - bytes_received
--- a/tests/consensus/test_catch_up.py
+++ b/tests/consensus/test_catch_up.py
@@ -31,10 +31,10 @@
     """A change of one route of 2,000 is sent as a delta, so traffic and the latency of orders stay small."""
     core = BusyCore(2000, dict.fromkeys((1, 2, 3, 4), SLOW_LINK))
     node, calls = core.follower(), len(core.calls)
-    came = core.bandwidth.came(node.ip)
+    came = core.bandwidth.received_bytes(node.ip)
     core.burst(30)
     core.advance(SEC)
-    assert core.committed_revision(node) == core.rev and core.bandwidth.came(node.ip) - came < 30 * 1000
+    assert core.committed_revision(node) == core.rev and core.bandwidth.received_bytes(node.ip) - came < 30 * 1000
     assert max(call.done_at - call.sent for call in core.calls[calls:]) < 100 * MS
 
 
@@ -53,7 +53,7 @@
     assert all(new > old for old, new in zip(held, held[1:], strict=False)), held
     assert core.rev - held[-1] < 20
     assert not core.counts.get("transfers lost") and core.counts["leaders"] == 1
-    assert core.bandwidth.most_waited[node.ip] < 250 * MS
+    assert core.bandwidth.longest_wait[node.ip] < 250 * MS
     core.advance(2 * SEC)
     assert core.committed_revision(node) == core.rev
 
@@ -102,7 +102,7 @@
         peer for (name, _), peer in led.core_member.roles.leader.replication.replicas.items() if name == node.name
     )
     assert peer.match_position == node.core_member.roles.persistent.durable.entry.position
-    node.disk.wait = node.disk.usual
+    node.disk.wait = node.disk.default_wait
     core.advance(SEC)
     assert core.committed_revision(node) == core.rev
 
--- a/tests/consensus/test_commitment.py
+++ b/tests/consensus/test_commitment.py
@@ -64,7 +64,7 @@
     def answers(message):
         sent = core.sent = []
         core.send = lambda node, ip, message: sent.append((ip, message[KIND]))
-        core.tell(voter, received_frame("10.0.0.9", message))
+        core.deliver(voter, received_frame("10.0.0.9", message))
         core.advance(50 * MS)
         return [kind for ip, kind in sent if ip == "10.0.0.9"]
 
--- a/tests/consensus/test_core_orders.py
+++ b/tests/consensus/test_core_orders.py
@@ -34,7 +34,7 @@
     core = Core()
     core.configure(1)
     calls = [core.place_order(core.leader, kind, "zone") for kind in (OrderKind.EVACUATE, OrderKind.RESTORE)]
-    core.advance(SEC)  # `Ledger.done` checks that the zone was evacuated at some time
+    core.advance(SEC)  # `SafetyChecker.done` checks that the zone was evacuated at some time
     assert all(map(done, calls)) and not core.leader.core_member.committed.evacuated_zones
 
 
--- a/tests/consensus/test_evacuation_claims.py
+++ b/tests/consensus/test_evacuation_claims.py
@@ -35,9 +35,9 @@
         """Submits an order, or a delivery report on one, to the leader and waits for its acknowledgement."""
         is_report = kind in (DELIVERED, LOST)
         body = (ZONE, identity) if is_report else ZONE
-        floor = self.state_at_first_send.setdefault((kind, identity), self.ledger.newest())
+        floor = self.state_at_first_send.setdefault((kind, identity), self.safety_checker.newest_acknowledged())
         call = PlacedOrder(kind, body, floor)
-        self.tell(self.leader, events.Order((call, 0), kind, body, 0 if is_report else identity))
+        self.deliver(self.leader, events.Order((call, 0), kind, body, 0 if is_report else identity))
         run_until(self, lambda: call.verdict == Outcome.DONE)
 
     def evacuate(self, identity: int) -> None:
--- a/tests/consensus/test_excluded_members.py
+++ b/tests/consensus/test_excluded_members.py
@@ -49,7 +49,7 @@
     for node in core.others(away):
         core.start(core.new_machine())
         core.advance(CATCH_UP)
-        core.tell(node, events.Shutdown())
+        core.deliver(node, events.Shutdown())
         core.advance(SEC)
         core.lose(node)
         core.advance(CATCH_UP)
@@ -63,7 +63,7 @@
     core = running_core(4, 1, new_machines=1)
     old, out = core.leader, core.others(core.leader)[0]
     before = out.core_member.incarnation
-    core.tell(out, events.Shutdown())
+    core.deliver(out, events.Shutdown())
     while (
         out.name in out.core_member.entry.members
         or out.core_member.roles.persistent.durable.entry is not out.core_member.entry
@@ -73,10 +73,10 @@
         core.stop(node)
     core.start(out)
     out.core_member.roles.election.become_candidate()
-    core.tell(out, events.Tick())
+    core.deliver(out, events.Tick())
     core.advance(3 * SEC)
     core.start(old)
-    assert out.life in {life for _, (name, life) in core.ledger.leaders.items() if name == out.name}
+    assert out.life in {life for _, (name, life) in core.safety_checker.leaders.items() if name == out.name}
     assert core.run_until_full_strength() < CATCH_UP and core.members()[out.name] != before
 
 
@@ -87,7 +87,7 @@
     core.advance(2 * SEC)
     incarnation, term = away.core_member.incarnation, away.core_member.term
     hint = LeaderHint(term, core.leader.ip, [], 1, True, incarnation + 1)
-    core.tell(away, received_frame(core.leader.ip, hint))
+    core.deliver(away, received_frame(core.leader.ip, hint))
     assert away.core_member.incarnation == incarnation
 
 
--- a/tests/consensus/test_lost_disks.py
+++ b/tests/consensus/test_lost_disks.py
@@ -98,7 +98,7 @@
     requests = [request for request in requests if request[SENDER_INCARNATION] != lost.core_member.incarnation]
     assert any(request[JOIN_TOKEN] == leader.core_member.roles.leader.join_token for request in requests)
     for request in requests:
-        core.tell(leader, events.MessageReceived(lost.ip, request))
+        core.deliver(leader, events.MessageReceived(lost.ip, request))
     core.advance(SEC)
     assert leader.core_member.committed.members[lost.name][1] == lost.core_member.incarnation
 
@@ -113,7 +113,7 @@
     before = out.core_member.incarnation
     core.cut_links([out], core.others(out))
     request = JoinRequest(MemberKey(out.name, 77), leader.core_member.roles.leader.join_token)
-    core.tell(leader, received_frame(out.ip, request))
+    core.deliver(leader, received_frame(out.ip, request))
     core.advance(2 * SEC)
     assert leader.core_member.committed.members[out.name][1] == before
     core.heal_links()
@@ -148,11 +148,11 @@
     leader, other = core.leader, core.others(core.leader)[0]
     request = JoinRequest(MemberKey(leader.name, 77), 0)
     for _ in range(20):
-        core.tell(other, received_frame(leader.ip, request)), core.advance(100 * MS)
+        core.deliver(other, received_frame(leader.ip, request)), core.advance(100 * MS)
     assert other.core_member.roles.electorate.sole_voter_position is None and core.leader is leader
     core.stop(leader)
     core.advance(2 * SEC)
-    core.tell(other, received_frame(leader.ip, request))
+    core.deliver(other, received_frame(leader.ip, request))
     core.advance(3 * SEC)
     assert not core.leaders
     core = Core(3)
@@ -189,7 +189,7 @@
     core.advance(SEC // 2)
     core.start(lost)
     assert core.run_until_full_strength() < SEC
-    sizes = {len(seen[-1]) for at, seen in core.ledger.states.items() if at >= index}
+    sizes = {len(seen[-1]) for at, seen in core.safety_checker.states.items() if at >= index}
     assert sizes == {members}
 
 
--- a/tests/consensus/test_machine_replacement.py
+++ b/tests/consensus/test_machine_replacement.py
@@ -46,7 +46,7 @@
     if planned:
         core.start(successor)
         core.advance(SEC)
-        core.tell(gone, events.Shutdown())
+        core.deliver(gone, events.Shutdown())
     else:
         core.lose(gone)
         core.advance(SEC)
@@ -176,7 +176,7 @@
                 core.start(core.new_machine())
                 began = core.now
                 core.advance(SEC)
-                core.tell(old, events.Shutdown())
+                core.deliver(old, events.Shutdown())
                 while old.name in (core.members() if len(core.leaders) == 1 else {old.name}):
                     core.advance(10 * MS)
             else:
--- a/tests/core_fixtures.py
+++ b/tests/core_fixtures.py
@@ -38,15 +38,15 @@
 
     def place_order(self, node, kind, body=None):
         """Submits an order to one node, without retries. The returned object receives the outcome."""
-        call = PlacedOrder(kind, body, self.ledger.newest())
-        self.tell(node, events.Order((call, 0), kind, body))
+        call = PlacedOrder(kind, body, self.safety_checker.newest_acknowledged())
+        self.deliver(node, events.Order((call, 0), kind, body))
         return call
 
-    def told(self, node, effect):
+    def on_order_ended(self, node, effect):
         call, _ = effect.ref
         call.verdict, call.state, call.leader_ip = effect.outcome, effect.state, effect.leader_ip
         if effect.outcome == Outcome.DONE:
-            self.ledger.done(self.now, call, effect.state)
+            self.safety_checker.record_acknowledgement(self.now, call, effect.state)
 
     def configure(self, rev, node=None, body=b""):
         return self.place_order(node or self.leader, OrderKind.CONFIGURE, (rev, body or b"body of %d" % rev))
@@ -63,7 +63,7 @@
 
 
 class PlacedOrder:
-    """An order submitted to one node, and its outcome. The simulation's ledger reads it."""
+    """An order submitted to one node, and its outcome. The simulation's safety checker reads it."""
 
     def __init__(self, kind, body, floor):
         self.kind = kind
--- a/tests/lab/test_cost_measurements.py
+++ b/tests/lab/test_cost_measurements.py
@@ -102,7 +102,7 @@
 @pytest.mark.parametrize("case", CASES[:1] + CASES[3:5], ids=lambda case: case.name)
 def test_a_case_of_request_cost_holds_what_it_says(case):
     plan = experiment(case)
-    assert len(plans.servers(plan)) == case.servers and len(plan.services) == case.services
+    assert len(plans.server_placements(plan)) == case.servers and len(plan.services) == case.services
     assert len(plan.routes) == case.routes and plan.routes[-1].name == plan.streams[0].route
 
 
--- a/tests/node/test_core_isolation.py
+++ b/tests/node/test_core_isolation.py
@@ -18,7 +18,7 @@
 from rampfront.node.status_views import StatusViews
 from rampfront.settings import settings_reader
 from rampfront.settings.limits import MAX_REVISION
-from rampfront.simulation.checks import Broken
+from rampfront.simulation.checks import InvariantError
 from rampfront.simulation.fleet import ApiCall
 from rampfront.simulation.isolation import IsolationRun
 
@@ -33,16 +33,16 @@
     run.go(SEC)
     node = run.pick(who)
     pairs = run.cut([node], ways)
-    run.aims = [node, *run.fleet.core]  # it gets many orders before it detects that it is cut off
+    run.targets = [node, *run.fleet.core]  # it gets many orders before it detects that it is cut off
     run.go(3 * SEC)
-    run.aims = [node, run.leader()]
+    run.targets = [node, run.leader()]
     before = run.acknowledged
     run.go(CUT - 3 * SEC)
     assert run.answers(node, 503) > 10 and not run.answers(node, 200)
     assert run.acknowledged > before  # the other nodes continue to confirm orders
     run.join(pairs)
     run.go(2 * SEC)
-    run.agree()
+    run.check_agreement()
 
 
 def test_a_leader_cut_off_from_the_core_alone_confirms_no_order():
@@ -53,12 +53,12 @@
     pairs = run.cut([old], others=run.fleet.core)
     run.go(4 * SEC)
     before = run.acknowledged
-    run.aims = [old, run.leader(), run.fleet.machines[8]]
+    run.targets = [old, run.leader(), run.fleet.machines[8]]
     run.go(CUT - 4 * SEC)
     assert run.answers(old, 503) > 10 and run.acknowledged > before
     run.join(pairs)
     run.go(2 * SEC)
-    run.agree()
+    run.check_agreement()
 
 
 def test_without_a_majority_on_any_side_no_order_is_confirmed():
@@ -66,14 +66,14 @@
     pairs = run.cut([m for m in run.fleet.machines if m.zone[0] == "a"])  # two of four with a disk
     run.cut_since = dict.fromkeys(run.fleet.machines, run.fleet.now)
     run.go(CUT // 2)
-    run.aims = [
+    run.targets = [
         m for m in run.fleet.machines if not run.answers(m, 503)
     ]  # every machine gets an order, whatever the seed
     run.go(CUT - CUT // 2)
     assert all(run.answers(m, 503) and not run.answers(m, 200) for m in run.fleet.machines)
     run.join(pairs)
     run.go(3 * SEC)
-    run.agree()
+    run.check_agreement()
 
 
 def test_one_revision_on_both_sides_of_a_partition_is_confirmed_once():
@@ -164,7 +164,7 @@
     assert json.loads(StatusViews(node.node_process).state(ApiCall({})).body)["OutOfTouchMs"] >= 5000
     run.join(pairs)
     run.go(3 * SEC)
-    run.agree()
+    run.check_agreement()
 
 
 @pytest.mark.parametrize("span", [900, 1600, 3000, 20000])
@@ -173,11 +173,11 @@
     run.go(SEC)
     old = run.leader()
     run.fleet.freeze(old)
-    run.aims = [old, *run.fleet.core]
+    run.targets = [old, *run.fleet.core]
     run.go(span * MS)
     run.fleet.thaw(old, old.life)
     run.go(SEC)
-    run.agree()
+    run.check_agreement()
 
 
 def test_a_thawed_leader_steps_down_before_it_handles_frames_that_waited():
@@ -297,23 +297,23 @@
 def test_a_read_without_a_round_would_be_found(monkeypatch):
     submit = Leader.submit
     monkeypatch.setattr(Leader, "submit", lambda leadership, request: answered_at_once(leadership, submit, request))
-    with pytest.raises(Broken, match="read is confirmed by n1, cut off|was acknowledged before it"):
+    with pytest.raises(InvariantError, match="read is confirmed by n1, cut off|was acknowledged before it"):
         test_a_node_cut_off_for_20_s_confirms_no_order("leader", "both")
 
 
 def test_a_leader_that_never_steps_down_would_be_found(monkeypatch):
     monkeypatch.setattr(Leader, "is_expired", lambda leadership, now: False)
-    with pytest.raises(Broken, match=r"n1 knows \d fronts"):
+    with pytest.raises(InvariantError, match=r"n1 knows \d fronts"):
         test_a_node_cut_off_for_20_s_confirms_no_order("leader", "both")
 
 
 def test_an_order_confirmed_by_less_than_a_majority_would_be_found(monkeypatch):
     monkeypatch.setattr(State, "has_quorum", lambda state, known: True)
-    with pytest.raises(Broken):
+    with pytest.raises(InvariantError):
         test_without_a_majority_on_any_side_no_order_is_confirmed()
 
 
 def test_an_answer_that_waits_for_the_tick_would_be_found(monkeypatch):
     monkeypatch.setattr(order_submitter, "ANSWER_TIMEOUT_NS", 980 * MS)
-    with pytest.raises(Broken, match="not answered within a second"):
+    with pytest.raises(InvariantError, match="not answered within a second"):
         test_a_node_cut_off_for_20_s_confirms_no_order("diskless", "both")
--- a/tests/node/test_second_operator.py
+++ b/tests/node/test_second_operator.py
@@ -110,7 +110,7 @@
     def __init__(self, seed: int = 1) -> None:
         """Start the nodes, and wait until the core is stable."""
         self.fleet = fleet = Fleet(seed, nodes=5, disks=4)
-        fleet.watch = SimpleNamespace(join=self.join)
+        fleet.rule_checker = SimpleNamespace(attach=self.join)
         fleet.loss = fleet.repeat = 0
         self.listeners: dict[Machine, Callable[[], Any]] = {}  # protocol factories of the control addresses
         for machine in fleet.machines:
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -1,4 +1,4 @@
-"""The schedules of the simulation: what they bring about, and that faults planted in the serving code are found."""
+"""The schedules of the simulation: which faults they inject, and that faults planted in the serving code are found."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -14,7 +14,7 @@
 from rampfront.consensus.version_history import VersionHistory
 from rampfront.consensus.wire_names import KIND, VOTE_GRANTED
 from rampfront.node.lease import Lease
-from rampfront.simulation.checks import Broken
+from rampfront.simulation.checks import InvariantError
 from rampfront.simulation.linearizability import Kind, Verdict
 from rampfront.simulation.plan import Planner, Row
 from rampfront.simulation.schedule import Run
@@ -22,8 +22,8 @@
 from rampfront.simulation.world import MS, SEC, Node
 
 
-def played(seeds: range, members: int, choose: Callable[[Run], bool] = lambda run: True) -> Counter:
-    """What happened in all of the schedules that are chosen, and what their histories hold."""
+def play_seeds(seeds: range, members: int, choose: Callable[[Run], bool] = lambda run: True) -> Counter:
+    """Counts of what happened in all chosen schedules, and of the verdicts in their histories."""
     counts: Counter = Counter()
     for seed in seeds:
         run = Run(seed, members)
@@ -34,19 +34,19 @@
 
 
 def test_schedules_replace_machines_and_lose_answers() -> None:
-    counts = played(range(1001, 1015), 4)
+    counts = play_seeds(range(1001, 1015), 4)
     hit = {"replace", "replace_planned", "leave", "races", "answers lost", "wipe", "kill_all"}
     assert hit <= counts.keys() and {*Verdict} <= counts.keys()
 
 
 @pytest.mark.parametrize("members, seeds", [(4, range(2, 30)), (6, range(2, 14)), (8, range(2, 8))])
 def test_losses_within_survive_as_close_as_they_may_come(members: int, seeds: range) -> None:
-    counts = played(seeds, members, lambda run: run.aimed)
+    counts = play_seeds(seeds, members, lambda run: run.targeted)
     assert counts["wipe_and_stop_all"] and counts["aimed_ms_most"]
 
 
 def test_a_long_cut_and_hundreds_of_changes() -> None:
-    counts = played(range(1, 60), 4, lambda run: run.with_long_cut)
+    counts = play_seeds(range(1, 60), 4, lambda run: run.with_long_cut)
     assert counts["cut_long"]
     run = Run(7)
     run.storm(run.world.nodes[3], 300)
@@ -59,16 +59,16 @@
 
 
 def test_a_read_without_a_round_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A leader that was deposed without hearing of it answers from what it holds."""
-    order = Leader.submit
+    """A leader that does not know that it was replaced answers a read from its own state."""
+    submit = Leader.submit
 
-    def at_once(leadership: Leader, told: events.Order) -> None:
-        if told.kind == OrderKind.READ and leadership.persistent.committed is not None:
-            leadership.context.emit(events.OrderEnded(told.ref, Outcome.DONE, leadership.persistent.committed))
+    def answer_reads_at_once(leader: Leader, order: events.Order) -> None:
+        if order.kind == OrderKind.READ and leader.persistent.committed is not None:
+            leader.context.emit(events.OrderEnded(order.ref, Outcome.DONE, leader.persistent.committed))
         else:
-            order(leadership, told)
+            submit(leader, order)
 
-    monkeypatch.setattr(Leader, "submit", at_once)
+    monkeypatch.setattr(Leader, "submit", answer_reads_at_once)
     monkeypatch.setattr(Leader, "is_expired", lambda *_: False)
     core = Core()
     old = core.leader
@@ -78,21 +78,21 @@
     (new,) = [node for node in core.leaders if node is not old]
     newer, _ = core.configure(2, new), core.advance(SEC)
     assert done(newer)
-    with pytest.raises(Broken, match="was acknowledged before"):
+    with pytest.raises(InvariantError, match="was acknowledged before"):
         core.place_order(old, OrderKind.READ)
 
 
 def test_two_bodies_confirmed_under_one_number_are_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Whoever says of every body that it is the one that holds."""
+    """Each body is treated as the one that was confirmed for its number."""
     monkeypatch.setattr(VersionHistory, "conflicts_with", lambda history, number, digest: False)
-    with pytest.raises(Broken, match="another body|two bodies|LINEARIZABILITY"):
-        played(range(1, 20), 4)
+    with pytest.raises(InvariantError, match="another body|two bodies|LINEARIZABILITY"):
+        play_seeds(range(1, 20), 4)
 
 
 def late_vote(seed: int) -> bool:
-    """A vote that left before its voter lost the disk comes once the voter's next incarnation is in its place: the
-    old list and the new one of three members each have a majority of which no member is in both. Returns whether it
-    came to that."""
+    """A vote that was sent before its voter lost the disk arrives once the voter's next incarnation is a member.
+
+    The previous and the new membership of three then have disjoint majorities. Returns whether this occurred."""
     core = Core(members=3, survive=1, seed=seed)
     core.configure(1), core.advance(SEC)
     old, send = core.leader, core.send
@@ -121,11 +121,11 @@
         core.advance(MS)
         if order is None and old.core_member.committed.members[voter.name][1] == voter.incarnation:
             order = core.configure(9, old)
-    core.tell(candidate, events.MessageReceived(voter.ip, vote))
+    core.deliver(candidate, events.MessageReceived(voter.ip, vote))
     core.advance(50 * MS)
     core.heal_links()
     core.send = send
-    core.advance(6 * SEC)  # `Ledger.ruled` looks whether two states came into force at one index
+    core.advance(6 * SEC)  # `SafetyChecker.record_committed_state` finds two states committed at one index
     assert order is None or not done(order) or core.leader.core_member.committed.revision == 9
     return True
 
@@ -134,7 +134,7 @@
     assert sum(late_vote(seed) for seed in range(1, 16)) > 10
 
 
-# Faults planted in the whole.
+# Faults planted in complete nodes.
 
 
 def play_plot(kind: str, seed: int) -> None:
@@ -150,7 +150,7 @@
         end(queue, order, Outcome.DONE if outcome == Outcome.UNKNOWN else outcome)
 
     monkeypatch.setattr(OrderQueue, "end", certain)
-    with pytest.raises(Broken, match="acknowledged"):
+    with pytest.raises(InvariantError, match="acknowledged"):
         for seed in range(1, 4):
             play_plot("doubt", seed)
 
@@ -164,6 +164,6 @@
         lease.duration += SEC
 
     monkeypatch.setattr(Lease, "__init__", longer)
-    with pytest.raises(Broken, match="behind its revocation"):
+    with pytest.raises(InvariantError, match="behind its revocation"):
         for seed in range(1, 13):
             play_plot("lease", seed)
